--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 LDFLAGS := -X github.com/apricothub/apricothub/internal/version.built=$(VERSION)
 export PATH := $(CURDIR)/$(TOOLS):$(PATH)
 
-.PHONY: build tools generate fmt check unit race explore spec models failure failure-all hunt explain-drill demo test measure slopes soak soak-seeds soak-large clean
+.PHONY: build tools gopls generate fmt check unit race explore spec models failure failure-all hunt explain-drill demo test measure slopes soak soak-seeds soak-large clean
 
 build:
 	@mkdir -p $(BIN)
@@ -16,6 +16,12 @@
 tools:
 	@scripts/tools
 
+# The language server, whose rename command follows every use of a name:
+# bin/tools/gopls rename -w FILE:LINE:COLUMN NEW. CI does not need it.
+gopls:
+	@mkdir -p $(TOOLS)
+	cd tools/gopls && go build -o ../../$(TOOLS)/ golang.org/x/tools/gopls
+
 generate: tools
 	cd api && protoc -I. --go_out=. --go_opt=paths=source_relative *.proto
 	go run ./internal/docgen
