--- a/coord/expertmap/agent.go
+++ b/coord/expertmap/agent.go
@@ -37,43 +37,43 @@
 	config  AgentConfig
 	engines []engineView
 
-	// promise is the highest ballot sealed, and sealedBy whose it is.
-	promise  uint64
-	sealedBy coordinatorID
+	// promisedBallot is the highest ballot sealed, and sealedBy whose it is.
+	promisedBallot uint64
+	sealedBy       coordinatorID
 	// assigned was proposed under the promise; held is the part acknowledged. ackDue
 	// says that the newest proposal was not answered yet.
-	assigned ranges
-	held     ranges
-	ackDue   bool
+	assigned     ranges
+	acked        ranges
+	assignAckDue bool
 	// prefetch holds the maps that the coordinator asked to load.
 	prefetch map[uint64]bool
-	// releasedTo is the end of the steps released under the promise; acked that
+	// releasedEnd is the end of the steps released under the promise; acked that
 	// the engines were said to hold them.
-	releasedTo uint64
-	acked      bool
+	releasedEnd  uint64
+	releaseAcked bool
 
 	// given is all that engines were given by this incarnation or, as read back, by
 	// those before. What was sent counts as given, delivered or not.
 	given ranges
 	// step is the next step of the ranks, as far as known.
-	step   uint64
-	faults int
+	step       uint64
+	violations int
 
 	ready Ready
 }
 
 // AgentStatus is an agent's state for the dump.
 type AgentStatus struct {
-	Promise uint64
+	PromisedBallot uint64
 	// Coordinator is the VM whose seal is in force; empty before the first.
 	Coordinator string
-	// Sealable says that all engines were read back.
-	Sealable bool
-	Held     []Range
-	Given    []Range
-	Step     uint64
-	// Faults counts contradictions that the protocol rules out.
-	Faults int
+	// EnginesRead says that all engines were read back.
+	EnginesRead bool
+	Acked       []Range
+	Given       []Range
+	Step        uint64
+	// Violations counts contradictions that the protocol rules out.
+	Violations int
 }
 
 // NewAgent returns an agent that knows nothing: call EngineUp for each engine.
@@ -95,46 +95,46 @@
 // Status returns the state for the dump.
 func (a *Agent) Status() AgentStatus {
 	return AgentStatus{
-		Promise:     a.promise,
-		Coordinator: a.sealedBy.vm,
-		Sealable:    a.sealable(),
-		Held:        slices.Clone(a.held),
-		Given:       slices.Clone(a.given),
-		Step:        a.step,
-		Faults:      a.faults,
+		PromisedBallot: a.promisedBallot,
+		Coordinator:    a.sealedBy.vm,
+		EnginesRead:    a.allEnginesRead(),
+		Acked:          slices.Clone(a.acked),
+		Given:          slices.Clone(a.given),
+		Step:           a.step,
+		Violations:     a.violations,
 	}
 }
 
-// Step takes in a message from a coordinator. Others are ignored.
-func (a *Agent) Step(m *api.GroupMessage) {
+// HandleMessage takes in a message from a coordinator. Others are ignored.
+func (a *Agent) HandleMessage(m *api.GroupMessage) {
 	if m.GetGroup() != a.config.Group {
 		return
 	}
 	from := coordinatorID{vm: m.GetFromVm(), incarnation: m.GetFromIncarnation()}
 	switch body := m.GetBody().(type) {
 	case *api.GroupMessage_Seal:
-		a.seal(from, body.Seal.GetBallot())
+		a.handleSeal(from, body.Seal.GetBallot())
 	case *api.GroupMessage_Load:
-		if a.admits(from, body.Load.GetBallot(), body.Load.GetIncarnation()) {
+		if a.acceptsBallot(from, body.Load.GetBallot(), body.Load.GetIncarnation()) {
 			a.prefetch[body.Load.GetMapVersion()] = true
-			a.advance()
+			a.reconcile()
 			a.ackLoad(body.Load.GetMapVersion())
 		}
 	case *api.GroupMessage_Assign:
-		if a.admits(from, body.Assign.GetBallot(), body.Assign.GetIncarnation()) {
-			a.assign(body.Assign)
+		if a.acceptsBallot(from, body.Assign.GetBallot(), body.Assign.GetIncarnation()) {
+			a.handleAssign(body.Assign)
 		}
 	case *api.GroupMessage_Release:
-		if a.admits(from, body.Release.GetBallot(), body.Release.GetIncarnation()) {
-			a.release(body.Release)
+		if a.acceptsBallot(from, body.Release.GetBallot(), body.Release.GetIncarnation()) {
+			a.handleRelease(body.Release)
 		}
 	}
 }
 
-// sealable: before all engines were read back, this incarnation cannot say what
+// allEnginesRead: before all engines were read back, this incarnation cannot say what
 // they were given. A seal answered then could free steps that an engine already has
 // a map for, and they would run under two.
-func (a *Agent) sealable() bool {
+func (a *Agent) allEnginesRead() bool {
 	for i := range a.engines {
 		if !a.engines[i].everRead {
 			return false
@@ -143,16 +143,16 @@
 	return true
 }
 
-func (a *Agent) seal(from coordinatorID, ballot uint64) {
-	if !a.sealable() {
+func (a *Agent) handleSeal(from coordinatorID, ballot uint64) {
+	if !a.allEnginesRead() {
 		return
 	}
-	again := ballot == a.promise && from == a.sealedBy
-	if ballot <= a.promise && !again {
-		a.nack(from, ballot)
+	repeated := ballot == a.promisedBallot && from == a.sealedBy
+	if ballot <= a.promisedBallot && !repeated {
+		a.sendNack(from, ballot)
 		return
 	}
-	if !again {
+	if !repeated {
 		a.promiseTo(from, ballot)
 	}
 	a.send(from.vm, &api.GroupMessage{Body: &api.GroupMessage_SealAck{SealAck: &api.SealAck{
@@ -165,78 +165,78 @@
 
 // promiseTo drops all that belongs to older ballots, but for what engines were given.
 func (a *Agent) promiseTo(coordinator coordinatorID, ballot uint64) {
-	a.promise, a.sealedBy = ballot, coordinator
-	a.assigned, a.held, a.ackDue = nil, nil, false
-	a.releasedTo, a.acked = 0, false
+	a.promisedBallot, a.sealedBy = ballot, coordinator
+	a.assigned, a.acked, a.assignAckDue = nil, nil, false
+	a.releasedEnd, a.releaseAcked = 0, false
 	clear(a.prefetch)
 }
 
-// admits lets through what belongs to the seal in force. An older ballot may not
+// acceptsBallot lets through what belongs to the seal in force. An older ballot may not
 // know of ranges that a newer one has released. Another incarnation's promise and
 // acknowledgements are not this one's: without the name, a seal that a restart has
 // outlived could still gather all acknowledgements.
-func (a *Agent) admits(from coordinatorID, ballot uint64, incarnation string) bool {
-	if ballot == a.promise && from == a.sealedBy && incarnation == a.config.Incarnation {
+func (a *Agent) acceptsBallot(from coordinatorID, ballot uint64, incarnation string) bool {
+	if ballot == a.promisedBallot && from == a.sealedBy && incarnation == a.config.Incarnation {
 		return true
 	}
-	a.nack(from, ballot)
+	a.sendNack(from, ballot)
 	return false
 }
 
-func (a *Agent) assign(m *api.Assign) {
-	proposed, ok := fromAPI(m.GetRanges())
+func (a *Agent) handleAssign(m *api.Assign) {
+	proposed, ok := rangesFromAPI(m.GetRanges())
 	if !ok {
 		return
 	}
-	proposed = proposed.clip(a.floor(), proposed.end())
+	proposed = proposed.clip(a.oldestNeeded(), proposed.end())
 	if proposed.conflicts(a.given) || proposed.conflicts(a.assigned) {
-		a.faults++
-		a.nack(a.sealedBy, m.GetBallot())
+		a.violations++
+		a.sendNack(a.sealedBy, m.GetBallot())
 		return
 	}
 	a.assigned = a.assigned.plus(proposed)
-	a.ackDue = true
-	a.advance()
+	a.assignAckDue = true
+	a.reconcile()
 }
 
-func (a *Agent) release(m *api.Release) {
-	released, ok := fromAPI(m.GetRanges())
+func (a *Agent) handleRelease(m *api.Release) {
+	released, ok := rangesFromAPI(m.GetRanges())
 	if !ok || len(released) == 0 {
 		return
 	}
 	end := released.end()
-	released = released.clip(a.floor(), end)
+	released = released.clip(a.oldestNeeded(), end)
 	// A coordinator releases only what all have acknowledged; this holds it to that.
-	if !a.held.covers(released) || released.conflicts(a.given) {
-		a.faults++
-		a.nack(a.sealedBy, m.GetBallot())
+	if !a.acked.covers(released) || released.conflicts(a.given) {
+		a.violations++
+		a.sendNack(a.sealedBy, m.GetBallot())
 		return
 	}
 	a.given = a.given.plus(released)
-	a.releasedTo = max(a.releasedTo, end)
-	a.acked = false
-	a.advance()
+	a.releasedEnd = max(a.releasedEnd, end)
+	a.releaseAcked = false
+	a.reconcile()
 }
 
-// floor is the oldest step that still matters: the ranks of a group are never more
+// oldestNeeded is the oldest step that still matters: the ranks of a group are never more
 // than one step apart.
-func (a *Agent) floor() uint64 {
-	return floorOf(a.step)
+func (a *Agent) oldestNeeded() uint64 {
+	return oldestNeededStep(a.step)
 }
 
-func floorOf(step uint64) uint64 {
+func oldestNeededStep(step uint64) uint64 {
 	if step == 0 {
 		return 0
 	}
 	return step - 1
 }
 
-func (a *Agent) nack(to coordinatorID, refused uint64) {
+func (a *Agent) sendNack(to coordinatorID, refused uint64) {
 	if to.vm == "" {
 		return
 	}
 	a.send(to.vm, &api.GroupMessage{Body: &api.GroupMessage_Nack{Nack: &api.Nack{
-		Ballot:      a.promise,
+		Ballot:      a.promisedBallot,
 		Incarnation: a.config.Incarnation,
 		Refused:     refused,
 	}}})
--- a/coord/expertmap/agent_test.go
+++ b/coord/expertmap/agent_test.go
@@ -20,24 +20,24 @@
 	return m
 }
 
-// released returns an agent with one engine that is about to be given steps 0 to 4.
-func released() *Agent {
+// agentBeforeOrder returns an agent with one engine that is about to be given steps 0 to 4.
+func agentBeforeOrder() *Agent {
 	a := NewAgent(AgentConfig{Group: simGroup, VM: "vm-1", Incarnation: "i1", Engines: 1})
 	a.EngineUp(0)
-	a.EngineRead(0, EngineState{Loaded: []uint64{1}})
+	a.EngineStateRead(0, EngineState{Loaded: []uint64{1}})
 	given := []*api.StepRange{{Start: 0, End: 4, MapVersion: 1}}
-	a.Step(fromCoordinator(&api.Seal{Ballot: 3}))
-	a.Step(fromCoordinator(&api.Assign{Ballot: 3, Incarnation: "i1", Ranges: given}))
+	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 3}))
+	a.HandleMessage(fromCoordinator(&api.Assign{Ballot: 3, Incarnation: "i1", Ranges: given}))
 	a.Ready()
-	a.Step(fromCoordinator(&api.Release{Ballot: 3, Incarnation: "i1", Ranges: given}))
+	a.HandleMessage(fromCoordinator(&api.Release{Ballot: 3, Incarnation: "i1", Ranges: given}))
 	return a
 }
 
 // An engine loses its weights without its connection breaking, and refuses the order
 // for that. Callers would see the group stand still for good if the agent took the
 // order for sent: it must read the engine back, load the weights and give again.
-func TestOrderRefusedForWeights(t *testing.T) {
-	a := released()
+func TestOrderRefusedForMissingWeights(t *testing.T) {
+	a := agentBeforeOrder()
 	orders := a.Ready().Orders
 	if len(orders) != 1 {
 		t.Fatalf("orders = %v, want one", orders)
@@ -46,8 +46,8 @@
 	if r := a.Ready(); !slices.Equal(r.Reads, []int{0}) {
 		t.Fatalf("after the refusal: %+v, want a read", r)
 	}
-	a.EngineRead(0, EngineState{Fence: 3})
-	if r := a.Ready(); !slices.Equal(r.Loads, []Load{{Engine: 0, Map: 1}}) {
+	a.EngineStateRead(0, EngineState{Fence: 3})
+	if r := a.Ready(); !slices.Equal(r.Loads, []LoadRequest{{Engine: 0, Map: 1}}) {
 		t.Fatalf("after the read: %+v, want a load", r)
 	}
 	a.MapLoaded(0, 1)
@@ -58,15 +58,15 @@
 
 // An engine has seen a higher fence than the agent's promise, by a predecessor of the
 // agent. The coordinator must hear of it, or it would wait for the engine for good.
-func TestOrderRefusedForFence(t *testing.T) {
-	a := released()
+func TestOrderRefusedForHigherFence(t *testing.T) {
+	a := agentBeforeOrder()
 	a.Ready()
 	a.OrderRefused(0, 9)
 	r := a.Ready()
 	if len(r.Messages) != 1 || r.Messages[0].Message.GetNack().GetBallot() != 9 {
 		t.Fatalf("after the refusal: %+v, want a nack that names 9", r)
 	}
-	a.Step(fromCoordinator(&api.Seal{Ballot: 9}))
+	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 9}))
 	if r := a.Ready(); len(r.Messages) != 1 || r.Messages[0].Message.GetNack() == nil {
 		t.Fatalf("after a seal of 9: %+v, want a nack", r)
 	}
@@ -77,16 +77,16 @@
 func TestSealWaitsForRead(t *testing.T) {
 	a := NewAgent(AgentConfig{Group: simGroup, VM: "vm-1", Incarnation: "i2", Engines: 2})
 	a.EngineUp(0)
-	a.EngineRead(0, EngineState{})
+	a.EngineStateRead(0, EngineState{})
 	a.EngineUp(1)
 	a.Ready()
-	a.Step(fromCoordinator(&api.Seal{Ballot: 4}))
+	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 4}))
 	if r := a.Ready(); !r.Empty() {
 		t.Fatalf("before the second engine was read: %+v", r)
 	}
-	a.EngineRead(1, EngineState{Given: []Range{{Start: 2, End: 6, Map: 7}}, Step: 3})
+	a.EngineStateRead(1, EngineState{Given: []Range{{Start: 2, End: 6, Map: 7}}, Step: 3})
 	a.Ready()
-	a.Step(fromCoordinator(&api.Seal{Ballot: 4}))
+	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 4}))
 	ack := a.Ready().Messages[0].Message.GetSealAck()
 	if len(ack.GetGiven()) != 1 || ack.GetGiven()[0].GetMapVersion() != 7 || ack.GetStep() != 3 {
 		t.Fatalf("answer = %v, want what the engine was given", ack)
@@ -96,15 +96,15 @@
 // Each message comes from a seal that is not in force any more, or never was. Taken
 // in, it could put two maps into one step. The agent holds ballot 3 of c1, with steps
 // 0 to 4 assigned, and must refuse.
-func TestAgentRefuses(t *testing.T) {
+func TestAgentRejectsMessagesNotOfCurrentSeal(t *testing.T) {
 	given := []*api.StepRange{{Start: 0, End: 4, MapVersion: 1}}
 	other := []*api.StepRange{{Start: 0, End: 4, MapVersion: 2}}
 	more := []*api.StepRange{{Start: 0, End: 8, MapVersion: 1}}
-	twin := fromCoordinator(&api.Seal{Ballot: 3})
-	twin.FromIncarnation = "c2"
+	sameBallotOtherCoordinator := fromCoordinator(&api.Seal{Ballot: 3})
+	sameBallotOtherCoordinator.FromIncarnation = "c2"
 	for name, m := range map[string]*api.GroupMessage{
 		"old seal":               fromCoordinator(&api.Seal{Ballot: 2}),
-		"the ballot of another":  twin,
+		"the ballot of another":  sameBallotOtherCoordinator,
 		"old assign":             fromCoordinator(&api.Assign{Ballot: 2, Incarnation: "i1", Ranges: more}),
 		"assign without seal":    fromCoordinator(&api.Assign{Ballot: 4, Incarnation: "i1", Ranges: more}),
 		"assign to another":      fromCoordinator(&api.Assign{Ballot: 3, Incarnation: "i0", Ranges: more}),
@@ -114,9 +114,9 @@
 		"release without assign": fromCoordinator(&api.Release{Ballot: 3, Incarnation: "i1", Ranges: more}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := released()
+			a := agentBeforeOrder()
 			a.Ready()
-			a.Step(m)
+			a.HandleMessage(m)
 			r := a.Ready()
 			if len(r.Messages) != 1 || r.Messages[0].Message.GetNack().GetBallot() != 3 || len(r.Orders) != 0 {
 				t.Fatalf("ready = %+v, want a nack alone", r)
--- a/coord/expertmap/bench_test.go
+++ b/coord/expertmap/bench_test.go
@@ -21,7 +21,7 @@
 		a := NewAgent(AgentConfig{Group: simGroup, VM: vm, Incarnation: "0123456789abcdef", Engines: 1})
 		a.EngineUp(0)
 		a.Ready()
-		a.EngineRead(0, EngineState{Loaded: []uint64{1}})
+		a.EngineStateRead(0, EngineState{Loaded: []uint64{1}})
 		agents[vm], vms = a, append(vms, vm)
 	}
 	c := NewCoordinator(CoordinatorConfig{
@@ -36,7 +36,7 @@
 				busy = true
 				bytes += proto.Size(e.Message)
 				messages++
-				agents[e.To].Step(e.Message)
+				agents[e.To].HandleMessage(e.Message)
 			}
 			for _, vm := range vms {
 				r := agents[vm].Ready()
@@ -48,13 +48,13 @@
 					busy = true
 					bytes += proto.Size(e.Message)
 					messages++
-					c.Step(now, e.Message)
+					c.HandleMessage(now, e.Message)
 				}
 			}
 		}
 	}
 	c.Start(0, 0)
-	c.Want(0, 1)
+	c.SetTarget(0, 1)
 	pump()
 	bytes, messages = 0, 0
 	b.ResetTimer()
@@ -62,14 +62,14 @@
 		for ; now < time.Duration(second+1)*time.Second; now += stepTime {
 			step++
 			for _, vm := range vms {
-				agents[vm].EngineStep(0, step)
+				agents[vm].SetEngineStep(0, step)
 			}
-			c.Progress(now, step)
+			c.SetStep(now, step)
 			c.Tick(now)
 			pump()
 		}
 	}
-	if s := c.Status(); s.Campaigns != 1 || s.ReleasedTo <= step {
+	if s := c.Status(); s.Campaigns != 1 || s.ReleasedEnd <= step {
 		b.Fatalf("the group does not go on: %+v", s)
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "B/s")
--- a/coord/expertmap/coordinator.go
+++ b/coord/expertmap/coordinator.go
@@ -15,37 +15,37 @@
 	Incarnation string
 	// Members names the VMs whose agents front the ranks of the group.
 	Members []string
-	// Ahead is how many steps are released ahead of the present one; 256 by default,
+	// LookaheadSteps is how many steps are released ahead of the present one; 256 by default,
 	// some 16 s at 64 ms a step. A longer one stalls less, and a change of the map
 	// takes effect later.
-	Ahead uint64
-	// Retry is the time after which an unanswered message is sent again; 200 ms by
+	LookaheadSteps uint64
+	// RetryInterval is the time after which an unanswered message is sent again; 200 ms by
 	// default.
-	Retry time.Duration
-	// Heartbeat is the time between releases that are sent again to all, to notice
+	RetryInterval time.Duration
+	// HeartbeatInterval is the time between releases that are sent again to all, to notice
 	// an agent that was replaced; 2 s by default.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// Random spreads the retries of coordinators that race.
 	Random *rand.Rand
 }
 
 const (
-	defaultAhead     = 256
-	defaultRetry     = 200 * time.Millisecond
-	defaultHeartbeat = 2 * time.Second
-	// maxDoublings bounds the wait after races lost in a row, at 32 retries.
-	maxDoublings = 5
+	defaultLookaheadSteps    = 256
+	defaultRetryInterval     = 200 * time.Millisecond
+	defaultHeartbeatInterval = 2 * time.Second
+	// maxBackoffDoublings bounds the wait after races lost in a row, at 32 retries.
+	maxBackoffDoublings = 5
 )
 
 func (c CoordinatorConfig) withDefaults() CoordinatorConfig {
-	if c.Ahead == 0 {
-		c.Ahead = defaultAhead
+	if c.LookaheadSteps == 0 {
+		c.LookaheadSteps = defaultLookaheadSteps
 	}
-	if c.Retry == 0 {
-		c.Retry = defaultRetry
+	if c.RetryInterval == 0 {
+		c.RetryInterval = defaultRetryInterval
 	}
-	if c.Heartbeat == 0 {
-		c.Heartbeat = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	return c
 }
@@ -75,56 +75,56 @@
 	incarnation string
 	given       ranges
 	step        uint64
-	// ackedTo and givenTo are the ends of the steps that the agent holds, and that
+	// ackedEnd and givenEnd are the ends of the steps that the agent holds, and that
 	// its engines do.
-	ackedTo, givenTo uint64
-	loaded           map[uint64]bool
+	ackedEnd, givenEnd uint64
+	loaded             map[uint64]bool
 }
 
 // Coordinator decides which steps of a group run under which map.
 type Coordinator struct {
 	config CoordinatorConfig
 
-	phase   Phase
-	ballot  uint64
-	seen    uint64
-	members map[string]*member
+	phase         Phase
+	ballot        uint64
+	highestBallot uint64
+	members       map[string]*member
 	// target is the map wanted for steps to come; 0 for the present one.
 	target uint64
 	// plan holds the ranges under this ballot. It only grows at its end, and steps
 	// long past are cut off its start.
 	plan ranges
 	base uint64
-	// releasedTo is the end of the steps that all agents have acknowledged.
-	releasedTo uint64
-	step       uint64
-
-	losses    int
-	resumeAt  time.Duration
-	sentAt    time.Duration
-	beatAt    time.Duration
-	campaigns int
-	// differences counts seals at which agents told of different maps for a step.
-	differences int
+	// releasedEnd is the end of the steps that all agents have acknowledged.
+	releasedEnd uint64
+	step        uint64
+
+	lostRaces       int
+	backoffUntil    time.Duration
+	lastSentAt      time.Duration
+	lastHeartbeatAt time.Duration
+	campaigns       int
+	// conflictingSeals counts seals at which agents told of different maps for a step.
+	conflictingSeals int
 
 	ready Ready
 }
 
 // CoordinatorStatus is a coordinator's state for the dump.
 type CoordinatorStatus struct {
-	Phase      Phase
-	Ballot     uint64
-	Target     uint64
-	Plan       []Range
-	ReleasedTo uint64
-	Step       uint64
+	Phase       Phase
+	Ballot      uint64
+	Target      uint64
+	Plan        []Range
+	ReleasedEnd uint64
+	Step        uint64
 	// Missing names members that have not answered what was last asked.
 	Missing []string
 	// Campaigns counts ballots begun.
 	Campaigns int
-	// Differences counts seals at which agents told of different maps for a step. One
+	// ConflictingSeals counts seals at which agents told of different maps for a step. One
 	// now and then is the trace of a restart; more mean that engines differ.
-	Differences int
+	ConflictingSeals int
 }
 
 // NewCoordinator returns an idle coordinator.
@@ -133,8 +133,8 @@
 }
 
 // Start begins a ballot above seen, the highest that the agent beside it has seen.
-func (c *Coordinator) Start(now time.Duration, seen uint64) {
-	c.seen = max(c.seen, seen)
+func (c *Coordinator) Start(now time.Duration, highestBallot uint64) {
+	c.highestBallot = max(c.highestBallot, highestBallot)
 	c.campaign(now)
 }
 
@@ -152,24 +152,24 @@
 	}
 }
 
-// Want asks for a map for steps to come. It takes effect behind the ranges already
+// SetTarget asks for a map for steps to come. It takes effect behind the ranges already
 // assigned, once all agents have loaded it.
-func (c *Coordinator) Want(now time.Duration, version uint64) {
+func (c *Coordinator) SetTarget(now time.Duration, version uint64) {
 	c.target = version
 	if c.phase == Active {
 		c.sendLoads()
-		c.extend(now)
+		c.extendPlan(now)
 	}
 }
 
-// Progress says which step the ranks run next.
-func (c *Coordinator) Progress(now time.Duration, step uint64) {
+// SetStep says which step the ranks run next.
+func (c *Coordinator) SetStep(now time.Duration, step uint64) {
 	if step <= c.step {
 		return
 	}
 	c.step = step
 	if c.phase == Active {
-		c.extend(now)
+		c.extendPlan(now)
 	}
 }
 
@@ -183,29 +183,29 @@
 // Status returns the state for the dump.
 func (c *Coordinator) Status() CoordinatorStatus {
 	s := CoordinatorStatus{
-		Phase:       c.phase,
-		Ballot:      c.ballot,
-		Target:      c.target,
-		Plan:        slices.Clone(c.plan),
-		ReleasedTo:  c.releasedTo,
-		Step:        c.step,
-		Campaigns:   c.campaigns,
-		Differences: c.differences,
+		Phase:            c.phase,
+		Ballot:           c.ballot,
+		Target:           c.target,
+		Plan:             slices.Clone(c.plan),
+		ReleasedEnd:      c.releasedEnd,
+		Step:             c.step,
+		Campaigns:        c.campaigns,
+		ConflictingSeals: c.conflictingSeals,
 	}
 	for _, vm := range c.config.Members {
-		if m := c.members[vm]; m != nil && c.lags(m) {
+		if m := c.members[vm]; m != nil && c.isBehind(m) {
 			s.Missing = append(s.Missing, vm)
 		}
 	}
 	return s
 }
 
-func (c *Coordinator) lags(m *member) bool {
+func (c *Coordinator) isBehind(m *member) bool {
 	switch c.phase {
 	case Sealing:
 		return !m.sealed
 	case Active:
-		return m.ackedTo < c.plan.end() || m.givenTo < c.releasedTo
+		return m.ackedEnd < c.plan.end() || m.givenEnd < c.releasedEnd
 	default:
 		return false
 	}
@@ -215,33 +215,33 @@
 func (c *Coordinator) Tick(now time.Duration) {
 	switch c.phase {
 	case Waiting:
-		if now >= c.resumeAt {
+		if now >= c.backoffUntil {
 			c.campaign(now)
 		}
 	case Sealing:
-		if now-c.sentAt >= c.config.Retry {
+		if now-c.lastSentAt >= c.config.RetryInterval {
 			c.sendSeals(now)
 		}
 	case Active:
-		c.extend(now)
-		if now-c.sentAt >= c.config.Retry {
+		c.extendPlan(now)
+		if now-c.lastSentAt >= c.config.RetryInterval {
 			c.resend(now)
 		}
 	}
 }
 
 func (c *Coordinator) resend(now time.Duration) {
-	c.sentAt = now
-	beat := now-c.beatAt >= c.config.Heartbeat
-	if beat {
-		c.beatAt = now
+	c.lastSentAt = now
+	heartbeatDue := now-c.lastHeartbeatAt >= c.config.HeartbeatInterval
+	if heartbeatDue {
+		c.lastHeartbeatAt = now
 	}
 	for _, vm := range c.config.Members {
 		m := c.members[vm]
-		if m.ackedTo < c.plan.end() {
+		if m.ackedEnd < c.plan.end() {
 			c.sendAssign(vm, m)
 		}
-		if beat || m.givenTo < c.releasedTo {
+		if heartbeatDue || m.givenEnd < c.releasedEnd {
 			c.sendRelease(vm, m)
 		}
 	}
@@ -251,30 +251,30 @@
 // campaign begins a new ballot. All that was learned under the last is dropped:
 // acknowledgements count only together with the promises of the same ballot.
 func (c *Coordinator) campaign(now time.Duration) {
-	c.seen = max(c.seen, c.ballot) + 1
-	c.ballot = c.seen
+	c.highestBallot = max(c.highestBallot, c.ballot) + 1
+	c.ballot = c.highestBallot
 	c.phase = Sealing
 	c.campaigns++
 	c.members = make(map[string]*member, len(c.config.Members))
 	for _, vm := range c.config.Members {
 		c.members[vm] = &member{loaded: make(map[uint64]bool)}
 	}
-	c.plan, c.releasedTo = nil, 0
+	c.plan, c.releasedEnd = nil, 0
 	c.sendSeals(now)
 }
 
-// lose waits before the next ballot, longer after each race lost in a row, with a
+// backOff waits before the next ballot, longer after each race lost in a row, with a
 // random part: two coordinators that answer each other at once would never end.
-func (c *Coordinator) lose(now time.Duration) {
+func (c *Coordinator) backOff(now time.Duration) {
 	c.phase = Waiting
-	spread := float64(uint64(1) << min(c.losses, maxDoublings))
-	c.losses++
-	wait := float64(c.config.Retry) * (1 + spread*c.config.Random.Float64())
-	c.resumeAt = now + time.Duration(wait)
+	jitterRange := float64(uint64(1) << min(c.lostRaces, maxBackoffDoublings))
+	c.lostRaces++
+	backoff := float64(c.config.RetryInterval) * (1 + jitterRange*c.config.Random.Float64())
+	c.backoffUntil = now + time.Duration(backoff)
 }
 
 func (c *Coordinator) sendSeals(now time.Duration) {
-	c.sentAt = now
+	c.lastSentAt = now
 	for _, vm := range c.config.Members {
 		if !c.members[vm].sealed {
 			c.send(vm, &api.GroupMessage{Body: &api.GroupMessage_Seal{Seal: &api.Seal{Ballot: c.ballot}}})
@@ -283,7 +283,7 @@
 }
 
 func (c *Coordinator) sendAssign(vm string, m *member) {
-	planned := c.plan.clip(floorOf(c.step), c.plan.end())
+	planned := c.plan.clip(oldestNeededStep(c.step), c.plan.end())
 	c.send(vm, &api.GroupMessage{Body: &api.GroupMessage_Assign{Assign: &api.Assign{
 		Ballot:      c.ballot,
 		Incarnation: m.incarnation,
@@ -292,7 +292,7 @@
 }
 
 func (c *Coordinator) sendRelease(vm string, m *member) {
-	released := c.plan.clip(floorOf(c.step), c.releasedTo)
+	released := c.plan.clip(oldestNeededStep(c.step), c.releasedEnd)
 	if len(released) == 0 {
 		return
 	}
@@ -305,7 +305,7 @@
 
 // sendLoads asks those that lack the wanted map to load it.
 func (c *Coordinator) sendLoads() {
-	if !c.switching() {
+	if !c.isSwitching() {
 		return
 	}
 	for _, vm := range c.config.Members {
--- a/coord/expertmap/coordinator_test.go
+++ b/coord/expertmap/coordinator_test.go
@@ -22,21 +22,21 @@
 // same steps another map, of which the other agent tells. The two reports differ,
 // although no two engines do. Callers would see the group stop for good if the
 // coordinator took that for the end.
-func TestStaleReportIsNotTheEnd(t *testing.T) {
+func TestConflictingSealReportsLeadToNewBallot(t *testing.T) {
 	c := NewCoordinator(CoordinatorConfig{
 		Group: simGroup, VM: "vm-0", Incarnation: "i1", Members: []string{"vm-0", "vm-1"},
 		Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	c.Start(0, 4)
 	c.Ready()
-	c.Step(0, sealAck("vm-0", "i1", 5, 1))
-	c.Step(0, sealAck("vm-1", "i1", 5, 2))
+	c.HandleMessage(0, sealAck("vm-0", "i1", 5, 1))
+	c.HandleMessage(0, sealAck("vm-1", "i1", 5, 2))
 	if sent := c.Ready().Messages; len(sent) != 0 {
 		t.Fatalf("sent %v on reports that differ", sent)
 	}
 	c.Tick(10 * time.Second)
-	c.Step(10*time.Second, sealAck("vm-0", "i2", 6, 2))
-	c.Step(10*time.Second, sealAck("vm-1", "i1", 6, 2))
+	c.HandleMessage(10*time.Second, sealAck("vm-0", "i2", 6, 2))
+	c.HandleMessage(10*time.Second, sealAck("vm-1", "i1", 6, 2))
 	if s := c.Status(); s.Phase != Active || s.Ballot != 6 || s.Plan[0].Map != 2 {
 		t.Fatalf("status = %+v, want the steps carried over under ballot 6", s)
 	}
--- a/coord/expertmap/example_test.go
+++ b/coord/expertmap/example_test.go
@@ -13,21 +13,21 @@
 func Example() {
 	agent := expertmap.NewAgent(expertmap.AgentConfig{Group: "g", VM: "vm-a", Incarnation: "i1", Engines: 1})
 	coordinator := expertmap.NewCoordinator(expertmap.CoordinatorConfig{
-		Group:       "g",
-		VM:          "vm-a",
-		Incarnation: "i1",
-		Members:     []string{"vm-a"},
-		Ahead:       100,
-		Random:      rand.New(rand.NewPCG(1, 2)),
+		Group:          "g",
+		VM:             "vm-a",
+		Incarnation:    "i1",
+		Members:        []string{"vm-a"},
+		LookaheadSteps: 100,
+		Random:         rand.New(rand.NewPCG(1, 2)),
 	})
 
 	// deliver takes a message from the network, or from this process to itself.
 	deliver := func(m *api.GroupMessage) {
 		switch m.GetBody().(type) {
 		case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
-			agent.Step(m)
+			agent.HandleMessage(m)
 		default:
-			coordinator.Step(0, m)
+			coordinator.HandleMessage(0, m)
 		}
 	}
 	// process does all that is to be done.
@@ -39,7 +39,7 @@
 			}
 			for _, engine := range fromAgent.Reads {
 				// GET the engine's state, over the new connection.
-				agent.EngineRead(engine, expertmap.EngineState{Loaded: []uint64{1}})
+				agent.EngineStateRead(engine, expertmap.EngineState{Loaded: []uint64{1}})
 			}
 			for _, load := range fromAgent.Loads {
 				fmt.Printf("engine %d loads map %d\n", load.Engine, load.Map)
@@ -57,17 +57,17 @@
 
 	agent.EngineUp(0)
 	process()
-	coordinator.Start(0, agent.Status().Promise)
-	coordinator.Want(0, 1)
+	coordinator.Start(0, agent.Status().PromisedBallot)
+	coordinator.SetTarget(0, 1)
 	process()
 
 	// The engine has run 60 steps; less than half of those ahead are left.
-	agent.EngineStep(0, 60)
-	coordinator.Progress(0, 60)
+	agent.SetEngineStep(0, 60)
+	coordinator.SetStep(0, 60)
 	process()
 
 	// The rebalancer has decided on another map.
-	coordinator.Want(0, 2)
+	coordinator.SetTarget(0, 2)
 	process()
 	// Output:
 	// engine 0 may run [{0 100 1}], fence 1
--- a/coord/expertmap/property_test.go
+++ b/coord/expertmap/property_test.go
@@ -23,14 +23,14 @@
 	var steps, switches, faults, runs uint64
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"))
-		rate := rapid.IntRange(0, 60).Draw(t, "faults in a thousand")
+		faultsPerMille := rapid.IntRange(0, 60).Draw(t, "faults in a thousand")
 		for range 4000 {
-			s.event(rate)
-			if s.wrong != "" {
-				t.Fatal(s.wrong)
+			s.randomEvent(faultsPerMille)
+			if s.violation != "" {
+				t.Fatal(s.violation)
 			}
 		}
-		s.calm(t)
+		s.finishWithoutFaults(t)
 		steps += s.step
 		switches += uint64(s.switches)
 		faults += uint64(s.faults)
@@ -39,8 +39,8 @@
 	t.Logf("%d runs: %d steps, %d switches of the map, %d faults", runs, steps, switches, faults)
 }
 
-// calm ends the faults: one coordinator is left, and wants another map.
-func (s *sim) calm(t *rapid.T) {
+// finishWithoutFaults ends the faults: one coordinator is left, and wants another map.
+func (s *sim) finishWithoutFaults(t *rapid.T) {
 	for _, vm := range s.vms[1:] {
 		vm.coordinator.Stop()
 	}
@@ -48,16 +48,16 @@
 	if c.Status().Phase == Idle {
 		c.Start(s.now, 0)
 	}
-	c.Want(s.now, simMaps+1)
-	from := s.step
+	c.SetTarget(s.now, simMaps+1)
+	stepBefore := s.step
 	for range 20000 {
-		s.event(0)
-		if s.wrong != "" {
-			t.Fatal(s.wrong)
+		s.randomEvent(0)
+		if s.violation != "" {
+			t.Fatal(s.violation)
 		}
-		if s.step > from+3*simAhead && s.finished[s.step-1] == simMaps+1 {
+		if s.step > stepBefore+3*simLookaheadSteps && s.finished[s.step-1] == simMaps+1 {
 			return
 		}
 	}
-	t.Fatalf("steps went from %d to %d after the faults, map %d: %+v", from, s.step, s.finished[s.step-min(1, s.step)], c.Status())
+	t.Fatalf("steps went from %d to %d after the faults, map %d: %+v", stepBefore, s.step, s.finished[s.step-min(1, s.step)], c.Status())
 }
--- a/coord/expertmap/ranges.go
+++ b/coord/expertmap/ranges.go
@@ -16,9 +16,9 @@
 // map are one range.
 type ranges []Range
 
-// fromAPI reads ranges off a message. It returns false when they are empty, reversed
+// rangesFromAPI reads ranges off a message. It returns false when they are empty, reversed
 // or overlap.
-func fromAPI(list []*api.StepRange) (ranges, bool) {
+func rangesFromAPI(list []*api.StepRange) (ranges, bool) {
 	var out ranges
 	for _, r := range list {
 		if r.GetStart() >= r.GetEnd() {
--- a/coord/expertmap/ready.go
+++ b/coord/expertmap/ready.go
@@ -16,8 +16,8 @@
 	Ranges []Range
 }
 
-// Load tells an engine to load the weights of a map.
-type Load struct {
+// LoadRequest tells an engine to load the weights of a map.
+type LoadRequest struct {
 	Engine int
 	Map    uint64
 }
@@ -31,7 +31,7 @@
 	// Loads are asked for once for each connection to an engine; whoever carries
 	// them out tries again until Agent.MapLoaded or Agent.EngineDown, or until
 	// Agent.LoadFailed says that nobody needs the map any more.
-	Loads []Load
+	Loads []LoadRequest
 	// Orders are answered with Agent.OrderDone or Agent.OrderRefused.
 	Orders []Order
 }
--- a/coord/expertmap/sim_test.go
+++ b/coord/expertmap/sim_test.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	simGroup   = "g"
-	simVMs     = 3
-	simEngines = 2
-	simAhead   = 8
-	simMaps    = 3
-	maxLate    = 16
+	simGroup          = "g"
+	simVMs            = 3
+	simEngines        = 2
+	simLookaheadSteps = 8
+	simMaps           = 3
+	maxDelayed        = 16
 )
 
-// socket is one connection of an agent to an engine. Its orders arrive in order, and
+// engineConn is one connection of an agent to an engine. Its orders arrive in order, and
 // when the agent dies some of those under way still do.
-type socket struct {
+type engineConn struct {
 	orders []Order
 	closed bool
 }
 
 // simEngine holds the ranks of one engine.
 type simEngine struct {
-	checks bool
-	given  map[uint64]uint64
-	fence  uint64
-	loaded []uint64
-	loads  []uint64
-	// sockets holds the connections not yet seen closed; the last is the present one.
-	sockets []*socket
+	checksFence bool
+	given       map[uint64]uint64
+	fence       uint64
+	loaded      []uint64
+	loads       []uint64
+	// conns holds the connections not yet seen closed; the last is the present one.
+	conns   []*engineConn
 	reading bool
 }
 
@@ -49,18 +49,18 @@
 // sim is a group of VMs and the network between them. Each event is drawn from a
 // seeded source, so a seed tells the whole run.
 type sim struct {
-	random *rand.Rand
-	now    time.Duration
-	vms    []*simVM
-	wire   []Envelope
-	// late holds copies of messages that arrive long after.
-	late []Envelope
+	random    *rand.Rand
+	now       time.Duration
+	vms       []*simVM
+	inTransit []Envelope
+	// delayed holds copies of messages that arrive long after.
+	delayed []Envelope
 	// step is the group's next step; finished holds the maps of those before it.
-	step     uint64
-	finished map[uint64]uint64
-	wrong    string
-	faults   int
-	switches int
+	step      uint64
+	finished  map[uint64]uint64
+	violation string
+	faults    int
+	switches  int
 }
 
 func newSim(seed uint64) *sim {
@@ -68,7 +68,7 @@
 	for i := range simVMs {
 		vm := &simVM{name: fmt.Sprintf("vm-%d", i)}
 		for range simEngines {
-			vm.engines = append(vm.engines, &simEngine{checks: i == 0, given: map[uint64]uint64{}, loaded: []uint64{1}})
+			vm.engines = append(vm.engines, &simEngine{checksFence: i == 0, given: map[uint64]uint64{}, loaded: []uint64{1}})
 		}
 		s.vms = append(s.vms, vm)
 		s.restartAgent(vm)
@@ -82,14 +82,14 @@
 	vm.agent = NewAgent(AgentConfig{Group: simGroup, VM: vm.name, Incarnation: id, Engines: simEngines})
 	vm.coordinator = NewCoordinator(CoordinatorConfig{
 		Group: simGroup, VM: vm.name, Incarnation: id, Members: []string{"vm-0", "vm-1", "vm-2"},
-		Ahead: simAhead, Random: rand.New(rand.NewPCG(s.random.Uint64(), 2)),
+		LookaheadSteps: simLookaheadSteps, Random: rand.New(rand.NewPCG(s.random.Uint64(), 2)),
 	})
 	for i := range vm.engines {
 		s.connect(vm, i)
 	}
 	if vm == s.vms[0] {
 		vm.coordinator.Start(s.now, 0)
-		vm.coordinator.Want(s.now, 1)
+		vm.coordinator.SetTarget(s.now, 1)
 	}
 }
 
@@ -97,29 +97,29 @@
 // under way are lost, and the rest still arrive.
 func (s *sim) connect(vm *simVM, engine int) {
 	e := vm.engines[engine]
-	for _, old := range e.sockets {
+	for _, old := range e.conns {
 		if !old.closed {
 			old.closed = true
 			old.orders = old.orders[:s.random.IntN(len(old.orders)+1)]
 		}
 	}
-	e.sockets = append(e.sockets, &socket{})
+	e.conns = append(e.conns, &engineConn{})
 	e.reading, e.loads = false, nil
 	vm.agent.EngineUp(engine)
 }
 
 func (s *sim) restartEngine(vm *simVM, engine int) {
 	e := vm.engines[engine]
-	vm.engines[engine] = &simEngine{checks: e.checks, given: map[uint64]uint64{}, loaded: []uint64{1}}
+	vm.engines[engine] = &simEngine{checksFence: e.checksFence, given: map[uint64]uint64{}, loaded: []uint64{1}}
 	s.connect(vm, engine)
 }
 
-// settle carries out what the state machines ask for.
-func (s *sim) settle() {
+// carryOutReady carries out what the state machines ask for.
+func (s *sim) carryOutReady() {
 	for _, vm := range s.vms {
 		ready := vm.agent.Ready()
-		s.wire = append(s.wire, ready.Messages...)
-		s.wire = append(s.wire, vm.coordinator.Ready().Messages...)
+		s.inTransit = append(s.inTransit, ready.Messages...)
+		s.inTransit = append(s.inTransit, vm.coordinator.Ready().Messages...)
 		for _, i := range ready.Reads {
 			vm.engines[i].reading = true
 		}
@@ -129,30 +129,30 @@
 		}
 		for _, order := range ready.Orders {
 			e := vm.engines[order.Engine]
-			last := e.sockets[len(e.sockets)-1]
+			last := e.conns[len(e.conns)-1]
 			last.orders = append(last.orders, order)
 		}
-		if vm.agent.Status().Faults > 0 {
+		if vm.agent.Status().Violations > 0 {
 			s.fail("%s: the protocol contradicts itself: %+v", vm.name, vm.agent.Status())
 		}
 	}
 }
 
 func (s *sim) fail(format string, args ...any) {
-	if s.wrong == "" {
-		s.wrong = fmt.Sprintf(format, args...)
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 func (s *sim) deliver(i int) {
-	if i >= len(s.wire) {
+	if i >= len(s.inTransit) {
 		return
 	}
-	e := s.wire[i]
-	s.wire = slices.Delete(s.wire, i, i+1)
+	e := s.inTransit[i]
+	s.inTransit = slices.Delete(s.inTransit, i, i+1)
 	if s.random.IntN(8) == 0 {
-		s.late = append(s.late, e)
-		s.late = s.late[max(0, len(s.late)-maxLate):]
+		s.delayed = append(s.delayed, e)
+		s.delayed = s.delayed[max(0, len(s.delayed)-maxDelayed):]
 	}
 	for _, vm := range s.vms {
 		if vm.name != e.To {
@@ -160,56 +160,56 @@
 		}
 		switch e.Message.GetBody().(type) {
 		case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
-			vm.agent.Step(e.Message)
+			vm.agent.HandleMessage(e.Message)
 		default:
-			vm.coordinator.Step(s.now, e.Message)
+			vm.coordinator.HandleMessage(s.now, e.Message)
 		}
 	}
 }
 
-// repeat sends some of the late copies once more.
-func (s *sim) repeat() {
-	for _, e := range s.late {
+// resendDelayed sends some of the late copies once more.
+func (s *sim) resendDelayed() {
+	for _, e := range s.delayed {
 		if s.random.IntN(2) == 0 {
-			s.wire = append(s.wire, e)
+			s.inTransit = append(s.inTransit, e)
 		}
 	}
 }
 
-// work lets an engine do one thing: take an order, see a socket close, answer a
+// runEngine lets an engine do one thing: take an order, see a socket close, answer a
 // read or finish a load.
-func (s *sim) work(vm *simVM, engine int) {
+func (s *sim) runEngine(vm *simVM, engine int) {
 	e := vm.engines[engine]
-	for len(e.sockets) > 0 && e.sockets[0].closed && len(e.sockets[0].orders) == 0 {
-		e.sockets = e.sockets[1:]
+	for len(e.conns) > 0 && e.conns[0].closed && len(e.conns[0].orders) == 0 {
+		e.conns = e.conns[1:]
 	}
-	s.takeOrder(vm, engine, e.sockets[s.random.IntN(len(e.sockets))])
-	if e.reading && len(e.sockets) == 1 {
+	s.takeOrder(vm, engine, e.conns[s.random.IntN(len(e.conns))])
+	if e.reading && len(e.conns) == 1 {
 		e.reading = false
-		vm.agent.EngineRead(engine, EngineState{Given: e.ranges(), Step: s.step, Fence: e.fence, Loaded: e.loaded})
+		vm.agent.EngineStateRead(engine, EngineState{Given: e.ranges(), Step: s.step, Fence: e.fence, Loaded: e.loaded})
 	}
 	if len(e.loads) > 0 && s.random.IntN(4) == 0 {
 		e.loaded = append(e.loaded, e.loads[0])
 		vm.agent.MapLoaded(engine, e.loads[0])
 		e.loads = e.loads[1:]
 	}
-	vm.agent.EngineStep(engine, s.step)
+	vm.agent.SetEngineStep(engine, s.step)
 }
 
-func (s *sim) takeOrder(vm *simVM, engine int, from *socket) {
+func (s *sim) takeOrder(vm *simVM, engine int, from *engineConn) {
 	e := vm.engines[engine]
 	if len(from.orders) == 0 {
 		return
 	}
 	order := from.orders[0]
 	from.orders = from.orders[1:]
-	if e.checks && order.Fence < e.fence {
+	if e.checksFence && order.Fence < e.fence {
 		if !from.closed {
 			vm.agent.OrderRefused(engine, e.fence)
 		}
 		return
 	}
-	if e.checks {
+	if e.checksFence {
 		e.fence = order.Fence
 	}
 	for _, r := range order.Ranges {
@@ -238,9 +238,9 @@
 	return out.joined()
 }
 
-// lockStep runs one step if all ranks may, and checks that no two engines were given
+// runGroupStep runs one step if all ranks may, and checks that no two engines were given
 // different maps for any step from this one on.
-func (s *sim) lockStep() {
+func (s *sim) runGroupStep() {
 	maps := map[uint64]uint64{}
 	ready := 0
 	for _, vm := range s.vms {
@@ -273,34 +273,34 @@
 			delete(e.given, s.step-min(s.step, 4))
 		}
 	}
-	s.vms[0].coordinator.Progress(s.now, s.step)
+	s.vms[0].coordinator.SetStep(s.now, s.step)
 }
 
-// event lets one thing happen; rate is the chance of a fault, in a thousand.
-func (s *sim) event(rate int) {
+// randomEvent lets one thing happen; rate is the chance of a fault, in a thousand.
+func (s *sim) randomEvent(faultsPerMille int) {
 	s.now += time.Duration(s.random.IntN(10)) * time.Millisecond
 	vm := s.vms[s.random.IntN(simVMs)]
 	engine := s.random.IntN(simEngines)
-	if s.random.IntN(1000) < rate {
+	if s.random.IntN(1000) < faultsPerMille {
 		s.faults++
-		s.fault(vm, engine)
+		s.injectFault(vm, engine)
 	}
 	switch s.random.IntN(8) {
 	case 0, 1, 2:
-		s.deliver(s.random.IntN(len(s.wire) + 1))
+		s.deliver(s.random.IntN(len(s.inTransit) + 1))
 	case 3, 4:
-		s.work(vm, engine)
+		s.runEngine(vm, engine)
 	case 5:
-		s.lockStep()
+		s.runGroupStep()
 	case 6:
 		vm.coordinator.Tick(s.now)
 	case 7:
-		s.vms[0].agent.EngineStep(0, s.step)
+		s.vms[0].agent.SetEngineStep(0, s.step)
 	}
-	s.settle()
+	s.carryOutReady()
 }
 
-func (s *sim) fault(vm *simVM, engine int) {
+func (s *sim) injectFault(vm *simVM, engine int) {
 	switch s.random.IntN(8) {
 	case 0:
 		s.restartAgent(vm)
@@ -309,15 +309,15 @@
 	case 2:
 		s.connect(vm, engine)
 	case 3:
-		s.repeat()
+		s.resendDelayed()
 	case 4:
-		if len(s.wire) > 0 {
-			i := s.random.IntN(len(s.wire))
-			s.wire = slices.Delete(s.wire, i, i+1)
+		if len(s.inTransit) > 0 {
+			i := s.random.IntN(len(s.inTransit))
+			s.inTransit = slices.Delete(s.inTransit, i, i+1)
 		}
 	case 5:
 		vm.coordinator.Start(s.now, 0)
 	case 6, 7:
-		vm.coordinator.Want(s.now, 1+s.random.Uint64N(simMaps))
+		vm.coordinator.SetTarget(s.now, 1+s.random.Uint64N(simMaps))
 	}
 }
--- a/internal/agent/group.go
+++ b/internal/agent/group.go
@@ -155,7 +155,7 @@
 func (g *group) forgetOldMaps() {
 	used := map[uint64]bool{g.lastMap: true, g.loading: true}
 	status := g.agent.Status()
-	for _, r := range append(status.Held, status.Given...) {
+	for _, r := range append(status.Acked, status.Given...) {
 		used[r.Map] = true
 	}
 	if g.coordinator != nil {
@@ -186,7 +186,7 @@
 	g.coordinator.SetMembers(now, members)
 	if !g.started {
 		g.started = true
-		g.coordinator.Start(now, g.agent.Status().Promise)
+		g.coordinator.Start(now, g.agent.Status().PromisedBallot)
 		_ = g.logger.Log("msg", "This agent coordinates the group.", "group", g.settings.GetName(), "agents", len(members))
 	}
 }
@@ -244,14 +244,14 @@
 	g.detach(m)
 	switch m.GetBody().(type) {
 	case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
-		g.agent.Step(m)
+		g.agent.HandleMessage(m)
 	case *api.GroupMessage_Ranks:
 		if g.rebalancer != nil {
 			g.rebalancer.ranks.take(m.GetFromVm(), m.GetRanks())
 		}
 	default:
 		if g.coordinator != nil {
-			g.coordinator.Step(clock.Now(), m)
+			g.coordinator.HandleMessage(clock.Now(), m)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	if err != nil {
 		return err
 	}
-	g.post(ctx, func() { g.agent.EngineRead(engineNumber, state.state()) })
+	g.post(ctx, func() { g.agent.EngineStateRead(engineNumber, state.state()) })
 	return nil
 }
 
@@ -347,10 +347,10 @@
 		return err
 	}
 	g.post(ctx, func() {
-		g.agent.EngineStep(engineNumber, state.Step)
+		g.agent.SetEngineStep(engineNumber, state.Step)
 		g.seenStep = state.Step
 		if g.coordinator != nil {
-			g.coordinator.Progress(clock.Now(), state.Step)
+			g.coordinator.SetStep(clock.Now(), state.Step)
 		}
 	})
 	return nil
@@ -365,7 +365,7 @@
 	if n := len(state.Given); n > 0 {
 		first = state.Given[n-1].MapVersion
 	}
-	g.coordinator.Want(clock.Now(), first)
+	g.coordinator.SetTarget(clock.Now(), first)
 }
 
 // mapLoad is the body of a request to load a map.
@@ -386,7 +386,7 @@
 		Agents:    uint32(len(g.members) - len(s.Missing)),
 	}
 	for _, r := range s.Plan {
-		if r.Start < s.ReleasedTo {
+		if r.Start < s.ReleasedEnd {
 			status.MapVersion = r.Map
 		}
 	}
--- a/internal/agent/group_test.go
+++ b/internal/agent/group_test.go
@@ -88,14 +88,14 @@
 	defer cancel()
 	g := aloneGroup(server.URL)
 	g.agent.EngineUp(engineNumber)
-	g.agent.EngineRead(engineNumber, expertmap.EngineState{})
+	g.agent.EngineStateRead(engineNumber, expertmap.EngineState{})
 	want := func(ballot, version uint64) {
 		for _, m := range []*api.GroupMessage{
 			{Body: &api.GroupMessage_Seal{Seal: &api.Seal{Ballot: ballot}}},
 			{Body: &api.GroupMessage_Load{Load: &api.LoadMap{Ballot: ballot, Incarnation: "1", MapVersion: version}}},
 		} {
 			m.Group, m.FromVm, m.FromIncarnation = "g", "b0", strconv.FormatUint(ballot, 10)
-			g.agent.Step(m)
+			g.agent.HandleMessage(m)
 		}
 		g.process(ctx)
 	}
--- a/internal/agent/rebalance.go
+++ b/internal/agent/rebalance.go
@@ -125,7 +125,7 @@
 	}
 	r.version = r.maps.add(placement)
 	_ = r.logger.Log("msg", "Experts are moved to follow their popularity and the pace of ranks.", "map", r.version, "stretch", r.balancer.Stretch())
-	c.Want(now, r.version)
+	c.SetTarget(now, r.version)
 }
 
 // running says that the newest steps released run under the map last wanted. While a
@@ -135,7 +135,7 @@
 		return false
 	}
 	last := status.Plan[len(status.Plan)-1]
-	return last.Map == status.Target && status.ReleasedTo >= last.Start
+	return last.Map == status.Target && status.ReleasedEnd >= last.Start
 }
 
 // follow makes the balancer go on from the map that the group runs: its own last one,
