--- a/coord/expertmap/agent.go
+++ b/coord/expertmap/agent.go
@@ -6,54 +6,54 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// AgentConfig says who the agent is.
+// AgentConfig identifies an agent.
 type AgentConfig struct {
 	Group string
 	VM    string
-	// Incarnation is random, made when the process starts.
+	// Incarnation is a random ID made when the process starts.
 	Incarnation string
 	// Engines is the number of engines behind the agent, numbered from 0.
 	Engines int
 }
 
-// EngineState is what an engine says of itself when it is read back.
+// EngineState is the state that an engine reports when it is read back.
 type EngineState struct {
 	Given []Range
-	// Step is the next step its ranks run.
+	// Step is the next step that its ranks run.
 	Step uint64
-	// Fence is the highest fence it has seen; 0 for an engine that does not check.
+	// Fence is the highest fence that it has seen; 0 for an engine that does not check fences.
 	Fence uint64
-	// Loaded holds the maps whose weights it has.
+	// Loaded lists the maps whose weights it has.
 	Loaded []uint64
 }
 
-// coordinatorID tells coordinators apart: two could choose the same ballot.
+// coordinatorID distinguishes coordinators, since two may choose the same ballot.
 type coordinatorID struct {
 	vm, incarnation string
 }
 
-// Agent is the part of the protocol in front of the engines of one VM.
+// Agent is the side of the protocol that runs in front of the engines of one VM.
 type Agent struct {
 	config  AgentConfig
 	engines []engineView
 
-	// promisedBallot is the highest ballot sealed, and sealedBy whose it is.
+	// promisedBallot is the highest ballot sealed, and sealedBy the coordinator it belongs to.
 	promisedBallot uint64
 	sealedBy       coordinatorID
-	// assigned was proposed under the promise; held is the part acknowledged. ackDue
-	// says that the newest proposal was not answered yet.
+	// assigned was proposed under the promised ballot; acked is the part acknowledged. assignAckDue
+	// is set while the newest proposal is not acknowledged.
 	assigned     ranges
 	acked        ranges
 	assignAckDue bool
 	// prefetch holds the maps that the coordinator asked to load.
 	prefetch map[uint64]bool
-	// releasedEnd is the end of the steps released under the promise; acked that
-	// the engines were said to hold them.
+	// releasedEnd is the end of the steps released under the promised ballot. releaseAcked is set
+	// once the coordinator was told that the engines hold them.
 	releasedEnd  uint64
 	releaseAcked bool
 
-	// given is all that engines were given by this incarnation or, as read back, by
-	// those before. What was sent counts as given, delivered or not.
+	// given holds all ranges that engines were given, by this incarnation or, as read back, by
+	// earlier ones. What was sent counts as given, delivered or not.
 	given ranges
 	// step is the next step of the ranks, as far as known.
 	step       uint64
@@ -62,12 +62,12 @@
 	ready Ready
 }
 
-// AgentStatus is an agent's state for the dump.
+// AgentStatus is a snapshot of an agent's state.
 type AgentStatus struct {
 	PromisedBallot uint64
 	// Coordinator is the VM whose seal is in force; empty before the first.
 	Coordinator string
-	// EnginesRead says that all engines were read back.
+	// EnginesRead is set once all engines were read back.
 	EnginesRead bool
 	Acked       []Range
 	Given       []Range
@@ -76,7 +76,7 @@
 	Violations int
 }
 
-// NewAgent returns an agent that knows nothing: call EngineUp for each engine.
+// NewAgent returns an agent without any engine state: call EngineUp for each engine.
 func NewAgent(config AgentConfig) *Agent {
 	return &Agent{
 		config:   config,
@@ -85,14 +85,14 @@
 	}
 }
 
-// Ready returns what is to be done and clears it.
+// Ready returns the pending actions and clears them.
 func (a *Agent) Ready() Ready {
 	r := a.ready
 	a.ready = Ready{}
 	return r
 }
 
-// Status returns the state for the dump.
+// Status returns a snapshot of the state.
 func (a *Agent) Status() AgentStatus {
 	return AgentStatus{
 		PromisedBallot: a.promisedBallot,
@@ -105,7 +105,7 @@
 	}
 }
 
-// HandleMessage takes in a message from a coordinator. Others are ignored.
+// HandleMessage processes a message from a coordinator. Other messages are ignored.
 func (a *Agent) HandleMessage(m *api.GroupMessage) {
 	if m.GetGroup() != a.config.Group {
 		return
@@ -131,9 +131,9 @@
 	}
 }
 
-// allEnginesRead: before all engines were read back, this incarnation cannot say what
-// they were given. A seal answered then could free steps that an engine already has
-// a map for, and they would run under two.
+// allEnginesRead reports whether all engines were read back. Before that, this incarnation cannot
+// tell what they were given. A seal answered then could free steps that an engine already has a map
+// for, and they would run with two maps.
 func (a *Agent) allEnginesRead() bool {
 	for i := range a.engines {
 		if !a.engines[i].everRead {
@@ -163,7 +163,7 @@
 	}}})
 }
 
-// promiseTo drops all that belongs to older ballots, but for what engines were given.
+// promiseTo promises a ballot and drops all state of older ones, except what engines were given.
 func (a *Agent) promiseTo(coordinator coordinatorID, ballot uint64) {
 	a.promisedBallot, a.sealedBy = ballot, coordinator
 	a.assigned, a.acked, a.assignAckDue = nil, nil, false
@@ -171,10 +171,10 @@
 	clear(a.prefetch)
 }
 
-// acceptsBallot lets through what belongs to the seal in force. An older ballot may not
-// know of ranges that a newer one has released. Another incarnation's promise and
-// acknowledgements are not this one's: without the name, a seal that a restart has
-// outlived could still gather all acknowledgements.
+// acceptsBallot reports whether a message belongs to the seal in force, and refuses it otherwise.
+// An older ballot may not know of ranges that a newer one has released. Promises and
+// acknowledgements of another incarnation do not count for this one: without that check, a
+// coordinator whose seal was lost in a restart could still collect all acknowledgements.
 func (a *Agent) acceptsBallot(from coordinatorID, ballot uint64, incarnation string) bool {
 	if ballot == a.promisedBallot && from == a.sealedBy && incarnation == a.config.Incarnation {
 		return true
@@ -206,7 +206,7 @@
 	}
 	end := released.end()
 	released = released.clip(a.oldestNeeded(), end)
-	// A coordinator releases only what all have acknowledged; this holds it to that.
+	// A coordinator releases only what all agents have acknowledged; this check enforces it.
 	if !a.acked.covers(released) || released.conflicts(a.given) {
 		a.violations++
 		a.sendNack(a.sealedBy, m.GetBallot())
@@ -218,7 +218,7 @@
 	a.reconcile()
 }
 
-// oldestNeeded is the oldest step that still matters: the ranks of a group are never more
+// oldestNeeded returns the oldest step that is still needed: the ranks of a group are never more
 // than one step apart.
 func (a *Agent) oldestNeeded() uint64 {
 	return oldestNeededStep(a.step)
--- a/coord/expertmap/agent_test.go
+++ b/coord/expertmap/agent_test.go
@@ -33,9 +33,9 @@
 	return a
 }
 
-// An engine loses its weights without its connection breaking, and refuses the order
-// for that. Callers would see the group stand still for good if the agent took the
-// order for sent: it must read the engine back, load the weights and give again.
+// An engine loses its weights while its connection stays up, and therefore refuses the order. If
+// the agent counted the order as sent, the group would stall for good: the agent must read the
+// engine back, load the weights and send the order again.
 func TestOrderRefusedForMissingWeights(t *testing.T) {
 	a := agentBeforeOrder()
 	orders := a.Ready().Orders
@@ -52,12 +52,12 @@
 	}
 	a.MapLoaded(0, 1)
 	if r := a.Ready(); len(r.Orders) != 1 || !ranges(r.Orders[0].Ranges).covers(orders[0].Ranges) {
-		t.Fatalf("after the load: %+v, want the order again", r)
+		t.Fatalf("after the load: %+v, want the order sent again", r)
 	}
 }
 
-// An engine has seen a higher fence than the agent's promise, by a predecessor of the
-// agent. The coordinator must hear of it, or it would wait for the engine for good.
+// An engine has seen a fence above the agent's promise, through a predecessor of the agent. Without
+// a nack the coordinator would wait for the engine for good.
 func TestOrderRefusedForHigherFence(t *testing.T) {
 	a := agentBeforeOrder()
 	a.Ready()
@@ -68,12 +68,12 @@
 	}
 	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 9}))
 	if r := a.Ready(); len(r.Messages) != 1 || r.Messages[0].Message.GetNack() == nil {
-		t.Fatalf("after a seal of 9: %+v, want a nack", r)
+		t.Fatalf("after a seal with ballot 9: %+v, want a nack", r)
 	}
 }
 
-// A new agent has not read its engine back yet. Answering the seal now would free
-// steps that the engine already has a map for.
+// A new agent has not read its engine back yet. Answering the seal now would free steps that the
+// engine already has a map for.
 func TestSealWaitsForRead(t *testing.T) {
 	a := NewAgent(AgentConfig{Group: simGroup, VM: "vm-1", Incarnation: "i2", Engines: 2})
 	a.EngineUp(0)
@@ -89,13 +89,12 @@
 	a.HandleMessage(fromCoordinator(&api.Seal{Ballot: 4}))
 	ack := a.Ready().Messages[0].Message.GetSealAck()
 	if len(ack.GetGiven()) != 1 || ack.GetGiven()[0].GetMapVersion() != 7 || ack.GetStep() != 3 {
-		t.Fatalf("answer = %v, want what the engine was given", ack)
+		t.Fatalf("answer = %v, want the ranges that the engine was given", ack)
 	}
 }
 
-// Each message comes from a seal that is not in force any more, or never was. Taken
-// in, it could put two maps into one step. The agent holds ballot 3 of c1, with steps
-// 0 to 4 assigned, and must refuse.
+// Each message belongs to a seal that is not in force. Accepted, it could put two maps into one
+// step. The agent has promised ballot 3 of c1, with steps 0 to 4 assigned, and must refuse.
 func TestAgentRejectsMessagesNotOfCurrentSeal(t *testing.T) {
 	given := []*api.StepRange{{Start: 0, End: 4, MapVersion: 1}}
 	other := []*api.StepRange{{Start: 0, End: 4, MapVersion: 2}}
@@ -119,7 +118,7 @@
 			a.HandleMessage(m)
 			r := a.Ready()
 			if len(r.Messages) != 1 || r.Messages[0].Message.GetNack().GetBallot() != 3 || len(r.Orders) != 0 {
-				t.Fatalf("ready = %+v, want a nack alone", r)
+				t.Fatalf("ready = %+v, want only a nack", r)
 			}
 		})
 	}
--- a/coord/expertmap/bench_test.go
+++ b/coord/expertmap/bench_test.go
@@ -9,9 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkGroup is one second of a group of 256 ranks at 64 ms a step: 32 agents of
-// one engine each, without faults. B/s and messages/s are what the coordinator's VM
-// sends and receives together.
+// BenchmarkGroup runs one second of a group of 256 ranks at 64 ms a step: 32 agents of one engine
+// each, without faults. B/s and messages/s count what the coordinator's VM sends and receives.
 func BenchmarkGroup(b *testing.B) {
 	const stepTime = 64 * time.Millisecond
 	agents := map[string]*Agent{}
@@ -70,7 +69,7 @@
 		}
 	}
 	if s := c.Status(); s.Campaigns != 1 || s.ReleasedEnd <= step {
-		b.Fatalf("the group does not go on: %+v", s)
+		b.Fatalf("the group has stopped: %+v", s)
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "B/s")
 	b.ReportMetric(float64(messages)/float64(b.N), "messages/s")
--- a/coord/expertmap/coordinator.go
+++ b/coord/expertmap/coordinator.go
@@ -8,24 +8,24 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// CoordinatorConfig says who the coordinator is and how far it plans.
+// CoordinatorConfig identifies a coordinator and sets how far it plans ahead and how often it
+// resends.
 type CoordinatorConfig struct {
 	Group       string
 	VM          string
 	Incarnation string
-	// Members names the VMs whose agents front the ranks of the group.
+	// Members lists the VMs whose agents front the ranks of the group.
 	Members []string
-	// LookaheadSteps is how many steps are released ahead of the present one; 256 by default,
-	// some 16 s at 64 ms a step. A longer one stalls less, and a change of the map
+	// LookaheadSteps is how many steps are released ahead of the current one. Default 256, about 16
+	// s at 64 ms a step. With a larger value the ranks stall less often, but a change of the map
 	// takes effect later.
 	LookaheadSteps uint64
-	// RetryInterval is the time after which an unanswered message is sent again; 200 ms by
-	// default.
+	// RetryInterval is the time after which an unanswered message is sent again. Default 200 ms.
 	RetryInterval time.Duration
-	// HeartbeatInterval is the time between releases that are sent again to all, to notice
-	// an agent that was replaced; 2 s by default.
+	// HeartbeatInterval is the interval at which releases are sent again to all agents, to detect
+	// one that was replaced. Default 2 s.
 	HeartbeatInterval time.Duration
-	// Random spreads the retries of coordinators that race.
+	// Random provides the jitter in the backoff of coordinators that race.
 	Random *rand.Rand
 }
 
@@ -33,7 +33,8 @@
 	defaultLookaheadSteps    = 256
 	defaultRetryInterval     = 200 * time.Millisecond
 	defaultHeartbeatInterval = 2 * time.Second
-	// maxBackoffDoublings bounds the wait after races lost in a row, at 32 retries.
+	// maxBackoffDoublings limits the random part of the backoff after lost races, to 32 retry
+	// intervals.
 	maxBackoffDoublings = 5
 )
 
@@ -50,21 +51,21 @@
 	return c
 }
 
-// Phase is what a coordinator is doing.
+// Phase is the state of a coordinator.
 type Phase int
 
 const (
-	// Idle: not started, or stopped.
+	// Idle means not started, or stopped.
 	Idle Phase = iota
-	// Waiting: it lost a race and waits before it tries again.
+	// Waiting means that it lost a race and backs off before the next ballot.
 	Waiting
-	// Sealing: it asks all agents for their promise.
+	// Sealing means that it asks all agents to promise its ballot.
 	Sealing
-	// Active: it assigns and releases ranges.
+	// Active means that it assigns and releases ranges.
 	Active
 )
 
-// String names the phase for the dump.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"idle", "waiting", "sealing", "active"}[p]
 }
@@ -75,13 +76,13 @@
 	incarnation string
 	given       ranges
 	step        uint64
-	// ackedEnd and givenEnd are the ends of the steps that the agent holds, and that
-	// its engines do.
+	// ackedEnd and givenEnd are the ends of the steps that the agent has acknowledged and that its
+	// engines have confirmed.
 	ackedEnd, givenEnd uint64
 	loaded             map[uint64]bool
 }
 
-// Coordinator decides which steps of a group run under which map.
+// Coordinator decides which map each step of a group uses.
 type Coordinator struct {
 	config CoordinatorConfig
 
@@ -89,10 +90,10 @@
 	ballot        uint64
 	highestBallot uint64
 	members       map[string]*member
-	// target is the map wanted for steps to come; 0 for the present one.
+	// target is the map requested for future steps; 0 for none.
 	target uint64
-	// plan holds the ranges under this ballot. It only grows at its end, and steps
-	// long past are cut off its start.
+	// plan holds the ranges under this ballot. It only grows at its end, and old steps are cut off
+	// its start.
 	plan ranges
 	base uint64
 	// releasedEnd is the end of the steps that all agents have acknowledged.
@@ -104,13 +105,13 @@
 	lastSentAt      time.Duration
 	lastHeartbeatAt time.Duration
 	campaigns       int
-	// conflictingSeals counts seals at which agents told of different maps for a step.
+	// conflictingSeals counts seals at which agents reported different maps for a step.
 	conflictingSeals int
 
 	ready Ready
 }
 
-// CoordinatorStatus is a coordinator's state for the dump.
+// CoordinatorStatus is a snapshot of a coordinator's state.
 type CoordinatorStatus struct {
 	Phase       Phase
 	Ballot      uint64
@@ -118,12 +119,12 @@
 	Plan        []Range
 	ReleasedEnd uint64
 	Step        uint64
-	// Missing names members that have not answered what was last asked.
+	// Missing lists the members that have not answered the last request.
 	Missing []string
-	// Campaigns counts ballots begun.
+	// Campaigns counts the ballots started.
 	Campaigns int
-	// ConflictingSeals counts seals at which agents told of different maps for a step. One
-	// now and then is the trace of a restart; more mean that engines differ.
+	// ConflictingSeals counts seals at which agents reported different maps for a step. An
+	// occasional one results from a restart; more mean that engines differ.
 	ConflictingSeals int
 }
 
@@ -132,19 +133,19 @@
 	return &Coordinator{config: config.withDefaults()}
 }
 
-// Start begins a ballot above seen, the highest that the agent beside it has seen.
+// Start begins a ballot above highestBallot, the highest that the local agent has seen.
 func (c *Coordinator) Start(now time.Duration, highestBallot uint64) {
 	c.highestBallot = max(c.highestBallot, highestBallot)
 	c.campaign(now)
 }
 
-// Stop ends the coordinator's part. What is released stays released.
+// Stop ends coordination. Ranges already released stay released.
 func (c *Coordinator) Stop() {
 	c.phase = Idle
 }
 
-// SetMembers changes the agents of the group, and seals again. The ranks of a member
-// that left must have ended.
+// SetMembers changes the agents of the group and starts a new ballot. The ranks of a removed member
+// must have ended.
 func (c *Coordinator) SetMembers(now time.Duration, members []string) {
 	c.config.Members = members
 	if c.phase != Idle {
@@ -152,8 +153,8 @@
 	}
 }
 
-// SetTarget asks for a map for steps to come. It takes effect behind the ranges already
-// assigned, once all agents have loaded it.
+// SetTarget requests a map for future steps. It takes effect after the ranges already assigned,
+// once all agents have loaded it.
 func (c *Coordinator) SetTarget(now time.Duration, version uint64) {
 	c.target = version
 	if c.phase == Active {
@@ -162,7 +163,7 @@
 	}
 }
 
-// SetStep says which step the ranks run next.
+// SetStep sets the step that the ranks run next.
 func (c *Coordinator) SetStep(now time.Duration, step uint64) {
 	if step <= c.step {
 		return
@@ -180,7 +181,7 @@
 	return r
 }
 
-// Status returns the state for the dump.
+// Status returns a snapshot of the state.
 func (c *Coordinator) Status() CoordinatorStatus {
 	s := CoordinatorStatus{
 		Phase:            c.phase,
@@ -211,7 +212,7 @@
 	}
 }
 
-// Tick sends again what was not answered. Call it a few times in each Retry.
+// Tick resends what was not answered. Call it a few times in each RetryInterval.
 func (c *Coordinator) Tick(now time.Duration) {
 	switch c.phase {
 	case Waiting:
@@ -248,8 +249,8 @@
 	c.sendLoads()
 }
 
-// campaign begins a new ballot. All that was learned under the last is dropped:
-// acknowledgements count only together with the promises of the same ballot.
+// campaign begins a new ballot and drops all that was learned under the last one: acknowledgements
+// count only together with the promises of the same ballot.
 func (c *Coordinator) campaign(now time.Duration) {
 	c.highestBallot = max(c.highestBallot, c.ballot) + 1
 	c.ballot = c.highestBallot
@@ -263,8 +264,8 @@
 	c.sendSeals(now)
 }
 
-// backOff waits before the next ballot, longer after each race lost in a row, with a
-// random part: two coordinators that answer each other at once would never end.
+// backOff waits before the next ballot, longer after each race lost in a row. The random part is
+// needed because two coordinators that retry at the same time would keep defeating each other.
 func (c *Coordinator) backOff(now time.Duration) {
 	c.phase = Waiting
 	jitterRange := float64(uint64(1) << min(c.lostRaces, maxBackoffDoublings))
@@ -303,7 +304,7 @@
 	}}})
 }
 
-// sendLoads asks those that lack the wanted map to load it.
+// sendLoads asks the agents that lack the target map to load it.
 func (c *Coordinator) sendLoads() {
 	if !c.isSwitching() {
 		return
--- a/coord/expertmap/coordinator_test.go
+++ b/coord/expertmap/coordinator_test.go
@@ -17,11 +17,10 @@
 	}
 }
 
-// An agent is sealed and tells of a range that it is about to give its engine. It
-// dies first, so no engine has the range; a coordinator with a lower ballot gives the
-// same steps another map, of which the other agent tells. The two reports differ,
-// although no two engines do. Callers would see the group stop for good if the
-// coordinator took that for the end.
+// An agent answers a seal with a range that it is about to give its engine, and dies before it
+// does. A coordinator with a lower ballot then gives the same steps another map, which the other
+// agent reports. The two reports conflict, although no two engines do. If the coordinator gave up,
+// the group would stop for good.
 func TestConflictingSealReportsLeadToNewBallot(t *testing.T) {
 	c := NewCoordinator(CoordinatorConfig{
 		Group: simGroup, VM: "vm-0", Incarnation: "i1", Members: []string{"vm-0", "vm-1"},
@@ -32,7 +31,7 @@
 	c.HandleMessage(0, sealAck("vm-0", "i1", 5, 1))
 	c.HandleMessage(0, sealAck("vm-1", "i1", 5, 2))
 	if sent := c.Ready().Messages; len(sent) != 0 {
-		t.Fatalf("sent %v on reports that differ", sent)
+		t.Fatalf("sent %v on conflicting reports", sent)
 	}
 	c.Tick(10 * time.Second)
 	c.HandleMessage(10*time.Second, sealAck("vm-0", "i2", 6, 2))
--- a/coord/expertmap/engine.go
+++ b/coord/expertmap/engine.go
@@ -6,34 +6,33 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// engineView is what an agent knows of one engine over the present connection.
+// engineView is what an agent knows of one engine over the current connection.
 type engineView struct {
-	// everRead: read back once at least by this incarnation.
+	// everRead is set once this incarnation has read the engine back.
 	everRead bool
-	// connected: connected; readBack: readBack back over this connection.
+	// readBack is set once the engine was read back over this connection.
 	connected, readBack bool
-	// ordered was sent over this connection; confirmed is the part that the engine
-	// said it holds.
+	// ordered was sent over this connection; confirmed is the part that the engine acknowledged.
 	ordered, confirmed ranges
-	// loaded maps it has; loadRequested are those it was loadRequested to load.
+	// loaded holds the maps that the engine has; loadRequested those that it was asked to load.
 	loaded, loadRequested map[uint64]bool
 }
 
-// EngineUp says that there is a new connection to an engine, which may have
-// restarted. The agent asks to read it back before it gives it anything.
+// EngineUp reports a new connection to an engine, which may have restarted. The agent reads it back
+// before it sends it an order.
 func (a *Agent) EngineUp(engine int) {
 	a.EngineDown(engine)
 	a.engines[engine].connected = true
 	a.ready.Reads = append(a.ready.Reads, engine)
 }
 
-// EngineDown says that the connection to an engine has ended.
+// EngineDown reports that the connection to an engine has ended.
 func (a *Agent) EngineDown(engine int) {
 	a.engines[engine] = engineView{everRead: a.engines[engine].everRead}
 }
 
-// EngineStateRead takes in what an engine answered when it was read back over the present
-// connection, after it had seen all older ones close.
+// EngineStateRead processes the state that an engine returned over the current connection, after
+// all older connections had closed.
 func (a *Agent) EngineStateRead(engine int, state EngineState) {
 	e := &a.engines[engine]
 	if !e.connected || e.readBack {
@@ -55,14 +54,14 @@
 	a.reconcile()
 }
 
-// SetEngineStep says which step an engine's ranks run next.
+// SetEngineStep sets the step that an engine's ranks run next.
 func (a *Agent) SetEngineStep(engine int, step uint64) {
 	if a.engines[engine].readBack {
 		a.advanceStep(step)
 	}
 }
 
-// MapLoaded says that an engine has loaded the weights of a map.
+// MapLoaded reports that an engine has loaded the weights of a map.
 func (a *Agent) MapLoaded(engine int, version uint64) {
 	e := &a.engines[engine]
 	if !e.readBack {
@@ -73,7 +72,7 @@
 	a.ackLoad(version)
 }
 
-// OrderDone says that an engine has taken an order.
+// OrderDone reports that an engine has accepted an order.
 func (a *Agent) OrderDone(engine int, order Order) {
 	e := &a.engines[engine]
 	if !e.readBack {
@@ -83,10 +82,10 @@
 	a.reconcile()
 }
 
-// OrderRefused says that an engine refused an order, and names the highest fence it
-// has seen. A higher one than the promise comes from a newer coordinator, before this
-// agent: the promise rises to it. Whatever the reason, such as weights that are gone,
-// the engine is read back, or the order would count as sent and never come again.
+// OrderRefused reports that an engine refused an order, and the highest fence that the engine has
+// seen. A fence above the promised ballot comes from a newer coordinator, through a predecessor of
+// this agent: the promise rises to it. Whatever the reason, such as lost weights, the engine is
+// read back; otherwise the order would count as sent and never be sent again.
 func (a *Agent) OrderRefused(engine int, fence uint64) {
 	e := &a.engines[engine]
 	if !e.readBack {
@@ -101,15 +100,15 @@
 	}
 }
 
-// raisePromise takes a fence seen by an engine as a promise made by a predecessor, to a
-// coordinator that is not known any more.
+// raisePromise treats a fence seen by an engine as a promise that a predecessor of this agent made
+// to a coordinator that is no longer known.
 func (a *Agent) raisePromise(fence uint64) {
 	if fence > a.promisedBallot {
 		a.promiseTo(coordinatorID{}, fence)
 	}
 }
 
-// advanceStep lets go of the steps that no rank can run any more.
+// advanceStep drops the steps that no rank can run any more.
 func (a *Agent) advanceStep(step uint64) {
 	a.step = max(a.step, step)
 	oldest := a.oldestNeeded()
@@ -121,8 +120,8 @@
 	}
 }
 
-// reconcile does what has become possible: ask for weights, acknowledge what was
-// assigned, give the engines what they lack, and say when they hold it.
+// reconcile takes all actions that have become possible: it requests missing weights, acknowledges
+// assignments, sends engines the ranges that they lack, and acknowledges releases.
 func (a *Agent) reconcile() {
 	for i := range a.engines {
 		if a.engines[i].readBack {
@@ -145,7 +144,7 @@
 	}
 }
 
-// neededMaps returns the maps of the steps to come and those that the coordinator asked for.
+// neededMaps returns the maps of assigned and given steps and those that the coordinator asked for.
 func (a *Agent) neededMaps() []uint64 {
 	needed := a.given.plus(a.assigned).maps()
 	for version := range a.prefetch {
@@ -155,11 +154,11 @@
 	return slices.Compact(needed)
 }
 
-// LoadFailed tells that an engine could not load a map, and returns whether to try again.
+// LoadFailed reports that an engine could not load a map, and returns whether to retry.
 //
-// A map that a later coordinator has no use for must be let go: its loader would ask the
-// rate-limited weight store for as long as the agent lives, beside the map that the group
-// waits for. Should the map be needed again, it is asked for anew.
+// A map that no later coordinator uses must be dropped: its loader would otherwise query the
+// rate-limited weight store for the lifetime of the agent, in competition with the map that the
+// group waits for. If the map is needed again, it is requested again.
 func (a *Agent) LoadFailed(engine int, version uint64) bool {
 	if slices.Contains(a.neededMaps(), version) {
 		return true
@@ -168,9 +167,9 @@
 	return false
 }
 
-// giveMissing sends an engine what the others were given and it was not: new ranges, and
-// all of them to one that has restarted. That needs no seal, for all of it is told
-// in every answer to one.
+// giveMissing sends an engine the ranges that others were given and it was not: new ranges, or all
+// of them after it has restarted. That needs no new seal, since every answer to a seal reports all
+// of them.
 func (a *Agent) giveMissing(engine int) {
 	e := &a.engines[engine]
 	missing := a.given.minus(e.ordered)
@@ -190,7 +189,7 @@
 	return true
 }
 
-// allEnginesHave says that each engine is connected and has the weights of the maps.
+// allEnginesHave reports whether each engine is connected and has the weights of the maps.
 func (a *Agent) allEnginesHave(maps []uint64) bool {
 	for i := range a.engines {
 		if !a.engines[i].readBack || !a.engines[i].hasMaps(maps) {
@@ -200,8 +199,8 @@
 	return true
 }
 
-// ackAssign acknowledges what was assigned once all engines have the weights: a
-// step released to ranks without them would stop the whole group.
+// ackAssign acknowledges an assignment once all engines have the weights: a step released to ranks
+// without them would stop the whole group.
 func (a *Agent) ackAssign() {
 	if !a.assignAckDue || !a.allEnginesHave(a.assigned.maps()) {
 		return
--- a/coord/expertmap/example_test.go
+++ b/coord/expertmap/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/apricothub/apricothub/coord/expertmap"
 )
 
-// One VM with one engine, which fronts the whole group. The loop is that of a
-// process: feed what has happened, then do what Ready says until nothing is left.
+// One VM with one engine, which fronts the whole group. The loop is that of a process: pass in
+// events, then carry out what Ready returns until nothing is left.
 func Example() {
 	agent := expertmap.NewAgent(expertmap.AgentConfig{Group: "g", VM: "vm-a", Incarnation: "i1", Engines: 1})
 	coordinator := expertmap.NewCoordinator(expertmap.CoordinatorConfig{
@@ -21,7 +21,7 @@
 		Random:         rand.New(rand.NewPCG(1, 2)),
 	})
 
-	// deliver takes a message from the network, or from this process to itself.
+	// deliver delivers a message from the network, or from this process to itself.
 	deliver := func(m *api.GroupMessage) {
 		switch m.GetBody().(type) {
 		case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
@@ -30,7 +30,7 @@
 			coordinator.HandleMessage(0, m)
 		}
 	}
-	// process does all that is to be done.
+	// process carries out all pending actions.
 	process := func() {
 		for {
 			fromAgent, fromCoordinator := agent.Ready(), coordinator.Ready()
@@ -38,7 +38,7 @@
 				return
 			}
 			for _, engine := range fromAgent.Reads {
-				// GET the engine's state, over the new connection.
+				// GET the engine's state over the new connection.
 				agent.EngineStateRead(engine, expertmap.EngineState{Loaded: []uint64{1}})
 			}
 			for _, load := range fromAgent.Loads {
@@ -66,7 +66,7 @@
 	coordinator.SetStep(0, 60)
 	process()
 
-	// The rebalancer has decided on another map.
+	// The rebalancer has chosen another map.
 	coordinator.SetTarget(0, 2)
 	process()
 	// Output:
--- a/coord/expertmap/plan.go
+++ b/coord/expertmap/plan.go
@@ -6,7 +6,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// HandleMessage takes in a message from an agent. Others are ignored.
+// HandleMessage processes a message from an agent. Other messages are ignored.
 func (c *Coordinator) HandleMessage(now time.Duration, m *api.GroupMessage) {
 	from := c.members[m.GetFromVm()]
 	if m.GetGroup() != c.config.Group || from == nil {
@@ -34,8 +34,8 @@
 	}
 }
 
-// isCurrent says that an answer belongs to this ballot and to the incarnation that
-// was sealed under it.
+// isCurrent reports whether an answer belongs to this ballot and to the incarnation that was sealed
+// under it.
 func (c *Coordinator) isCurrent(from *member, ballot uint64, incarnation string) bool {
 	return c.phase == Active && ballot == c.ballot && incarnation == from.incarnation
 }
@@ -45,8 +45,8 @@
 		return
 	}
 	if from.sealed {
-		// The agent was replaced after its promise, and sealed again by a copy of the
-		// message: the promise of the first is void, so only a new ballot will do.
+		// The agent was replaced after it answered the seal, and its successor answered a repeated
+		// seal. The promise of the first incarnation is void, so a new ballot is needed.
 		if from.incarnation != ack.GetIncarnation() {
 			c.campaign(now)
 		}
@@ -66,8 +66,8 @@
 	c.activate(now)
 }
 
-// handleNack reacts to a refusal of this ballot: a higher one has been promised, the agent
-// was replaced, or another coordinator holds the same ballot.
+// handleNack handles a refusal of this ballot: the agent has promised a higher one, the agent was
+// replaced, or another coordinator uses the same ballot.
 func (c *Coordinator) handleNack(now time.Duration, from *member, nack *api.Nack) {
 	c.highestBallot = max(c.highestBallot, nack.GetBallot())
 	if nack.GetRefused() != c.ballot || (c.phase != Sealing && c.phase != Active) {
@@ -82,15 +82,16 @@
 	}
 }
 
-// activate lays the plan when all have promised: the steps that engines were given
-// keep their maps, and all others are free.
+// activate builds the plan when all agents have answered the seal. Steps that engines were given
+// keep their maps; all others can be assigned freely.
 func (c *Coordinator) activate(now time.Duration) {
 	var given ranges
 	for _, vm := range c.config.Members {
 		m := c.members[vm]
-		// An agent tells of what it is about to give its engine. If it dies before, a
-		// lower ballot may give those steps another map, and this report is out of date:
-		// the ballot is lost with the agent's promise, and the next one sees the truth.
+		// An agent also reports what it is about to give its engine. If it dies before that, a
+		// lower ballot may give those steps another map, and the report is out of date. The agent's
+		// promise is lost with it, so this ballot cannot succeed; the next one reads the actual
+		// state.
 		if given.conflicts(m.given) {
 			c.conflictingSeals++
 			c.backOff(now)
@@ -111,9 +112,8 @@
 	c.extendPlan(now)
 }
 
-// fillGaps closes gaps from base on with the map before them, or the one after at
-// the start. No engine was given those steps, and none can be under an older
-// ballot any more.
+// fillGaps closes gaps from base on with the map before them, or with the one after them at the
+// start. No engine was given those steps, and none can be under an older ballot any more.
 func fillGaps(given ranges, base uint64) ranges {
 	var out ranges
 	filledEnd := base
@@ -131,7 +131,7 @@
 	return out.joined()
 }
 
-// lastPlannedMap is the map at the end of the plan; 0 for none.
+// lastPlannedMap returns the map at the end of the plan, or 0 if the plan is empty.
 func (c *Coordinator) lastPlannedMap() uint64 {
 	if len(c.plan) == 0 {
 		return 0
@@ -139,12 +139,12 @@
 	return c.plan[len(c.plan)-1].Map
 }
 
-// isSwitching says that another map is wanted than the plan ends with.
+// isSwitching reports whether the target differs from the map at the end of the plan.
 func (c *Coordinator) isSwitching() bool {
 	return c.target != 0 && c.target != c.lastPlannedMap()
 }
 
-// isTargetLoaded says that all agents have the wanted map.
+// isTargetLoaded reports whether all agents have loaded the target map.
 func (c *Coordinator) isTargetLoaded() bool {
 	for _, m := range c.members {
 		if !m.loaded[c.target] {
@@ -154,9 +154,9 @@
 	return true
 }
 
-// extendPlan plans further steps when less than half of those ahead are left, or when
-// the wanted map has been loaded everywhere. Half is kept, so that the round of
-// assign, acknowledge and release ends long before the ranks get there.
+// extendPlan plans further steps when less than half of those ahead are left, or when all agents
+// have loaded the target map. Half is kept so that the round of assign, acknowledge and release
+// ends long before the ranks get there.
 func (c *Coordinator) extendPlan(now time.Duration) {
 	if c.phase != Active {
 		return
@@ -175,7 +175,7 @@
 	c.sendAssigns(now)
 }
 
-// lastPlannedStep keeps the plan's last range, for its map, when the ranks have run it all.
+// lastPlannedStep keeps the plan's last range, for its map, when the ranks have run all of it.
 func (c *Coordinator) lastPlannedStep() uint64 {
 	return oldestNeededStep(c.plan.end())
 }
@@ -187,9 +187,9 @@
 	}
 }
 
-// handleAssignAck releases what all agents have acknowledged under this ballot. Released
-// earlier, a range could meet an agent that has restarted and promised a higher
-// ballot, whose coordinator gives the same step another map.
+// handleAssignAck releases what all agents have acknowledged under this ballot. Released earlier, a
+// range could reach an agent that has restarted and promised a higher ballot, whose coordinator
+// gives the same step another map.
 func (c *Coordinator) handleAssignAck(from *member, ack *api.AssignAck) {
 	acked, ok := rangesFromAPI(ack.GetRanges())
 	if !ok {
--- a/coord/expertmap/property_test.go
+++ b/coord/expertmap/property_test.go
@@ -7,18 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run is the same; -rapid.seed, -rapid.checks and
-// -rapid.steps on the command line go before these.
+// The seed is fixed so that every run is the same. The flags -rapid.seed, -rapid.checks and
+// -rapid.steps on the command line override these values.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "200")
 }
 
-// Agents, engines and coordinators restart, connections break with orders on their
-// way, messages are lost, repeated and overtaken, and coordinators race with
-// different maps. A caller would see tokens of a step computed under two maps; so
-// no two engines are ever given different maps for one step. When the faults end,
-// steps go on, and the map wanted last comes into force.
+// Agents, engines and coordinators restart, connections break with orders in flight, messages are
+// lost, repeated and reordered, and coordinators race with different maps. No two engines may be
+// given different maps for one step: a caller would get tokens computed with two maps in one step.
+// When the faults end, steps continue and the last target map takes effect.
 func TestOneMapInEachStep(t *testing.T) {
 	var steps, switches, faults, runs uint64
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,7 +38,7 @@
 	t.Logf("%d runs: %d steps, %d switches of the map, %d faults", runs, steps, switches, faults)
 }
 
-// finishWithoutFaults ends the faults: one coordinator is left, and wants another map.
+// finishWithoutFaults ends the faults: one coordinator is left, with another target map.
 func (s *sim) finishWithoutFaults(t *rapid.T) {
 	for _, vm := range s.vms[1:] {
 		vm.coordinator.Stop()
--- a/coord/expertmap/ranges.go
+++ b/coord/expertmap/ranges.go
@@ -6,18 +6,18 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Range says that the steps from Start up to but without End run under map Map.
+// Range maps the steps from Start up to but not including End to the expert map Map.
 type Range struct {
 	Start, End uint64
 	Map        uint64
 }
 
-// ranges is a sorted list of ranges that do not overlap. Neighbours with the same
-// map are one range.
+// ranges is a sorted list of ranges that do not overlap. Adjacent ranges with the same map are
+// merged.
 type ranges []Range
 
-// rangesFromAPI reads ranges off a message. It returns false when they are empty, reversed
-// or overlap.
+// rangesFromAPI reads ranges from a message. It returns false when one is empty or reversed or they
+// overlap.
 func rangesFromAPI(list []*api.StepRange) (ranges, bool) {
 	var out ranges
 	for _, r := range list {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// joined merges neighbours with the same map.
+// joined merges adjacent ranges with the same map.
 func (rs ranges) joined() ranges {
 	var out ranges
 	for _, r := range rs {
@@ -97,7 +97,7 @@
 	return out.joined()
 }
 
-// conflicts says that some step has one map in rs and another in other.
+// conflicts reports whether some step has different maps in rs and other.
 func (rs ranges) conflicts(other ranges) bool {
 	for _, r := range rs {
 		for _, o := range other {
@@ -109,12 +109,12 @@
 	return false
 }
 
-// covers says that rs has all of other, with the same maps.
+// covers reports whether rs contains all of other, with the same maps.
 func (rs ranges) covers(other ranges) bool {
 	return !rs.conflicts(other) && len(other.minus(rs)) == 0
 }
 
-// maps returns the maps named, each once.
+// maps returns the distinct maps.
 func (rs ranges) maps() []uint64 {
 	var out []uint64
 	for _, r := range rs {
--- a/coord/expertmap/ranges_test.go
+++ b/coord/expertmap/ranges_test.go
@@ -30,7 +30,7 @@
 	return 0
 }
 
-// The operations on ranges do to each step what they say.
+// Compares the operations on ranges with a step-by-step computation.
 func TestRangesByStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRanges(t, "a"), drawRanges(t, "b")
--- a/coord/expertmap/ready.go
+++ b/coord/expertmap/ready.go
@@ -8,8 +8,7 @@
 	Message *api.GroupMessage
 }
 
-// Order tells an engine which steps it may run. The fence is the ballot, for engines
-// that check it.
+// Order tells an engine which steps it may run. The fence is the ballot, for engines that check it.
 type Order struct {
 	Engine int
 	Fence  uint64
@@ -22,21 +21,21 @@
 	Map    uint64
 }
 
-// Ready is what is to be done. The parts may be done at the same time, but the orders
-// to one engine stay in their order.
+// Ready holds the pending actions. They may be carried out concurrently, but the orders to one
+// engine must keep their order.
 type Ready struct {
 	Messages []Envelope
-	// Reads names engines whose state is to be read back, for Agent.EngineRead.
+	// Reads lists engines whose state is to be read back, for Agent.EngineStateRead.
 	Reads []int
-	// Loads are asked for once for each connection to an engine; whoever carries
-	// them out tries again until Agent.MapLoaded or Agent.EngineDown, or until
-	// Agent.LoadFailed says that nobody needs the map any more.
+	// Loads are requested once for each connection to an engine. The caller retries until it calls
+	// Agent.MapLoaded or Agent.EngineDown, or until Agent.LoadFailed returns false because the map
+	// is no longer needed.
 	Loads []LoadRequest
 	// Orders are answered with Agent.OrderDone or Agent.OrderRefused.
 	Orders []Order
 }
 
-// Empty says that nothing is to be done.
+// Empty reports whether there are no actions.
 func (r Ready) Empty() bool {
 	return len(r.Messages)+len(r.Reads)+len(r.Loads)+len(r.Orders) == 0
 }
--- a/coord/expertmap/sim_test.go
+++ b/coord/expertmap/sim_test.go
@@ -18,21 +18,21 @@
 	maxDelayed        = 16
 )
 
-// engineConn is one connection of an agent to an engine. Its orders arrive in order, and
-// when the agent dies some of those under way still do.
+// engineConn is one connection of an agent to an engine. Its orders arrive in order, and when the
+// agent dies some of those in flight still arrive.
 type engineConn struct {
 	orders []Order
 	closed bool
 }
 
-// simEngine holds the ranks of one engine.
+// simEngine simulates one engine and its ranks.
 type simEngine struct {
 	checksFence bool
 	given       map[uint64]uint64
 	fence       uint64
 	loaded      []uint64
 	loads       []uint64
-	// conns holds the connections not yet seen closed; the last is the present one.
+	// conns holds the connections not yet seen closed; the last is the current one.
 	conns   []*engineConn
 	reading bool
 }
@@ -46,16 +46,16 @@
 	engines     []*simEngine
 }
 
-// sim is a group of VMs and the network between them. Each event is drawn from a
-// seeded source, so a seed tells the whole run.
+// sim is a group of VMs and the network between them. Each event is drawn from a seeded source, so
+// the seed determines the whole run.
 type sim struct {
 	random    *rand.Rand
 	now       time.Duration
 	vms       []*simVM
 	inTransit []Envelope
-	// delayed holds copies of messages that arrive long after.
+	// delayed holds copies of messages that arrive much later.
 	delayed []Envelope
-	// step is the group's next step; finished holds the maps of those before it.
+	// step is the group's next step; finished holds the maps of earlier ones.
 	step      uint64
 	finished  map[uint64]uint64
 	violation string
@@ -93,8 +93,8 @@
 	}
 }
 
-// connect closes the socket to an engine and opens another. Some of the orders
-// under way are lost, and the rest still arrive.
+// connect closes the connection to an engine and opens another. Some of the orders in flight are
+// lost, and the rest still arrive.
 func (s *sim) connect(vm *simVM, engine int) {
 	e := vm.engines[engine]
 	for _, old := range e.conns {
@@ -114,7 +114,7 @@
 	s.connect(vm, engine)
 }
 
-// carryOutReady carries out what the state machines ask for.
+// carryOutReady carries out the pending actions of the state machines.
 func (s *sim) carryOutReady() {
 	for _, vm := range s.vms {
 		ready := vm.agent.Ready()
@@ -167,7 +167,7 @@
 	}
 }
 
-// resendDelayed sends some of the late copies once more.
+// resendDelayed sends some of the delayed copies once more.
 func (s *sim) resendDelayed() {
 	for _, e := range s.delayed {
 		if s.random.IntN(2) == 0 {
@@ -176,8 +176,7 @@
 	}
 }
 
-// runEngine lets an engine do one thing: take an order, see a socket close, answer a
-// read or finish a load.
+// runEngine lets an engine accept an order, see a connection close, answer a read or finish a load.
 func (s *sim) runEngine(vm *simVM, engine int) {
 	e := vm.engines[engine]
 	for len(e.conns) > 0 && e.conns[0].closed && len(e.conns[0].orders) == 0 {
@@ -238,8 +237,8 @@
 	return out.joined()
 }
 
-// runGroupStep runs one step if all ranks may, and checks that no two engines were given
-// different maps for any step from this one on.
+// runGroupStep runs one step if all ranks may, and checks that no two engines were given different
+// maps for any step from this one on.
 func (s *sim) runGroupStep() {
 	maps := map[uint64]uint64{}
 	ready := 0
@@ -269,14 +268,14 @@
 	s.step++
 	for _, vm := range s.vms {
 		for _, e := range vm.engines {
-			// Engines tell of some past steps, not of all.
+			// Engines report only some past steps.
 			delete(e.given, s.step-min(s.step, 4))
 		}
 	}
 	s.vms[0].coordinator.SetStep(s.now, s.step)
 }
 
-// randomEvent lets one thing happen; rate is the chance of a fault, in a thousand.
+// randomEvent applies one random event; faultsPerMille is the chance of a fault, per thousand.
 func (s *sim) randomEvent(faultsPerMille int) {
 	s.now += time.Duration(s.random.IntN(10)) * time.Millisecond
 	vm := s.vms[s.random.IntN(simVMs)]
