--- a/coord/mapswitch/claim_test.go
+++ b/coord/mapswitch/claim_test.go
@@ -9,7 +9,7 @@
 // go, while a new one reads rank 2 before that, rank 0 in the middle and rank 1 after. Rank 1
 // looks like the only one armed, of a map that rank 2 lacks. Taking that back would let one
 // rank begin pass 33 with the old map; callers would get nonsense that looks whole.
-func TestNothingIsTakenBackBeforeAllAreClaimed(t *testing.T) {
+func TestNoRankIsDisarmedBeforeAllAreClaimed(t *testing.T) {
 	held := int64(33)
 	read := []Status{
 		{Epoch: 1, Step: 30, Prepared: 513, Held: &held},
@@ -17,8 +17,8 @@
 		{Epoch: 1, Step: 30},
 	}
 	m := New(Config{})
-	d := m.Next(0, read, 769)
-	if len(d.Orders) != len(read) || !d.Busy {
+	d := m.Decide(0, read, 769)
+	if len(d.Orders) != len(read) || !d.InProgress {
 		t.Fatalf("the first decision is %+v", d)
 	}
 	for rank, o := range d.Orders {
@@ -26,18 +26,18 @@
 			t.Errorf("the first orders are %+v", d.Orders)
 		}
 	}
-	m.Claimed(0, 1)
-	m.Claimed(1, 1)
-	if d := m.Next(m.cfg.Again, read, 769); len(d.Orders) != 1 || d.Orders[0].Kind != Claim || d.Orders[0].Rank != 2 {
+	m.ClaimAccepted(0, 1)
+	m.ClaimAccepted(1, 1)
+	if d := m.Decide(m.cfg.RetryInterval, read, 769); len(d.Orders) != 1 || d.Orders[0].Kind != Claim || d.Orders[0].Rank != 2 {
 		t.Errorf("with one rank not claimed yet: %+v", d.Orders)
 	}
-	m.Claimed(2, 1)
+	m.ClaimAccepted(2, 1)
 	armed := Status{Epoch: 1, Step: 31, Prepared: 513, Armed: &Arming{Version: 513, Step: 33}}
-	if d := m.Next(m.cfg.Again, []Status{armed, armed, armed}, 769); len(d.Orders) != 0 || !d.Busy {
+	if d := m.Decide(m.cfg.RetryInterval, []Status{armed, armed, armed}, 769); len(d.Orders) != 0 || !d.InProgress {
 		t.Errorf("all armed and let go: %+v", d)
 	}
 	// The group has broken and opened again: its ranks know no number any more.
-	if d := m.Next(m.cfg.Again, []Status{{Epoch: 2}, {Epoch: 2}, {Epoch: 2}}, 769); len(d.Orders) != 3 || d.Orders[0].Kind != Claim {
+	if d := m.Decide(m.cfg.RetryInterval, []Status{{Epoch: 2}, {Epoch: 2}, {Epoch: 2}}, 769); len(d.Orders) != 3 || d.Orders[0].Kind != Claim {
 		t.Errorf("in a new epoch: %+v", d.Orders)
 	}
 }
@@ -48,21 +48,21 @@
 	held := int64(33)
 	armed := &Arming{Version: 513, Step: held}
 	m := New(Config{})
-	m.Claimed(0, 1)
-	m.Claimed(1, 1)
+	m.ClaimAccepted(0, 1)
+	m.ClaimAccepted(1, 1)
 	ready := Status{Epoch: 1, Step: 30, Prepared: 513}
 	holder := ready
 	holder.Held = &held
-	first := m.Next(0, []Status{holder, ready}, 513)
+	first := m.Decide(0, []Status{holder, ready}, 513)
 	if len(first.Orders) != 2 || first.Orders[1].Kind != Arm {
 		t.Fatalf("held and not armed: %+v", first.Orders)
 	}
 	holder.Armed = armed
-	if d := m.Next(1, []Status{holder, ready}, 513); len(d.Orders) != 0 {
+	if d := m.Decide(1, []Status{holder, ready}, 513); len(d.Orders) != 0 {
 		t.Errorf("while the answer may come: %+v", d.Orders)
 	}
-	m.Unanswered(first.Orders[1])
-	if d := m.Next(2, []Status{holder, ready}, 513); len(d.Orders) != 1 || d.Orders[0] != first.Orders[1] {
+	m.OrderUnanswered(first.Orders[1])
+	if d := m.Decide(2, []Status{holder, ready}, 513); len(d.Orders) != 1 || d.Orders[0] != first.Orders[1] {
 		t.Errorf("after no answer: %+v", d.Orders)
 	}
 }
@@ -73,9 +73,9 @@
 	ready := Status{Epoch: 1, Step: 30, Prepared: 513}
 	for pass, want := range map[time.Duration]int64{0: 32, 60 * time.Millisecond: 32, 700 * time.Millisecond: 31} {
 		m := New(Config{})
-		m.Claimed(0, 1)
-		m.SetPass(pass)
-		d := m.Next(0, []Status{ready}, 513)
+		m.ClaimAccepted(0, 1)
+		m.SetPassTime(pass)
+		d := m.Decide(0, []Status{ready}, 513)
 		if len(d.Orders) != 1 || d.Orders[0].Kind != Hold || d.Orders[0].Step != want {
 			t.Errorf("passes of %v: %+v", pass, d.Orders)
 		}
--- a/coord/mapswitch/mapswitch.go
+++ b/coord/mapswitch/mapswitch.go
@@ -45,9 +45,9 @@
 	// Armed and Held are nil for none. Held is the pass at which the rank holds the group.
 	Armed *Arming
 	Held  *int64
-	// Late says that the report may be of some moments ago, as when the rank was asked from
-	// afar. A rank that has since answered an order to arm it is Armed and not Late.
-	Late bool
+	// Stale says that the report may be of some moments ago, as when the rank was asked from
+	// afar. A rank that has since answered an order to arm it is Armed and not Stale.
+	Stale bool
 }
 
 // Kind says what an order does.
@@ -63,8 +63,8 @@
 	Arm
 	// Disarm takes that back.
 	Disarm
-	// Go lets go of a hold.
-	Go
+	// ReleaseHold lets go of a hold.
+	ReleaseHold
 	// Claim changes nothing but that the rank refuses coordinators with lower numbers.
 	Claim
 )
@@ -86,168 +86,168 @@
 
 // Config holds the limits of a machine. A zero field takes its default.
 type Config struct {
-	// Lead is the time of a pass from which on the group is held at the next one, and not at
+	// LongPass is the time of a pass from which on the group is held at the next one, and not at
 	// the one after it. Default 150 ms: the orders of a switch take a few round trips, so that
 	// the group does not come to stand, and does not wait for a second long pass either.
-	Lead time.Duration
-	// Again is the time after which an order is given again when the rank does not report
+	LongPass time.Duration
+	// RetryInterval is the time after which an order is given again when the rank does not report
 	// that it was carried out. Default 250 ms, above a report's age.
-	Again time.Duration
+	RetryInterval time.Duration
 }
 
 // Machine is the coordinator's side for one group.
 type Machine struct {
 	cfg Config
-	// sent is when each order was given last.
-	sent map[Order]time.Duration
-	// pass is the time of a pass, zero for unknown.
-	pass time.Duration
-	// claimed is the epoch in which each rank has taken a claim.
-	claimed map[int]int64
+	// lastSent is when each order was given last.
+	lastSent map[Order]time.Duration
+	// passTime is the time of a passTime, zero for unknown.
+	passTime time.Duration
+	// claimedEpoch is the epoch in which each rank has taken a claim.
+	claimedEpoch map[int]int64
 }
 
 // New returns a machine that has given no order.
 func New(cfg Config) *Machine {
-	if cfg.Lead == 0 {
-		cfg.Lead = 150 * time.Millisecond
+	if cfg.LongPass == 0 {
+		cfg.LongPass = 150 * time.Millisecond
 	}
-	if cfg.Again == 0 {
-		cfg.Again = 250 * time.Millisecond
+	if cfg.RetryInterval == 0 {
+		cfg.RetryInterval = 250 * time.Millisecond
 	}
-	return &Machine{cfg: cfg, sent: make(map[Order]time.Duration), claimed: make(map[int]int64)}
+	return &Machine{cfg: cfg, lastSent: make(map[Order]time.Duration), claimedEpoch: make(map[int]int64)}
 }
 
 // Decision is what to do next.
 type Decision struct {
 	Orders []Order
-	// Renew says that the ranks are held with different versions prepared, as after two
+	// NeedsNewTarget says that the ranks are held with different versions prepared, as after two
 	// coordinators at once. A version that is new to all ranks must become the target.
-	Renew bool
-	// Busy says that a switch is under way, so that no other target may be chosen.
-	Busy bool
+	NeedsNewTarget bool
+	// InProgress says that a switch is under way, so that no other target may be chosen.
+	InProgress bool
 }
 
-// Next decides by the reports of all ranks of a group, in their order. The target is the
+// Decide decides by the reports of all ranks of a group, in their order. The target is the
 // version to change to, zero for none. Reports of different epochs decide nothing.
-func (m *Machine) Next(now time.Duration, ranks []Status, target int64) Decision {
+func (m *Machine) Decide(now time.Duration, ranks []Status, target int64) Decision {
 	if len(ranks) == 0 || !sameEpoch(ranks) {
-		return Decision{Busy: true}
+		return Decision{InProgress: true}
 	}
-	if d, done := m.claim(now, ranks); !done {
+	if d, claimed := m.claimRanks(now, ranks); !claimed {
 		return d
 	}
-	holder, arming := lowestHold(ranks), firstArmed(ranks)
+	holder, arming := earliestHold(ranks), earliestArmed(ranks)
 	if arming != nil && (holder < 0 || arming.Step < *ranks[holder].Held) {
 		return m.armedWithoutHold(now, ranks, *arming)
 	}
 	if holder >= 0 {
-		return m.finish(now, ranks, holder, target)
+		return m.armAndReleaseHold(now, ranks, holder, target)
 	}
 	if target == 0 || allUse(ranks, target) {
 		return Decision{}
 	}
-	d := Decision{Busy: true}
-	if overtaken(ranks, target) {
-		d.Renew = true
+	d := Decision{InProgress: true}
+	if isTargetOutdated(ranks, target) {
+		d.NeedsNewTarget = true
 		return d
 	}
 	for rank, s := range ranks {
 		if s.Prepared != target && s.Map != target {
-			d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Prepare, Version: target, Epoch: s.Epoch})
+			d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Prepare, Version: target, Epoch: s.Epoch})
 		}
 	}
 	if !allPrepared(ranks, target) {
 		return d
 	}
 	step := lastStep(ranks) + m.LeadPasses()
-	if !m.holding(now) {
-		d.Orders = m.give(d.Orders, now, Order{Rank: 0, Kind: Hold, Step: step, Epoch: ranks[0].Epoch})
+	if !m.isHoldPending(now) {
+		d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: 0, Kind: Hold, Step: step, Epoch: ranks[0].Epoch})
 	}
 	return d
 }
 
-// Unanswered says that nobody knows whether an order was carried out. It is given again as soon
+// OrderUnanswered says that nobody knows whether an order was carried out. It is given again as soon
 // as the rank reports that it was not.
 //
 // Load: engines that leave some of their orders unanswered. Harm prevented: a group that is held
 // waits for each of them as long as for a report that may be old.
-func (m *Machine) Unanswered(o Order) { delete(m.sent, o) }
+func (m *Machine) OrderUnanswered(o Order) { delete(m.lastSent, o) }
 
-// Claimed says that a rank has taken a claim. What it is reported to be must have been read
+// ClaimAccepted says that a rank has taken a claim. What it is reported to be must have been read
 // after that.
-func (m *Machine) Claimed(rank int, epoch int64) { m.claimed[rank] = epoch }
+func (m *Machine) ClaimAccepted(rank int, epoch int64) { m.claimedEpoch[rank] = epoch }
 
-// claim has every rank refuse coordinators with lower numbers.
+// claimRanks has every rank refuse coordinators with lower numbers.
 //
 // Safeguard: the ranks' reports are of different moments. Without this, the coordinator before
 // may in between hold the group, arm all ranks and let go; the one rank that was read after
 // that is taken for the only one armed and is disarmed, and the pass begins with two maps.
-func (m *Machine) claim(now time.Duration, ranks []Status) (Decision, bool) {
-	d := Decision{Busy: true}
-	all := true
+func (m *Machine) claimRanks(now time.Duration, ranks []Status) (Decision, bool) {
+	d := Decision{InProgress: true}
+	allClaimed := true
 	for rank, s := range ranks {
-		if epoch, ok := m.claimed[rank]; ok && epoch == s.Epoch {
+		if epoch, ok := m.claimedEpoch[rank]; ok && epoch == s.Epoch {
 			continue
 		}
-		all = false
-		d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Claim, Epoch: s.Epoch})
+		allClaimed = false
+		d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Claim, Epoch: s.Epoch})
 	}
-	return d, all
+	return d, allClaimed
 }
 
-// SetPass tells how long a pass takes at present; zero for unknown.
-func (m *Machine) SetPass(pass time.Duration) { m.pass = pass }
+// SetPassTime tells how long a pass takes at present; zero for unknown.
+func (m *Machine) SetPassTime(pass time.Duration) { m.passTime = pass }
 
-// usualLead is the number of passes that a switch looks ahead.
-const usualLead = 2
+// defaultLeadPasses is the number of passes that a switch looks ahead.
+const defaultLeadPasses = 2
 
 // LeadPasses is the number of passes between the last one begun and the one that is held.
 func (m *Machine) LeadPasses() int64 {
-	if m.pass >= m.cfg.Lead {
+	if m.passTime >= m.cfg.LongPass {
 		return 1
 	}
-	return usualLead
+	return defaultLeadPasses
 }
 
-// holding says that an order to hold is on its way. Another one for a later pass would
+// isHoldPending says that an order to hold is on its way. Another one for a later pass would
 // follow it with each report.
-func (m *Machine) holding(now time.Duration) bool {
-	for order, at := range m.sent {
-		if order.Kind == Hold && now-at < m.cfg.Again {
+func (m *Machine) isHoldPending(now time.Duration) bool {
+	for order, sentAt := range m.lastSent {
+		if order.Kind == Hold && now-sentAt < m.cfg.RetryInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// finish brings a held group to the point where all ranks are armed, and lets go.
+// armAndReleaseHold brings a held group to the point where all ranks are armed, and lets go.
 //
 // Safeguard: the hold is let go in no other case, whoever placed it. Without that an order
 // to arm, given before and carried out late, would reach one rank of a group that goes on
 // with the old map.
-func (m *Machine) finish(now time.Duration, ranks []Status, holder int, target int64) Decision {
-	d := Decision{Busy: true}
+func (m *Machine) armAndReleaseHold(now time.Duration, ranks []Status, holder int, target int64) Decision {
+	d := Decision{InProgress: true}
 	step := *ranks[holder].Held
-	version := upcoming(ranks[0])
-	same := version != 0
+	version := nextVersion(ranks[0])
+	consistent := version != 0
 	for _, s := range ranks {
-		same = same && upcoming(s) == version && (s.Armed == nil || s.Armed.Step == step)
+		consistent = consistent && nextVersion(s) == version && (s.Armed == nil || s.Armed.Step == step)
 	}
-	if !same {
+	if !consistent {
 		return m.reconcile(now, ranks, target)
 	}
 	armed := 0
 	for rank, s := range ranks {
 		// Safeguard: a late report does not count. The rank may have been disarmed since,
 		// and would go on with the old map when the hold is let go.
-		if s.Armed != nil && !s.Late {
+		if s.Armed != nil && !s.Stale {
 			armed++
 			continue
 		}
-		d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Arm, Version: version, Step: step, Epoch: s.Epoch})
+		d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Arm, Version: version, Step: step, Epoch: s.Epoch})
 	}
 	if armed == len(ranks) {
-		d.Orders = m.give(d.Orders, now, Order{Rank: holder, Kind: Go, Step: step, Epoch: ranks[holder].Epoch})
+		d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: holder, Kind: ReleaseHold, Step: step, Epoch: ranks[holder].Epoch})
 	}
 	return d
 }
@@ -257,24 +257,24 @@
 // Safeguard: nobody is disarmed by late reports. They may be of a time before all ranks were
 // armed, and the hold may have been let go since: the one rank would go on with the old map.
 func (m *Machine) reconcile(now time.Duration, ranks []Status, target int64) Decision {
-	d := Decision{Busy: true}
+	d := Decision{InProgress: true}
 	for _, s := range ranks {
-		if s.Late {
+		if s.Stale {
 			return d
 		}
 	}
 	for rank, s := range ranks {
 		if s.Armed != nil {
-			d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Disarm, Version: s.Armed.Version, Epoch: s.Epoch})
+			d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Disarm, Version: s.Armed.Version, Epoch: s.Epoch})
 		}
 	}
-	if overtaken(ranks, target) {
-		d.Renew = true
+	if isTargetOutdated(ranks, target) {
+		d.NeedsNewTarget = true
 		return d
 	}
 	for rank, s := range ranks {
 		if s.Armed == nil && s.Prepared != target {
-			d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Prepare, Version: target, Epoch: s.Epoch})
+			d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Prepare, Version: target, Epoch: s.Epoch})
 		}
 	}
 	return d
@@ -288,7 +288,7 @@
 // Safeguard: nobody is disarmed, also when the group is held at a later pass, as by an order
 // that arrived late: the pass may begin at any moment.
 func (m *Machine) armedWithoutHold(now time.Duration, ranks []Status, arming Arming) Decision {
-	d := Decision{Busy: true}
+	d := Decision{InProgress: true}
 	for _, s := range ranks {
 		switched := s.Armed == nil && s.Map == arming.Version
 		if !switched && (s.Armed == nil || *s.Armed != arming) {
@@ -300,33 +300,33 @@
 
 // holdFreeRank holds the group at a pass by a rank that does not hold it at another one.
 func (m *Machine) holdFreeRank(now time.Duration, ranks []Status, step int64) Decision {
-	d := Decision{Busy: true}
+	d := Decision{InProgress: true}
 	for rank, s := range ranks {
 		if s.Held == nil {
-			d.Orders = m.give(d.Orders, now, Order{Rank: rank, Kind: Hold, Step: step, Epoch: s.Epoch})
+			d.Orders = m.appendIfDue(d.Orders, now, Order{Rank: rank, Kind: Hold, Step: step, Epoch: s.Epoch})
 			return d
 		}
 	}
 	return d
 }
 
-// give adds an order, unless it was given a moment ago.
-func (m *Machine) give(orders []Order, now time.Duration, o Order) []Order {
-	if at, ok := m.sent[o]; ok && now-at < m.cfg.Again {
+// appendIfDue adds an order, unless it was given a moment ago.
+func (m *Machine) appendIfDue(orders []Order, now time.Duration, o Order) []Order {
+	if sentAt, ok := m.lastSent[o]; ok && now-sentAt < m.cfg.RetryInterval {
 		return orders
 	}
-	for order, at := range m.sent {
-		if now-at > time.Minute {
-			delete(m.sent, order)
+	for order, sentAt := range m.lastSent {
+		if now-sentAt > time.Minute {
+			delete(m.lastSent, order)
 		}
 	}
-	m.sent[o] = now
+	m.lastSent[o] = now
 	return append(orders, o)
 }
 
-// overtaken says that a rank has had a version that a target is not higher than: it would
+// isTargetOutdated says that a rank has had a version that a target is not higher than: it would
 // refuse to prepare it.
-func overtaken(ranks []Status, target int64) bool {
+func isTargetOutdated(ranks []Status, target int64) bool {
 	for _, s := range ranks {
 		if target <= s.Map || s.Prepared > target || s.Armed != nil && s.Armed.Version >= target {
 			return true
@@ -335,8 +335,8 @@
 	return false
 }
 
-// upcoming is the version that a rank would change to.
-func upcoming(s Status) int64 {
+// nextVersion is the version that a rank would change to.
+func nextVersion(s Status) int64 {
 	if s.Armed != nil {
 		return s.Armed.Version
 	}
@@ -355,8 +355,8 @@
 	return true
 }
 
-// lowestHold returns the rank that holds the group at the next pass, or -1.
-func lowestHold(ranks []Status) int {
+// earliestHold returns the rank that holds the group at the next pass, or -1.
+func earliestHold(ranks []Status) int {
 	holder := -1
 	for rank, s := range ranks {
 		if s.Held != nil && (holder < 0 || *s.Held < *ranks[holder].Held) {
@@ -366,15 +366,15 @@
 	return holder
 }
 
-// firstArmed returns what is armed for the lowest pass, or nil.
-func firstArmed(ranks []Status) *Arming {
-	var first *Arming
+// earliestArmed returns what is armed for the lowest pass, or nil.
+func earliestArmed(ranks []Status) *Arming {
+	var earliest *Arming
 	for _, s := range ranks {
-		if s.Armed != nil && (first == nil || s.Armed.Step < first.Step) {
-			first = s.Armed
+		if s.Armed != nil && (earliest == nil || s.Armed.Step < earliest.Step) {
+			earliest = s.Armed
 		}
 	}
-	return first
+	return earliest
 }
 
 func allUse(ranks []Status, version int64) bool {
--- a/coord/mapswitch/sim_test.go
+++ b/coord/mapswitch/sim_test.go
@@ -11,10 +11,10 @@
 // simRank is one rank as the engines behave: it does what it is ordered, and compares
 // nothing with the others.
 type simRank struct {
-	status  Status
-	highest int64 // version
-	fence   int64
-	content map[int64]int64 // who made each version
+	status         Status
+	highestVersion int64 // version
+	fence          int64
+	content        map[int64]int64 // who made each version
 }
 
 // simOrder is an order on its way.
@@ -25,20 +25,20 @@
 }
 
 type sim struct {
-	t       *rapid.T
-	ranks   []*simRank
-	fenced  bool
-	flying  []simOrder
-	now     int
-	epochs  int64
-	history []string
-	// past are the reports of the last steps, newest last.
-	past [][]Status
-	// other is the coordinator that may act while one asks; nil for none.
-	other *simCoordinator
+	t         *rapid.T
+	ranks     []*simRank
+	fenced    bool
+	inTransit []simOrder
+	now       int
+	epochs    int64
+	history   []string
+	// pastReports are the reports of the last steps, newest last.
+	pastReports [][]Status
+	// otherCoordinator is the coordinator that may act while one asks; nil for none.
+	otherCoordinator *simCoordinator
 }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) record(format string, args ...any) {
 	s.history = append(s.history, fmt.Sprintf("%4d ", s.now)+fmt.Sprintf(format, args...))
 }
 
@@ -51,10 +51,10 @@
 	r.fence = max(r.fence, o.fence)
 	switch o.Kind {
 	case Prepare:
-		if o.Version <= r.highest || r.status.Armed != nil {
+		if o.Version <= r.highestVersion || r.status.Armed != nil {
 			return r.status.Prepared == o.Version
 		}
-		r.highest = o.Version
+		r.highestVersion = o.Version
 		r.status.Prepared = o.Version
 		r.content[o.Version] = o.content
 	case Hold:
@@ -78,7 +78,7 @@
 		if a := r.status.Armed; a != nil && a.Version == o.Version {
 			r.status.Armed = nil
 		}
-	case Go:
+	case ReleaseHold:
 		if r.status.Held != nil && *r.status.Held == o.Step {
 			r.status.Held = nil
 		}
@@ -86,9 +86,9 @@
 	return true
 }
 
-// pass begins the next pass unless the group is held, and checks that all ranks have one
+// beginPass begins the next beginPass unless the group is held, and checks that all ranks have one
 // map in it.
-func (s *sim) pass() {
+func (s *sim) beginPass() {
 	next := s.ranks[0].status.Step + 1
 	for _, r := range s.ranks {
 		if r.status.Held != nil && *r.status.Held == next {
@@ -121,15 +121,15 @@
 }
 
 func (s *sim) deliver() {
-	kept := s.flying[:0]
-	for _, o := range s.flying {
+	kept := s.inTransit[:0]
+	for _, o := range s.inTransit {
 		if o.due <= s.now {
-			s.note("carried out %v: %v", o, s.apply(o))
+			s.record("carried out %v: %v", o, s.apply(o))
 			continue
 		}
 		kept = append(kept, o)
 	}
-	s.flying = kept
+	s.inTransit = kept
 }
 
 func (s *sim) statuses() []Status {
@@ -148,7 +148,7 @@
 	return out
 }
 
-func order(n int) []int {
+func indices(n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -156,42 +156,42 @@
 	return all
 }
 
-// meanwhile is what may happen between the answers of two ranks that were asked at once.
-func (s *sim) meanwhile() {
+// interleave is what may happen between the answers of two ranks that were asked at once.
+func (s *sim) interleave() {
 	if rapid.IntRange(0, 3).Draw(s.t, "passes meanwhile") == 0 {
-		s.pass()
+		s.beginPass()
 	}
-	if len(s.flying) > 0 && rapid.IntRange(0, 3).Draw(s.t, "arrives meanwhile") == 0 {
-		n := rapid.IntRange(0, len(s.flying)-1).Draw(s.t, "which")
-		o := s.flying[n]
-		s.flying = append(s.flying[:n:n], s.flying[n+1:]...)
-		s.note("carried out meanwhile %v: %v", o, s.apply(o))
+	if len(s.inTransit) > 0 && rapid.IntRange(0, 3).Draw(s.t, "arrives meanwhile") == 0 {
+		n := rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "which")
+		o := s.inTransit[n]
+		s.inTransit = append(s.inTransit[:n:n], s.inTransit[n+1:]...)
+		s.record("carried out meanwhile %v: %v", o, s.apply(o))
 	}
-	if other := s.other; other != nil && rapid.IntRange(0, 3).Draw(s.t, "acts meanwhile") == 0 {
-		s.other = nil
+	if other := s.otherCoordinator; other != nil && rapid.IntRange(0, 3).Draw(s.t, "acts meanwhile") == 0 {
+		s.otherCoordinator = nil
 		s.step(other)
-		s.other = other
+		s.otherCoordinator = other
 	}
 }
 
-// seen returns what a coordinator sees: the ranks' answers to one question, each of a moment of
+// readRanks returns what a coordinator sees: the ranks' answers to one question, each of a moment of
 // its own, but for one rank that is asked from afar and tells of a moment ago.
-func (s *sim) seen() []Status {
+func (s *sim) readRanks() []Status {
 	now := make([]Status, len(s.ranks))
-	for _, i := range rapid.Permutation(order(len(s.ranks))).Draw(s.t, "order") {
-		s.meanwhile()
+	for _, i := range rapid.Permutation(indices(len(s.ranks))).Draw(s.t, "order") {
+		s.interleave()
 		now[i] = s.statuses()[i]
 	}
-	s.past = append(s.past, s.statuses())
-	s.past = s.past[max(0, len(s.past)-4):]
-	far := rapid.IntRange(0, 3*len(now)).Draw(s.t, "far")
-	if far >= len(now) {
+	s.pastReports = append(s.pastReports, s.statuses())
+	s.pastReports = s.pastReports[max(0, len(s.pastReports)-4):]
+	remote := rapid.IntRange(0, 3*len(now)).Draw(s.t, "far")
+	if remote >= len(now) {
 		return now
 	}
-	old := s.past[rapid.IntRange(0, len(s.past)-1).Draw(s.t, "age")]
+	old := s.pastReports[rapid.IntRange(0, len(s.pastReports)-1).Draw(s.t, "age")]
 	seen := append([]Status(nil), now...)
-	seen[far] = old[far]
-	seen[far].Late = true
+	seen[remote] = old[remote]
+	seen[remote].Stale = true
 	return seen
 }
 
@@ -199,23 +199,23 @@
 type simCoordinator struct {
 	machine *Machine
 	fence   int64
-	count   int64
+	targets int64
 	target  int64
 }
 
-func (c *simCoordinator) renew() {
-	c.count++
-	c.target = c.fence<<8 + c.count
+func (c *simCoordinator) chooseTarget() {
+	c.targets++
+	c.target = c.fence<<8 + c.targets
 }
 
 // step lets a coordinator look and give its orders, each of which is carried out at once or
 // late, or is lost. It goes on with the answers that it gets.
 func (s *sim) step(c *simCoordinator) {
-	seen := s.seen()
+	seen := s.readRanks()
 	for range 3 {
-		d := c.machine.Next(time.Duration(s.now)*100*time.Millisecond, seen, c.target)
-		if d.Renew {
-			c.renew()
+		d := c.machine.Decide(time.Duration(s.now)*100*time.Millisecond, seen, c.target)
+		if d.NeedsNewTarget {
+			c.chooseTarget()
 		}
 		if len(d.Orders) == 0 {
 			return
@@ -223,22 +223,22 @@
 		for _, o := range d.Orders {
 			if s.send(c, o) {
 				if o.Kind == Claim {
-					c.machine.Claimed(o.Rank, o.Epoch)
+					c.machine.ClaimAccepted(o.Rank, o.Epoch)
 				}
-				seen[o.Rank] = s.answered(seen[o.Rank], o)
+				seen[o.Rank] = s.statusAfter(seen[o.Rank], o)
 			}
 		}
 	}
 }
 
-// answered is what a coordinator knows of a rank that has answered an order.
-func (s *sim) answered(before Status, o Order) Status {
-	if !before.Late {
+// statusAfter is what a coordinator knows of a rank that has statusAfter an order.
+func (s *sim) statusAfter(before Status, o Order) Status {
+	if !before.Stale {
 		return s.statuses()[o.Rank]
 	}
 	if o.Kind == Arm {
 		before.Armed = &Arming{o.Version, o.Step}
-		before.Late = false
+		before.Stale = false
 	}
 	return before
 }
@@ -248,16 +248,16 @@
 	order := simOrder{Order: o, fence: c.fence, content: c.fence}
 	switch rapid.IntRange(0, 9).Draw(s.t, "fate") {
 	case 0:
-		s.note("fence %d lost %v", c.fence, o)
+		s.record("fence %d lost %v", c.fence, o)
 		return false
 	case 1, 2:
 		order.due = s.now + rapid.IntRange(1, 40).Draw(s.t, "late")
-		s.flying = append(s.flying, order)
-		s.note("fence %d late %v, at %d", c.fence, o, order.due)
+		s.inTransit = append(s.inTransit, order)
+		s.record("fence %d late %v, at %d", c.fence, o, order.due)
 		return false
 	default:
 		taken := s.apply(order)
-		s.note("fence %d %v: %v", c.fence, o, taken)
+		s.record("fence %d %v: %v", c.fence, o, taken)
 		return taken
 	}
 }
@@ -267,7 +267,7 @@
 func newMachine(t *rapid.T) *Machine {
 	m := New(Config{})
 	if rapid.Bool().Draw(t, "long passes") {
-		m.SetPass(m.cfg.Lead)
+		m.SetPassTime(m.cfg.LongPass)
 	}
 	return m
 }
@@ -284,37 +284,37 @@
 		s.restart()
 		fence := int64(1)
 		c := &simCoordinator{machine: newMachine(t), fence: fence}
-		c.renew()
-		// before is a coordinator that does not know yet that it was followed by another.
-		before := c
+		c.chooseTarget()
+		// previous is a coordinator that does not know yet that it was followed by another.
+		previous := c
 		for s.now = range rapid.IntRange(20, 300).Draw(t, "length") {
 			s.deliver()
-			both := before != c && s.fenced && rapid.Bool().Draw(t, "both")
+			both := previous != c && s.fenced && rapid.Bool().Draw(t, "both")
 			if both {
-				s.other = before
+				s.otherCoordinator = previous
 			}
 			s.step(c)
 			if both {
-				s.other = c
-				s.step(before)
+				s.otherCoordinator = c
+				s.step(previous)
 			}
-			s.other = nil
+			s.otherCoordinator = nil
 			switch rapid.IntRange(0, 30).Draw(t, "event") {
 			case 0:
 				// Another coordinator takes over; what this one gave may still be on its way.
 				fence++
-				before = c
+				previous = c
 				c = &simCoordinator{machine: newMachine(t), fence: fence}
-				c.renew()
-				s.note("coordinator %d", fence)
+				c.chooseTarget()
+				s.record("coordinator %d", fence)
 			case 1:
-				c.renew()
+				c.chooseTarget()
 			case 2:
 				s.restart()
-				s.note("epoch %d", s.epochs)
+				s.record("epoch %d", s.epochs)
 			}
 			for range rapid.IntRange(0, 2).Draw(t, "passes") {
-				s.pass()
+				s.beginPass()
 			}
 		}
 	})
@@ -322,7 +322,7 @@
 
 // Whatever was left behind, a coordinator with orders that arrive brings the group to its
 // target, and the group goes on.
-func TestASwitchEnds(t *testing.T) {
+func TestSwitchCompletesAfterTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sim{t: t, fenced: true}
 		for range 3 {
@@ -330,27 +330,27 @@
 		}
 		s.restart()
 		old := &simCoordinator{machine: New(Config{}), fence: 1}
-		old.renew()
+		old.chooseTarget()
 		for s.now = range rapid.IntRange(0, 20).Draw(t, "before") {
 			s.deliver()
 			s.step(old)
-			s.pass()
+			s.beginPass()
 		}
-		s.flying = nil
+		s.inTransit = nil
 		c := &simCoordinator{machine: New(Config{}), fence: 2}
-		c.renew()
+		c.chooseTarget()
 		from := s.now
 		for s.now = from; s.now < from+200; s.now++ {
-			d := c.machine.Next(time.Duration(s.now)*100*time.Millisecond, s.statuses(), c.target)
-			if d.Renew {
-				c.renew()
+			d := c.machine.Decide(time.Duration(s.now)*100*time.Millisecond, s.statuses(), c.target)
+			if d.NeedsNewTarget {
+				c.chooseTarget()
 			}
 			for _, o := range d.Orders {
 				if s.apply(simOrder{Order: o, fence: 2, content: 2}) && o.Kind == Claim {
-					c.machine.Claimed(o.Rank, o.Epoch)
+					c.machine.ClaimAccepted(o.Rank, o.Epoch)
 				}
 			}
-			s.pass()
+			s.beginPass()
 		}
 		if got := s.ranks[0].status; got.Map != c.target || got.Held != nil {
 			t.Fatalf("ends with %+v, target %d\n%v", got, c.target, s.history)
--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -317,7 +317,7 @@
 		}
 		seen[rank] = true
 		out[rank] = ranks.Status(state)
-		out[rank].Late = m.late
+		out[rank].Stale = m.late
 	}
 	return out
 }
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -81,7 +81,7 @@
 	}
 	slices.SortFunc(members, func(a, b *member) int { return int(a.reply.GetState().GetRank() - b.reply.GetState().GetRank()) })
 	passes := g.measure(members, now)
-	g.machine.SetPass(g.pass)
+	g.machine.SetPassTime(g.pass)
 	g.observe(members, passes)
 	current := g.current(members)
 	if g.target == 0 && current != nil {
@@ -240,12 +240,12 @@
 func (g *group) drive(ctx context.Context, members []*member, status []mapswitch.Status) bool {
 	busy := false
 	for range rounds {
-		d := g.machine.Next(clock.Now(), status, g.target)
-		busy = busy || d.Busy
-		if d.Renew {
+		d := g.machine.Decide(clock.Now(), status, g.target)
+		busy = busy || d.InProgress
+		if d.NeedsNewTarget {
 			g.renew(members)
 		}
-		if !d.Busy && g.target != 0 {
+		if !d.InProgress && g.target != 0 {
 			g.done()
 		}
 		if len(d.Orders) == 0 || g.c.fenced {
@@ -314,10 +314,10 @@
 		}
 		members[rank].take(o, a)
 		if a.reply.GetState() != nil && a.reply.GetResult() == api.OrderResult_ORDER_UNKNOWN && !a.direct {
-			g.machine.Unanswered(o)
+			g.machine.OrderUnanswered(o)
 		}
 		if o.Kind == mapswitch.Claim && a.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
-			g.machine.Claimed(rank, o.Epoch)
+			g.machine.ClaimAccepted(rank, o.Epoch)
 		}
 	}
 }
--- a/internal/ranks/ranks.go
+++ b/internal/ranks/ranks.go
@@ -120,12 +120,12 @@
 }
 
 var kindToWire = map[mapswitch.Kind]api.RankOrder_Kind{
-	mapswitch.Prepare: api.RankOrder_PREPARE,
-	mapswitch.Hold:    api.RankOrder_HOLD,
-	mapswitch.Arm:     api.RankOrder_ARM,
-	mapswitch.Disarm:  api.RankOrder_DISARM,
-	mapswitch.Go:      api.RankOrder_GO,
-	mapswitch.Claim:   api.RankOrder_CLAIM,
+	mapswitch.Prepare:     api.RankOrder_PREPARE,
+	mapswitch.Hold:        api.RankOrder_HOLD,
+	mapswitch.Arm:         api.RankOrder_ARM,
+	mapswitch.Disarm:      api.RankOrder_DISARM,
+	mapswitch.ReleaseHold: api.RankOrder_GO,
+	mapswitch.Claim:       api.RankOrder_CLAIM,
 }
 
 var kindFromWire = map[api.RankOrder_Kind]mapswitch.Kind{
@@ -133,7 +133,7 @@
 	api.RankOrder_HOLD:    mapswitch.Hold,
 	api.RankOrder_ARM:     mapswitch.Arm,
 	api.RankOrder_DISARM:  mapswitch.Disarm,
-	api.RankOrder_GO:      mapswitch.Go,
+	api.RankOrder_GO:      mapswitch.ReleaseHold,
 	api.RankOrder_CLAIM:   mapswitch.Claim,
 }
 
