--- a/coord/mapswitch/claim_test.go
+++ b/coord/mapswitch/claim_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The coordinator before is still at work: it has prepared and held, arms all ranks and lets
-// go, while a new one reads rank 2 before that, rank 0 in the middle and rank 1 after. Rank 1
-// looks like the only one armed, of a map that rank 2 lacks. Taking that back would let one
-// rank begin pass 33 with the old map; callers would get nonsense that looks whole.
+// The previous coordinator is still at work: it has prepared and held, arms all ranks and releases
+// the hold. A new coordinator reads rank 2 before that, rank 0 in the middle and rank 1 after it.
+// Rank 1 looks like the only one armed, for a map that rank 2 lacks. If it were disarmed, it would
+// begin pass 33 with the old map, and callers would get wrong output that looks complete.
 func TestNoRankIsDisarmedBeforeAllAreClaimed(t *testing.T) {
 	held := int64(33)
 	read := []Status{
@@ -34,16 +34,16 @@
 	m.ClaimAccepted(2, 1)
 	armed := Status{Epoch: 1, Step: 31, Prepared: 513, Armed: &Arming{Version: 513, Step: 33}}
 	if d := m.Decide(m.cfg.RetryInterval, []Status{armed, armed, armed}, 769); len(d.Orders) != 0 || !d.InProgress {
-		t.Errorf("all armed and let go: %+v", d)
+		t.Errorf("all armed and hold released: %+v", d)
 	}
-	// The group has broken and opened again: its ranks know no number any more.
+	// The group has broken and opened again: its ranks know no fence any more.
 	if d := m.Decide(m.cfg.RetryInterval, []Status{{Epoch: 2}, {Epoch: 2}, {Epoch: 2}}, 769); len(d.Orders) != 3 || d.Orders[0].Kind != Claim {
 		t.Errorf("in a new epoch: %+v", d.Orders)
 	}
 }
 
-// One of two ranks leaves the order to arm it unanswered, and reports that it is not armed. The
-// group is held: the order is given again at once, and not after the age of a report.
+// One of two ranks does not answer the order to arm it, and reports that it is not armed. Since the
+// group is held, the order is sent again at once and not only after the retry interval.
 func TestAnUnansweredOrderIsGivenAgain(t *testing.T) {
 	held := int64(33)
 	armed := &Arming{Version: 513, Step: held}
@@ -67,8 +67,8 @@
 	}
 }
 
-// Passes take most of a second, as with one rank many times slower: the group is held at the
-// next one and does not go through a second such pass with the old map.
+// Passes take most of a second, as with one rank that is many times slower: the group is held at
+// the next pass and does not go through a second such pass with the old map.
 func TestALongPassIsNotWaitedForTwice(t *testing.T) {
 	ready := Status{Epoch: 1, Step: 30, Prepared: 513}
 	for pass, want := range map[time.Duration]int64{0: 32, 60 * time.Millisecond: 32, 700 * time.Millisecond: 31} {
--- a/coord/mapswitch/mapswitch.go
+++ b/coord/mapswitch/mapswitch.go
@@ -1,42 +1,42 @@
-// Package mapswitch takes all ranks of a group from one expert map to another in the same
-// pass.
+// Package mapswitch switches all ranks of a group from one expert map to another in the same pass
+// (one step of all ranks).
 //
-// The ranks do not compare maps: they do as they are ordered, each by itself. Orders may be
-// lost, may be carried out seconds late, and their answers may be lost. A group in which two
-// ranks begin a pass with different maps gives wrong output, so that the Machine never lets
-// a pass begin of which it is not certain:
+// Ranks do not compare maps with each other: each carries out its orders on its own. Orders may be
+// lost, may be carried out seconds late, and their answers may be lost. A group in which two ranks
+// begin a pass with different maps gives wrong output, so the Machine lets a pass begin only when
+// it is certain that all ranks use the same map:
 //
-//  1. every rank prepares the new map; nothing goes on until all report it as prepared;
-//  2. one rank holds the group at a pass some way ahead;
-//  3. only when the hold is reported every rank is armed for that pass;
-//  4. only when all are reported armed for it, with the same version, the hold is let go.
+//  1. Every rank prepares the new map; nothing else happens until all report it as prepared.
+//  2. One rank holds the group at a pass some way ahead.
+//  3. Only when the hold is reported is every rank armed for that pass.
+//  4. Only when all are reported armed for it, with the same version, is the hold released.
 //
-// Whoever coordinates may die at any of these points. All that matters stands in what the
-// ranks report, so that another one goes on from there; and since a hold is only let go with
-// all ranks armed, an order of the dead one that is still on its way finds either its own
-// map prepared, armed already, or the pass begun, and is refused. The hold that nobody lets
-// go cannot lapse either: the group then waits, which costs time and no answer.
+// The coordinator may die at any of these points. All that matters is in the reports of the ranks,
+// so another coordinator can continue from there. Since a hold is only released with all ranks
+// armed, an order of the dead coordinator that is still in transit finds its own map prepared, the
+// rank already armed, or the pass begun, and is refused. A hold does not expire either: if nobody
+// releases it the group waits, which costs time but no answer.
 //
-// A coordinator that has not heard that it was followed may still act. Before anything else
-// every rank is therefore told the number of the new one, in each epoch: from then on it
-// refuses the old one, on engines that compare numbers.
+// A coordinator that does not know yet that another has taken over may still act. Before anything
+// else, in each epoch, every rank is therefore given the fence of the new coordinator. From then on
+// it refuses the old one, on engines that compare fences.
 //
-// A Machine holds no clock, socket or goroutine, and is not safe for use by several
-// goroutines at once.
+// A Machine has no clock, socket or goroutine, and is not safe for concurrent use.
 package mapswitch
 
 import "time"
 
-// Arming is a rank's order to change maps.
+// Arming is a rank's pending switch to another map.
 type Arming struct {
 	Version int64
-	// Step is the pass with which the rank uses the version.
+	// Step is the first pass for which the rank uses the version.
 	Step int64
 }
 
-// Status is what one rank reports.
+// Status is the report of one rank.
 type Status struct {
-	// Epoch counts the group's starts; each one begins with map 0 and nothing else.
+	// Epoch counts the starts of the group; each starts with map 0, nothing prepared, armed or
+	// held.
 	Epoch int64
 	// Step is the last pass that the rank has begun.
 	Step int64
@@ -45,31 +45,32 @@
 	// Armed and Held are nil for none. Held is the pass at which the rank holds the group.
 	Armed *Arming
 	Held  *int64
-	// Stale says that the report may be of some moments ago, as when the rank was asked from
-	// afar. A rank that has since answered an order to arm it is Armed and not Stale.
+	// Stale marks a report that may be some moments old, as when the engine was asked over the
+	// network and not through the process beside it. A rank that has since answered an order to
+	// arm it is Armed and not Stale.
 	Stale bool
 }
 
-// Kind says what an order does.
+// Kind is the type of an order.
 type Kind uint8
 
-// The orders.
+// Kinds of orders.
 const (
-	// Prepare has a rank copy the experts of a version that it lacks.
+	// Prepare makes a rank copy the experts of a version that it lacks.
 	Prepare Kind = iota
 	// Hold keeps the group from beginning a pass.
 	Hold
-	// Arm has a rank use a version from a pass on.
+	// Arm makes a rank use a version from a given pass on.
 	Arm
-	// Disarm takes that back.
+	// Disarm cancels an Arm.
 	Disarm
-	// ReleaseHold lets go of a hold.
+	// ReleaseHold releases a hold.
 	ReleaseHold
-	// Claim changes nothing but that the rank refuses coordinators with lower numbers.
+	// Claim makes the rank refuse coordinators with lower fences, and changes nothing else.
 	Claim
 )
 
-// String names the order.
+// String returns the name of the order.
 func (k Kind) String() string {
 	return [...]string{"prepare", "hold", "arm", "disarm", "go", "claim"}[k]
 }
@@ -80,33 +81,33 @@
 	Kind    Kind
 	Version int64
 	Step    int64
-	// Epoch is the group's; in another one the order means nothing.
+	// Epoch is the group's epoch; the order has no meaning in another one.
 	Epoch int64
 }
 
-// Config holds the limits of a machine. A zero field takes its default.
+// Config holds the time limits of a Machine. A zero field takes its default.
 type Config struct {
-	// LongPass is the time of a pass from which on the group is held at the next one, and not at
-	// the one after it. Default 150 ms: the orders of a switch take a few round trips, so that
-	// the group does not come to stand, and does not wait for a second long pass either.
+	// LongPass is the pass time from which on the group is held at the next pass instead of the one
+	// after it. Default 150 ms: the orders of a switch take a few round trips, so the group does
+	// not stall, and does not wait for a second long pass either.
 	LongPass time.Duration
-	// RetryInterval is the time after which an order is given again when the rank does not report
-	// that it was carried out. Default 250 ms, above a report's age.
+	// RetryInterval is the time after which an order is sent again if the rank does not report that
+	// it was carried out. Default 250 ms, more than the age of a report.
 	RetryInterval time.Duration
 }
 
-// Machine is the coordinator's side for one group.
+// Machine is the coordinator's state machine for one group.
 type Machine struct {
 	cfg Config
-	// lastSent is when each order was given last.
+	// lastSent is the time at which each order was last sent.
 	lastSent map[Order]time.Duration
-	// passTime is the time of a passTime, zero for unknown.
+	// passTime is the duration of a pass; zero if unknown.
 	passTime time.Duration
-	// claimedEpoch is the epoch in which each rank has taken a claim.
+	// claimedEpoch is the epoch in which each rank accepted a claim.
 	claimedEpoch map[int]int64
 }
 
-// New returns a machine that has given no order.
+// New returns a machine that has sent no order.
 func New(cfg Config) *Machine {
 	if cfg.LongPass == 0 {
 		cfg.LongPass = 150 * time.Millisecond
@@ -117,18 +118,19 @@
 	return &Machine{cfg: cfg, lastSent: make(map[Order]time.Duration), claimedEpoch: make(map[int]int64)}
 }
 
-// Decision is what to do next.
+// Decision is what the coordinator must do next.
 type Decision struct {
 	Orders []Order
-	// NeedsNewTarget says that the ranks are held with different versions prepared, as after two
-	// coordinators at once. A version that is new to all ranks must become the target.
+	// NeedsNewTarget is set when the held ranks have different versions prepared, as after two
+	// coordinators acted at once, or when a rank would refuse the target as outdated. A version
+	// that is new to all ranks must become the target.
 	NeedsNewTarget bool
-	// InProgress says that a switch is under way, so that no other target may be chosen.
+	// InProgress is set while a switch is in progress, so that no other target may be chosen.
 	InProgress bool
 }
 
-// Decide decides by the reports of all ranks of a group, in their order. The target is the
-// version to change to, zero for none. Reports of different epochs decide nothing.
+// Decide returns the next orders, based on the reports of all ranks of a group in rank order. The
+// target is the version to switch to, zero for none. Reports of different epochs lead to no orders.
 func (m *Machine) Decide(now time.Duration, ranks []Status, target int64) Decision {
 	if len(ranks) == 0 || !sameEpoch(ranks) {
 		return Decision{InProgress: true}
@@ -166,22 +168,20 @@
 	return d
 }
 
-// OrderUnanswered says that nobody knows whether an order was carried out. It is given again as soon
-// as the rank reports that it was not.
-//
-// Load: engines that leave some of their orders unanswered. Harm prevented: a group that is held
-// waits for each of them as long as for a report that may be old.
+// OrderUnanswered reports that it is unknown whether an order was carried out. It is sent again as
+// soon as the rank reports that it was not. Without this, a held group would wait RetryInterval, as
+// for a report that may be stale, for each order that an engine leaves unanswered.
 func (m *Machine) OrderUnanswered(o Order) { delete(m.lastSent, o) }
 
-// ClaimAccepted says that a rank has taken a claim. What it is reported to be must have been read
-// after that.
+// ClaimAccepted reports that a rank has accepted a claim. Its status must have been read after
+// that.
 func (m *Machine) ClaimAccepted(rank int, epoch int64) { m.claimedEpoch[rank] = epoch }
 
-// claimRanks has every rank refuse coordinators with lower numbers.
+// claimRanks makes every rank refuse coordinators with lower fences.
 //
-// Safeguard: the ranks' reports are of different moments. Without this, the coordinator before
-// may in between hold the group, arm all ranks and let go; the one rank that was read after
-// that is taken for the only one armed and is disarmed, and the pass begins with two maps.
+// The ranks' reports are of different moments. Without the claims, the previous coordinator could,
+// in between, hold the group, arm all ranks and release the hold. The one rank that was read after
+// that would look like the only one armed and be disarmed, and the pass would begin with two maps.
 func (m *Machine) claimRanks(now time.Duration, ranks []Status) (Decision, bool) {
 	d := Decision{InProgress: true}
 	allClaimed := true
@@ -195,13 +195,13 @@
 	return d, allClaimed
 }
 
-// SetPassTime tells how long a pass takes at present; zero for unknown.
+// SetPassTime sets the current duration of a pass; zero if unknown.
 func (m *Machine) SetPassTime(pass time.Duration) { m.passTime = pass }
 
-// defaultLeadPasses is the number of passes that a switch looks ahead.
+// defaultLeadPasses is the number of passes that a switch looks ahead, unless passes are long.
 const defaultLeadPasses = 2
 
-// LeadPasses is the number of passes between the last one begun and the one that is held.
+// LeadPasses returns the number of passes between the last one begun and the one that is held.
 func (m *Machine) LeadPasses() int64 {
 	if m.passTime >= m.cfg.LongPass {
 		return 1
@@ -209,8 +209,8 @@
 	return defaultLeadPasses
 }
 
-// isHoldPending says that an order to hold is on its way. Another one for a later pass would
-// follow it with each report.
+// isHoldPending reports whether an order to hold was sent recently. Without this check, every new
+// report would lead to another one, for a later pass.
 func (m *Machine) isHoldPending(now time.Duration) bool {
 	for order, sentAt := range m.lastSent {
 		if order.Kind == Hold && now-sentAt < m.cfg.RetryInterval {
@@ -220,11 +220,10 @@
 	return false
 }
 
-// armAndReleaseHold brings a held group to the point where all ranks are armed, and lets go.
+// armAndReleaseHold arms all ranks of a held group, then releases the hold.
 //
-// Safeguard: the hold is let go in no other case, whoever placed it. Without that an order
-// to arm, given before and carried out late, would reach one rank of a group that goes on
-// with the old map.
+// The hold is released in no other case, whoever placed it. Otherwise an earlier order to arm that
+// is carried out late could reach one rank of a group that continues with the old map.
 func (m *Machine) armAndReleaseHold(now time.Duration, ranks []Status, holder int, target int64) Decision {
 	d := Decision{InProgress: true}
 	step := *ranks[holder].Held
@@ -238,8 +237,8 @@
 	}
 	armed := 0
 	for rank, s := range ranks {
-		// Safeguard: a late report does not count. The rank may have been disarmed since,
-		// and would go on with the old map when the hold is let go.
+		// A stale report does not count: the rank may have been disarmed since, and would continue
+		// with the old map when the hold is released.
 		if s.Armed != nil && !s.Stale {
 			armed++
 			continue
@@ -254,8 +253,8 @@
 
 // reconcile brings the ranks of a held group to one prepared version.
 //
-// Safeguard: nobody is disarmed by late reports. They may be of a time before all ranks were
-// armed, and the hold may have been let go since: the one rank would go on with the old map.
+// No rank is disarmed because of stale reports. They may be from before all ranks were armed, and
+// the hold may have been released since: the disarmed rank would continue with the old map.
 func (m *Machine) reconcile(now time.Duration, ranks []Status, target int64) Decision {
 	d := Decision{InProgress: true}
 	for _, s := range ranks {
@@ -280,13 +279,12 @@
 	return d
 }
 
-// armedWithoutHold watches over ranks that are armed for a pass at which nothing holds the
-// group. All of them armed alike is the usual way: the hold was let go, and the pass is still
-// ahead. Otherwise the group is held at once at the pass in question, where it may still be
-// in time.
+// armedWithoutHold handles ranks that are armed for a pass at which nothing holds the group.
+// Normally all of them are armed alike: the hold was released, and the pass is still ahead.
+// Otherwise the group is held at once at that pass, which may still be in time.
 //
-// Safeguard: nobody is disarmed, also when the group is held at a later pass, as by an order
-// that arrived late: the pass may begin at any moment.
+// No rank is disarmed, even if the group is held at a later pass, as by an order that arrived late:
+// the pass may begin at any moment.
 func (m *Machine) armedWithoutHold(now time.Duration, ranks []Status, arming Arming) Decision {
 	d := Decision{InProgress: true}
 	for _, s := range ranks {
@@ -298,7 +296,7 @@
 	return d
 }
 
-// holdFreeRank holds the group at a pass by a rank that does not hold it at another one.
+// holdFreeRank holds the group at a pass through the first rank that has no hold.
 func (m *Machine) holdFreeRank(now time.Duration, ranks []Status, step int64) Decision {
 	d := Decision{InProgress: true}
 	for rank, s := range ranks {
@@ -310,7 +308,7 @@
 	return d
 }
 
-// appendIfDue adds an order, unless it was given a moment ago.
+// appendIfDue adds an order, unless it was sent within the last RetryInterval.
 func (m *Machine) appendIfDue(orders []Order, now time.Duration, o Order) []Order {
 	if sentAt, ok := m.lastSent[o]; ok && now-sentAt < m.cfg.RetryInterval {
 		return orders
@@ -324,8 +322,8 @@
 	return append(orders, o)
 }
 
-// isTargetOutdated says that a rank has had a version that a target is not higher than: it would
-// refuse to prepare it.
+// isTargetOutdated reports whether the target is not above a version that a rank already had. The
+// rank would refuse to prepare it.
 func isTargetOutdated(ranks []Status, target int64) bool {
 	for _, s := range ranks {
 		if target <= s.Map || s.Prepared > target || s.Armed != nil && s.Armed.Version >= target {
@@ -335,7 +333,7 @@
 	return false
 }
 
-// nextVersion is the version that a rank would change to.
+// nextVersion returns the version that a rank would switch to, or 0.
 func nextVersion(s Status) int64 {
 	if s.Armed != nil {
 		return s.Armed.Version
@@ -355,7 +353,7 @@
 	return true
 }
 
-// earliestHold returns the rank that holds the group at the next pass, or -1.
+// earliestHold returns the rank that holds the group at the lowest pass, or -1.
 func earliestHold(ranks []Status) int {
 	holder := -1
 	for rank, s := range ranks {
@@ -366,7 +364,7 @@
 	return holder
 }
 
-// earliestArmed returns what is armed for the lowest pass, or nil.
+// earliestArmed returns the arming for the lowest pass, or nil.
 func earliestArmed(ranks []Status) *Arming {
 	var earliest *Arming
 	for _, s := range ranks {
--- a/coord/mapswitch/sim_test.go
+++ b/coord/mapswitch/sim_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// simRank is one rank as the engines behave: it does what it is ordered, and compares
-// nothing with the others.
+// simRank simulates one rank of an engine: it carries out its orders, and compares nothing with
+// other ranks.
 type simRank struct {
 	status         Status
 	highestVersion int64 // version
@@ -17,7 +17,7 @@
 	content        map[int64]int64 // who made each version
 }
 
-// simOrder is an order on its way.
+// simOrder is an order in transit.
 type simOrder struct {
 	Order
 	fence, content int64
@@ -32,9 +32,10 @@
 	now       int
 	epochs    int64
 	history   []string
-	// pastReports are the reports of the last steps, newest last.
+	// pastReports holds the reports of the last steps, newest last.
 	pastReports [][]Status
-	// otherCoordinator is the coordinator that may act while one asks; nil for none.
+	// otherCoordinator is a coordinator that may act while another one reads the ranks; nil for
+	// none.
 	otherCoordinator *simCoordinator
 }
 
@@ -42,7 +43,7 @@
 	s.history = append(s.history, fmt.Sprintf("%4d ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// apply carries an order out, as the engines do.
+// apply carries out an order as the engines do.
 func (s *sim) apply(o simOrder) bool {
 	r := s.ranks[o.Rank]
 	if o.Epoch != r.status.Epoch || s.fenced && o.fence < r.fence {
@@ -86,7 +87,7 @@
 	return true
 }
 
-// beginPass begins the next beginPass unless the group is held, and checks that all ranks have one
+// beginPass begins the next pass unless the group is held, and checks that all ranks use the same
 // map in it.
 func (s *sim) beginPass() {
 	next := s.ranks[0].status.Step + 1
@@ -156,7 +157,7 @@
 	return all
 }
 
-// interleave is what may happen between the answers of two ranks that were asked at once.
+// interleave draws what happens between the answers of two ranks that were asked at the same time.
 func (s *sim) interleave() {
 	if rapid.IntRange(0, 3).Draw(s.t, "passes meanwhile") == 0 {
 		s.beginPass()
@@ -174,8 +175,8 @@
 	}
 }
 
-// readRanks returns what a coordinator sees: the ranks' answers to one question, each of a moment of
-// its own, but for one rank that is asked from afar and tells of a moment ago.
+// readRanks returns what a coordinator sees: the ranks' answers to one question, each from a moment
+// of its own. One rank may be read over the network, with a stale report.
 func (s *sim) readRanks() []Status {
 	now := make([]Status, len(s.ranks))
 	for _, i := range rapid.Permutation(indices(len(s.ranks))).Draw(s.t, "order") {
@@ -195,7 +196,7 @@
 	return seen
 }
 
-// simCoordinator drives a machine. Several may believe that they coordinate.
+// simCoordinator drives a Machine. Several may act as coordinator.
 type simCoordinator struct {
 	machine *Machine
 	fence   int64
@@ -208,8 +209,8 @@
 	c.target = c.fence<<8 + c.targets
 }
 
-// step lets a coordinator look and give its orders, each of which is carried out at once or
-// late, or is lost. It goes on with the answers that it gets.
+// step lets a coordinator read the ranks and send its orders, each of which is carried out at once,
+// carried out late or lost. The coordinator continues with the answers that it gets.
 func (s *sim) step(c *simCoordinator) {
 	seen := s.readRanks()
 	for range 3 {
@@ -231,7 +232,7 @@
 	}
 }
 
-// statusAfter is what a coordinator knows of a rank that has statusAfter an order.
+// statusAfter returns what a coordinator knows of a rank that has answered an order.
 func (s *sim) statusAfter(before Status, o Order) Status {
 	if !before.Stale {
 		return s.statuses()[o.Rank]
@@ -243,7 +244,7 @@
 	return before
 }
 
-// send gives one order, and returns whether it was answered as taken.
+// send sends one order, and returns whether it was answered as taken.
 func (s *sim) send(c *simCoordinator, o Order) bool {
 	order := simOrder{Order: o, fence: c.fence, content: c.fence}
 	switch rapid.IntRange(0, 9).Draw(s.t, "fate") {
@@ -262,8 +263,8 @@
 	}
 }
 
-// newMachine returns a machine of a group with short or long passes, which are held one or
-// several passes ahead.
+// newMachine returns a machine for a group with short or long passes, which are held one or several
+// passes ahead.
 func newMachine(t *rapid.T) *Machine {
 	m := New(Config{})
 	if rapid.Bool().Draw(t, "long passes") {
@@ -272,9 +273,9 @@
 	return m
 }
 
-// Ranks are ordered one by one, some orders get lost or are carried out seconds late,
-// coordinators die in the middle and others take over, and the group breaks and opens
-// again. No pass may begin with two maps: callers would get nonsense that looks whole.
+// Each rank gets its own orders, some of which are lost or carried out seconds late. Coordinators
+// die in the middle of a switch and others take over, and the group breaks and opens again. No pass
+// may begin with two maps: callers would get wrong output that looks complete.
 func TestNoPassWithTwoMaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sim{t: t, fenced: rapid.Bool().Draw(t, "fenced")}
@@ -285,7 +286,7 @@
 		fence := int64(1)
 		c := &simCoordinator{machine: newMachine(t), fence: fence}
 		c.chooseTarget()
-		// previous is a coordinator that does not know yet that it was followed by another.
+		// previous is a coordinator that may not know yet that another one has taken over.
 		previous := c
 		for s.now = range rapid.IntRange(20, 300).Draw(t, "length") {
 			s.deliver()
@@ -301,7 +302,7 @@
 			s.otherCoordinator = nil
 			switch rapid.IntRange(0, 30).Draw(t, "event") {
 			case 0:
-				// Another coordinator takes over; what this one gave may still be on its way.
+				// Another coordinator takes over; orders of this one may still be in transit.
 				fence++
 				previous = c
 				c = &simCoordinator{machine: newMachine(t), fence: fence}
@@ -320,8 +321,8 @@
 	})
 }
 
-// Whatever was left behind, a coordinator with orders that arrive brings the group to its
-// target, and the group goes on.
+// Whatever state a dead coordinator left behind, a coordinator whose orders arrive brings the group
+// to its target, and the passes continue.
 func TestSwitchCompletesAfterTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sim{t: t, fenced: true}
