--- /dev/null
+++ b/coord/peering/member_pruner_test.go
@@ -0,0 +1,45 @@
+package peering
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// VMs are replaced all day under new names. Those that are gone leave the list after a while,
+// a few at a time; one that is heard now and then stays, and one that comes back at another
+// address counts anew.
+func TestSilentMembersAreRemovedInBatches(t *testing.T) {
+	r := &MemberPruner{}
+	self, heard, moved := Member{"front-1", "10.0.0.1"}, Member{"front-2", "10.0.0.2"}, Member{"front-3", "10.0.0.3"}
+	members := []Member{self, heard, moved}
+	for i := range 2 * maxRemovals {
+		members = append(members, Member{fmt.Sprint("old-", i), fmt.Sprint("10.0.1.", i)})
+	}
+	const readInterval = 20 * time.Second
+	var removed []Member
+	for now := time.Duration(0); now < removeAfter; now += readInterval {
+		if now == removeAfter/2 {
+			moved.IP = "10.0.0.33"
+			members[2] = moved
+		}
+		live := map[string]bool{self.IP: true, heard.IP: now%(5*time.Minute) == 0}
+		removed = r.SelectRemovals(members, live, now)
+		if len(removed) != 0 {
+			t.Fatalf("after %v %v are gone", now, removed)
+		}
+	}
+	removed = r.SelectRemovals(members, map[string]bool{self.IP: true}, removeAfter)
+	if len(removed) != maxRemovals {
+		t.Fatalf("%d names are gone, %d at a time", len(removed), maxRemovals)
+	}
+	for _, n := range removed {
+		if n == self || n == heard || n == moved {
+			t.Errorf("%v is gone", n)
+		}
+	}
+	rest := members[:3+maxRemovals]
+	if removed = r.SelectRemovals(rest, map[string]bool{self.IP: true}, removeAfter+readInterval); len(removed) != maxRemovals {
+		t.Errorf("%d names of the rest are gone", len(removed))
+	}
+}
--- a/coord/peering/peering_test.go
+++ b/coord/peering/peering_test.go
@@ -10,15 +10,15 @@
 
 const msec = time.Millisecond
 
-func beat(ip string, incarnation, sequence uint64) *api.PeerBeat {
+func heartbeat(ip string, incarnation, sequence uint64) *api.PeerBeat {
 	return &api.PeerBeat{Ip: ip, Incarnation: incarnation, Sequence: sequence, Serving: true}
 }
 
 // An entry dies without a word. Callers are told of it until its silence shows, and no
 // longer.
-func TestSilentEntriesAreGone(t *testing.T) {
+func TestSilentEntriesAreNotLive(t *testing.T) {
 	table := New("10.0.0.1", Config{})
-	table.Heard(beat("10.0.0.2", 1, 1), 0)
+	table.HandleHeartbeat(heartbeat("10.0.0.2", 1, 1), 0)
 	if n := len(table.Live(1200 * msec)); n != 1 {
 		t.Fatalf("%d live after 1.2 s", n)
 	}
@@ -29,61 +29,61 @@
 
 // An entry says that it leaves, and an earlier beat of it arrives late. Callers must not be
 // sent to it again. A new start of the entry counts from one again and is heard.
-func TestBeatsThatWereOvertaken(t *testing.T) {
+func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	table := New("10.0.0.1", Config{})
-	leaving := beat("10.0.0.2", 7, 5)
+	leaving := heartbeat("10.0.0.2", 7, 5)
 	leaving.Serving = false
-	table.Heard(leaving, 0)
-	if table.Heard(beat("10.0.0.2", 7, 4), 10*msec) {
+	table.HandleHeartbeat(leaving, 0)
+	if table.HandleHeartbeat(heartbeat("10.0.0.2", 7, 4), 10*msec) {
 		t.Error("an older beat was taken")
 	}
 	if table.Live(20 * msec)[0].GetServing() {
 		t.Error("serves again")
 	}
-	if !table.Heard(beat("10.0.0.2", 8, 1), 30*msec) || !table.Live(40 * msec)[0].GetServing() {
+	if !table.HandleHeartbeat(heartbeat("10.0.0.2", 8, 1), 30*msec) || !table.Live(40 * msec)[0].GetServing() {
 		t.Error("the new start was not heard")
 	}
 }
 
 // An entry learns of others from a third, and tells itself nothing.
-func TestOthersAreLearned(t *testing.T) {
+func TestPeersAreAddedFromHeartbeats(t *testing.T) {
 	table := New("10.0.0.1", Config{})
-	b := beat("10.0.0.2", 1, 1)
+	b := heartbeat("10.0.0.2", 1, 1)
 	b.Others = []string{"10.0.0.1", "10.0.0.3"}
-	table.Heard(b, 0)
-	if due := table.Due(0, false); len(due) != 2 {
+	table.HandleHeartbeat(b, 0)
+	if due := table.TakeDue(0, false); len(due) != 2 {
 		t.Errorf("beats are due to %v", due)
 	}
 }
 
 // With hundreds of entries each process sends no more beats a second than it may, and still
 // often enough that nobody counts as silent.
-func TestBeatsAreBoundedAtSize(t *testing.T) {
+func TestHeartbeatRateIsBounded(t *testing.T) {
 	table := New("self", Config{})
 	sent := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * msec {
 		for i := range 24 {
-			table.Heard(beat(string(rune('a'+i)), 1, uint64(now)+1), now)
+			table.HandleHeartbeat(heartbeat(string(rune('a'+i)), 1, uint64(now)+1), now)
 		}
-		sent += len(table.Due(now, false))
+		sent += len(table.TakeDue(now, false))
 	}
 	if sent > 700 || sent < 400 {
 		t.Errorf("%d beats in ten seconds", sent)
 	}
 }
 
-func TestForgotten(t *testing.T) {
+func TestSilentPeersAreForgotten(t *testing.T) {
 	table := New("self", Config{})
-	table.Learn("other", 0)
-	if n := len(table.Due(59*time.Second, false)); n != 1 {
+	table.AddPeer("other", 0)
+	if n := len(table.TakeDue(59*time.Second, false)); n != 1 {
 		t.Fatalf("%d beats due", n)
 	}
-	if n := len(table.Due(61*time.Second, false)); n != 0 {
+	if n := len(table.TakeDue(61*time.Second, false)); n != 0 {
 		t.Errorf("%d beats due to an entry never heard", n)
 	}
 }
 
-func TestCoordinator(t *testing.T) {
+func TestSelectCoordinator(t *testing.T) {
 	entry := func(ip string, fence int64) *api.PeerBeat {
 		return &api.PeerBeat{Ip: ip, Fence: fence, Serving: true}
 	}
@@ -105,13 +105,13 @@
 		{"one that does not serve yet", starting, []*api.PeerBeat{entry("c", 0)}, "c"},
 		{"none serves", starting, nil, ""},
 	} {
-		if got := Coordinator(c.self, c.live); got != c.want {
+		if got := SelectCoordinator(c.self, c.live); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-func TestReads(t *testing.T) {
+func TestIsDomainReader(t *testing.T) {
 	entry := func(ip, domain string) *api.PeerBeat {
 		return &api.PeerBeat{Ip: ip, FailureDomain: domain, Serving: true}
 	}
@@ -131,7 +131,7 @@
 		{"the first one leaves", entry("b", "d1"), []*api.PeerBeat{leaving}, true},
 		{"it does not serve yet", starting, []*api.PeerBeat{entry("a", "d1")}, true},
 	} {
-		if got := Reads(c.self, c.live); got != c.want {
+		if got := IsDomainReader(c.self, c.live); got != c.want {
 			t.Errorf("%s: reads %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -140,24 +140,24 @@
 // Three entries share what a cold server bears. One is frozen and will wake, one is killed and
 // one leaves by plan. Who counts the frozen one out gives its part to others, and both send;
 // who goes on counting the one that has left serves its callers less than it could.
-func TestSilentEntriesMayLive(t *testing.T) {
+func TestMaybeLiveCountIncludesSilentEntries(t *testing.T) {
 	table := New("10.0.0.1", Config{})
-	if n := table.MayLive(0); n != 0 {
+	if n := table.MaybeLiveCount(0); n != 0 {
 		t.Fatalf("%d others at the start", n)
 	}
-	table.Learn("10.0.0.2", 0)
-	table.Learn("10.0.0.9", 0)
-	if n := table.MayLive(2 * time.Second); n != 2 {
+	table.AddPeer("10.0.0.2", 0)
+	table.AddPeer("10.0.0.9", 0)
+	if n := table.MaybeLiveCount(2 * time.Second); n != 2 {
 		t.Errorf("%d others may live before they had time to answer, want 2", n)
 	}
-	table.Heard(beat("10.0.0.2", 1, 1), 2*time.Second)
-	leaving := beat("10.0.0.3", 1, 1)
+	table.HandleHeartbeat(heartbeat("10.0.0.2", 1, 1), 2*time.Second)
+	leaving := heartbeat("10.0.0.3", 1, 1)
 	leaving.Leaving = true
-	table.Heard(leaving, 2*time.Second)
+	table.HandleHeartbeat(leaving, 2*time.Second)
 	for at, want := range map[time.Duration]int{
 		2001 * msec: 2, 3200 * msec: 2, 3201 * msec: 1, 62 * time.Second: 1, 62*time.Second + msec: 0,
 	} {
-		if n := table.MayLive(at); n != want {
+		if n := table.MaybeLiveCount(at); n != want {
 			t.Errorf("%d others may live after %v, want %d", n, at, want)
 		}
 	}
@@ -168,18 +168,18 @@
 // rarer it takes as many beats, and never longer than until the entry counts as gone.
 func TestDutyPassesOnBeforeAnEntryIsGone(t *testing.T) {
 	table := New("10.0.0.1", Config{})
-	table.Heard(beat("10.0.0.2", 1, 1), 0)
-	if n := len(table.Prompt(600 * msec)); n != 1 {
+	table.HandleHeartbeat(heartbeat("10.0.0.2", 1, 1), 0)
+	if n := len(table.OnTime(600 * msec)); n != 1 {
 		t.Errorf("%d prompt after four beats", n)
 	}
-	if live, prompt := len(table.Live(601*msec)), len(table.Prompt(601*msec)); live != 1 || prompt != 0 {
+	if live, prompt := len(table.Live(601*msec)), len(table.OnTime(601*msec)); live != 1 || prompt != 0 {
 		t.Errorf("%d live and %d prompt after more than four beats", live, prompt)
 	}
 	many := New("10.0.0.1", Config{})
 	for i := range 400 {
-		many.Heard(beat(fmt.Sprintf("10.1.%d.%d", i/200, i%200), 1, 1), 0)
+		many.HandleHeartbeat(heartbeat(fmt.Sprintf("10.1.%d.%d", i/200, i%200), 1, 1), 0)
 	}
-	if n := len(many.Prompt(1200 * msec)); n != 400 {
+	if n := len(many.OnTime(1200 * msec)); n != 400 {
 		t.Errorf("%d of 400 prompt after three of their beats", n)
 	}
 }
--- a/internal/gateway/away_test.go
+++ b/internal/gateway/away_test.go
@@ -61,7 +61,7 @@
 		Vm: w.other.Vm, Ip: w.other.Ip, FailureDomain: w.other.FailureDomain, Incarnation: 1, Sequence: w.sequence,
 		Serving: true, OperatorsAgeMs: age.Milliseconds(), ServersAgeMs: age.Milliseconds(),
 	}
-	w.peers.Heard(b, now)
+	w.peers.HandleHeartbeat(b, now)
 	w.settle(now)
 }
 
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -55,7 +55,7 @@
 	operators, servers *keyed.Table
 	registry           *registry.Registry
 	peers              *peering.Table
-	roll               peering.Roll
+	roll               peering.MemberPruner
 	table              *routing.Table
 	// out are the failure domains that operators have taken out.
 	out map[string]bool
@@ -88,7 +88,7 @@
 		out: make(map[string]bool), started: now,
 	}
 	for _, seed := range g.settings.Seeds {
-		c.peers.Learn(seed, now)
+		c.peers.AddPeer(seed, now)
 	}
 	return c
 }
@@ -104,7 +104,7 @@
 		case n := <-c.g.news:
 			c.takeNews(n)
 		case b := <-c.g.beats:
-			c.peers.Heard(b, clock.Now())
+			c.peers.HandleHeartbeat(b, clock.Now())
 		case s := <-c.g.states:
 			c.takeState(s)
 		case ask := <-c.g.stateRequests:
@@ -223,7 +223,7 @@
 	live := c.peers.Live(now)
 	c.logLive(live)
 	c.registry.Reachable(!c.storeAway(live, now), now)
-	n := census{live: len(live) + 1, mayLive: c.peers.MayLive(now) + 1}
+	n := census{live: len(live) + 1, mayLive: c.peers.MaybeLiveCount(now) + 1}
 	c.changed = c.changed || n != c.census
 	if c.changed && c.inForce(now) != nil {
 		c.changed = false
@@ -305,7 +305,7 @@
 		}
 	}
 	self := &api.PeerBeat{Ip: c.g.settings.IP, Serving: ready, Leaving: c.g.leaving.Load(), Fence: c.g.experts.Fence()}
-	v.coordinates = peering.Coordinator(self, c.mayCoordinate(live, now)) == c.g.settings.IP
+	v.coordinates = peering.SelectCoordinator(self, c.mayCoordinate(live, now)) == c.g.settings.IP
 	for _, b := range live {
 		v.followed = v.followed || b.GetFence() > self.GetFence()
 	}
@@ -332,7 +332,7 @@
 
 // beat sends this entry's beat to those that it is due to.
 func (c *control) beat(live []*api.PeerBeat, now time.Duration) {
-	due := c.peers.Due(now, c.urgent)
+	due := c.peers.TakeDue(now, c.urgent)
 	c.urgent = false
 	if len(due) == 0 {
 		return
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -11,7 +11,7 @@
 // numbers a silent one is followed early: should it live, its orders are refused.
 func (c *control) mayCoordinate(live []*api.PeerBeat, now time.Duration) []*api.PeerBeat {
 	if c.g.settings.Bounds.Fencing {
-		return c.peers.Prompt(now)
+		return c.peers.OnTime(now)
 	}
 	return live
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -22,9 +22,9 @@
 
 // roster is the list of members as it was read.
 type roster struct {
-	names []peering.Name
+	names []peering.Member
 	// gone takes the names to take off the list.
-	gone chan []peering.Name
+	gone chan []peering.Member
 }
 
 // meet makes this entry known to the others through the store, and learns of them. Each
@@ -49,13 +49,13 @@
 		}
 		listed = false
 		for _, n := range names {
-			listed = listed || n == peering.Name{VM: g.settings.VM, IP: g.settings.IP}
+			listed = listed || n == peering.Member{VM: g.settings.VM, IP: g.settings.IP}
 		}
 	}
 }
 
 func (g *Gateway) writeMember(ctx context.Context) bool {
-	if err := g.putMember(ctx, peering.Name{VM: g.settings.VM, IP: g.settings.IP}); err != nil {
+	if err := g.putMember(ctx, peering.Member{VM: g.settings.VM, IP: g.settings.IP}); err != nil {
 		_ = level.Warn(g.logger).Log("msg", "The store did not take this entry's name.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		return false
@@ -64,7 +64,7 @@
 }
 
 // putMember writes a name; one without an IP is taken off the list.
-func (g *Gateway) putMember(ctx context.Context, n peering.Name) error {
+func (g *Gateway) putMember(ctx context.Context, n peering.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
 	_, err := g.store.Put(ctx, topicMembers, n.VM, []byte(n.IP))
@@ -73,7 +73,7 @@
 
 // readMembers reads the list, has the control goroutine learn it, and takes off it what that
 // says.
-func (g *Gateway) readMembers(ctx context.Context) ([]peering.Name, bool) {
+func (g *Gateway) readMembers(ctx context.Context) ([]peering.Member, bool) {
 	readCtx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
 	listing, err := g.store.Newest(readCtx, topicMembers)
@@ -82,10 +82,10 @@
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		return nil, false
 	}
-	read := roster{gone: make(chan []peering.Name, 1)}
+	read := roster{gone: make(chan []peering.Member, 1)}
 	for _, r := range listing.Records {
 		if net.ParseIP(string(r.Value)) != nil {
-			read.names = append(read.names, peering.Name{VM: r.Key, IP: string(r.Value)})
+			read.names = append(read.names, peering.Member{VM: r.Key, IP: string(r.Value)})
 		}
 	}
 	select {
@@ -103,9 +103,9 @@
 }
 
 // takeOff takes names off the list. What fails is tried again at the next read.
-func (g *Gateway) takeOff(ctx context.Context, gone []peering.Name) {
+func (g *Gateway) takeOff(ctx context.Context, gone []peering.Member) {
 	for _, n := range gone {
-		if err := g.putMember(ctx, peering.Name{VM: n.VM}); err != nil {
+		if err := g.putMember(ctx, peering.Member{VM: n.VM}); err != nil {
 			_ = level.Warn(g.logger).Log("msg", "The name of an entry that is gone stays in the list.", "vm", n.VM, "err", err,
 				"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 			return
@@ -122,9 +122,9 @@
 		live[b.GetIp()] = true
 	}
 	for _, n := range read.names {
-		c.peers.Learn(n.IP, now)
+		c.peers.AddPeer(n.IP, now)
 	}
-	gone := c.roll.Read(read.names, live, now)
+	gone := c.roll.SelectRemovals(read.names, live, now)
 	if v := c.g.view.Load(); v == nil || !v.coordinates {
 		gone = nil
 	}
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -51,12 +51,12 @@
 func TestTheCoordinatorTakesNamesOffTheList(t *testing.T) {
 	t.Parallel()
 	w := newAwayWorld(t)
-	names := []peering.Name{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
-	read := func(coordinates bool, now time.Duration) []peering.Name {
+	names := []peering.Member{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
+	read := func(coordinates bool, now time.Duration) []peering.Member {
 		t.Helper()
 		w.beat(0, now)
 		w.g.view.Store(&view{coordinates: coordinates})
-		r := roster{names: names, gone: make(chan []peering.Name, 1)}
+		r := roster{names: names, gone: make(chan []peering.Member, 1)}
 		w.takeRoster(r, now)
 		return <-r.gone
 	}
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -26,7 +26,7 @@
 // chooseReads decides whether this entry reads the store: as the one for its failure domain,
 // while it does not know enough, or while nobody it hears has fresh word of both topics.
 func (c *control) chooseReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
-	duty := peering.Reads(self, live)
+	duty := peering.IsDomainReader(self, live)
 	c.g.probeMost.Store(int64(probePause(duty, len(live)+1)))
 	reads := duty || !c.operators.Ready() || !c.servers.Ready()
 	operators, servers := freshest(live)
