--- a/coord/peering/member_pruner.go
+++ b/coord/peering/member_pruner.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Member is an entry as it made itself known to others: its VM, and the IP it had then.
+// Member is an entry as listed in the platform's store: its VM, and its IP at the time.
 type Member struct{ VM, IP string }
 
 const (
-	// removeAfter is the silence after which a name is taken off the list: many times longer
-	// than a VM is frozen or starts, so that few names are written again.
+	// removeAfter is the silence after which a member is removed from the list. It is many times
+	// longer than a VM is frozen or takes to start, so that few live members are removed and must
+	// add themselves again.
 	removeAfter = 10 * time.Minute
-	// maxRemovals bounds the names that are taken off at a time, each of which is a call.
+	// maxRemovals limits the members removed at a time, since each removal is a call to the store.
 	maxRemovals = 16
 )
 
-// MemberPruner follows the list of names that entries have written, and tells which are to be taken
-// off it. It is not safe for use by several goroutines at once.
+// MemberPruner follows the member list in the store and selects the members to remove from it. It
+// is not safe for concurrent use.
 //
-// Load: VMs that are replaced all day, each under a name of its own. Harm prevented: a list
-// that grows for ever, is read by all, and has each entry look for those that are long gone.
-// An entry whose name was taken off although it lives writes it again once it reads the list.
+// VMs are replaced all day, each under a new name. Without removals the list would grow without
+// limit, all entries would read it, and each would probe VMs that are long gone. A live entry that
+// was removed adds itself again when it next reads the list.
 type MemberPruner struct {
-	// silentSince is since when a name has been read without its entry being heard.
+	// silentSince is the time since which a listed member has not been live.
 	silentSince map[Member]time.Duration
 }
 
-// SelectRemovals takes in the list, and returns names to take off it.
+// SelectRemovals processes the list as read, and returns the members to remove from it.
 func (r *MemberPruner) SelectRemovals(members []Member, live map[string]bool, now time.Duration) []Member {
 	silentSince := make(map[Member]time.Duration)
 	var remove []Member
--- a/coord/peering/member_pruner_test.go
+++ b/coord/peering/member_pruner_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// VMs are replaced all day under new names. Those that are gone leave the list after a while,
-// a few at a time; one that is heard now and then stays, and one that comes back at another
-// address counts anew.
+// VMs are replaced all day under new names. Members that are gone are removed after a while, a few
+// at a time. One that is heard now and then stays, and one that comes back with another IP starts
+// its silence anew.
 func TestSilentMembersAreRemovedInBatches(t *testing.T) {
 	r := &MemberPruner{}
 	self, heard, moved := Member{"front-1", "10.0.0.1"}, Member{"front-2", "10.0.0.2"}, Member{"front-3", "10.0.0.3"}
@@ -26,20 +26,20 @@
 		live := map[string]bool{self.IP: true, heard.IP: now%(5*time.Minute) == 0}
 		removed = r.SelectRemovals(members, live, now)
 		if len(removed) != 0 {
-			t.Fatalf("after %v %v are gone", now, removed)
+			t.Fatalf("after %v, removed %v", now, removed)
 		}
 	}
 	removed = r.SelectRemovals(members, map[string]bool{self.IP: true}, removeAfter)
 	if len(removed) != maxRemovals {
-		t.Fatalf("%d names are gone, %d at a time", len(removed), maxRemovals)
+		t.Fatalf("%d members removed, want %d at a time", len(removed), maxRemovals)
 	}
 	for _, n := range removed {
 		if n == self || n == heard || n == moved {
-			t.Errorf("%v is gone", n)
+			t.Errorf("%v was removed", n)
 		}
 	}
 	rest := members[:3+maxRemovals]
 	if removed = r.SelectRemovals(rest, map[string]bool{self.IP: true}, removeAfter+readInterval); len(removed) != maxRemovals {
-		t.Errorf("%d names of the rest are gone", len(removed))
+		t.Errorf("%d of the remaining members removed", len(removed))
 	}
 }
--- a/coord/peering/peering.go
+++ b/coord/peering/peering.go
@@ -1,9 +1,9 @@
-// Package peering keeps what entries tell each other in beats: who serves, and what each
-// has at backend servers.
+// Package peering tracks the other entries through the heartbeats that entries send each other. A
+// heartbeat tells which entry serves and what it has in flight at backend servers.
 //
-// A beat is sent to every entry that may live. Beats may be lost, repeated or overtaken.
-// Time is an argument, counted since the process started. A Table holds no clock, socket or
-// goroutine, and is not safe for use by several goroutines at once.
+// Heartbeats are sent to every entry that may be live. They may be lost, repeated or reordered.
+// Times are durations since process start, passed as arguments. A Table has no clock, socket or
+// goroutine, and is not safe for concurrent use.
 package peering
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Config holds the times of a table. A zero field takes its default.
+// Config holds the time and rate limits of a Table. A zero field takes its default.
 type Config struct {
-	// SilentAfter is the silence after which an entry counts as gone. Default 1.2 s: several
-	// beats in a row are not lost by chance, and callers are sent to a dead entry for no
-	// longer.
+	// SilentAfter is the time without a heartbeat after which an entry is no longer live. Default
+	// 1.2 s: long enough that heartbeats lost by chance do not remove a live entry, and callers are
+	// sent to a dead one for no longer than that.
 	SilentAfter time.Duration
-	// MaxMissedHeartbeats is the number of beats that an entry misses in a row before another one takes over
-	// its duty of coordinating, if that is sooner than Silent. Default 4. Nothing is lost
-	// when it still lives: engines refuse the lower fencing number.
+	// MaxMissedHeartbeats is the number of consecutive heartbeats that an entry may miss before
+	// another one takes over as coordinator, if that is sooner than SilentAfter. Default 4. A
+	// takeover from a live entry is safe: engines refuse its lower fence.
 	MaxMissedHeartbeats int
-	// MinHeartbeatInterval is the shortest time between two beats to an entry. Default 150 ms, a tenth of
-	// the time that a generation takes, so that what others have at backend servers is
-	// known while it is still there.
+	// MinHeartbeatInterval is the minimum time between two heartbeats to an entry. Default 150 ms,
+	// a tenth of the time of a typical generation, so that others learn of requests in flight at
+	// backend servers before they end.
 	MinHeartbeatInterval time.Duration
-	// MaxHeartbeatsPerSecond bounds the beats that a process sends a second. Default 60: as many
-	// arrive, and both together stay far below a hundredth of a small VM's core.
+	// MaxHeartbeatsPerSecond limits the heartbeats that a process sends per second. Default 60: as
+	// many arrive, and handling both takes far less than 1% of one core of a small VM.
 	MaxHeartbeatsPerSecond float64
-	// ProbeInterval is the time between two beats to an entry that is silent. Default 1 s.
+	// ProbeInterval is the time between two heartbeats to a silent entry. Default 1 s.
 	ProbeInterval time.Duration
-	// StartupGrace is how long after the process's start an entry that was learned of and has never
-	// been heard may be taken as living. Default 2 s: two probes, and time for their answers.
+	// StartupGrace is the time after process start during which an entry that has never been heard
+	// may count as possibly live. Default 2 s: two probes, and time for their answers.
 	StartupGrace time.Duration
-	// ForgetAfter is the silence after which an entry is no longer sent to. Default 60 s. One
-	// that comes back later makes itself known.
+	// ForgetAfter is the time without a heartbeat after which nothing is sent to an entry any more.
+	// Default 60 s. If it comes back later, its own heartbeat adds it again.
 	ForgetAfter time.Duration
 }
 
@@ -67,23 +67,23 @@
 	peers map[string]*peer
 }
 
-// peer is another entry, by its IP.
+// peer is another entry, identified by its IP.
 type peer struct {
 	ip            string
 	lastHeartbeat *api.PeerBeat
 	lastHeard     time.Duration
-	// addedAt is when the IP was learned: until it is heard, silence counts from then.
+	// addedAt is when the IP was added. Until the entry is heard, its silence counts from then.
 	addedAt   time.Duration
 	lastSent  time.Duration
 	contacted bool
 }
 
-// New returns the table of the entry at an IP.
+// New returns the table of the entry with IP self.
 func New(self string, cfg Config) *Table {
 	return &Table{cfg: cfg.withDefaults(), self: self, peers: make(map[string]*peer)}
 }
 
-// AddPeer notes an IP at which there may be an entry.
+// AddPeer adds an IP at which there may be an entry.
 func (t *Table) AddPeer(ip string, now time.Duration) {
 	if ip == "" || ip == t.self || t.peers[ip] != nil {
 		return
@@ -91,10 +91,9 @@
 	t.peers[ip] = &peer{ip: ip, addedAt: now}
 }
 
-// HandleHeartbeat takes in a beat. It returns false for one that is older than what was heard.
-//
-// Load: beats that overtake each other. Harm prevented: an entry that has begun to leave
-// is taken as serving again, and callers are sent to it.
+// HandleHeartbeat processes a heartbeat. It returns false for one that is older than the last one
+// received. Otherwise a reordered heartbeat could make an entry that has begun to leave look
+// serving again, and callers would be sent to it.
 func (t *Table) HandleHeartbeat(heartbeat *api.PeerBeat, now time.Duration) bool {
 	ip := heartbeat.GetIp()
 	if ip == "" || ip == t.self {
@@ -119,7 +118,7 @@
 	return p.lastHeartbeat != nil && now-p.lastHeard <= maxAge
 }
 
-// liveCount is the number of other entries that are not silent.
+// liveCount returns the number of other live entries.
 func (t *Table) liveCount(now time.Duration) int {
 	live := 0
 	for _, p := range t.peers {
@@ -130,16 +129,15 @@
 	return live
 }
 
-// Live returns the last beats of the entries that are not silent, in the order of their
-// IPs.
+// Live returns the last heartbeats of the live entries, sorted by IP.
 func (t *Table) Live(now time.Duration) []*api.PeerBeat {
 	return t.heartbeatsWithin(t.cfg.SilentAfter, now)
 }
 
-// OnTime returns those of the live entries that have missed no more than a few beats.
+// OnTime returns the live entries that have missed at most MaxMissedHeartbeats heartbeats.
 //
-// Load: the entry that coordinates stands still with a group held. Harm prevented: callers
-// wait for it as long as for an entry that is to get no callers any more, and leave.
+// If the coordinator stalls while it holds a group, callers are waiting in that group. Without this
+// shorter limit they would wait SilentAfter for a takeover, and hang up.
 func (t *Table) OnTime(now time.Duration) []*api.PeerBeat {
 	maxAge := time.Duration(t.cfg.MaxMissedHeartbeats) * t.heartbeatInterval(t.liveCount(now))
 	return t.heartbeatsWithin(min(maxAge, t.cfg.SilentAfter), now)
@@ -164,14 +162,15 @@
 	return heartbeats
 }
 
-// MaybeLiveCount returns the number of other entries that may be at work, by what is known: those
-// that are heard, those that have gone silent without a word, until they are forgotten, and
-// at the process's start those that were learned of and have not had the time to answer.
+// MaybeLiveCount returns the number of other entries that may be running: the live ones, those that
+// fell silent without announcing that they leave, until they are forgotten, and during startup
+// those that were added and have not had time to answer.
 //
-// Load: entries that are frozen, or are not heard for a while, and work on; entries that have
-// all just started. Harm prevented: the others share out among themselves what a silent one
-// still takes, and a server that bears little gets more than all together may send. An entry
-// that says it is leaving and then goes silent is gone.
+// An entry may be frozen or unreachable for a while and continue to send requests, and many entries
+// may start at the same time. If such entries did not count, the others would divide their shares
+// of a server's capacity among themselves, and a server that can take little, such as a cold one,
+// would get more requests than all entries together may send. An entry that announced that it
+// leaves and then falls silent is gone.
 func (t *Table) MaybeLiveCount(now time.Duration) int {
 	n := 0
 	for _, p := range t.peers {
@@ -179,8 +178,8 @@
 		case t.isLive(p, now):
 			n++
 		case p.lastHeartbeat == nil && now <= t.cfg.StartupGrace:
-			// Later on, who comes is heard first, and the list also has names of VMs that are
-			// long gone.
+			// After StartupGrace a new entry is heard before it sends requests, and the list also
+			// holds VMs that are long gone.
 			n++
 		case p.lastHeartbeat != nil && !p.lastHeartbeat.GetLeaving() && now-p.lastHeard <= t.cfg.ForgetAfter:
 			n++
@@ -189,13 +188,12 @@
 	return n
 }
 
-// SelectCoordinator returns the IP of the entry that is to coordinate, out of this one and the
-// live ones; empty when none serves. All entries that hear the same beats find the same one.
+// SelectCoordinator returns the IP of the entry that coordinates, out of this one and the live
+// ones, or "" when none serves. All entries that receive the same heartbeats select the same one.
 //
-// Load: entries that are stopped and started in turn, each of which would be the first one
-// again when it is back. Harm prevented: the duty changes hands with each of them, and
-// nobody does it meanwhile. Whoever has it keeps it while it serves: the one with the
-// highest fencing number, since one with a lower number has been followed by another.
+// The current coordinator keeps the role while it serves: it is the entry with the highest fence,
+// since one with a lower fence was replaced by another. If the lowest IP always won, the role would
+// change with every entry that is restarted, and nobody would coordinate in between.
 func SelectCoordinator(self *api.PeerBeat, live []*api.PeerBeat) string {
 	var best *api.PeerBeat
 	for _, b := range append([]*api.PeerBeat{self}, live...) {
@@ -212,13 +210,13 @@
 	return best.GetIp()
 }
 
-// IsDomainReader says whether this entry is the one in its failure domain that reads the platform's
-// store for the others: the first of those that serve, by IP. An entry that does not serve
-// reads for itself.
+// IsDomainReader reports whether this entry reads the platform's store on behalf of its failure
+// domain: it is the serving entry with the lowest IP there. An entry that does not serve reads for
+// itself.
 //
-// Load: hundreds of entries that each ask the store once or twice a second. Harm prevented:
-// calls that grow with the entries, up to the store's rate. With one for each failure domain
-// they stay the same however many there are, and a domain that is cut off still reads.
+// If hundreds of entries each read the store once or twice a second, the calls would grow with the
+// number of entries up to the store's rate limit. With one reader per failure domain their number
+// stays constant, and a domain that is cut off still reads.
 func IsDomainReader(self *api.PeerBeat, live []*api.PeerBeat) bool {
 	for _, b := range live {
 		if b.GetServing() && !b.GetLeaving() && b.GetFailureDomain() == self.GetFailureDomain() && b.GetIp() < self.GetIp() {
@@ -228,19 +226,17 @@
 	return true
 }
 
-// heartbeatInterval is the time between two beats to an entry that is heard.
-//
-// Load: hundreds of entries. Harm prevented: beats from all to all that grow with their
-// square; each process sends BeatsPerSecond at most, so that with more entries each hears
-// of the others less often.
+// heartbeatInterval returns the time between two heartbeats to a live entry. Heartbeats from all to
+// all would grow with the square of the number of entries. Each process therefore sends at most
+// MaxHeartbeatsPerSecond, so with more entries each hears less often from the others.
 func (t *Table) heartbeatInterval(live int) time.Duration {
 	spread := time.Duration(float64(live) / t.cfg.MaxHeartbeatsPerSecond * float64(time.Second))
 	return max(t.cfg.MinHeartbeatInterval, min(spread, t.cfg.SilentAfter/3))
 }
 
-// TakeDue returns the IPs that a beat is to be sent to now, counts it as sent, and forgets
-// entries that have been silent for long. With all, as on a change that is not to wait, a
-// beat is due to every entry that is heard.
+// TakeDue returns the IPs to send a heartbeat to now, records it as sent, and forgets entries that
+// have been silent for long. With allLive, used for urgent changes, a heartbeat is due to every
+// live entry.
 func (t *Table) TakeDue(now time.Duration, allLive bool) []string {
 	interval := t.heartbeatInterval(t.liveCount(now))
 	var due []string
--- a/coord/peering/peering_test.go
+++ b/coord/peering/peering_test.go
@@ -14,7 +14,7 @@
 	return &api.PeerBeat{Ip: ip, Incarnation: incarnation, Sequence: sequence, Serving: true}
 }
 
-// An entry dies without a word. Callers are told of it until its silence shows, and no
+// An entry dies without announcing it. Callers are sent to it until it counts as silent, and no
 // longer.
 func TestSilentEntriesAreNotLive(t *testing.T) {
 	table := New("10.0.0.1", Config{})
@@ -27,37 +27,38 @@
 	}
 }
 
-// An entry says that it leaves, and an earlier beat of it arrives late. Callers must not be
-// sent to it again. A new start of the entry counts from one again and is heard.
+// An entry announces that it leaves, and an earlier heartbeat of it arrives late. Callers must not
+// be sent to it again. After a restart the entry counts sequence numbers from one again and is
+// heard.
 func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	table := New("10.0.0.1", Config{})
 	leaving := heartbeat("10.0.0.2", 7, 5)
 	leaving.Serving = false
 	table.HandleHeartbeat(leaving, 0)
 	if table.HandleHeartbeat(heartbeat("10.0.0.2", 7, 4), 10*msec) {
-		t.Error("an older beat was taken")
+		t.Error("an older heartbeat was accepted")
 	}
 	if table.Live(20 * msec)[0].GetServing() {
-		t.Error("serves again")
+		t.Error("the leaving entry is shown as serving")
 	}
 	if !table.HandleHeartbeat(heartbeat("10.0.0.2", 8, 1), 30*msec) || !table.Live(40 * msec)[0].GetServing() {
-		t.Error("the new start was not heard")
+		t.Error("the heartbeat after the restart was not accepted")
 	}
 }
 
-// An entry learns of others from a third, and tells itself nothing.
+// An entry learns of a third entry from a heartbeat, and does not add itself.
 func TestPeersAreAddedFromHeartbeats(t *testing.T) {
 	table := New("10.0.0.1", Config{})
 	b := heartbeat("10.0.0.2", 1, 1)
 	b.Others = []string{"10.0.0.1", "10.0.0.3"}
 	table.HandleHeartbeat(b, 0)
 	if due := table.TakeDue(0, false); len(due) != 2 {
-		t.Errorf("beats are due to %v", due)
+		t.Errorf("heartbeats are due to %v", due)
 	}
 }
 
-// With hundreds of entries each process sends no more beats a second than it may, and still
-// often enough that nobody counts as silent.
+// With many entries each process stays within its heartbeat rate limit, and still sends often
+// enough that no entry counts as silent.
 func TestHeartbeatRateIsBounded(t *testing.T) {
 	table := New("self", Config{})
 	sent := 0
@@ -68,7 +69,7 @@
 		sent += len(table.TakeDue(now, false))
 	}
 	if sent > 700 || sent < 400 {
-		t.Errorf("%d beats in ten seconds", sent)
+		t.Errorf("%d heartbeats in ten seconds", sent)
 	}
 }
 
@@ -76,10 +77,10 @@
 	table := New("self", Config{})
 	table.AddPeer("other", 0)
 	if n := len(table.TakeDue(59*time.Second, false)); n != 1 {
-		t.Fatalf("%d beats due", n)
+		t.Fatalf("%d heartbeats due", n)
 	}
 	if n := len(table.TakeDue(61*time.Second, false)); n != 0 {
-		t.Errorf("%d beats due to an entry never heard", n)
+		t.Errorf("%d heartbeats due to an entry never heard", n)
 	}
 }
 
@@ -132,14 +133,15 @@
 		{"it does not serve yet", starting, []*api.PeerBeat{entry("a", "d1")}, true},
 	} {
 		if got := IsDomainReader(c.self, c.live); got != c.want {
-			t.Errorf("%s: reads %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: domain reader %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Three entries share what a cold server bears. One is frozen and will wake, one is killed and
-// one leaves by plan. Who counts the frozen one out gives its part to others, and both send;
-// who goes on counting the one that has left serves its callers less than it could.
+// Three entries share the capacity of a cold server. One is frozen and will continue, one is killed
+// and one shuts down gracefully. If the frozen one did not count, the others would use its share
+// and too many requests would be sent. If the one that has left still counted, its share would be
+// unused.
 func TestMaybeLiveCountIncludesSilentEntries(t *testing.T) {
 	table := New("10.0.0.1", Config{})
 	if n := table.MaybeLiveCount(0); n != 0 {
@@ -163,23 +165,24 @@
 	}
 }
 
-// The entry that coordinates stands still with a group held: another one takes the duty over
-// after four beats, long before callers are kept from it. With so many entries that beats are
-// rarer it takes as many beats, and never longer than until the entry counts as gone.
+// The coordinator stalls while it holds a group: another entry takes over after four missed
+// heartbeats, long before callers are no longer sent to the stalled one. With so many entries that
+// the heartbeat interval grows, a takeover waits for as many heartbeats, but never longer than
+// SilentAfter.
 func TestDutyPassesOnBeforeAnEntryIsGone(t *testing.T) {
 	table := New("10.0.0.1", Config{})
 	table.HandleHeartbeat(heartbeat("10.0.0.2", 1, 1), 0)
 	if n := len(table.OnTime(600 * msec)); n != 1 {
-		t.Errorf("%d prompt after four beats", n)
+		t.Errorf("%d on time after four heartbeat intervals", n)
 	}
-	if live, prompt := len(table.Live(601*msec)), len(table.OnTime(601*msec)); live != 1 || prompt != 0 {
-		t.Errorf("%d live and %d prompt after more than four beats", live, prompt)
+	if live, onTime := len(table.Live(601*msec)), len(table.OnTime(601*msec)); live != 1 || onTime != 0 {
+		t.Errorf("%d live and %d on time after more than four heartbeat intervals", live, onTime)
 	}
 	many := New("10.0.0.1", Config{})
 	for i := range 400 {
 		many.HandleHeartbeat(heartbeat(fmt.Sprintf("10.1.%d.%d", i/200, i%200), 1, 1), 0)
 	}
 	if n := len(many.OnTime(1200 * msec)); n != 400 {
-		t.Errorf("%d of 400 prompt after three of their beats", n)
+		t.Errorf("%d of 400 on time after three of their heartbeat intervals", n)
 	}
 }
