--- a/coord/registry/registry.go
+++ b/coord/registry/registry.go
@@ -27,79 +27,79 @@
 	Concurrency int
 	// Draining servers get no new work.
 	Draining bool
-	// Cold is how long it stays cold from the moment at which it said so.
-	Cold time.Duration
-	// Born is when it started, Unix ms by its own clock; zero when it does not say. A
+	// ColdFor is how long it stays cold from the moment at which it said so.
+	ColdFor time.Duration
+	// StartedAtUnixMs is when it started, Unix ms by its own clock; zero when it does not say. A
 	// server may start again under its ID.
-	Born int64
+	StartedAtUnixMs int64
 }
 
-// Entry is a registered server with what this process knows of the registration.
-type Entry struct {
+// Registration is a registered server with what this process knows of the registration.
+type Registration struct {
 	Server
-	// Since is when this process first heard of the server, Heard when it heard last.
-	Since, Heard time.Duration
+	// FirstHeard is when this process first heard of the server, LastHeard when it heard last.
+	FirstHeard, LastHeard time.Duration
 }
 
-// Return is how long after the store's return a registration may be missing although its
+// ReregisterGrace is how long after the store's return a registration may be missing although its
 // server lives: servers have about two seconds to register again.
-const Return = 2 * time.Second
+const ReregisterGrace = 2 * time.Second
 
 // Registry is what a process knows of the backend servers.
 type Registry struct {
-	entries map[string]*Entry
-	// at is the server that was born last at each address.
-	at map[string]*Entry
-	// lapsed are the servers whose registration is gone, with the time at which they are
+	registrations map[string]*Registration
+	// newestAt is the server that was born last newestAt each address.
+	newestAt map[string]*Registration
+	// expiresAt are the servers whose registration is gone, with the time at which they are
 	// taken as gone.
-	lapsed map[string]time.Duration
-	away   bool
-	// back is when the store last came back.
-	back    time.Duration
-	wasAway bool
+	expiresAt map[string]time.Duration
+	storeDown bool
+	// storeBackAt is when the store last came storeBackAt.
+	storeBackAt time.Duration
+	hadOutage   bool
 }
 
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{
-		entries: make(map[string]*Entry), at: make(map[string]*Entry), lapsed: make(map[string]time.Duration),
+		registrations: make(map[string]*Registration), newestAt: make(map[string]*Registration), expiresAt: make(map[string]time.Duration),
 	}
 }
 
 // Put takes in a registration. It returns whether that says anything new: most are heartbeats,
 // which differ in how long the server stays cold at most.
 func (r *Registry) Put(s Server, now time.Duration) bool {
-	delete(r.lapsed, s.ID)
-	e := r.entries[s.ID]
-	changed := e == nil || !sameButForTime(e.Server, s)
-	if e == nil || e.Born != s.Born {
-		e = &Entry{Since: now}
-		r.entries[s.ID] = e
+	delete(r.expiresAt, s.ID)
+	e := r.registrations[s.ID]
+	changed := e == nil || !equalExceptColdFor(e.Server, s)
+	if e == nil || e.StartedAtUnixMs != s.StartedAtUnixMs {
+		e = &Registration{FirstHeard: now}
+		r.registrations[s.ID] = e
 	}
 	e.Server = s
-	e.Heard = now
-	if last := r.at[s.Address]; last == nil || last.Born <= s.Born || r.entries[last.ID] != last {
-		r.at[s.Address] = e
+	e.LastHeard = now
+	if newest := r.newestAt[s.Address]; newest == nil || newest.StartedAtUnixMs <= s.StartedAtUnixMs || r.registrations[newest.ID] != newest {
+		r.newestAt[s.Address] = e
 	}
 	return changed
 }
 
-func sameButForTime(a, b Server) bool {
-	if (a.Cold > 0) != (b.Cold > 0) {
+func equalExceptColdFor(a, b Server) bool {
+	if (a.ColdFor > 0) != (b.ColdFor > 0) {
 		return false
 	}
-	a.Cold = b.Cold
+	a.ColdFor = b.ColdFor
 	return a == b
 }
 
-// followed says that another server has started since at the address of this one.
+// isReplaced says that another server has started since at the address of this one.
 //
 // Load: all VMs lose power and come back. Harm prevented: the registrations of before last
 // for some seconds more, and requests are sent to servers that are no longer there, each of
 // which costs one of its few attempts.
-func (r *Registry) followed(e *Entry) bool {
-	last := r.at[e.Address]
-	return last != nil && last != e && r.entries[last.ID] == last && last.Address == e.Address && last.Born > e.Born
+func (r *Registry) isReplaced(e *Registration) bool {
+	newest := r.newestAt[e.Address]
+	return newest != nil && newest != e && r.registrations[newest.ID] == newest && newest.Address == e.Address && newest.StartedAtUnixMs > e.StartedAtUnixMs
 }
 
 // Remove says that a registration is gone. While the store is away, and until Return after
@@ -108,43 +108,43 @@
 // Load: an outage of the store longer than the registrations last. Harm prevented: all
 // servers lapse at once and every request is refused, although all of them still serve.
 func (r *Registry) Remove(id string, now time.Duration) {
-	if r.entries[id] == nil {
+	if r.registrations[id] == nil {
 		return
 	}
-	if r.away {
-		r.lapsed[id] = now + Return
+	if r.storeDown {
+		r.expiresAt[id] = now + ReregisterGrace
 		return
 	}
-	if until := r.back + Return; r.wasAway && now < until {
-		r.lapsed[id] = until
+	if until := r.storeBackAt + ReregisterGrace; r.hadOutage && now < until {
+		r.expiresAt[id] = until
 		return
 	}
 	r.drop(id)
 }
 
 func (r *Registry) drop(id string) {
-	if e := r.entries[id]; e != nil && r.at[e.Address] == e {
-		delete(r.at, e.Address)
+	if e := r.registrations[id]; e != nil && r.newestAt[e.Address] == e {
+		delete(r.newestAt, e.Address)
 	}
-	delete(r.entries, id)
+	delete(r.registrations, id)
 }
 
-// Reachable tells whether the store answers. After an outage of any length registrations
+// SetStoreReachable tells whether the store answers. After an outage of any length registrations
 // may lapse for want of the store alone.
-func (r *Registry) Reachable(reachable bool, now time.Duration) {
-	if reachable && r.away {
-		r.back = now
-		r.wasAway = true
+func (r *Registry) SetStoreReachable(reachable bool, now time.Duration) {
+	if reachable && r.storeDown {
+		r.storeBackAt = now
+		r.hadOutage = true
 	}
-	r.away = !reachable
+	r.storeDown = !reachable
 }
 
 // Expire drops the servers whose time to register again is over, and returns their IDs.
 func (r *Registry) Expire(now time.Duration) []string {
 	var gone []string
-	for id, at := range r.lapsed {
-		if now >= at {
-			delete(r.lapsed, id)
+	for id, expiry := range r.expiresAt {
+		if now >= expiry {
+			delete(r.expiresAt, id)
 			r.drop(id)
 			gone = append(gone, id)
 		}
@@ -152,13 +152,13 @@
 	return gone
 }
 
-// Entries returns the servers that are not gone, in no order.
-func (r *Registry) Entries() []Entry {
-	entries := make([]Entry, 0, len(r.entries))
-	for _, e := range r.entries {
-		if !r.followed(e) {
-			entries = append(entries, *e)
+// Registrations returns the servers that are not gone, in no order.
+func (r *Registry) Registrations() []Registration {
+	registrations := make([]Registration, 0, len(r.registrations))
+	for _, e := range r.registrations {
+		if !r.isReplaced(e) {
+			registrations = append(registrations, *e)
 		}
 	}
-	return entries
+	return registrations
 }
--- a/coord/registry/registry_test.go
+++ b/coord/registry/registry_test.go
@@ -9,7 +9,7 @@
 
 func ids(r *Registry) map[string]bool {
 	set := map[string]bool{}
-	for _, e := range r.Entries() {
+	for _, e := range r.Registrations() {
 		set[e.ID] = true
 	}
 	return set
@@ -18,16 +18,16 @@
 // The store is away for longer than registrations last. When it is back all of them are
 // gone, and one server registers again within two seconds. Callers see no refusal for want
 // of servers, and nothing is sent to the one that did not come back.
-func TestRegistrationsThatLapsedInAnOutage(t *testing.T) {
+func TestLapsedRegistrationsSurviveAnOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
 	r.Put(Server{ID: "b"}, 0)
-	r.Reachable(false, 10*second)
+	r.SetStoreReachable(false, 10*second)
 	r.Expire(20 * second)
 	if len(ids(r)) != 2 {
 		t.Fatalf("during the outage: %v", ids(r))
 	}
-	r.Reachable(true, 20*second)
+	r.SetStoreReachable(true, 20*second)
 	r.Remove("a", 20*second)
 	r.Remove("b", 20*second)
 	r.Put(Server{ID: "a"}, 21*second)
@@ -43,7 +43,7 @@
 }
 
 // While the store answers, a server that removes itself leaves at once.
-func TestRemovedInCalm(t *testing.T) {
+func TestRemovedAtOnceWhileStoreAnswers(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
 	r.Remove("a", second)
@@ -54,10 +54,10 @@
 
 // A member that still reaches the store says that a registration is gone. This process
 // cannot ask, and believes it once the server has had its time.
-func TestRemovedByWordOfAnother(t *testing.T) {
+func TestRemovalFromAnotherEntryDuringOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
-	r.Reachable(false, second)
+	r.SetStoreReachable(false, second)
 	r.Remove("a", 5*second)
 	r.Expire(6 * second)
 	if len(ids(r)) != 1 {
@@ -71,15 +71,15 @@
 
 // A server that starts again under its old ID is a new one: what was known of its warmth
 // no longer holds.
-func TestBornAgain(t *testing.T) {
+func TestRestartUnderSameIDIsNew(t *testing.T) {
 	r := New()
-	r.Put(Server{ID: "a", Born: 1}, 0)
-	r.Put(Server{ID: "a", Born: 1}, second)
-	if since := r.Entries()[0].Since; since != 0 {
+	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, 0)
+	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, second)
+	if since := r.Registrations()[0].FirstHeard; since != 0 {
 		t.Errorf("a heartbeat moved the start to %v", since)
 	}
-	r.Put(Server{ID: "a", Born: 2}, 2*second)
-	if since := r.Entries()[0].Since; since != 2*second {
+	r.Put(Server{ID: "a", StartedAtUnixMs: 2}, 2*second)
+	if since := r.Registrations()[0].FirstHeard; since != 2*second {
 		t.Errorf("the new start is %v", since)
 	}
 }
@@ -88,8 +88,8 @@
 // registrations last. A caller's request must go to the new ones, in whatever order both are
 // heard; an address that a newer server has left counts for the old one again.
 func TestTheLastOneBornHasTheAddress(t *testing.T) {
-	old := Server{ID: "old", Address: "10.0.0.1:80", Born: 1}
-	renewed := Server{ID: "new", Address: "10.0.0.1:80", Born: 9}
+	old := Server{ID: "old", Address: "10.0.0.1:80", StartedAtUnixMs: 1}
+	renewed := Server{ID: "new", Address: "10.0.0.1:80", StartedAtUnixMs: 9}
 	for _, order := range [][]Server{{old, renewed}, {renewed, old}, {old, renewed, old}} {
 		r := New()
 		for _, s := range order {
@@ -116,17 +116,17 @@
 
 // Servers write a heartbeat a second. Only what differs in more than the time that a server
 // stays cold is passed on to others.
-func TestHeartbeatsSayNothingNew(t *testing.T) {
+func TestHeartbeatsReportNoChange(t *testing.T) {
 	r := New()
-	s := Server{ID: "a", Cold: 3 * second}
+	s := Server{ID: "a", ColdFor: 3 * second}
 	for i, c := range []struct {
 		change func()
 		want   bool
 	}{
 		{func() {}, true},
 		{func() {}, false},
-		{func() { s.Cold = second }, false},
-		{func() { s.Cold = 0 }, true},
+		{func() { s.ColdFor = second }, false},
+		{func() { s.ColdFor = 0 }, true},
 		{func() { s.Draining = true }, true},
 		{func() {}, false},
 	} {
--- a/internal/gateway/away_test.go
+++ b/internal/gateway/away_test.go
@@ -36,7 +36,7 @@
 		other:   &api.PeerBeat{Vm: "other", Ip: fakeplatform.OwnIP(), FailureDomain: "a", Incarnation: 1, Serving: true},
 	}
 	w.servers(t, 1, registration, 0)
-	if n := len(w.registry.Entries()); n != 1 {
+	if n := len(w.registry.Registrations()); n != 1 {
 		t.Fatalf("%d servers at the start", n)
 	}
 	return w
@@ -86,7 +86,7 @@
 		w.beat(300*msec, now)
 	}
 	w.servers(t, 3, "", now)
-	if n := len(w.registry.Entries()); n != 0 {
+	if n := len(w.registry.Registrations()); n != 0 {
 		t.Error("the server that has left gets work")
 	}
 }
@@ -111,11 +111,11 @@
 			back(w, now)
 			w.servers(t, 3, "", now+10*msec)
 			w.settle(now + 1900*msec)
-			if n := len(w.registry.Entries()); n != 1 {
+			if n := len(w.registry.Registrations()); n != 1 {
 				t.Fatal("the server had no time to register again")
 			}
 			w.settle(now + 2100*msec)
-			if n := len(w.registry.Entries()); n != 0 {
+			if n := len(w.registry.Registrations()); n != 0 {
 				t.Error("the server did not register again and gets work")
 			}
 		})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -128,7 +128,7 @@
 		c.serversAway = n.err != nil
 		if n.err == nil {
 			// Before the records: what lapsed in an outage is kept for a while from now on.
-			c.registry.Reachable(true, n.at)
+			c.registry.SetStoreReachable(true, n.at)
 		}
 	}
 	if n.err != nil {
@@ -210,7 +210,7 @@
 	}
 	_ = level.Info(c.logger).Log("msg", "A registration is new or has changed.", "server", s.ID, "service", s.Service,
 		"failure_domain", s.FailureDomain, "concurrency", s.Concurrency, "draining", s.Draining,
-		"cold_ms", s.Cold.Milliseconds(), "offset", change.Offset)
+		"cold_ms", s.ColdFor.Milliseconds(), "offset", change.Offset)
 	return true
 }
 
@@ -222,13 +222,13 @@
 	}
 	live := c.peers.Live(now)
 	c.logLive(live)
-	c.registry.Reachable(!c.storeAway(live, now), now)
+	c.registry.SetStoreReachable(!c.storeAway(live, now), now)
 	n := census{live: len(live) + 1, mayLive: c.peers.MaybeLiveCount(now) + 1}
 	c.changed = c.changed || n != c.census
 	if c.changed && c.inForce(now) != nil {
 		c.changed = false
 		c.census = n
-		c.g.fleet.set(c.registry.Entries(), c.out, c.table, n, now)
+		c.g.fleet.set(c.registry.Registrations(), c.out, c.table, n, now)
 	}
 	c.g.fleet.setOthers(othersOf(live), c.pacesOf(live), now)
 	c.publish(live, now)
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -20,7 +20,7 @@
 // out are still ranks of their group.
 func (c *control) engines() []experts.Engine {
 	var engines []experts.Engine
-	for _, e := range c.registry.Entries() {
+	for _, e := range c.registry.Registrations() {
 		service := c.table.Service(e.Service)
 		if service == nil || service.Engine == nil || service.Engine.Experts == 0 {
 			continue
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -127,7 +127,7 @@
 
 // set replaces the backend servers, with the failure domains that operators have taken out
 // and the number of entries.
-func (f *fleet) set(entries []registry.Entry, out map[string]bool, cfg *routing.Table, n census, now time.Duration) {
+func (f *fleet) set(entries []registry.Registration, out map[string]bool, cfg *routing.Table, n census, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries = max(n.live, 1)
@@ -152,7 +152,7 @@
 		if s == nil {
 			s = &server{}
 		}
-		if s.Born != e.Born {
+		if s.StartedAtUnixMs != e.StartedAtUnixMs {
 			s.work = 0
 		}
 		s.Server = e.Server
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -24,10 +24,10 @@
 	})
 }
 
-func entries(n, concurrency int) []registry.Entry {
-	var out []registry.Entry
+func entries(n, concurrency int) []registry.Registration {
+	var out []registry.Registration
 	for i := range n {
-		out = append(out, registry.Entry{Server: registry.Server{
+		out = append(out, registry.Registration{Server: registry.Server{
 			ID: fmt.Sprint("i-", i), Service: "app", Address: fmt.Sprintf("10.0.0.%d:80", i+1), Concurrency: concurrency,
 		}})
 	}
