--- a/coord/registry/registry.go
+++ b/coord/registry/registry.go
@@ -1,60 +1,60 @@
-// Package registry keeps the backend servers that have registered themselves in the
-// platform's store, through outages of the store.
+// Package registry keeps the backend servers that have registered themselves in the platform's
+// store, through outages of the store.
 //
-// A registration lapses when its server has been silent for some heartbeats, also when the
-// server could only not reach the store. The registry therefore holds what it knew until
-// the servers have had time to register again.
+// A registration lapses when its server has written no heartbeat for some time, even if the server
+// is healthy and only failed to reach the store. The registry therefore keeps lapsed registrations
+// until their servers have had time to register again.
 //
-// Time is an argument, counted since the process started. A Registry holds no clock, socket
-// or goroutine, and is not safe for use by several goroutines at once.
+// Times are durations since process start, passed as arguments. A Registry has no clock, socket or
+// goroutine, and is not safe for concurrent use.
 package registry
 
 import "time"
 
 // Server is one backend server as it registered itself.
 type Server struct {
-	// ID names one start of the server.
+	// ID identifies one start of the server.
 	ID string
-	// Service is the service that it belongs to.
+	// Service is the service that the server belongs to.
 	Service string
 	// Address is its IP and port.
 	Address string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain that it runs in.
 	FailureDomain string
 	// Version is the version of its software.
 	Version string
-	// Concurrency is the number of requests that it works on at once.
+	// Concurrency is the number of requests that it serves at the same time.
 	Concurrency int
-	// Draining servers get no new work.
+	// Draining servers get no new requests.
 	Draining bool
-	// ColdFor is how long it stays cold from the moment at which it said so.
-	ColdFor time.Duration
-	// StartedAtUnixMs is when it started, Unix ms by its own clock; zero when it does not say. A
-	// server may start again under its ID.
+	// ColdRemaining is how long it stays cold, counted from the heartbeat that reported it.
+	ColdRemaining time.Duration
+	// StartedAtUnixMs is its start time in Unix ms by its own clock; zero if unknown. A server may
+	// restart under the same ID.
 	StartedAtUnixMs int64
 }
 
-// Registration is a registered server with what this process knows of the registration.
+// Registration is a registered server with the times at which this process heard of it.
 type Registration struct {
 	Server
-	// FirstHeard is when this process first heard of the server, LastHeard when it heard last.
+	// FirstHeard and LastHeard are when this process first and last heard of this start of the
+	// server.
 	FirstHeard, LastHeard time.Duration
 }
 
 // ReregisterGrace is how long after the store's return a registration may be missing although its
-// server lives: servers have about two seconds to register again.
+// server is healthy: servers take about two seconds to register again.
 const ReregisterGrace = 2 * time.Second
 
-// Registry is what a process knows of the backend servers.
+// Registry holds the backend servers that a process knows.
 type Registry struct {
 	registrations map[string]*Registration
-	// newestAt is the server that was born last newestAt each address.
+	// newestAt is the server with the latest start time at each address.
 	newestAt map[string]*Registration
-	// expiresAt are the servers whose registration is gone, with the time at which they are
-	// taken as gone.
+	// expiresAt holds the lapsed registrations, with the time at which they are dropped.
 	expiresAt map[string]time.Duration
 	storeDown bool
-	// storeBackAt is when the store last came storeBackAt.
+	// storeBackAt is when the store last became reachable again.
 	storeBackAt time.Duration
 	hadOutage   bool
 }
@@ -66,12 +66,12 @@
 	}
 }
 
-// Put takes in a registration. It returns whether that says anything new: most are heartbeats,
-// which differ in how long the server stays cold at most.
+// Put processes a registration and reports whether it changes anything. Most are heartbeats, which
+// differ at most in ColdRemaining.
 func (r *Registry) Put(s Server, now time.Duration) bool {
 	delete(r.expiresAt, s.ID)
 	e := r.registrations[s.ID]
-	changed := e == nil || !equalExceptColdFor(e.Server, s)
+	changed := e == nil || !equalExceptColdRemaining(e.Server, s)
 	if e == nil || e.StartedAtUnixMs != s.StartedAtUnixMs {
 		e = &Registration{FirstHeard: now}
 		r.registrations[s.ID] = e
@@ -84,29 +84,27 @@
 	return changed
 }
 
-func equalExceptColdFor(a, b Server) bool {
-	if (a.ColdFor > 0) != (b.ColdFor > 0) {
+func equalExceptColdRemaining(a, b Server) bool {
+	if (a.ColdRemaining > 0) != (b.ColdRemaining > 0) {
 		return false
 	}
-	a.ColdFor = b.ColdFor
+	a.ColdRemaining = b.ColdRemaining
 	return a == b
 }
 
-// isReplaced says that another server has started since at the address of this one.
-//
-// Load: all VMs lose power and come back. Harm prevented: the registrations of before last
-// for some seconds more, and requests are sent to servers that are no longer there, each of
-// which costs one of its few attempts.
+// isReplaced reports whether another server has since started at the address of this one. When all
+// VMs lose power and come back, the old registrations remain for some seconds. Without this check
+// requests would be sent to servers that no longer exist, and each would use up one of the
+// request's few attempts.
 func (r *Registry) isReplaced(e *Registration) bool {
 	newest := r.newestAt[e.Address]
 	return newest != nil && newest != e && r.registrations[newest.ID] == newest && newest.Address == e.Address && newest.StartedAtUnixMs > e.StartedAtUnixMs
 }
 
-// Remove says that a registration is gone. While the store is away, and until Return after
-// it came back, the server stays for as long as it may need to register again.
-//
-// Load: an outage of the store longer than the registrations last. Harm prevented: all
-// servers lapse at once and every request is refused, although all of them still serve.
+// Remove processes the removal of a registration. While the store is unreachable, and for
+// ReregisterGrace after it came back, the server is kept for as long as it may need to register
+// again. Otherwise an outage longer than the lifetime of registrations would remove all servers at
+// once, and every request would be refused although all of them still serve.
 func (r *Registry) Remove(id string, now time.Duration) {
 	if r.registrations[id] == nil {
 		return
@@ -129,8 +127,8 @@
 	delete(r.registrations, id)
 }
 
-// SetStoreReachable tells whether the store answers. After an outage of any length registrations
-// may lapse for want of the store alone.
+// SetStoreReachable sets whether the store answers. After an outage of any length, registrations
+// may have lapsed only because the store was unreachable.
 func (r *Registry) SetStoreReachable(reachable bool, now time.Duration) {
 	if reachable && r.storeDown {
 		r.storeBackAt = now
@@ -139,7 +137,7 @@
 	r.storeDown = !reachable
 }
 
-// Expire drops the servers whose time to register again is over, and returns their IDs.
+// Expire drops the servers whose time to register again has passed, and returns their IDs.
 func (r *Registry) Expire(now time.Duration) []string {
 	var gone []string
 	for id, expiry := range r.expiresAt {
@@ -152,7 +150,7 @@
 	return gone
 }
 
-// Registrations returns the servers that are not gone, in no order.
+// Registrations returns the registered servers that were not replaced, in no particular order.
 func (r *Registry) Registrations() []Registration {
 	registrations := make([]Registration, 0, len(r.registrations))
 	for _, e := range r.registrations {
--- a/coord/registry/registry_test.go
+++ b/coord/registry/registry_test.go
@@ -15,9 +15,9 @@
 	return set
 }
 
-// The store is away for longer than registrations last. When it is back all of them are
-// gone, and one server registers again within two seconds. Callers see no refusal for want
-// of servers, and nothing is sent to the one that did not come back.
+// The store is unreachable for longer than registrations last. When it is back all of them are
+// gone, and one of two servers registers again within two seconds. No request is refused for lack
+// of servers, and nothing is sent to the server that did not come back.
 func TestLapsedRegistrationsSurviveAnOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
@@ -32,17 +32,17 @@
 	r.Remove("b", 20*second)
 	r.Put(Server{ID: "a"}, 21*second)
 	if gone := r.Expire(21 * second); len(gone) != 0 {
-		t.Fatalf("taken as gone after one second: %v", gone)
+		t.Fatalf("dropped after one second: %v", gone)
 	}
 	if gone := r.Expire(22 * second); len(gone) != 1 || gone[0] != "b" {
-		t.Fatalf("gone after two seconds: %v", gone)
+		t.Fatalf("dropped after two seconds: %v", gone)
 	}
 	if got := ids(r); !got["a"] || got["b"] {
 		t.Errorf("left: %v", got)
 	}
 }
 
-// While the store answers, a server that removes itself leaves at once.
+// While the store answers, a server that removes its registration is dropped at once.
 func TestRemovedAtOnceWhileStoreAnswers(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A member that still reaches the store says that a registration is gone. This process
-// cannot ask, and believes it once the server has had its time.
+// Another entry that still reaches the store reports that a registration is gone. This process
+// cannot check, and drops the server once it has had time to register again.
 func TestRemovalFromAnotherEntryDuringOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
@@ -61,7 +61,7 @@
 	r.Remove("a", 5*second)
 	r.Expire(6 * second)
 	if len(ids(r)) != 1 {
-		t.Fatal("gone before its time")
+		t.Fatal("dropped before the grace period ended")
 	}
 	r.Expire(7 * second)
 	if len(ids(r)) != 0 {
@@ -69,24 +69,24 @@
 	}
 }
 
-// A server that starts again under its old ID is a new one: what was known of its warmth
-// no longer holds.
+// A server that restarts under its old ID counts as new: what was known about it, such as whether
+// it is warm, no longer holds.
 func TestRestartUnderSameIDIsNew(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, 0)
 	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, second)
 	if since := r.Registrations()[0].FirstHeard; since != 0 {
-		t.Errorf("a heartbeat moved the start to %v", since)
+		t.Errorf("a heartbeat changed FirstHeard to %v", since)
 	}
 	r.Put(Server{ID: "a", StartedAtUnixMs: 2}, 2*second)
 	if since := r.Registrations()[0].FirstHeard; since != 2*second {
-		t.Errorf("the new start is %v", since)
+		t.Errorf("FirstHeard after the restart is %v", since)
 	}
 }
 
 // All VMs lose power. Servers start again at their addresses under new IDs, while their old
-// registrations last. A caller's request must go to the new ones, in whatever order both are
-// heard; an address that a newer server has left counts for the old one again.
+// registrations remain. Requests must go to the new ones, in whatever order both are heard. When
+// the newer server at an address has left, the old one counts again.
 func TestTheLastOneBornHasTheAddress(t *testing.T) {
 	old := Server{ID: "old", Address: "10.0.0.1:80", StartedAtUnixMs: 1}
 	renewed := Server{ID: "new", Address: "10.0.0.1:80", StartedAtUnixMs: 9}
@@ -110,29 +110,29 @@
 	r.Put(Server{ID: "a", Address: "10.0.0.1:80"}, 0)
 	r.Put(Server{ID: "b", Address: "10.0.0.1:80"}, 0)
 	if got := ids(r); len(got) != 2 {
-		t.Errorf("servers that do not say when they were born: %v", got)
+		t.Errorf("servers without a start time: %v", got)
 	}
 }
 
-// Servers write a heartbeat a second. Only what differs in more than the time that a server
-// stays cold is passed on to others.
+// Servers write a heartbeat every second. Only one that differs in more than the remaining cold
+// time is passed on to others.
 func TestHeartbeatsReportNoChange(t *testing.T) {
 	r := New()
-	s := Server{ID: "a", ColdFor: 3 * second}
+	s := Server{ID: "a", ColdRemaining: 3 * second}
 	for i, c := range []struct {
 		change func()
 		want   bool
 	}{
 		{func() {}, true},
 		{func() {}, false},
-		{func() { s.ColdFor = second }, false},
-		{func() { s.ColdFor = 0 }, true},
+		{func() { s.ColdRemaining = second }, false},
+		{func() { s.ColdRemaining = 0 }, true},
 		{func() { s.Draining = true }, true},
 		{func() {}, false},
 	} {
 		c.change()
 		if got := r.Put(s, 0); got != c.want {
-			t.Errorf("registration %d: new %v, want %v", i, got, c.want)
+			t.Errorf("registration %d: changed %v, want %v", i, got, c.want)
 		}
 	}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -210,7 +210,7 @@
 	}
 	_ = level.Info(c.logger).Log("msg", "A registration is new or has changed.", "server", s.ID, "service", s.Service,
 		"failure_domain", s.FailureDomain, "concurrency", s.Concurrency, "draining", s.Draining,
-		"cold_ms", s.ColdFor.Milliseconds(), "offset", change.Offset)
+		"cold_ms", s.ColdRemaining.Milliseconds(), "offset", change.Offset)
 	return true
 }
 
