--- a/coord/keyed/keyed.go
+++ b/coord/keyed/keyed.go
@@ -24,25 +24,25 @@
 	Offset int64
 }
 
-// Dropped says that the key is gone.
-func (c Change) Dropped() bool { return c.Value == nil }
+// Deleted says that the key is gone.
+func (c Change) Deleted() bool { return c.Value == nil }
 
 // Table is what a follower knows of the keys.
 type Table struct {
-	next  int64
-	known map[string]Record
-	ready bool
+	nextOffset int64
+	newest     map[string]Record
+	hasListing bool
 }
 
 // New returns a table that knows nothing.
-func New() *Table { return &Table{known: make(map[string]Record)} }
+func New() *Table { return &Table{newest: make(map[string]Record)} }
 
 // Ready says that a listing has been taken in: only then is a missing key known to be
 // missing.
-func (t *Table) Ready() bool { return t.ready }
+func (t *Table) Ready() bool { return t.hasListing }
 
-// Next is the offset to read from.
-func (t *Table) Next() int64 { return t.next }
+// NextOffset is the offset to read from.
+func (t *Table) NextOffset() int64 { return t.nextOffset }
 
 // Apply takes in one record of the log. An empty value drops the key. It returns nil when
 // the table knows of a newer record already.
@@ -50,26 +50,26 @@
 // Load: reads that were answered late, or records that come both from the log and from
 // another member. Harm prevented: an older configuration that replaces a newer one.
 func (t *Table) Apply(r Record) *Change {
-	if r.Offset < t.next {
+	if r.Offset < t.nextOffset {
 		return nil
 	}
-	t.next = r.Offset + 1
-	return t.set(r)
+	t.nextOffset = r.Offset + 1
+	return t.setIfNewer(r)
 }
 
-func (t *Table) set(r Record) *Change {
-	old, held := t.known[r.Key]
-	if held && old.Offset >= r.Offset {
+func (t *Table) setIfNewer(r Record) *Change {
+	old, exists := t.newest[r.Key]
+	if exists && old.Offset >= r.Offset {
 		return nil
 	}
 	if len(r.Value) == 0 {
-		if !held {
+		if !exists {
 			return nil
 		}
-		delete(t.known, r.Key)
+		delete(t.newest, r.Key)
 		return &Change{Key: r.Key, Offset: r.Offset}
 	}
-	t.known[r.Key] = r
+	t.newest[r.Key] = r
 	return &Change{Key: r.Key, Value: r.Value, Offset: r.Offset}
 }
 
@@ -78,33 +78,33 @@
 //
 // A key that the listing lacks was dropped before end, unless the table knows a record of
 // it from end on.
-func (t *Table) Replace(records []Record, end int64) []Change {
-	if t.ready && end < t.next {
+func (t *Table) Replace(records []Record, logEnd int64) []Change {
+	if t.hasListing && logEnd < t.nextOffset {
 		return nil
 	}
-	t.ready = true
+	t.hasListing = true
 	var changes []Change
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
 		listed[r.Key] = true
-		if c := t.set(r); c != nil {
+		if c := t.setIfNewer(r); c != nil {
 			changes = append(changes, *c)
 		}
 	}
-	for key, r := range t.known {
-		if !listed[key] && r.Offset < end {
-			delete(t.known, key)
-			changes = append(changes, Change{Key: key, Offset: end - 1})
+	for key, r := range t.newest {
+		if !listed[key] && r.Offset < logEnd {
+			delete(t.newest, key)
+			changes = append(changes, Change{Key: key, Offset: logEnd - 1})
 		}
 	}
-	t.next = max(t.next, end)
+	t.nextOffset = max(t.nextOffset, logEnd)
 	return changes
 }
 
 // Records returns the newest record of each key, in no order.
 func (t *Table) Records() []Record {
-	records := make([]Record, 0, len(t.known))
-	for _, r := range t.known {
+	records := make([]Record, 0, len(t.newest))
+	for _, r := range t.newest {
 		records = append(records, r)
 	}
 	return records
--- a/coord/keyed/keyed_test.go
+++ b/coord/keyed/keyed_test.go
@@ -7,42 +7,42 @@
 	"pgregory.net/rapid"
 )
 
-func rec(offset int64, key, value string) Record {
+func record(offset int64, key, value string) Record {
 	return Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
 // A process reads the log, and another member hands it a listing from before. The caller
 // whose key was revoked in between must not be let in again.
-func TestALateListingBringsNothingBack(t *testing.T) {
+func TestOldListingDoesNotRevertChanges(t *testing.T) {
 	table := New()
-	table.Replace([]Record{rec(4, "config", "v1")}, 5)
-	if c := table.Apply(rec(5, "config", "v2")); c == nil || string(c.Value) != "v2" {
+	table.Replace([]Record{record(4, "config", "v1")}, 5)
+	if c := table.Apply(record(5, "config", "v2")); c == nil || string(c.Value) != "v2" {
 		t.Fatalf("v2 was not taken: %v", c)
 	}
-	if c := table.Replace([]Record{rec(4, "config", "v1")}, 5); len(c) != 0 {
+	if c := table.Replace([]Record{record(4, "config", "v1")}, 5); len(c) != 0 {
 		t.Errorf("an older listing changed %v", c)
 	}
-	if c := table.Apply(rec(4, "config", "v1")); c != nil {
+	if c := table.Apply(record(4, "config", "v1")); c != nil {
 		t.Errorf("an older record changed %v", c)
 	}
 }
 
 // The log has lost the records between two reads. The listing lacks a key that was dropped
 // meanwhile, and holds one that was written while its pages were read.
-func TestAListingAfterLostRecords(t *testing.T) {
+func TestListingAfterTruncatedLog(t *testing.T) {
 	table := New()
-	table.Replace([]Record{rec(0, "a", "1"), rec(1, "b", "1")}, 2)
-	changes := table.Replace([]Record{rec(1, "b", "1"), rec(9, "c", "1")}, 8)
+	table.Replace([]Record{record(0, "a", "1"), record(1, "b", "1")}, 2)
+	changes := table.Replace([]Record{record(1, "b", "1"), record(9, "c", "1")}, 8)
 	if len(changes) != 2 {
 		t.Fatalf("changes %v", changes)
 	}
 	for _, c := range changes {
-		if (c.Key == "a") != c.Dropped() {
-			t.Errorf("change of %s: dropped %v", c.Key, c.Dropped())
+		if (c.Key == "a") != c.Deleted() {
+			t.Errorf("change of %s: dropped %v", c.Key, c.Deleted())
 		}
 	}
-	if table.Next() != 8 {
-		t.Errorf("reads on from %d", table.Next())
+	if table.NextOffset() != 8 {
+		t.Errorf("reads on from %d", table.NextOffset())
 	}
 }
 
@@ -53,7 +53,7 @@
 		var log []Record
 		table := New()
 		seen := map[string]int64{}
-		note := func(key string, offset int64) {
+		checkOffset := func(key string, offset int64) {
 			if offset < seen[key] {
 				t.Fatalf("%s went back from %d to %d", key, seen[key], offset)
 			}
@@ -78,17 +78,17 @@
 			case 0, 1:
 				key := fmt.Sprint("k", rapid.IntRange(0, 3).Draw(t, "key"))
 				value := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value")
-				log = append(log, rec(int64(len(log)), key, value))
+				log = append(log, record(int64(len(log)), key, value))
 			case 2:
-				if next := int(table.Next()); table.Ready() && next < len(log) {
+				if next := int(table.NextOffset()); table.Ready() && next < len(log) {
 					if c := table.Apply(log[next]); c != nil {
-						note(c.Key, c.Offset)
+						checkOffset(c.Key, c.Offset)
 					}
 				}
 			case 3:
 				end := rapid.IntRange(0, len(log)).Draw(t, "end")
 				for _, c := range table.Replace(list(end), int64(end)) {
-					note(c.Key, c.Offset)
+					checkOffset(c.Key, c.Offset)
 				}
 			}
 		}
@@ -98,8 +98,8 @@
 			t.Fatalf("holds %v, the log %v", got, want)
 		}
 		for _, r := range want {
-			if table.known[r.Key].Offset != r.Offset {
-				t.Errorf("%s at %d, the log has %d", r.Key, table.known[r.Key].Offset, r.Offset)
+			if table.newest[r.Key].Offset != r.Offset {
+				t.Errorf("%s at %d, the log has %d", r.Key, table.newest[r.Key].Offset, r.Offset)
 			}
 		}
 	})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -172,14 +172,14 @@
 	key := platform.ParseOperatorKey(change.Key)
 	switch {
 	case key.FailureDomain != "":
-		if change.Dropped() {
+		if change.Deleted() {
 			delete(c.out, key.FailureDomain)
 		} else {
 			c.out[key.FailureDomain] = true
 		}
 		_ = level.Info(c.logger).Log("msg", "A failure domain was marked.", "failure_domain", key.FailureDomain,
-			"out", !change.Dropped(), "offset", change.Offset)
-	case key.Config && !change.Dropped():
+			"out", !change.Deleted(), "offset", change.Offset)
+	case key.Config && !change.Deleted():
 		cfg, err := platform.DecodeConfig(change.Value)
 		if err != nil {
 			_ = level.Error(c.logger).Log("msg", "The configuration cannot be read; the last one stays in force.",
@@ -194,7 +194,7 @@
 
 // serverChanged takes in a change of a registration, and returns whether it says anything new.
 func (c *control) serverChanged(change keyed.Change, now time.Duration) bool {
-	if change.Dropped() {
+	if change.Deleted() {
 		c.registry.Remove(change.Key, now)
 		_ = level.Info(c.logger).Log("msg", "A registration is gone.", "server", change.Key, "offset", change.Offset)
 		return true
@@ -342,7 +342,7 @@
 		Vm: c.g.settings.VM, FailureDomain: c.g.settings.FailureDomain, Ip: c.g.settings.IP,
 		Incarnation: c.g.incarnation, Sequence: c.sequence, CallersAddress: c.g.settings.Listen.Callers,
 		Serving: c.g.view.Load().ready, Leaving: c.g.leaving.Load(),
-		OperatorsNext: c.operators.Next(), ServersNext: c.servers.Next(), Fence: c.g.experts.Fence(),
+		OperatorsNext: c.operators.NextOffset(), ServersNext: c.servers.NextOffset(), Fence: c.g.experts.Fence(),
 		OperatorsAgeMs: -1, ServersAgeMs: -1,
 		OperatorsChanged: c.operatorsChangedAt, ServersChanged: c.serversChangedAt,
 	}
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -94,7 +94,7 @@
 	}
 	var ahead []*api.PeerBeat
 	for _, b := range live {
-		if b.GetOperatorsChanged() > c.operators.Next() || b.GetServersChanged() > c.servers.Next() {
+		if b.GetOperatorsChanged() > c.operators.NextOffset() || b.GetServersChanged() > c.servers.NextOffset() {
 			ahead = append(ahead, b)
 		}
 	}
@@ -105,7 +105,7 @@
 	c.askedAt = now
 	// Any of them, so that one is not asked by all.
 	b := ahead[rand.IntN(len(ahead))]
-	go c.g.fetchState(b.GetIp(), c.operators.Next(), c.servers.Next())
+	go c.g.fetchState(b.GetIp(), c.operators.NextOffset(), c.servers.NextOffset())
 }
 
 // stale says that this entry's own reads of the store are late: others may know more.
@@ -131,7 +131,7 @@
 	c.takeTopic(platform.TopicOperators, c.operators, f.state.GetOperators(), now)
 	c.takeTopic(platform.TopicServers, c.servers, f.state.GetServers(), now)
 	_ = level.Info(c.logger).Log("msg", "Took what another entry holds.", "address", f.from,
-		"operators_next", c.operators.Next(), "servers_next", c.servers.Next())
+		"operators_next", c.operators.NextOffset(), "servers_next", c.servers.NextOffset())
 }
 
 func (c *control) takeTopic(topic string, table *keyed.Table, t *api.KeyedTopic, now time.Duration) {
@@ -158,7 +158,7 @@
 }
 
 func topicState(table *keyed.Table) *api.KeyedTopic {
-	t := &api.KeyedTopic{Known: table.Ready(), Next: table.Next()}
+	t := &api.KeyedTopic{Known: table.Ready(), Next: table.NextOffset()}
 	for _, r := range table.Records() {
 		t.Records = append(t.Records, &api.KeyedRecord{Key: r.Key, Value: r.Value, Offset: r.Offset})
 	}
