--- a/coord/keyed/keyed.go
+++ b/coord/keyed/keyed.go
@@ -1,54 +1,51 @@
-// Package keyed follows the newest record of each key in a log.
+// Package keyed tracks the newest record of each key in a log.
 //
-// A follower reads a listing of all keys once, and the log from the listing's end on. When
-// the log no longer keeps the offset that it would read next, it takes a new listing. A
-// listing may be late, may come from another member, and its pages may be of different
-// moments; what a Table holds never goes back all the same, since each key keeps its offset.
+// A follower reads a listing of all keys once, and the log from the listing's end on. When the log
+// no longer has the offset that it would read next, it takes a new listing. A listing may arrive
+// late, may come from another member, and its pages may be of different moments. A Table still
+// never goes back to an older record, since it keeps the offset of each key.
 //
-// A Table holds no clock, socket or goroutine, and is not safe for use by several
-// goroutines at once.
+// A Table has no clock, socket or goroutine, and is not safe for concurrent use.
 package keyed
 
-// Record is the newest record of a key.
+// Record is one record of a key in the log.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Change is one difference that a Table took in.
+// Change is one change to a Table.
 type Change struct {
 	Key string
-	// Value is nil when the key was dropped.
+	// Value is nil when the key was deleted.
 	Value  []byte
 	Offset int64
 }
 
-// Deleted says that the key is gone.
+// Deleted reports whether the key was deleted.
 func (c Change) Deleted() bool { return c.Value == nil }
 
-// Table is what a follower knows of the keys.
+// Table holds the newest known record of each key.
 type Table struct {
 	nextOffset int64
 	newest     map[string]Record
 	hasListing bool
 }
 
-// New returns a table that knows nothing.
+// New returns an empty table.
 func New() *Table { return &Table{newest: make(map[string]Record)} }
 
-// Ready says that a listing has been taken in: only then is a missing key known to be
-// missing.
+// Ready reports whether a listing was processed. Only then does a missing key mean that the log has
+// none.
 func (t *Table) Ready() bool { return t.hasListing }
 
-// NextOffset is the offset to read from.
+// NextOffset returns the log offset to read next.
 func (t *Table) NextOffset() int64 { return t.nextOffset }
 
-// Apply takes in one record of the log. An empty value drops the key. It returns nil when
-// the table knows of a newer record already.
-//
-// Load: reads that were answered late, or records that come both from the log and from
-// another member. Harm prevented: an older configuration that replaces a newer one.
+// Apply processes one record of the log. An empty value deletes the key. It returns nil when the
+// table already has a newer record; otherwise a late answer to a read, or a record received both
+// from the log and from another member, could replace a newer configuration by an older one.
 func (t *Table) Apply(r Record) *Change {
 	if r.Offset < t.nextOffset {
 		return nil
@@ -73,11 +70,11 @@
 	return &Change{Key: r.Key, Value: r.Value, Offset: r.Offset}
 }
 
-// Replace takes in a listing of all keys; end is the end of the log when the listing began.
-// A listing older than what the table has read changes nothing.
+// Replace processes a listing of all keys; logEnd is the end of the log when the listing began. A
+// listing older than what the table has read changes nothing.
 //
-// A key that the listing lacks was dropped before end, unless the table knows a record of
-// it from end on.
+// A key that the listing lacks was deleted before logEnd, unless the table has a record of it at or
+// after logEnd.
 func (t *Table) Replace(records []Record, logEnd int64) []Change {
 	if t.hasListing && logEnd < t.nextOffset {
 		return nil
@@ -101,7 +98,7 @@
 	return changes
 }
 
-// Records returns the newest record of each key, in no order.
+// Records returns the newest record of each key, in no particular order.
 func (t *Table) Records() []Record {
 	records := make([]Record, 0, len(t.newest))
 	for _, r := range t.newest {
--- a/coord/keyed/keyed_test.go
+++ b/coord/keyed/keyed_test.go
@@ -11,13 +11,13 @@
 	return Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// A process reads the log, and another member hands it a listing from before. The caller
-// whose key was revoked in between must not be let in again.
+// A process reads the log, and another member then sends it an older listing. A caller whose key
+// was revoked in between must not be admitted again.
 func TestOldListingDoesNotRevertChanges(t *testing.T) {
 	table := New()
 	table.Replace([]Record{record(4, "config", "v1")}, 5)
 	if c := table.Apply(record(5, "config", "v2")); c == nil || string(c.Value) != "v2" {
-		t.Fatalf("v2 was not taken: %v", c)
+		t.Fatalf("v2 was not applied: %v", c)
 	}
 	if c := table.Replace([]Record{record(4, "config", "v1")}, 5); len(c) != 0 {
 		t.Errorf("an older listing changed %v", c)
@@ -27,8 +27,8 @@
 	}
 }
 
-// The log has lost the records between two reads. The listing lacks a key that was dropped
-// meanwhile, and holds one that was written while its pages were read.
+// The log was truncated between two reads. The new listing lacks a key that was deleted in between,
+// and holds one that was written while its pages were read.
 func TestListingAfterTruncatedLog(t *testing.T) {
 	table := New()
 	table.Replace([]Record{record(0, "a", "1"), record(1, "b", "1")}, 2)
@@ -38,16 +38,16 @@
 	}
 	for _, c := range changes {
 		if (c.Key == "a") != c.Deleted() {
-			t.Errorf("change of %s: dropped %v", c.Key, c.Deleted())
+			t.Errorf("change of %s: deleted %v", c.Key, c.Deleted())
 		}
 	}
 	if table.NextOffset() != 8 {
-		t.Errorf("reads on from %d", table.NextOffset())
+		t.Errorf("next offset is %d, want 8", table.NextOffset())
 	}
 }
 
-// Whatever mix of reads and listings of different ages a table sees, once it has read to the
-// end it holds what the log holds, and no key ever goes back.
+// Whatever mix of reads and listings of different ages a table processes, once it has read to the
+// end it holds what the log holds, and no key ever goes back to an older record.
 func TestTableFollowsTheLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []Record
