--- a/decide/arrivals/arrivals_test.go
+++ b/decide/arrivals/arrivals_test.go
@@ -9,51 +9,51 @@
 
 const msec = time.Millisecond
 
-// siteBound is the bound of a model server of the first users.
-var siteBound = Bound{Rate: 36, Over: 1.5, Slack: 5}
+// siteLimit is the bound of a model server of the first users.
+var siteLimit = Limit{Rate: 36, MaxRatio: 1.5, Slack: 5}
 
-// bounds are of sites that differ in what they allow beyond the rate.
-var bounds = []Bound{siteBound, {Rate: 20, Over: 1.5, Slack: 5}, {Rate: 10, Over: 1.5, Slack: 50}}
+// limits are of sites that differ in what they allow beyond the rate.
+var limits = []Limit{siteLimit, {Rate: 20, MaxRatio: 1.5, Slack: 5}, {Rate: 10, MaxRatio: 1.5, Slack: 50}}
 
-func (b Bound) most() float64 { return b.Rate*b.Over + b.Slack }
+func (l Limit) maxPerSecond() float64 { return l.Rate*l.MaxRatio + l.Slack }
 
-// world is a number of entries that press for one server with all they may.
-type world struct {
-	bound  Bound
+// simulation is a number of entries that press for one server with all they may.
+type simulation struct {
+	limit  Limit
 	shares []*Share
-	// asleep are the entries that stand still.
-	asleep map[int]bool
-	// pressFrom is when callers come; until then the entries only look.
-	pressFrom time.Duration
-	sent      []time.Duration
-	rng       *rand.Rand
+	// stalled are the entries that stand still.
+	stalled map[int]bool
+	// callersFrom is when callers come; until then the entries only look.
+	callersFrom time.Duration
+	sent        []time.Duration
+	rng         *rand.Rand
 }
 
-func newWorld(b Bound, entries int) *world {
-	w := &world{bound: b, asleep: map[int]bool{}, rng: rand.New(rand.NewPCG(1, uint64(entries)))}
+func newSimulation(l Limit, entries int) *simulation {
+	w := &simulation{limit: l, stalled: map[int]bool{}, rng: rand.New(rand.NewPCG(1, uint64(entries)))}
 	for range entries {
-		w.shares = append(w.shares, NewShare(b, entries, w.rng.Float64(), 0))
+		w.shares = append(w.shares, NewShare(l, entries, w.rng.Float64(), 0))
 	}
 	return w
 }
 
-func (w *world) run(from, to time.Duration, at func(now time.Duration)) {
+func (w *simulation) run(from, to time.Duration, at func(now time.Duration)) {
 	for now := from; now < to; now += 2 * msec {
 		at(now)
 		for i, s := range w.shares {
-			if w.asleep[i] {
+			if w.stalled[i] {
 				continue
 			}
-			s.Look(now)
-			for now >= w.pressFrom && s.Allow(now) {
+			s.Tick(now)
+			for now >= w.callersFrom && s.Allow(now) {
 				w.sent = append(w.sent, now)
 			}
 		}
 	}
 }
 
-// busiest is the most that was sent in any one second.
-func (w *world) busiest() int {
+// maxInOneSecond is the most that was sent in any one second.
+func (w *simulation) maxInOneSecond() int {
 	most, first := 0, 0
 	for last := range w.sent {
 		for w.sent[last]-w.sent[first] >= time.Second {
@@ -69,58 +69,58 @@
 // when all entries are killed and started again and again, when one more comes of which the
 // others hear late, and when one sleeps for so long that the others share its part. Callers
 // press all the time, or come in the moment after which all shares were saved up.
-func TestTheBoundHoldsOverAllEntries(t *testing.T) {
+func TestAllEntriesTogetherKeepTheLimit(t *testing.T) {
 	const whole = 10 * time.Second
-	events := map[string]func(w *world, now time.Duration){
-		"calm": func(*world, time.Duration) {},
-		"all are killed each 240 ms": func(w *world, now time.Duration) {
+	events := map[string]func(w *simulation, now time.Duration){
+		"calm": func(*simulation, time.Duration) {},
+		"all are killed each 240 ms": func(w *simulation, now time.Duration) {
 			if now > 0 && now%(240*msec) == 0 {
 				for i := range w.shares {
-					w.shares[i] = NewShare(w.bound, len(w.shares), w.rng.Float64(), now)
+					w.shares[i] = NewShare(w.limit, len(w.shares), w.rng.Float64(), now)
 				}
 			}
 		},
-		"one more comes, and the others hear of it 200 ms later": func(w *world, now time.Duration) {
+		"one more comes, and the others hear of it 200 ms later": func(w *simulation, now time.Duration) {
 			n := len(w.shares)
 			switch now {
 			case 4 * time.Second:
-				w.shares = append(w.shares, NewShare(w.bound, n+1, w.rng.Float64(), now))
+				w.shares = append(w.shares, NewShare(w.limit, n+1, w.rng.Float64(), now))
 			case 4*time.Second + 200*msec:
 				for _, s := range w.shares {
-					s.Set(w.bound, n, now)
+					s.Set(w.limit, n, now)
 				}
 			}
 		},
-		"one sleeps, is no longer counted, and is heard 100 ms after it wakes": func(w *world, now time.Duration) {
+		"one sleeps, is no longer counted, and is heard 100 ms after it wakes": func(w *simulation, now time.Duration) {
 			n := len(w.shares)
 			switch now {
 			case 1 * time.Second:
-				w.asleep[0] = true
+				w.stalled[0] = true
 			case 3 * time.Second:
 				for _, s := range w.shares[1:] {
-					s.Set(w.bound, max(n-1, 1), now)
+					s.Set(w.limit, max(n-1, 1), now)
 				}
 			case 6 * time.Second:
-				w.asleep[0] = false
+				w.stalled[0] = false
 			case 6*time.Second + 100*msec:
 				for _, s := range w.shares[1:] {
-					s.Set(w.bound, n, now)
+					s.Set(w.limit, n, now)
 				}
 			}
 		},
 	}
-	for name, event := range events {
-		for _, b := range bounds {
+	for name, step := range events {
+		for _, l := range limits {
 			for _, entries := range []int{1, 2, 3, 4, 5, 8, 12} {
 				for _, from := range []time.Duration{0, 4 * time.Second, 6 * time.Second} {
-					t.Run(fmt.Sprintf("%s, %d entries, rate %v, callers from %v on", name, entries, b.Rate, from), func(t *testing.T) {
-						w := newWorld(b, entries)
-						w.pressFrom = from
-						w.run(0, whole, func(now time.Duration) { event(w, now) })
-						if n := w.busiest(); float64(n) > b.most() {
-							t.Errorf("%d requests within a second, %v at most", n, b.most())
+					t.Run(fmt.Sprintf("%s, %d entries, rate %v, callers from %v on", name, entries, l.Rate, from), func(t *testing.T) {
+						w := newSimulation(l, entries)
+						w.callersFrom = from
+						w.run(0, whole, func(now time.Duration) { step(w, now) })
+						if n := w.maxInOneSecond(); float64(n) > l.maxPerSecond() {
+							t.Errorf("%d requests within a second, %v at most", n, l.maxPerSecond())
 						}
-						if least := 0.7 * b.Rate * (whole - from).Seconds(); float64(len(w.sent)) < least && name == "calm" {
+						if least := 0.7 * l.Rate * (whole - from).Seconds(); float64(len(w.sent)) < least && name == "calm" {
 							t.Errorf("only %d requests in all, %v at least", len(w.sent), least)
 						}
 					})
@@ -131,18 +131,18 @@
 }
 
 // A bound that an operator lowers, and one that is raised, hold from the next request on.
-func TestTheBoundChanges(t *testing.T) {
-	w := newWorld(siteBound, 4)
-	low := Bound{Rate: 8, Over: 1, Slack: 0}
+func TestAChangedLimitHoldsFromTheNextRequest(t *testing.T) {
+	w := newSimulation(siteLimit, 4)
+	lowered := Limit{Rate: 8, MaxRatio: 1, Slack: 0}
 	w.run(0, 3*time.Second, func(time.Duration) {})
 	for _, s := range w.shares {
-		s.Set(low, 4, 3*time.Second)
+		s.Set(lowered, 4, 3*time.Second)
 	}
 	w.sent = nil
 	w.run(3*time.Second, 8*time.Second, func(time.Duration) {})
 	// One request of each entry goes out at once, whatever is spared.
-	if n := w.busiest(); float64(n) > low.most()+4 {
-		t.Errorf("%d requests within a second, %v at most", n, low.most()+4)
+	if n := w.maxInOneSecond(); float64(n) > lowered.maxPerSecond()+4 {
+		t.Errorf("%d requests within a second, %v at most", n, lowered.maxPerSecond()+4)
 	}
 }
 
@@ -150,18 +150,18 @@
 // server that gets all of their callers bears it; and with many idle servers an entry finds one
 // for the few requests that wait there long before their callers leave.
 func TestManyEntriesStartAtOnce(t *testing.T) {
-	bound := Bound{Rate: 23, Over: 1.5, Slack: 5}
+	limit := Limit{Rate: 23, MaxRatio: 1.5, Slack: 5}
 	const entries, servers = 45, 72
-	w := newWorld(bound, entries)
+	w := newSimulation(limit, entries)
 	w.run(0, 2*time.Second+950*msec, func(time.Duration) {})
-	if n := w.busiest(); float64(n) > bound.most() {
-		t.Errorf("%d requests within a second, %v at most", n, bound.most())
+	if n := w.maxInOneSecond(); float64(n) > limit.maxPerSecond() {
+		t.Errorf("%d requests within a second, %v at most", n, limit.maxPerSecond())
 	}
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range entries {
 		var shares []*Share
 		for range servers {
-			shares = append(shares, NewShare(bound, entries, rng.Float64(), 0))
+			shares = append(shares, NewShare(limit, entries, rng.Float64(), 0))
 		}
 		waiting, now := 5, time.Duration(0)
 		for ; waiting > 0 && now < 3*time.Second; now += 20 * msec {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -187,7 +187,7 @@
 		s.arrivals = nil
 		return
 	}
-	bound := arrivals.Bound{Rate: s.service.ColdRate, Over: f.bounds.coldOver, Slack: f.bounds.coldSlack}
+	bound := arrivals.Limit{Rate: s.service.ColdRate, MaxRatio: f.bounds.coldOver, Slack: f.bounds.coldSlack}
 	if s.arrivals == nil {
 		s.arrivals = arrivals.NewShare(bound, f.mayLive, f.rng.Float64(), now)
 		return
@@ -249,7 +249,7 @@
 	}
 	for id, s := range f.servers {
 		if s.arrivals != nil {
-			s.arrivals.Look(now)
+			s.arrivals.Tick(now)
 		}
 		f.table.Report(id, now, place.Report{
 			Limit: s.limit(), FullLimit: s.Concurrency, Running: s.own + s.others, WorkTime: s.work,
