--- a/decide/eject/eject_test.go
+++ b/decide/eject/eject_test.go
@@ -13,9 +13,9 @@
 	j := New(Config{})
 	sent := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * msec {
-		if !j.Out("a", now) {
+		if !j.Ejected("a", now) {
 			sent++
-			j.Failed("a", now)
+			j.RecordFailure("a", now)
 		}
 	}
 	if sent > 10 {
@@ -24,15 +24,15 @@
 }
 
 // A server fails one request in five for reasons of the requests, and stays.
-func TestFailuresOfSingleRequests(t *testing.T) {
+func TestSingleFailuresEjectNoServer(t *testing.T) {
 	j := New(Config{})
 	for i := range 100 {
 		if i%5 == 0 {
-			j.Failed("a", time.Duration(i))
+			j.RecordFailure("a", time.Duration(i))
 		} else {
-			j.Served("a")
+			j.RecordSuccess("a")
 		}
-		if j.Out("a", time.Duration(i)) {
+		if j.Ejected("a", time.Duration(i)) {
 			t.Fatalf("out after request %d", i)
 		}
 	}
@@ -40,18 +40,18 @@
 
 // Ten requests are on their way to a server that dies. Their failures are one event, and
 // the server is tried again after the first, short time.
-func TestFailuresAtOnceCountOnce(t *testing.T) {
+func TestSimultaneousFailuresEjectOnce(t *testing.T) {
 	j := New(Config{})
 	for i := range 10 {
-		if out := j.Unreachable("a", 0); (out > 0) != (i == 0) {
+		if out := j.RecordUnreachable("a", 0); (out > 0) != (i == 0) {
 			t.Errorf("failure %d: out for %v by it", i+1, out)
 		}
 	}
-	if !j.Out("a", 499*msec) || j.Out("a", 500*msec) {
+	if !j.Ejected("a", 499*msec) || j.Ejected("a", 500*msec) {
 		t.Error("not out for 500 ms")
 	}
-	j.Served("a")
-	if j.Out("a", 0) {
+	j.RecordSuccess("a")
+	if j.Ejected("a", 0) {
 		t.Error("out after it served")
 	}
 }
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -61,7 +61,7 @@
 	for id, s := range f.servers {
 		servers = append(servers, serverDump{
 			ID: id, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain,
-			Draining: s.Draining, Ejected: f.judge.Out(id, now), Own: s.own, Others: s.others, WorkMs: s.work.Milliseconds(),
+			Draining: s.Draining, Ejected: f.judge.Ejected(id, now), Own: s.own, Others: s.others, WorkMs: s.work.Milliseconds(),
 		})
 	}
 	slices.SortFunc(servers, func(a, b serverDump) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/gateway/fate.go
+++ b/internal/gateway/fate.go
@@ -37,15 +37,15 @@
 	s.own = max(s.own-1, 0)
 	switch what {
 	case fateServed:
-		f.judge.Served(id)
+		f.judge.RecordSuccess(id)
 		if s.work == 0 {
 			s.work = took
 		}
 		s.work += (took - s.work) / workWeight
 	case fateFailed:
-		f.ejected(s, "it fails requests", f.judge.Failed(id, now))
+		f.ejected(s, "it fails requests", f.judge.RecordFailure(id, now))
 	case fateUnreachable:
-		f.ejected(s, "it cannot be reached", f.judge.Unreachable(id, now))
+		f.ejected(s, "it cannot be reached", f.judge.RecordUnreachable(id, now))
 	case fateRefused, fateUnknown:
 	}
 	f.table.Ended(id, now, place.Outcome{
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -278,7 +278,7 @@
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
 	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	f.judge.Unreachable("i-0", 0)
+	f.judge.RecordUnreachable("i-0", 0)
 	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
 	if id, code := f.pickFor(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
