--- a/decide/internal/heap/heap.go
+++ b/decide/internal/heap/heap.go
@@ -33,8 +33,8 @@
 	last := len(h.elements) - 1
 	h.swap(index, last)
 	h.Moved(h.elements[last], -1)
-	var none T
-	h.elements[last] = none
+	var zero T
+	h.elements[last] = zero
 	h.elements = h.elements[:last]
 	if index < last {
 		h.Fix(index)
