--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -289,7 +289,7 @@
 
 func (e *entry) loseDomain(domain string) {
 	if e.shift != nil {
-		e.shift.Lose(e.run.clock.now, domain)
+		e.shift.Drop(e.run.clock.now, domain)
 	}
 	var lost []*attempt
 	for _, t := range e.open {
--- a/decide/shift/shift_test.go
+++ b/decide/shift/shift_test.go
@@ -22,7 +22,7 @@
 
 func TestReturnRampsAndNeverSteps(t *testing.T) {
 	s := New(Config{})
-	s.Lose(0, "a")
+	s.Drop(0, "a")
 	s.Return(time.Second, "a")
 	last := s.Weight(time.Second, "a")
 	if last != 0.05 {
@@ -44,7 +44,7 @@
 // goes on from where it stood.
 func TestLeaveDuringReturn(t *testing.T) {
 	s := New(Config{})
-	s.Lose(0, "a")
+	s.Drop(0, "a")
 	s.Return(0, "a")
 	before := s.Weight(5*time.Second, "a")
 	s.Leave(5*time.Second, "a")
@@ -60,7 +60,7 @@
 	s := New(Config{})
 	domains := []string{"a", "b", "c", "d"}
 	for _, d := range domains {
-		s.Lose(0, d)
+		s.Drop(0, d)
 	}
 	for _, d := range domains {
 		s.Return(0, d)
