--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -71,7 +71,7 @@
 
 // take runs an attempt, lets it wait, or refuses it.
 func (a *agent) take(t *attempt) {
-	item := queue.Item{ID: t.id, Deadline: t.deadline, Need: a.limit.WorkTime()}
+	item := queue.Item{ID: t.id, Deadline: t.deadline, WorkTime: a.limit.WorkTime()}
 	if a.shares {
 		item.Share, item.Weight = t.customer, t.weight
 	}
@@ -138,7 +138,7 @@
 // next starts what waits, once there is room.
 func (a *agent) next() {
 	now := a.clock.now
-	for _, item := range a.queue.Expired(now) {
+	for _, item := range a.queue.RemoveExpired(now) {
 		t := a.waiting[item.ID]
 		delete(a.waiting, item.ID)
 		t.refused(api.ResultCode_DEADLINE_UNREACHABLE)
--- a/decide/queue/queue.go
+++ b/decide/queue/queue.go
@@ -26,19 +26,19 @@
 	Priority int
 	// Deadline is when the answer must be whole.
 	Deadline time.Duration
-	// Need is the expected time of the work. The request is given up when less
-	// than Need and a margin is left before Deadline.
-	Need time.Duration
+	// WorkTime is the expected time of the work. The request is given up when less
+	// than WorkTime and a margin is left before Deadline.
+	WorkTime time.Duration
 }
 
-// margin is the ratio of the time left to the expected time of the work below which
+// startMargin is the ratio of the time left to the expected time of the work below which
 // a request is given up: of requests begun with just the expected time left half
 // would be late, and their work thrown away.
-const margin = 1.3
+const startMargin = 1.3
 
 // latestStart is when the request must begin at the latest.
 func (i Item) latestStart() time.Duration {
-	return i.Deadline - time.Duration(margin*float64(i.Need))
+	return i.Deadline - time.Duration(startMargin*float64(i.WorkTime))
 }
 
 // Queue is a bounded queue with shares.
@@ -48,23 +48,23 @@
 	shares   map[string]*share
 	ready    heap.Heap[*share]
 	expiry   heap.Heap[*node]
-	// clock is the virtual time of the share served last.
-	clock float64
+	// virtualClock is the virtual time of the share served last.
+	virtualClock float64
 }
 
 // share is the waiting work of one share.
 type share struct {
 	name    string
 	waiting heap.Heap[*node]
-	// virtual is the service received, in requests by weight.
-	virtual float64
-	index   int
+	// virtualTime is the service received, in requests by weight.
+	virtualTime float64
+	index       int
 }
 
 type node struct {
 	item Item
-	// byDeadline and byExpiry are the positions in the two heaps.
-	byDeadline, byExpiry int
+	// deadlineIndex and expiryIndex are the positions in the two heaps.
+	deadlineIndex, expiryIndex int
 }
 
 // New returns a queue for at most capacity requests.
@@ -76,8 +76,8 @@
 		capacity: capacity,
 		items:    make(map[uint64]*node),
 		shares:   make(map[string]*share),
-		ready:    heap.Heap[*share]{Less: lessServed, Moved: func(s *share, i int) { s.index = i }},
-		expiry:   heap.Heap[*node]{Less: lessStart, Moved: func(n *node, i int) { n.byExpiry = i }},
+		ready:    heap.Heap[*share]{Less: lessVirtualTime, Moved: func(s *share, i int) { s.index = i }},
+		expiry:   heap.Heap[*node]{Less: lessLatestStart, Moved: func(n *node, i int) { n.expiryIndex = i }},
 	}
 }
 
@@ -90,7 +90,7 @@
 	if len(q.items) >= q.capacity || now > item.latestStart() {
 		return false
 	}
-	if _, waits := q.items[item.ID]; waits {
+	if _, exists := q.items[item.ID]; exists {
 		return false
 	}
 	n := &node{item: item}
@@ -100,7 +100,7 @@
 	s.waiting.Push(n)
 	if s.waiting.Len() == 1 {
 		// A share that was idle saves up no claim on the time it did not use.
-		s.virtual = max(s.virtual, q.clock)
+		s.virtualTime = max(s.virtualTime, q.virtualClock)
 		q.ready.Push(s)
 	}
 	return true
@@ -120,37 +120,37 @@
 	if _, waits := q.items[item.ID]; waits {
 		return Item{}, false
 	}
-	ahead := q.lastTurn(item.Share, weightOf(item), 1)
+	latest := q.lastFinishTime(item.Share, weightOf(item), 1)
 	var victim *share
 	for _, s := range q.ready.All() {
-		turn := q.lastTurn(s.name, weightOf(s.waiting.Top().item), 0)
-		if turn > ahead {
-			ahead, victim = turn, s
+		finish := q.lastFinishTime(s.name, weightOf(s.waiting.Top().item), 0)
+		if finish > latest {
+			latest, victim = finish, s
 		}
 	}
 	if victim == nil {
 		return Item{}, false
 	}
-	out := victim.last()
-	q.remove(out)
-	return out.item, q.Push(now, item)
+	displaced := victim.lastToServe()
+	q.remove(displaced)
+	return displaced.item, q.Push(now, item)
 }
 
-// lastTurn is the virtual time at which the last of a share's requests is served,
+// lastFinishTime is the virtual time at which the last of a share's requests is served,
 // with some more of them.
-func (q *Queue) lastTurn(name string, weight float64, more int) float64 {
+func (q *Queue) lastFinishTime(name string, weight float64, extra int) float64 {
 	s, ok := q.shares[name]
 	if !ok {
-		return q.clock + float64(more)/weight
+		return q.virtualClock + float64(extra)/weight
 	}
-	return max(s.virtual, q.clock) + float64(s.waiting.Len()+more)/weight
+	return max(s.virtualTime, q.virtualClock) + float64(s.waiting.Len()+extra)/weight
 }
 
-// last is the waiting request of a share that would be served last.
-func (s *share) last() *node {
+// lastToServe is the waiting request of a share that would be served lastToServe.
+func (s *share) lastToServe() *node {
 	last := s.waiting.Top()
 	for _, n := range s.waiting.All() {
-		if lessDeadline(last, n) {
+		if lessPriorityThenDeadline(last, n) {
 			last = n
 		}
 	}
@@ -171,25 +171,25 @@
 	}
 	s := q.ready.Top()
 	n := s.waiting.Top()
-	q.clock = s.virtual
-	s.virtual += 1 / weightOf(n.item)
+	q.virtualClock = s.virtualTime
+	s.virtualTime += 1 / weightOf(n.item)
 	q.ready.Fix(s.index)
 	q.remove(n)
 	return n.item, true
 }
 
-// Expired takes out every request that can't end before its deadline any more.
-func (q *Queue) Expired(now time.Duration) []Item {
-	var out []Item
+// RemoveExpired takes out every request that can't end before its deadline any more.
+func (q *Queue) RemoveExpired(now time.Duration) []Item {
+	var expired []Item
 	for q.expiry.Len() > 0 {
 		n := q.expiry.Top()
 		if n.item.latestStart() >= now {
 			break
 		}
-		out = append(out, n.item)
+		expired = append(expired, n.item)
 		q.remove(n)
 	}
-	return out
+	return expired
 }
 
 // Remove takes out one request, such as one whose caller has gone.
@@ -214,7 +214,7 @@
 	s, ok := q.shares[name]
 	if !ok {
 		s = &share{name: name, index: -1}
-		s.waiting = heap.Heap[*node]{Less: lessDeadline, Moved: func(n *node, i int) { n.byDeadline = i }}
+		s.waiting = heap.Heap[*node]{Less: lessPriorityThenDeadline, Moved: func(n *node, i int) { n.deadlineIndex = i }}
 		q.shares[name] = s
 	}
 	return s
@@ -222,29 +222,29 @@
 
 func (q *Queue) remove(n *node) {
 	delete(q.items, n.item.ID)
-	q.expiry.Remove(n.byExpiry)
+	q.expiry.Remove(n.expiryIndex)
 	s := q.shares[n.item.Share]
-	s.waiting.Remove(n.byDeadline)
+	s.waiting.Remove(n.deadlineIndex)
 	if s.waiting.Len() > 0 {
 		return
 	}
 	q.ready.Remove(s.index)
-	q.forget(s)
+	q.dropIdle(s)
 }
 
-// forget drops a share with nothing waiting once its virtual time has passed, so
+// dropIdle drops a share with nothing waiting once its virtual time has passed, so
 // that memory follows the customers who wait, not all who ever came.
-func (q *Queue) forget(s *share) {
-	if s.virtual <= q.clock || q.ready.Len() == 0 {
+func (q *Queue) dropIdle(s *share) {
+	if s.virtualTime <= q.virtualClock || q.ready.Len() == 0 {
 		delete(q.shares, s.name)
 	}
 }
 
-func lessServed(a, b *share) bool { return a.virtual < b.virtual }
+func lessVirtualTime(a, b *share) bool { return a.virtualTime < b.virtualTime }
 
-func lessStart(a, b *node) bool { return a.item.latestStart() < b.item.latestStart() }
+func lessLatestStart(a, b *node) bool { return a.item.latestStart() < b.item.latestStart() }
 
-func lessDeadline(a, b *node) bool {
+func lessPriorityThenDeadline(a, b *node) bool {
 	if a.item.Priority != b.item.Priority {
 		return a.item.Priority > b.item.Priority
 	}
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -43,22 +43,22 @@
 	}
 }
 
-func TestExpiredComeOutAtOnce(t *testing.T) {
+func TestExpiredRequestsAreRemovedAtOnce(t *testing.T) {
 	q := New(8)
-	q.Push(0, Item{ID: 1, Share: "a", Deadline: 10 * time.Second, Need: 2 * time.Second})
+	q.Push(0, Item{ID: 1, Share: "a", Deadline: 10 * time.Second, WorkTime: 2 * time.Second})
 	at, ok := q.NextExpiry()
-	if !ok || len(q.Expired(at-1)) != 0 {
+	if !ok || len(q.RemoveExpired(at-1)) != 0 {
 		t.Fatal("expired too soon")
 	}
-	if out := q.Expired(at); len(out) != 1 || at > 8*time.Second+1 {
+	if out := q.RemoveExpired(at); len(out) != 1 || at > 8*time.Second+1 {
 		t.Fatalf("%v at %v", out, at)
 	}
-	if q.Push(9*time.Second, Item{ID: 2, Deadline: 10 * time.Second, Need: 2 * time.Second}) {
+	if q.Push(9*time.Second, Item{ID: 2, Deadline: 10 * time.Second, WorkTime: 2 * time.Second}) {
 		t.Fatal("took a request that can't end in time")
 	}
 }
 
-func TestDisplaceGivesUpTheFurthestAhead(t *testing.T) {
+func TestDisplaceRemovesTheLastOfTheLargestBacklog(t *testing.T) {
 	q := New(4)
 	for id := range uint64(3) {
 		q.Push(0, Item{ID: id, Share: "hog", Weight: 1, Deadline: time.Hour + time.Duration(id)})
@@ -78,13 +78,13 @@
 func TestNothingIsLostOrDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(6)
-		in := map[uint64]bool{}
+		queued := map[uint64]bool{}
 		var now time.Duration
-		out := func(item Item) {
-			if !in[item.ID] {
+		remove := func(item Item) {
+			if !queued[item.ID] {
 				t.Fatalf("%d came out and was not in", item.ID)
 			}
-			delete(in, item.ID)
+			delete(queued, item.ID)
 		}
 		for id := range uint64(rapid.IntRange(1, 60).Draw(t, "steps")) {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "step"))
@@ -95,31 +95,31 @@
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0, 1:
 				if q.Push(now, item) {
-					in[id] = true
+					queued[id] = true
 				} else if victim, ok := q.Displace(now, item); ok {
-					out(victim)
-					in[id] = true
+					remove(victim)
+					queued[id] = true
 				}
 			case 2:
 				if got, ok := q.Pop(); ok {
-					out(got)
+					remove(got)
 				}
 			case 3:
-				for _, got := range q.Expired(now) {
-					out(got)
+				for _, got := range q.RemoveExpired(now) {
+					remove(got)
 				}
 			case 4:
 				if got, ok := q.Remove(rapid.Uint64Range(0, id).Draw(t, "remove")); ok {
-					out(got)
+					remove(got)
 				}
 			}
-			if q.Len() != len(in) || q.Len() > 6 {
-				t.Fatalf("%d in the queue, %d expected", q.Len(), len(in))
+			if q.Len() != len(queued) || q.Len() > 6 {
+				t.Fatalf("%d in the queue, %d expected", q.Len(), len(queued))
 			}
 		}
 		for q.Len() > 0 {
 			got, _ := q.Pop()
-			out(got)
+			remove(got)
 		}
 		if len(q.shares) > 3 || q.ready.Len() != 0 || q.expiry.Len() != 0 {
 			t.Fatalf("left behind: %d shares", len(q.shares))
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -239,12 +239,12 @@
 		Weight:   j.work.GetWeight(),
 		Priority: int(j.work.GetPriority()),
 		Deadline: j.deadline,
-		Need:     e.limiter.WorkTime(),
+		WorkTime: e.limiter.WorkTime(),
 	}
 	// A queue before a cold backend server whose work time nobody knows may outlast
 	// any deadline; the work is refused at once, and another server may be warm. Work
 	// with a ticket has no other server to go to.
-	unknown := j.repeatable() && item.Need == 0 && e.limiter.Cold()
+	unknown := j.repeatable() && item.WorkTime == 0 && e.limiter.Cold()
 	if !unknown && e.push(now, item, j) {
 		return nil
 	}
@@ -304,7 +304,7 @@
 	defer e.mu.Unlock()
 	e.limiter.Tick(now)
 	e.noteReturn(refusing)
-	for _, item := range e.queue.Expired(now) {
+	for _, item := range e.queue.RemoveExpired(now) {
 		e.refuseWaiting(item.ID, notRun(api.ResultCode_DEADLINE_UNREACHABLE, "The work could not end before its deadline.", e.limiter.RetryAfter(now)))
 	}
 	for e.queue.Len() > 0 && refusing != api.ResultCode_OK {
