--- a/decide/silence/silence_test.go
+++ b/decide/silence/silence_test.go
@@ -12,43 +12,43 @@
 	service = "drafts"
 )
 
-// roomy are engines with room for all that is moved.
-var roomy = silence.Service{Name: service, LockStep: true, Free: 60, Capacity: 96, Entries: 6}
+// withFreeSlots are engines with room for all that is moved.
+var withFreeSlots = silence.Service{Name: service, LockStep: true, FreeSlots: 60, Slots: 96, Entries: 6}
 
 // begun is a stream whose last event came at a moment, and whose caller accepts pauses of 120 ms.
-func begun(at time.Duration) silence.Wait {
-	return silence.Wait{Begun: true, Pause: 120 * ms, Since: at}
+func begun(at time.Duration) silence.Progress {
+	return silence.Progress{HasBegun: true, MaxPause: 120 * ms, Since: at}
 }
 
-// silentVM returns a watch on two servers, of which e-0 has gone silent and e-1 was heard at a
+// detectorWithSilentVM returns a watch on two servers, of which e-0 has gone silent and e-1 was heard at a
 // moment.
-func silentVM(t *testing.T, heard time.Duration) *silence.Watch {
+func detectorWithSilentVM(t *testing.T, lastHeard time.Duration) *silence.Detector {
 	t.Helper()
 	w := silence.New(silence.Config{})
 	w.Heard("e-0", service, 1*ms)
-	w.Heard("e-1", service, heard)
-	if !w.Ask("e-0", heard) {
+	w.Heard("e-1", service, lastHeard)
+	if !w.StartProbe("e-0", lastHeard) {
 		t.Fatal("a VM that was never asked is not asked")
 	}
-	if became, again := w.Unanswered("e-0"); !became || !again {
+	if became, again := w.ProbeFailed("e-0"); !became || !again {
 		t.Fatalf("the VM became silent: %v, is asked again: %v", became, again)
 	}
 	return w
 }
 
-func TestPatienceFollowsTheRoute(t *testing.T) {
+func TestProbeDelayFollowsTheRoute(t *testing.T) {
 	w := silence.New(silence.Config{})
 	for _, c := range []struct {
 		name string
-		wait silence.Wait
+		wait silence.Progress
 		want time.Duration
 	}{
-		{"nothing has come", silence.Wait{Aim: 500 * ms, Pause: 120 * ms}, 300 * ms},
-		{"nothing has come, no aim", silence.Wait{}, 300 * ms},
-		{"an event has come", silence.Wait{Begun: true, Aim: 500 * ms, Pause: 120 * ms}, 120 * ms},
-		{"an event has come, no pause", silence.Wait{Begun: true, Aim: 500 * ms}, 150 * ms},
+		{"nothing has come", silence.Progress{Objective: 500 * ms, MaxPause: 120 * ms}, 300 * ms},
+		{"nothing has come, no aim", silence.Progress{}, 300 * ms},
+		{"an event has come", silence.Progress{HasBegun: true, Objective: 500 * ms, MaxPause: 120 * ms}, 120 * ms},
+		{"an event has come, no pause", silence.Progress{HasBegun: true, Objective: 500 * ms}, 150 * ms},
 	} {
-		if got := w.Patience(c.wait); got != c.want {
+		if got := w.ProbeDelay(c.wait); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -56,11 +56,11 @@
 
 // A VM stands still with a request in it: its caller waits until it leaves.
 func TestARequestLeavesASilentVM(t *testing.T) {
-	w := silentVM(t, 1000*ms)
-	if w.Moves("e-0", roomy, begun(800*ms), 1000*ms) != silence.SilentVM {
+	w := detectorWithSilentVM(t, 1000*ms)
+	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1000*ms) != silence.SilentVM {
 		t.Error("it stays")
 	}
-	if w.Moves("e-0", roomy, begun(950*ms), 1000*ms) != silence.Stays {
+	if w.MoveReason("e-0", withFreeSlots, begun(950*ms), 1000*ms) != silence.NotMoved {
 		t.Error("one whose last event came just now is moved")
 	}
 }
@@ -70,15 +70,15 @@
 func TestASlowServerKeepsItsRequests(t *testing.T) {
 	w := silence.New(silence.Config{})
 	w.Heard("e-1", service, 1000*ms)
-	w.Ask("e-0", 900*ms)
-	w.Answered("e-0", 910*ms)
-	if w.Moves("e-0", roomy, begun(500*ms), 1000*ms) != silence.Stays {
+	w.StartProbe("e-0", 900*ms)
+	w.ProbeAnswered("e-0", 910*ms)
+	if w.MoveReason("e-0", withFreeSlots, begun(500*ms), 1000*ms) != silence.NotMoved {
 		t.Error("it is moved from a VM that answers")
 	}
-	if w.Ask("e-0", 1000*ms) {
+	if w.StartProbe("e-0", 1000*ms) {
 		t.Error("the VM is asked again at once")
 	}
-	if !w.Ask("e-0", 1200*ms) {
+	if !w.StartProbe("e-0", 1200*ms) {
 		t.Error("the VM is not asked again")
 	}
 }
@@ -86,73 +86,73 @@
 // A group of engines stands still as a whole, as while it forms. Requests that are moved spend
 // their attempts, and are refused when it is back.
 func TestRequestsStayWhileNoServerServes(t *testing.T) {
-	w := silentVM(t, 1000*ms)
-	if w.Moves("e-0", roomy, begun(800*ms), 1300*ms) != silence.Stays {
+	w := detectorWithSilentVM(t, 1000*ms)
+	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1300*ms) != silence.NotMoved {
 		t.Error("it is moved to a service of which nothing is heard")
 	}
 	w.Heard("e-1", "another", 1300*ms)
-	if w.Moves("e-0", roomy, begun(800*ms), 1300*ms) != silence.Stays {
+	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1300*ms) != silence.NotMoved {
 		t.Error("it is moved since another service serves")
 	}
 }
 
 // Six entries each have four requests at VMs that go silent. All at once they fill the other
 // servers' queues, and every caller is late.
-func TestRequestsMoveWhileThereIsRoom(t *testing.T) {
-	w := silentVM(t, 1000*ms)
-	tight := roomy
-	tight.Free = 14
-	if w.Moves("e-0", tight, begun(800*ms), 1000*ms) != silence.Stays {
+func TestRequestsMoveWhileSlotsAreFree(t *testing.T) {
+	w := detectorWithSilentVM(t, 1000*ms)
+	almostFull := withFreeSlots
+	almostFull.FreeSlots = 14
+	if w.MoveReason("e-0", almostFull, begun(800*ms), 1000*ms) != silence.NotMoved {
 		t.Error("it takes the room that is left to new requests")
 	}
-	tight.Free++
-	if w.Moves("e-0", tight, begun(800*ms), 1000*ms) != silence.SilentVM {
+	almostFull.FreeSlots++
+	if w.MoveReason("e-0", almostFull, begun(800*ms), 1000*ms) != silence.SilentVM {
 		t.Error("it stays though there is room")
 	}
-	w.Moved(1000 * ms)
-	if w.Moves("e-0", roomy, begun(800*ms), 1020*ms) != silence.Stays {
+	w.RecordMove(1000 * ms)
+	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1020*ms) != silence.NotMoved {
 		t.Error("another one follows before others can hear of the first")
 	}
-	if w.Moves("e-0", roomy, begun(800*ms), 1060*ms) != silence.SilentVM {
+	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1060*ms) != silence.SilentVM {
 		t.Error("no other one follows")
 	}
 }
 
 // A server, or the connection to it, hangs while its VM answers. Its caller waits until it leaves.
 func TestARequestLeavesAServerThatHangs(t *testing.T) {
-	plain := silence.Service{Name: "app", Free: 12, Capacity: 18, Entries: 6}
-	look := silence.Wait{Aim: 300 * ms, Since: 1000 * ms}
+	independent := silence.Service{Name: "app", FreeSlots: 12, Slots: 18, Entries: 6}
+	lookUp := silence.Progress{Objective: 300 * ms, Since: 1000 * ms}
 	for _, c := range []struct {
 		name    string
 		service silence.Service
-		wait    silence.Wait
+		wait    silence.Progress
 		at      time.Duration
 		want    silence.Reason
 	}{
-		{"a look-up", plain, look, 1590 * ms, silence.Stays},
-		{"a look-up, at twice its aim", plain, look, 1600 * ms, silence.Stuck},
-		{"a look-up without an aim", plain, silence.Wait{Since: 1000 * ms}, 2000 * ms, silence.Stuck},
-		{"a stream", roomy, begun(1000 * ms), 1590 * ms, silence.Stays},
-		{"a stream, at five pauses", roomy, begun(1000 * ms), 1600 * ms, silence.Stuck},
-		{"a stream of a group that stands still", roomy, begun(1000 * ms), 1900 * ms, silence.Stays},
+		{"a look-up", independent, lookUp, 1590 * ms, silence.NotMoved},
+		{"a look-up, at twice its aim", independent, lookUp, 1600 * ms, silence.Stuck},
+		{"a look-up without an aim", independent, silence.Progress{Since: 1000 * ms}, 2000 * ms, silence.Stuck},
+		{"a stream", withFreeSlots, begun(1000 * ms), 1590 * ms, silence.NotMoved},
+		{"a stream, at five pauses", withFreeSlots, begun(1000 * ms), 1600 * ms, silence.Stuck},
+		{"a stream of a group that stands still", withFreeSlots, begun(1000 * ms), 1900 * ms, silence.NotMoved},
 	} {
 		w := silence.New(silence.Config{})
 		w.Heard("e-1", service, 1600*ms)
-		if got := w.Moves("e-0", c.service, c.wait, c.at); got != c.want {
+		if got := w.MoveReason("e-0", c.service, c.wait, c.at); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestAVMThatAnswersIsNoLongerSilent(t *testing.T) {
-	w := silentVM(t, 1000*ms)
-	if became, again := w.Unanswered("e-0"); became || !again {
+	w := detectorWithSilentVM(t, 1000*ms)
+	if became, again := w.ProbeFailed("e-0"); became || !again {
 		t.Errorf("silent for the second time: new %v, asked again %v", became, again)
 	}
-	if !w.Answered("e-0", 2000*ms) || w.Silent("e-0") {
+	if !w.ProbeAnswered("e-0", 2000*ms) || w.IsSilent("e-0") {
 		t.Error("it counts as silent")
 	}
-	if w.Answered("e-0", 2100*ms) {
+	if w.ProbeAnswered("e-0", 2100*ms) {
 		t.Error("it is back twice")
 	}
 }
@@ -160,12 +160,12 @@
 // The registration of a silent VM lapses, and it registers again later. Left as silent by the
 // question under way meanwhile, it would get no work for good.
 func TestAForgottenVMIsNotSilentForGood(t *testing.T) {
-	w := silentVM(t, 1000*ms)
-	w.Keep(func(id string) bool { return id != "e-0" })
-	if became, again := w.Unanswered("e-0"); became || again {
+	w := detectorWithSilentVM(t, 1000*ms)
+	w.Retain(func(id string) bool { return id != "e-0" })
+	if became, again := w.ProbeFailed("e-0"); became || again {
 		t.Errorf("the forgotten VM became silent: %v, is asked again: %v", became, again)
 	}
-	if w.Silent("e-0") || !w.Ask("e-0", 1100*ms) {
+	if w.IsSilent("e-0") || !w.StartProbe("e-0", 1100*ms) {
 		t.Error("it counts as silent, or is not asked")
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -48,7 +48,7 @@
 	rng     *rand.Rand
 	table   *place.Table
 	judge   *eject.Tracker
-	watch   *silence.Watch
+	watch   *silence.Detector
 	servers map[string]*server
 	budgets map[string]*place.RetryBudget
 	// entries is the number of live entries, mayLive that of those that may be at work, this
@@ -172,7 +172,7 @@
 	f.table.Set(placed)
 	known := func(id string) bool { return f.servers[id] != nil }
 	f.judge.Retain(known)
-	f.watch.Keep(known)
+	f.watch.Retain(known)
 	f.refresh(now)
 }
 
@@ -264,7 +264,7 @@
 // isOut says whether a server is left out for what it does: it fails, or its VM is silent. The
 // caller holds the lock.
 func (f *fleet) isOut(id string, now time.Duration) bool {
-	return f.judge.Ejected(id, now) || f.watch.Silent(id)
+	return f.judge.Ejected(id, now) || f.watch.IsSilent(id)
 }
 
 // need is what placing a request takes.
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -65,8 +65,8 @@
 }
 
 // wait is what the request has of its answer. The caller holds the lock.
-func (w *guard) wait() silence.Wait {
-	return silence.Wait{Begun: w.begun, Aim: w.t.route.Objective, Pause: w.t.route.Pause, Since: w.since}
+func (w *guard) wait() silence.Progress {
+	return silence.Progress{HasBegun: w.begun, Objective: w.t.route.Objective, MaxPause: w.t.route.Pause, Since: w.since}
 }
 
 // heard says that some of the answer has come.
@@ -99,7 +99,7 @@
 // not ended by this watch.
 func (w *guard) end() (*placement, silence.Reason) {
 	if w == nil {
-		return nil, silence.Stays
+		return nil, silence.NotMoved
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,10 +203,10 @@
 	return f.engines[service]
 }
 
-func (f *fleet) patience(w silence.Wait) time.Duration {
+func (f *fleet) patience(w silence.Progress) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watch.Patience(w)
+	return f.watch.ProbeDelay(w)
 }
 
 // heard says that something came from a server.
@@ -221,14 +221,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[id]
-	return s != nil && f.engines[s.Service] && f.watch.Ask(id, now)
+	return s != nil && f.engines[s.Service] && f.watch.StartProbe(id, now)
 }
 
 // alive says that the VM of a server has answered. It returns whether it had been silent.
 func (f *fleet) alive(id string, now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.watch.Answered(id, now)
+	was := f.watch.ProbeAnswered(id, now)
 	if was {
 		f.refresh(now)
 	}
@@ -240,7 +240,7 @@
 func (f *fleet) silent(id string, now time.Duration) (became, again bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	became, again = f.watch.Unanswered(id)
+	became, again = f.watch.ProbeFailed(id)
 	if became {
 		f.refresh(now)
 	}
@@ -252,21 +252,21 @@
 //
 // Load: VMs that stand still, and servers that hang, with requests in them. Harm prevented: callers
 // wait for these until they leave, and the server runs them for nobody when it is back.
-func (f *fleet) moveFrom(id string, t *task, w silence.Wait, now time.Duration) (*placement, silence.Reason) {
+func (f *fleet) moveFrom(id string, t *task, w silence.Progress, now time.Duration) (*placement, silence.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	budget := f.budget(t.service)
 	free, capacity := f.table.Spare(offer(t.service), now)
-	service := silence.Service{Name: t.service, LockStep: f.engines[t.service], Free: free, Capacity: capacity, Entries: f.entries}
-	reason := f.watch.Moves(id, service, w, now)
-	if reason == silence.Stays || !budget.Left() {
-		return nil, silence.Stays
+	service := silence.Service{Name: t.service, LockStep: f.engines[t.service], FreeSlots: free, Slots: capacity, Entries: f.entries}
+	reason := f.watch.MoveReason(id, service, w, now)
+	if reason == silence.NotMoved || !budget.Left() {
+		return nil, silence.NotMoved
 	}
 	s, code := f.pick(need{service: t.service, tried: t.tried, left: left(t.until, now)}, now)
 	if code != api.ResultCode_OK {
-		return nil, silence.Stays
+		return nil, silence.NotMoved
 	}
 	budget.Retry()
-	f.watch.Moved(now)
+	f.watch.RecordMove(now)
 	return &s, reason
 }
