--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -68,7 +68,7 @@
 	rng := random()
 	table := place.NewTable(rng, place.Config{})
 	servers := vms(n)
-	table.Set(servers)
+	table.SetServers(servers)
 	for _, s := range servers {
 		table.Report(s.VM, 0, place.Report{Limit: 32, FullLimit: 32, Running: rng.IntN(24), WorkTime: time.Second})
 	}
@@ -92,7 +92,7 @@
 	rng := random()
 	table := place.NewTable(rng, place.Config{})
 	servers := vms(n)
-	table.Set(servers)
+	table.SetServers(servers)
 	return func(i int) {
 		table.Report(servers[i%n].VM, time.Duration(i), place.Report{Limit: 32, FullLimit: 32, Running: rng.IntN(40)})
 	}
--- a/decide/loadtest/baseline.go
+++ b/decide/loadtest/baseline.go
@@ -10,14 +10,14 @@
 
 // picker is what an entry asks where to send a request.
 type picker interface {
-	Set(servers []place.Server)
+	SetServers(servers []place.Server)
 	SetDomainWeight(domain string, weight float64)
 	Report(vm string, now time.Duration, r place.Report)
-	Suspect(vm string, suspect bool)
+	SetSuspect(vm string, suspect bool)
 	Started(vm string, now time.Duration)
 	Ended(vm string, now time.Duration, o place.Outcome)
 	Pick(now time.Duration, req place.Request) (string, api.ResultCode)
-	Spare(offer string, now time.Duration) (free, capacity int)
+	Slots(offer string, now time.Duration) (free, capacity int)
 }
 
 // plain is what the baselines share: they know who is up and nothing of load.
@@ -38,7 +38,7 @@
 	}
 }
 
-func (p *plain) Set(servers []place.Server) {
+func (p *plain) SetServers(servers []place.Server) {
 	for _, s := range servers {
 		p.vms = append(p.vms, s.VM)
 		p.domains[s.VM] = s.Domain
@@ -48,10 +48,10 @@
 
 func (p *plain) SetDomainWeight(domain string, weight float64)     { p.weights[domain] = weight }
 func (p *plain) Report(string, time.Duration, place.Report)        {}
-func (p *plain) Suspect(vm string, suspect bool)                   { p.suspect[vm] = suspect }
+func (p *plain) SetSuspect(vm string, suspect bool)                { p.suspect[vm] = suspect }
 func (p *plain) Started(vm string, _ time.Duration)                { p.own[vm]++ }
 func (p *plain) Ended(vm string, _ time.Duration, _ place.Outcome) { p.own[vm]-- }
-func (p *plain) Spare(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
+func (p *plain) Slots(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
 
 // Pick is round robin, or least connections with round robin between equals.
 func (p *plain) Pick(_ time.Duration, req place.Request) (string, api.ResultCode) {
--- a/decide/loadtest/entry.go
+++ b/decide/loadtest/entry.go
@@ -27,7 +27,7 @@
 
 // offer takes one request from a caller.
 func (e *entry) offer(r *request) {
-	e.budget.First()
+	e.budget.CountRequest()
 	e.pending[r.id] = r
 	r.entry = e
 	if e.admit == nil {
@@ -48,7 +48,7 @@
 // place sends a request that may run to an agent, or lets it wait again.
 func (e *entry) place(r *request) {
 	now := e.run.clock.now
-	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, Left: r.deadline - now, Size: r.size, Guaranteed: r.guaranteed})
+	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, TimeLeft: r.deadline - now, RelativeSize: r.size, WithinShare: r.guaranteed})
 	if code != api.ResultCode_OK {
 		if e.admit == nil || !e.admit.Postpone(now, r.id) {
 			e.refuse(r, code, 0)
@@ -97,7 +97,7 @@
 			return
 		}
 		t.tried = append(t.tried, t.agent.backend.VM)
-		if code != api.ResultCode_DEADLINE_UNREACHABLE && e.budget.Retry() {
+		if code != api.ResultCode_DEADLINE_UNREACHABLE && e.budget.SpendRetry() {
 			e.place(t.request)
 			return
 		}
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -43,7 +43,7 @@
 	p.Name = "own, second version"
 	p.Limiter = func(c cold.Config, now time.Duration) limiter { return paceless{ownLimiter(c, now)} }
 	p.Admission.LastingWait = time.Hour
-	p.Placement.FullTrust = true
+	p.Placement.TrustStaleReports = true
 	p.Queue = secondQueue
 	return p
 }
@@ -213,14 +213,14 @@
 		e.table = p.Picker(rng)
 	} else {
 		cfg := p.Placement
-		cfg.FullTrust = cfg.FullTrust || r.setup.Subset > 0
+		cfg.TrustStaleReports = cfg.TrustStaleReports || r.setup.Subset > 0
 		e.table = place.NewTable(rng, cfg)
 	}
 	var servers []place.Server
 	for _, b := range r.setup.linked(i) {
 		servers = append(servers, place.Server{VM: b.VM, Domain: b.Domain, Offers: []string{offerKey}, Weight: 1})
 	}
-	e.table.Set(servers)
+	e.table.SetServers(servers)
 	if p.Admit {
 		e.admit = admit.New(p.Admission)
 		e.admit.SetPlans(r.setup.Plans, r.setup.customerShares())
@@ -300,7 +300,7 @@
 	sort.Slice(lost, func(i, j int) bool { return lost[i].id < lost[j].id })
 	for _, vm := range e.run.vms {
 		if e.run.agents[vm].backend.Domain == domain {
-			e.table.Suspect(vm, true)
+			e.table.SetSuspect(vm, true)
 		}
 	}
 	for _, t := range lost {
@@ -330,7 +330,7 @@
 		}
 		for _, vm := range r.vms {
 			if r.agents[vm].backend.Domain == domain {
-				e.table.Suspect(vm, false)
+				e.table.SetSuspect(vm, false)
 			}
 		}
 	}
--- a/decide/loadtest/subset.go
+++ b/decide/loadtest/subset.go
@@ -63,14 +63,14 @@
 	table, ok := e.table.(*place.Table)
 	if e.run.setup.Subset == 0 || !ok {
 		entries := len(e.run.entries)
-		free, capacity := e.table.Spare(offerKey, now)
+		free, capacity := e.table.Slots(offerKey, now)
 		return admit.Parts{Slots: admit.Part(e.running, free, capacity, entries), Total: capacity, Entries: entries}
 	}
 	if e.run.entriesOf == nil {
 		e.run.entriesOf = e.run.setup.entriesOf()
 	}
 	var rooms []admit.Room
-	for _, r := range table.Rooms(offerKey, now) {
+	for _, r := range table.SlotsByServer(offerKey, now) {
 		rooms = append(rooms, admit.Room{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesOf[r.VM]})
 	}
 	return admit.PartOf(e.running, rooms, float64(len(e.run.vms))/float64(e.run.setup.Subset))
--- a/decide/place/example_test.go
+++ b/decide/place/example_test.go
@@ -13,7 +13,7 @@
 func Example() {
 	table := place.NewTable(rand.New(rand.NewPCG(1, 2)), place.Config{})
 	offers := []string{"model:x"}
-	table.Set([]place.Server{
+	table.SetServers([]place.Server{
 		{VM: "vm-1", Domain: "a", Offers: offers, Weight: 1},
 		{VM: "vm-2", Domain: "b", Offers: offers, Weight: 1},
 	})
--- a/decide/place/history.go
+++ b/decide/place/history.go
@@ -9,29 +9,29 @@
 // history is this entry's own work at a server at past reports. It is what to
 // subtract from a late report to know the work of the others.
 type history struct {
-	entries [historyLength]pastWork
+	entries [historyLength]historyEntry
 	next    int
 }
 
-type pastWork struct {
-	at  time.Duration
-	own int32
+type historyEntry struct {
+	at          time.Duration
+	ownInFlight int32
 }
 
 func (h *history) add(now time.Duration, own int) {
-	h.entries[h.next] = pastWork{at: now, own: int32(own)}
+	h.entries[h.next] = historyEntry{at: now, ownInFlight: int32(own)}
 	h.next = (h.next + 1) % historyLength
 }
 
-// at returns the own work at a time, or the oldest known.
-func (h *history) at(when time.Duration) int {
+// ownAt returns the own work ownAt a time, or the oldest known.
+func (h *history) ownAt(t time.Duration) int {
 	own := int32(0)
 	for i := range historyLength {
 		e := h.entries[(h.next+i)%historyLength]
-		if i > 0 && e.at > when {
+		if i > 0 && e.at > t {
 			break
 		}
-		own = e.own
+		own = e.ownInFlight
 	}
 	return int(own)
 }
--- a/decide/place/load.go
+++ b/decide/place/load.go
@@ -5,7 +5,7 @@
 // Report takes in what an agent says of its backend server. It may be late; what
 // this entry sent since then is added to it.
 func (t *Table) Report(vm string, now time.Duration, r Report) {
-	t.reopen(now)
+	t.endBackoffs(now)
 	s, ok := t.byVM[vm]
 	if !ok {
 		return
@@ -14,70 +14,70 @@
 		t.prefixes.put(prefix, s.id)
 	}
 	r.Prefixes = nil
-	s.past.add(now, s.own)
-	others := max(r.Running+r.Queued-s.past.at(now-r.Age), 0)
-	s.smooth(now, float64(others), t.cfg.Smooth*float64(r.Age))
+	s.ownHistory.add(now, s.ownInFlight)
+	othersInFlight := max(r.Running+r.Queued-s.ownHistory.ownAt(now-r.Age), 0)
+	s.smoothOthers(now, float64(othersInFlight), t.cfg.SmoothingRatio*float64(r.Age))
 	s.report = r
-	s.heard = true
-	s.teach()
-	s.temper(t.cfg.FullTrust)
+	s.hasReport = true
+	s.updateAverageWorkTime()
+	s.discountStaleReport(t.cfg.TrustStaleReports)
 	t.update(s)
 }
 
-// temper draws what a late report says of the others' work towards what is usual for all
+// discountStaleReport draws what a late report says of the others' work towards what is usual for all
 // servers, the more the later it is.
 //
 // Load: reports that are older than the work takes. Harm prevented: by the time a report
 // is heard the work that it tells of has ended, and all entries that choose by it send to
 // the same servers, which they overfill until the next reports say so. What a
 // server holds then follows from what the entries send, and these know their own part.
-func (s *server) temper(fullTrust bool) {
-	s.expected = s.others
+func (s *server) discountStaleReport(trustStaleReports bool) {
+	s.expectedOthers = s.othersInFlight
 	cold := s.report.Limit < s.report.FullLimit
-	if fullTrust || cold || len(s.places) == 0 || s.report.WorkTime == 0 {
+	if trustStaleReports || cold || len(s.memberships) == 0 || s.report.WorkTime == 0 {
 		return
 	}
-	o := s.places[0].offer
-	part := s.others / float64(max(s.report.FullLimit, 1))
-	if o.crowd == 0 {
-		o.crowd = part
+	o := s.memberships[0].offer
+	utilization := s.othersInFlight / float64(max(s.report.FullLimit, 1))
+	if o.averageUtilization == 0 {
+		o.averageUtilization = utilization
 	}
-	o.crowd += (part - o.crowd) / crowdWeight
-	usual := o.crowd * float64(s.report.FullLimit)
+	o.averageUtilization += (utilization - o.averageUtilization) / averagedReports
+	average := o.averageUtilization * float64(s.report.FullLimit)
 	trust := float64(s.report.WorkTime) / float64(s.report.WorkTime+s.report.Age)
 
-	s.expected = usual + trust*(s.others-usual)
+	s.expectedOthers = average + trust*(s.othersInFlight-average)
 }
 
-// crowdWeight is the number of reports over which the usual part of a limit that others
+// averagedReports is the number of reports over which the usual part of a limit that others
 // use is averaged.
-const crowdWeight = 64
+const averagedReports = 64
 
-// teach adds a warm server's work time to what is usual for its offers.
-func (s *server) teach() {
+// updateAverageWorkTime adds a warm server's work time to what is usual for its offers.
+func (s *server) updateAverageWorkTime() {
 	if s.report.WorkTime == 0 || s.report.Limit < s.report.FullLimit {
 		return
 	}
-	for _, place := range s.places {
-		o := place.offer
-		if o.work == 0 {
-			o.work = s.report.WorkTime
+	for _, m := range s.memberships {
+		o := m.offer
+		if o.averageWorkTime == 0 {
+			o.averageWorkTime = s.report.WorkTime
 		}
-		o.work += (s.report.WorkTime - o.work) / 16
+		o.averageWorkTime += (s.report.WorkTime - o.averageWorkTime) / 16
 	}
 }
 
-// coldGuess is how many times the usual work time a server in cold start is taken to
+// coldWorkTimeFactor is how many times the usual work time a server in cold start is taken to
 // need until it reports its own.
-const coldGuess = 3
+const coldWorkTimeFactor = 3
 
 // workTime is the expected time of a request at a server; zero for unknown.
 func (s *server) workTime() time.Duration {
-	warm := s.heard && s.report.Limit >= s.report.FullLimit
-	if s.report.WorkTime > 0 || warm || len(s.places) == 0 {
+	warm := s.hasReport && s.report.Limit >= s.report.FullLimit
+	if s.report.WorkTime > 0 || warm || len(s.memberships) == 0 {
 		return s.report.WorkTime
 	}
-	return coldGuess * s.places[0].offer.work
+	return coldWorkTimeFactor * s.memberships[0].offer.averageWorkTime
 }
 
 // Suspect says that the link to a backend server has gone silent, or that it is
@@ -86,7 +86,7 @@
 // Load: any. Harm prevented: requests that wait on a dead link until their
 // deadline. A suspect gets no new work at all; the callers' other choices do not
 // run out, since suspicion ends with the next heartbeat.
-func (t *Table) Suspect(vm string, suspect bool) {
+func (t *Table) SetSuspect(vm string, suspect bool) {
 	s, ok := t.byVM[vm]
 	if !ok || s.suspect == suspect {
 		return
@@ -97,9 +97,9 @@
 
 // Started says that a request is being sent to a backend server.
 func (t *Table) Started(vm string, now time.Duration) {
-	t.reopen(now)
+	t.endBackoffs(now)
 	if s, ok := t.byVM[vm]; ok {
-		s.own++
+		s.ownInFlight++
 		t.update(s)
 	}
 }
@@ -115,15 +115,15 @@
 // on what the agent refuses, and takes the offer's last backend server for full. What the
 // refusal says is what the next report will say, so it holds until that.
 func (t *Table) Ended(vm string, now time.Duration, o Outcome) {
-	t.reopen(now)
+	t.endBackoffs(now)
 	s, ok := t.byVM[vm]
 	if !ok {
 		return
 	}
-	if s.own > 0 {
-		s.own--
+	if s.ownInFlight > 0 {
+		s.ownInFlight--
 	}
-	if o.Closed {
+	if o.RefusesAll {
 		s.report.Refusing = true
 	}
 	if o.Refused || o.Failed {
@@ -133,42 +133,42 @@
 	t.update(s)
 }
 
-// reopen lets the servers whose backoff is over take work again.
-func (t *Table) reopen(now time.Duration) {
-	done := 0
-	for done < len(t.backoffs) && t.backoffs[done].until <= now {
-		b := t.backoffs[done]
+// endBackoffs lets the servers whose backoff is over take work again.
+func (t *Table) endBackoffs(now time.Duration) {
+	ended := 0
+	for ended < len(t.backoffs) && t.backoffs[ended].until <= now {
+		b := t.backoffs[ended]
 		if b.server.backoffUntil == b.until {
 			b.server.backoffUntil = 0
 			t.update(b.server)
 		}
-		done++
+		ended++
 	}
-	if done > 0 {
-		t.backoffs = append(t.backoffs[:0], t.backoffs[done:]...)
+	if ended > 0 {
+		t.backoffs = append(t.backoffs[:0], t.backoffs[ended:]...)
 	}
 }
 
-// smooth takes one more report of the other entries' work into the average.
+// smoothOthers takes one more report of the other entries' work into the average.
 //
 // Load: reports so late that all entries act on the same old state for seconds.
 // Harm prevented: the herd in slow motion, in which all fill the backend servers
 // that were empty a while ago and starve the others, to and fro. The entry's own
 // work is not averaged, so that it still sees at once what it does itself.
-func (s *server) smooth(now time.Duration, others, over float64) {
-	gap := float64(now - s.heardAt)
-	s.heardAt = now
-	if !s.heard || over <= 0 {
-		s.others = others
+func (s *server) smoothOthers(now time.Duration, othersInFlight, timeConstant float64) {
+	elapsed := float64(now - s.lastReportAt)
+	s.lastReportAt = now
+	if !s.hasReport || timeConstant <= 0 {
+		s.othersInFlight = othersInFlight
 		return
 	}
-	s.others += (others - s.others) * gap / (gap + over)
+	s.othersInFlight += (othersInFlight - s.othersInFlight) * elapsed / (elapsed + timeConstant)
 }
 
 // load is the estimate of the work at a server: the others' by the reports, and
 // this entry's own as of now.
 func (s *server) load() int {
-	return int(s.expected+0.5) + s.own
+	return int(s.expectedOthers+0.5) + s.ownInFlight
 }
 
 // limit is the number of requests to have at a server. One that has not
@@ -178,41 +178,41 @@
 	if weight <= 0 {
 		return 0
 	}
-	if !s.heard {
+	if !s.hasReport {
 		return 1
 	}
 	return max(int(float64(s.report.Limit)*weight), 1)
 }
 
-// fullness is the estimated load as a part of the limit, with the request that
+// utilization is the estimated load as a part of the limit, with the request that
 // is being placed.
-func (s *server) fullness() float64 {
+func (s *server) utilization() float64 {
 	return float64(s.load()+1) / float64(s.limit())
 }
 
-func (t *Table) count(s *server) counted {
+func (t *Table) contributionOf(s *server) contribution {
 	limit := s.limit()
 	if limit == 0 || s.suspect || s.report.Refusing {
-		return counted{}
+		return contribution{}
 	}
 	load := s.load()
-	room := limit + int(t.cfg.QueueRoom*float64(limit))
-	return counted{
-		up:    true,
-		cold:  !s.heard || s.report.Limit < s.report.FullLimit,
-		state: s.state(load < room),
-		limit: limit,
-		free:  max(limit-load, 0),
+	maxLoad := limit + int(t.cfg.QueueRatio*float64(limit))
+	return contribution{
+		isUp:   true,
+		isCold: !s.hasReport || s.report.Limit < s.report.FullLimit,
+		state:  s.state(load < maxLoad),
+		limit:  limit,
+		free:   max(limit-load, 0),
 	}
 }
 
 // state says what a server may get now. Nobody may wait at one in cold start whose
 // work time is not known yet: its queue may outlast any deadline.
-func (s *server) state(room bool) state {
+func (s *server) state(hasSlots bool) state {
 	switch {
 	case s.backoffUntil != 0:
 		return closed
-	case room:
+	case hasSlots:
 		return open
 	case s.report.WorkTime == 0 && s.report.Limit < s.report.FullLimit:
 		return closed
@@ -224,46 +224,46 @@
 // update brings the sums and lists of a server's offers up to date, at a cost
 // that depends only on the number of its offers.
 func (t *Table) update(s *server) {
-	was, is := s.counted, t.count(s)
-	if was == is {
+	before, after := s.contribution, t.contributionOf(s)
+	if before == after {
 		return
 	}
-	s.counted = is
-	for i := range s.places {
-		o := s.places[i].offer
-		o.up += one(is.up) - one(was.up)
-		o.cold += one(is.cold) - one(was.cold)
-		o.limit += is.limit - was.limit
-		o.free += is.free - was.free
-		if is.state == was.state {
+	s.contribution = after
+	for i := range s.memberships {
+		o := s.memberships[i].offer
+		o.upCount += boolToInt(after.isUp) - boolToInt(before.isUp)
+		o.coldCount += boolToInt(after.isCold) - boolToInt(before.isCold)
+		o.limit += after.limit - before.limit
+		o.free += after.free - before.free
+		if after.state == before.state {
 			continue
 		}
-		if was.state != closed {
-			o.remove(was.state, s.places[i].index)
+		if before.state != closed {
+			o.remove(before.state, s.memberships[i].index)
 		}
-		if is.state != closed {
-			s.places[i].index = int32(len(o.lists[is.state]))
-			o.lists[is.state] = append(o.lists[is.state], s)
+		if after.state != closed {
+			s.memberships[i].index = int32(len(o.byState[after.state]))
+			o.byState[after.state] = append(o.byState[after.state], s)
 		}
 	}
 }
 
 // remove takes the server at index out of a list.
 func (o *offer) remove(from state, index int32) {
-	list := o.lists[from]
+	list := o.byState[from]
 	last := len(list) - 1
 	moved := list[last]
 	list[index] = moved
 	list[last] = nil
-	o.lists[from] = list[:last]
-	for i := range moved.places {
-		if moved.places[i].offer == o {
-			moved.places[i].index = index
+	o.byState[from] = list[:last]
+	for i := range moved.memberships {
+		if moved.memberships[i].offer == o {
+			moved.memberships[i].index = index
 		}
 	}
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/decide/place/pick.go
+++ b/decide/place/pick.go
@@ -17,19 +17,19 @@
 // look-ups, and bring the longest queue from logarithmic down to log log of the
 // number of backend servers; a third would gain little.
 func (t *Table) Pick(now time.Duration, req Request) (string, api.ResultCode) {
-	t.reopen(now)
+	t.endBackoffs(now)
 	o, ok := t.offers[req.Offer]
 	if !ok {
 		return "", api.ResultCode_NO_BACKEND
 	}
-	best := t.twoChoices(o.lists[open], &req)
-	if best == nil && req.Guaranteed {
-		best = t.twoChoices(o.lists[full], &req)
+	best := t.betterOfTwo(o.byState[open], &req)
+	if best == nil && req.WithinShare {
+		best = t.betterOfTwo(o.byState[full], &req)
 	}
 	if best == nil {
 		return "", o.refusal()
 	}
-	if holder := t.holder(o, &req); holder != nil && t.near(holder, best) {
+	if holder := t.affinityHolder(o, &req); holder != nil && t.withinAffinitySlack(holder, best) {
 		best = holder
 	}
 	if req.Prefix != 0 {
@@ -38,36 +38,36 @@
 	return best.VM, api.ResultCode_OK
 }
 
-// near says whether affinity may take a server in place of the least full.
+// withinAffinitySlack says whether affinity may take a server in place of the least full.
 //
 // Load: a hot prefix or adapter, such as every price rationale of one customer.
 // Harm prevented: one backend server overloaded while others idle.
-func (t *Table) near(holder, best *server) bool {
-	return holder.fullness() <= best.fullness()+t.cfg.AffinitySlack
+func (t *Table) withinAffinitySlack(holder, best *server) bool {
+	return holder.utilization() <= best.utilization()+t.cfg.AffinitySlack
 }
 
-// twoChoices returns the less full of two random servers of a list, or one of them that
+// betterOfTwo returns the less full of two random servers of a list, or one of them that
 // must warm up.
-func (t *Table) twoChoices(list []*server, req *Request) *server {
-	first := t.choose(list, req)
+func (t *Table) betterOfTwo(list []*server, req *Request) *server {
+	first := t.randomServer(list, req)
 	if first == nil {
 		return nil
 	}
-	second := t.choose(list, req)
+	second := t.randomServer(list, req)
 	switch {
-	case second == nil || first.warmsUpBeside(second, req):
+	case second == nil || first.preferForWarmUp(second, req):
 		return first
-	case second.warmsUpBeside(first, req) || second.fullness() < first.fullness():
+	case second.preferForWarmUp(first, req) || second.utilization() < first.utilization():
 		return second
 	}
 	return first
 }
 
-// lowLoad is the fullness below which a server's load leaves the choice to the needs
+// warmUpMaxUtilization is the fullness below which a server's load leaves the choice to the needs
 // of others. Above it the less full of two is the better in any case.
-const lowLoad = 0.5
+const warmUpMaxUtilization = 0.5
 
-// warmsUpBeside says that a server bears only a part of its full limit now and has no
+// preferForWarmUp says that a server bears only a part of its full limit now and has no
 // work, while the other choice is not busy.
 //
 // Load: a backend server in cold start, or a failure domain that has returned, while
@@ -75,88 +75,88 @@
 // makes it as full as it may be, so that it is never the less full of two; it gets no
 // work, warms up by none, and is still cold when the load comes. It was drawn at the
 // odds of its part, which keeps entries from all sending it their first.
-func (s *server) warmsUpBeside(other *server, req *Request) bool {
+func (s *server) preferForWarmUp(other *server, req *Request) bool {
 	if s.limit() >= s.report.FullLimit || s.load() > 0 || s.tooSlow(req) {
 		return false
 	}
-	return other.fullness() < lowLoad
+	return other.utilization() < warmUpMaxUtilization
 }
 
-// looks is the number of servers beyond the avoided ones that choose looks at. At
+// extraCandidates is the number of servers beyond the avoided ones that choose extraCandidates at. At
 // most a few servers are too slow at a time, or nearly all are.
-const looks = 4
+const extraCandidates = 4
 
-// choose returns a random server that was not tried and can end the request in
+// randomServer returns a random server that was not tried and can end the request in
 // time; or, if none it looks at can, one that was not tried; or nil.
 //
 // Load: one backend server many times slower than the others, or some in cold
 // start, and requests that have waited. Harm prevented: work that is begun and
 // thrown away at the deadline. When all look too slow the estimates may be wrong,
 // and backend servers in cold start only warm up by work: then the work is given.
-func (t *Table) choose(list []*server, req *Request) *server {
+func (t *Table) randomServer(list []*server, req *Request) *server {
 	n := len(list)
 	if n == 0 {
 		return nil
 	}
-	var slow *server
-	at := t.rng.IntN(n)
-	for range min(n, len(req.Avoid)+looks) {
-		s := list[at]
-		at = (at + 1) % n
-		if s.tried(req) {
+	var fallback *server
+	index := t.rng.IntN(n)
+	for range min(n, len(req.Avoid)+extraCandidates) {
+		s := list[index]
+		index = (index + 1) % n
+		if s.isExcluded(req) {
 			continue
 		}
-		if !s.tooSlow(req) && t.drawn(s) {
+		if !s.tooSlow(req) && t.drawByLimit(s) {
 			return s
 		}
-		slow = s
+		fallback = s
 	}
-	return slow
+	return fallback
 }
 
-// slowMargin is the ratio of the time left to the usual time of the work at a
+// deadlineMargin is the ratio of the time left to the usual time of the work at a
 // backend server below which the server is too slow. Sizes spread: with a ratio of
 // 1 half of the requests would be late, and one of 2 keeps work from backend
 // servers in cold start, which then do not warm up.
-const slowMargin = 1.5
+const deadlineMargin = 1.5
 
 // tooSlow says whether a request is not expected to end in time at a server, with
 // its wait there. A small size is not counted on: answers may be longer than asked.
 func (s *server) tooSlow(req *Request) bool {
-	if req.Left == 0 {
+	if req.TimeLeft == 0 {
 		return false
 	}
-	turns := max(s.fullness(), 1)
-	size := max(req.Size, 1)
-	return slowMargin*float64(s.workTime())*turns*size > float64(req.Left)
+	queueFactor := max(s.utilization(), 1)
+	relativeSize := max(req.RelativeSize, 1)
+	return deadlineMargin*float64(s.workTime())*queueFactor*relativeSize > float64(req.TimeLeft)
 }
 
-// unheardPart is the part of its limit that a server counts as having until its
+// unreportedLimitRatio is the part of its limit that a server counts as having until its
 // first report.
-const unheardPart = 0.1
+const unreportedLimitRatio = 0.1
 
-// drawn says whether a server that bears only a part of its full limit now is
+// drawByLimit says whether a server that bears only a part of its full limit now is
 // taken, at odds of that part.
 //
 // Load: a backend server in cold start, or one whose failure domain ramps up, beside
 // full-sized ones. Harm prevented: every entry finds it empty at the same moment and
 // sends what it alone could bear, so that most of it waits there.
-func (t *Table) drawn(s *server) bool {
+func (t *Table) drawByLimit(s *server) bool {
 	full := s.report.FullLimit
-	part := unheardPart
+	limitRatio := unreportedLimitRatio
 	if full > 0 {
-		part = float64(s.limit()) / float64(full)
+		limitRatio = float64(s.limit()) / float64(full)
 	}
-	return part >= 1 || t.rng.Float64() < part
+	return limitRatio >= 1 || t.rng.Float64() < limitRatio
 }
 
-func (s *server) tried(req *Request) bool {
+func (s *server) isExcluded(req *Request) bool {
 	return len(req.Avoid) > 0 && slices.Contains(req.Avoid, s.VM)
 }
 
-// holder returns the least full open server that holds the request's prompt
+// affinityHolder returns the least full open server that holds the request's prompt
 // prefix, or else its adapter; nil for none.
-func (t *Table) holder(o *offer, req *Request) *server {
+func (t *Table) affinityHolder(o *offer, req *Request) *server {
 	if req.Prefix != 0 {
 		if s := t.prefixHolder(o, req); s != nil {
 			return s
@@ -165,11 +165,11 @@
 	if req.Adapter == "" {
 		return nil
 	}
-	a, ok := t.offers[req.Adapter]
+	adapter, ok := t.offers[req.Adapter]
 	if !ok {
 		return nil
 	}
-	s := t.twoChoices(a.lists[open], req)
+	s := t.betterOfTwo(adapter.byState[open], req)
 	if s == nil || !s.openFor(o) {
 		return nil
 	}
@@ -182,11 +182,11 @@
 		if slot.prefix != req.Prefix {
 			continue
 		}
-		s := t.numbered[slot.server]
-		if s == nil || !s.openFor(o) || s.tried(req) || s.tooSlow(req) {
+		s := t.byID[slot.server]
+		if s == nil || !s.openFor(o) || s.isExcluded(req) || s.tooSlow(req) {
 			continue
 		}
-		if best == nil || s.fullness() < best.fullness() {
+		if best == nil || s.utilization() < best.utilization() {
 			best = s
 		}
 	}
@@ -195,11 +195,11 @@
 
 // openFor says whether a server may get work for an offer.
 func (s *server) openFor(o *offer) bool {
-	if s.counted.state != open {
+	if s.contribution.state != open {
 		return false
 	}
-	for i := range s.places {
-		if s.places[i].offer == o {
+	for i := range s.memberships {
+		if s.memberships[i].offer == o {
 			return true
 		}
 	}
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -20,10 +20,10 @@
 
 // Config holds the limits of placement. A zero field takes its default.
 type Config struct {
-	// QueueRoom is the part of a backend server's limit that may wait at its
+	// QueueRatio is the part of a backend server's limit that may wait at its
 	// agent beyond the limit. Default 0.125: enough that no backend server idles
 	// for the age of a report, and little enough that the wait stays short.
-	QueueRoom float64
+	QueueRatio float64
 	// AffinitySlack is how much fuller, as a part of its limit, a backend server
 	// that holds the prompt prefix or adapter may be than the best of the random
 	// choices and still be taken. Default 0.25: past it a hot prefix would
@@ -32,24 +32,24 @@
 	// Backoff is how long a backend server that refused gets no new work, unless
 	// a report reopens it. Default 250 ms, about the age of a report.
 	Backoff time.Duration
-	// Smooth is the ratio of the time over which reports are averaged to their
+	// SmoothingRatio is the ratio of the time over which reports are averaged to their
 	// age. Default 4: an average over less swings with what entries did on seeing
 	// the last reports. Reports that are hardly old are hardly averaged.
-	Smooth float64
-	// FullTrust takes late reports at their word, instead of drawing them towards what
+	SmoothingRatio float64
+	// TrustStaleReports takes late reports at their word, instead of drawing them towards what
 	// is usual for all servers. Off by default. It is for a table that holds some of the
 	// servers only: each of them has other entries with other callers then, and stays as
 	// full as it is for longer than reports are late. Drawn to the usual of four, the
 	// fullest got more still: 0.9923 of the requests in time at 80% load, all without.
-	FullTrust bool
-	// PrefixSlots is the number of prompt prefixes remembered, rounded up to a
+	TrustStaleReports bool
+	// PrefixTableSize is the number of prompt prefixes remembered, rounded up to a
 	// power of two. Default 65536, 1 MiB.
-	PrefixSlots int
+	PrefixTableSize int
 }
 
 func (c Config) withDefaults() Config {
-	if c.QueueRoom <= 0 {
-		c.QueueRoom = 0.125
+	if c.QueueRatio <= 0 {
+		c.QueueRatio = 0.125
 	}
 	if c.AffinitySlack <= 0 {
 		c.AffinitySlack = 0.25
@@ -57,11 +57,11 @@
 	if c.Backoff <= 0 {
 		c.Backoff = 250 * time.Millisecond
 	}
-	if c.Smooth <= 0 {
-		c.Smooth = 4
+	if c.SmoothingRatio <= 0 {
+		c.SmoothingRatio = 4
 	}
-	if c.PrefixSlots <= 0 {
-		c.PrefixSlots = 65536
+	if c.PrefixTableSize <= 0 {
+		c.PrefixTableSize = 65536
 	}
 	return c
 }
@@ -103,8 +103,8 @@
 	Latency time.Duration
 	// Refused says that the agent did not take the request.
 	Refused bool
-	// Closed says that it did not because it takes no new work from anybody.
-	Closed bool
+	// RefusesAll says that it did not because it takes no new work from anybody.
+	RefusesAll bool
 	// Failed says that the backend server or its link failed.
 	Failed bool
 }
@@ -119,15 +119,15 @@
 	Adapter string
 	// Avoid names backend servers that were tried already.
 	Avoid []string
-	// Left is the time until the request's deadline; zero for unknown.
-	Left time.Duration
-	// Size is the expected ratio of the request's work to the usual, such as by the
+	// TimeLeft is the time until the request's deadline; zero for unknown.
+	TimeLeft time.Duration
+	// RelativeSize is the expected ratio of the request's work to the usual, such as by the
 	// number of tokens it may generate; zero for unknown.
-	Size float64
-	// Guaranteed says that the customer is within its share: when all backend
+	RelativeSize float64
+	// WithinShare says that the customer is within its share: when all backend
 	// servers are full, the request may still wait at an agent, whose queue serves
 	// it before those beyond their share.
-	Guaranteed bool
+	WithinShare bool
 }
 
 // Table is what one entry knows of the backend servers.
@@ -136,13 +136,13 @@
 	rng     *rand.Rand
 	servers []*server
 	byVM    map[string]*server
-	// numbered are the servers by their numbers, unused the numbers of those gone.
-	numbered []*server
-	unused   []int32
-	offers   map[string]*offer
-	// domains holds the weights of failure domains that are not 1.
-	domains  map[string]float64
-	prefixes prefixTable
+	// byID are the servers by their numbers, unused the numbers of those gone.
+	byID    []*server
+	freeIDs []int32
+	offers  map[string]*offer
+	// domainWeights holds the weights of failure domainWeights that are not 1.
+	domainWeights map[string]float64
+	prefixes      prefixTable
 	// backoffs are the servers that refused, by the time they reopen. Backoff is
 	// the same for all, so that the order of arrival is the order of time.
 	backoffs []backoff
@@ -156,24 +156,24 @@
 // server is one backend server with what is known of its load.
 type server struct {
 	Server
-	id      int32
-	report  Report
-	heard   bool
-	suspect bool
-	// own is this entry's work in flight; others is the smoothed work of the
+	id        int32
+	report    Report
+	hasReport bool
+	suspect   bool
+	// ownInFlight is this entry's work in flight; others is the smoothed work of the
 	// other entries by the reports, the last of which came at heardAt.
-	own    int
-	others float64
-	// expected is others as it is expected to be now.
-	expected float64
-	heardAt  time.Duration
-	// past is this entry's work in flight at the last reports.
-	past         history
+	ownInFlight    int
+	othersInFlight float64
+	// expectedOthers is others as it is expectedOthers to be now.
+	expectedOthers float64
+	lastReportAt   time.Duration
+	// ownHistory is this entry's work in flight at the last reports.
+	ownHistory   history
 	backoffUntil time.Duration
-	places       []membership
+	memberships  []membership
 	domainWeight float64
-	// counted is what the server adds to the sums of its offers now.
-	counted counted
+	// contribution is what the server adds to the sums of its offers now.
+	contribution contribution
 }
 
 // membership is the place of a server in the lists of one offer.
@@ -194,23 +194,23 @@
 	full
 )
 
-// counted is what a server adds to the sums of an offer.
-type counted struct {
-	up, cold    bool
-	state       state
-	limit, free int
+// contribution is what a server adds to the sums of an offer.
+type contribution struct {
+	isUp, isCold bool
+	state        state
+	limit, free  int
 }
 
 // offer is what is known of all backend servers for one key.
 type offer struct {
-	// lists are the servers by state; those that are closed are not listed.
-	lists [full + 1][]*server
-	up    int
-	cold  int
-	// work is the smoothed work time that warm servers report.
-	work time.Duration
-	// crowd is the smoothed part of their limits that warm servers hold for others.
-	crowd float64
+	// byState are the servers by state; those that are closed are not listed.
+	byState   [full + 1][]*server
+	upCount   int
+	coldCount int
+	// averageWorkTime is the smoothed averageWorkTime time that warm servers report.
+	averageWorkTime time.Duration
+	// averageUtilization is the smoothed part of their limits that warm servers hold for others.
+	averageUtilization float64
 	// limit and free are sums over the servers that are up.
 	limit, free int
 }
@@ -219,18 +219,18 @@
 func NewTable(rng *rand.Rand, cfg Config) *Table {
 	cfg = cfg.withDefaults()
 	return &Table{
-		cfg:      cfg,
-		rng:      rng,
-		byVM:     make(map[string]*server),
-		offers:   make(map[string]*offer),
-		domains:  make(map[string]float64),
-		prefixes: newPrefixTable(cfg.PrefixSlots),
+		cfg:           cfg,
+		rng:           rng,
+		byVM:          make(map[string]*server),
+		offers:        make(map[string]*offer),
+		domainWeights: make(map[string]float64),
+		prefixes:      newPrefixTable(cfg.PrefixTableSize),
 	}
 }
 
 // Set replaces the list of backend servers. What is known of those that stay is
 // kept.
-func (t *Table) Set(servers []Server) {
+func (t *Table) SetServers(servers []Server) {
 	old := t.byVM
 	t.byVM = make(map[string]*server, len(servers))
 	t.offers = make(map[string]*offer)
@@ -240,41 +240,41 @@
 	}
 	for vm, s := range old {
 		if t.byVM[vm] == nil {
-			t.numbered[s.id] = nil
-			t.unused = append(t.unused, s.id)
+			t.byID[s.id] = nil
+			t.freeIDs = append(t.freeIDs, s.id)
 		}
 	}
 }
 
-// number gives a new server a number of its own, by which prefixes name it. It keeps
-// the number while it is in the list; a later one may have it, at the cost of a few
+// assignID gives a new server a assignID of its own, by which prefixes name it. It keeps
+// the assignID while it is in the list; a later one may have it, at the cost of a few
 // wrong prefixes.
-func (t *Table) number(s *server) {
-	if last := len(t.unused) - 1; last >= 0 {
-		s.id = t.unused[last]
-		t.unused = t.unused[:last]
-		t.numbered[s.id] = s
+func (t *Table) assignID(s *server) {
+	if last := len(t.freeIDs) - 1; last >= 0 {
+		s.id = t.freeIDs[last]
+		t.freeIDs = t.freeIDs[:last]
+		t.byID[s.id] = s
 		return
 	}
-	s.id = int32(len(t.numbered))
-	t.numbered = append(t.numbered, s)
+	s.id = int32(len(t.byID))
+	t.byID = append(t.byID, s)
 }
 
-func (t *Table) add(s Server, known *server) {
-	if known == nil {
-		known = &server{}
-		t.number(known)
+func (t *Table) add(s Server, existing *server) {
+	if existing == nil {
+		existing = &server{}
+		t.assignID(existing)
 	}
-	known.Server = s
-	known.domainWeight = t.domainWeight(s.Domain)
-	known.counted = counted{}
-	known.places = known.places[:0]
+	existing.Server = s
+	existing.domainWeight = t.domainWeight(s.Domain)
+	existing.contribution = contribution{}
+	existing.memberships = existing.memberships[:0]
 	for _, key := range s.Offers {
-		known.places = append(known.places, membership{offer: t.offer(key), index: -1})
+		existing.memberships = append(existing.memberships, membership{offer: t.offer(key), index: -1})
 	}
-	t.servers = append(t.servers, known)
-	t.byVM[s.VM] = known
-	t.update(known)
+	t.servers = append(t.servers, existing)
+	t.byVM[s.VM] = existing
+	t.update(existing)
 }
 
 func (t *Table) offer(key string) *offer {
@@ -287,7 +287,7 @@
 }
 
 func (t *Table) domainWeight(domain string) float64 {
-	if w, ok := t.domains[domain]; ok {
+	if w, ok := t.domainWeights[domain]; ok {
 		return w
 	}
 	return 1
@@ -299,7 +299,7 @@
 	if t.domainWeight(domain) == weight {
 		return
 	}
-	t.domains[domain] = weight
+	t.domainWeights[domain] = weight
 	for _, s := range t.servers {
 		if s.Domain == domain {
 			s.domainWeight = weight
@@ -310,8 +310,8 @@
 
 // Spare says how many more requests the backend servers for an offer can take
 // now, and how many they can hold together.
-func (t *Table) Spare(key string, now time.Duration) (free, capacity int) {
-	t.reopen(now)
+func (t *Table) Slots(key string, now time.Duration) (free, capacity int) {
+	t.endBackoffs(now)
 	o, ok := t.offers[key]
 	if !ok {
 		return 0, 0
@@ -321,10 +321,10 @@
 
 // refusal says why no backend server for an offer is open.
 func (o *offer) refusal() api.ResultCode {
-	if o.up == 0 {
+	if o.upCount == 0 {
 		return api.ResultCode_NO_BACKEND
 	}
-	if 2*o.cold > o.up {
+	if 2*o.coldCount > o.upCount {
 		return api.ResultCode_COLD
 	}
 	return api.ResultCode_SATURATED
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -30,7 +30,7 @@
 
 func newTable(n int) *Table {
 	t := NewTable(rand.New(rand.NewPCG(1, 2)), Config{})
-	t.Set(servers(n))
+	t.SetServers(servers(n))
 	for _, s := range servers(n) {
 		t.Report(s.VM, 0, Report{Limit: 32, FullLimit: 32})
 	}
@@ -52,7 +52,7 @@
 	if code := pick(model); code != api.ResultCode_SATURATED {
 		t.Fatalf("all full: %v", code)
 	}
-	if vm, _ := table.Pick(0, Request{Offer: model, Guaranteed: true}); vm == "" {
+	if vm, _ := table.Pick(0, Request{Offer: model, WithinShare: true}); vm == "" {
 		t.Fatal("no place for a customer within its share")
 	}
 	for i := range 2 {
@@ -62,16 +62,16 @@
 		t.Fatalf("all cold and full: %v", code)
 	}
 	for i := range 2 {
-		table.Suspect(fmt.Sprint("vm-", i), true)
+		table.SetSuspect(fmt.Sprint("vm-", i), true)
 	}
 	if code := pick(model); code != api.ResultCode_NO_BACKEND {
 		t.Fatalf("all suspect: %v", code)
 	}
 }
 
-func TestNoWorkForWhoeverMayNotHaveIt(t *testing.T) {
+func TestUnavailableServersGetNoRequests(t *testing.T) {
 	table := newTable(6)
-	table.Suspect("vm-0", true)
+	table.SetSuspect("vm-0", true)
 	table.Report("vm-3", 0, Report{Limit: 32, FullLimit: 32, Refusing: true})
 	table.SetDomainWeight("1", 0)
 	table.Started("vm-2", 0)
@@ -98,10 +98,10 @@
 // The only agent stops, or its domain is marked out, and it says so in a refusal before
 // the entry hears of it otherwise. Nobody else is sent there, whatever the time to back
 // off, until a report says that it takes work.
-func TestAgentThatTakesNoWorkIsClosedUntilItsReport(t *testing.T) {
+func TestAgentThatRefusesAllGetsNoRequestsUntilItsReport(t *testing.T) {
 	table := newTable(1)
 	table.Started("vm-0", 0)
-	table.Ended("vm-0", 0, Outcome{Refused: true, Closed: true})
+	table.Ended("vm-0", 0, Outcome{Refused: true, RefusesAll: true})
 	for _, now := range []time.Duration{0, time.Second, time.Minute} {
 		if vm, code := table.Pick(now, Request{Offer: model}); code != api.ResultCode_NO_BACKEND {
 			t.Fatalf("after %v: %q, %v", now, vm, code)
@@ -116,17 +116,17 @@
 func TestPrefixAffinityWithinBound(t *testing.T) {
 	table := newTable(10)
 	first, _ := table.Pick(0, Request{Offer: model, Prefix: 7})
-	taken := 0
+	placed := 0
 	for range 32 {
 		vm, _ := table.Pick(0, Request{Offer: model, Prefix: 7})
 		if vm != first {
 			break
 		}
 		table.Started(vm, 0)
-		taken++
+		placed++
 	}
-	if taken < 4 || taken > 12 {
-		t.Fatalf("%d requests of one prefix on one backend server while nine idle", taken)
+	if placed < 4 || placed > 12 {
+		t.Fatalf("%d requests of one prefix on one backend server while nine idle", placed)
 	}
 }
 
@@ -134,7 +134,7 @@
 	table := NewTable(rand.New(rand.NewPCG(1, 2)), Config{})
 	list := servers(10)
 	list[4].Offers = append(list[4].Offers, "adapter:x")
-	table.Set(list)
+	table.SetServers(list)
 	for _, s := range list {
 		table.Report(s.VM, 0, Report{Limit: 32, FullLimit: 32})
 	}
@@ -147,7 +147,7 @@
 	table := newTable(3)
 	table.Report("vm-1", 0, Report{Limit: 32, FullLimit: 32, WorkTime: 10 * time.Second})
 	for range 100 {
-		if vm, _ := table.Pick(0, Request{Offer: model, Left: 5 * time.Second}); vm == "vm-1" {
+		if vm, _ := table.Pick(0, Request{Offer: model, TimeLeft: 5 * time.Second}); vm == "vm-1" {
 			t.Fatal("picked a backend server that takes 10 s with 5 s left")
 		}
 	}
@@ -155,7 +155,7 @@
 
 // An agent's report is 2 s old. Since then this entry began 10 requests there. The
 // entry must count them on top of what the report says of the others.
-func TestOldReportKeepsOwnWork(t *testing.T) {
+func TestStaleReportKeepsOwnInFlight(t *testing.T) {
 	table := newTable(1)
 	for range 10 {
 		table.Started("vm-0", time.Second)
@@ -172,7 +172,7 @@
 func TestSumsMatchServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(rand.New(rand.NewPCG(1, 2)), Config{})
-		table.Set(servers(5))
+		table.SetServers(servers(5))
 		var now time.Duration
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
@@ -181,7 +181,7 @@
 			case 0:
 				table.Report(vm, now, Report{Limit: rapid.IntRange(0, 4).Draw(t, "limit"), FullLimit: 4, Running: rapid.IntRange(0, 5).Draw(t, "running")})
 			case 1:
-				table.Suspect(vm, rapid.Bool().Draw(t, "suspect"))
+				table.SetSuspect(vm, rapid.Bool().Draw(t, "suspect"))
 			case 2:
 				table.Started(vm, now)
 			case 3:
@@ -189,7 +189,7 @@
 			case 4:
 				table.SetDomainWeight("1", rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "weight"))
 			case 5:
-				table.Set(servers(rapid.IntRange(1, 7).Draw(t, "servers")))
+				table.SetServers(servers(rapid.IntRange(1, 7).Draw(t, "servers")))
 			}
 			checkSums(t, table)
 		}
@@ -201,18 +201,18 @@
 	var up, limit, free int
 	listed := map[state]int{}
 	for _, s := range table.servers {
-		c := table.count(s)
-		up, limit, free = up+one(c.up), limit+c.limit, free+c.free
+		c := table.contributionOf(s)
+		up, limit, free = up+boolToInt(c.isUp), limit+c.limit, free+c.free
 		listed[c.state]++
-		if c.state != closed && o.lists[c.state][s.places[0].index] != s {
+		if c.state != closed && o.byState[c.state][s.memberships[0].index] != s {
 			t.Fatalf("%s is not where it says", s.VM)
 		}
 	}
-	if up != o.up || limit != o.limit || free != o.free {
-		t.Fatalf("sums %d %d %d, want %d %d %d", o.up, o.limit, o.free, up, limit, free)
+	if up != o.upCount || limit != o.limit || free != o.free {
+		t.Fatalf("sums %d %d %d, want %d %d %d", o.upCount, o.limit, o.free, up, limit, free)
 	}
-	if len(o.lists[open]) != listed[open] || len(o.lists[full]) != listed[full] {
-		t.Fatalf("lists of %d and %d, want %v", len(o.lists[open]), len(o.lists[full]), listed)
+	if len(o.byState[open]) != listed[open] || len(o.byState[full]) != listed[full] {
+		t.Fatalf("lists of %d and %d, want %v", len(o.byState[open]), len(o.byState[full]), listed)
 	}
 }
 
@@ -220,8 +220,8 @@
 	var b RetryBudget
 	retries := 0
 	for range 1000 {
-		b.First()
-		if b.Retry() {
+		b.CountRequest()
+		if b.SpendRetry() {
 			retries++
 		}
 	}
@@ -234,7 +234,7 @@
 	for _, n := range []int{15, 370, 3700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			table := newTable(n)
-			req := Request{Offer: model, Prefix: 7, Left: time.Second}
+			req := Request{Offer: model, Prefix: 7, TimeLeft: time.Second}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				vm, _ := table.Pick(time.Duration(i), req)
@@ -269,7 +269,7 @@
 			list = append(list, s)
 		}
 	}
-	table.Set(list)
+	table.SetServers(list)
 	table.Report("vm-10", 0, Report{Limit: 32, FullLimit: 32})
 	for range 20 {
 		if vm, _ := table.Pick(0, Request{Offer: model, Prefix: 7}); vm != holder {
--- a/decide/place/prefix.go
+++ b/decide/place/prefix.go
@@ -27,8 +27,8 @@
 
 // set returns the slots in which a prefix may stand, newest first.
 func (p *prefixTable) set(prefix uint64) []prefixSlot {
-	at := (prefix * 0x9E3779B97F4A7C15 >> 32 & p.mask) * prefixWays
-	return p.slots[at : at+prefixWays]
+	first := (prefix * 0x9E3779B97F4A7C15 >> 32 & p.mask) * prefixWays
+	return p.slots[first : first+prefixWays]
 }
 
 // put notes that a server holds a prefix, and moves it to the front of its set.
@@ -37,14 +37,14 @@
 		return
 	}
 	set := p.set(prefix)
-	place := prefixSlot{prefix: prefix, server: server}
+	newest := prefixSlot{prefix: prefix, server: server}
 	last := len(set) - 1
 	for i, slot := range set {
-		if slot == place {
+		if slot == newest {
 			last = i
 			break
 		}
 	}
 	copy(set[1:last+1], set[:last])
-	set[0] = place
+	set[0] = newest
 }
--- a/decide/place/retry.go
+++ b/decide/place/retry.go
@@ -12,35 +12,35 @@
 	// Reserve is the number of retries that may be saved up, and that a new
 	// budget begins with. Zero means the default 10: a lone failure at low load
 	// is tried again.
-	Reserve float64
-	tokens  float64
-	began   bool
+	Reserve  float64
+	tokens   float64
+	isFilled bool
 }
 
-// First counts a first attempt.
-func (b *RetryBudget) First() {
-	b.begin()
+// CountRequest counts a first attempt.
+func (b *RetryBudget) CountRequest() {
+	b.fillOnFirstUse()
 	b.tokens = min(b.tokens+b.ratio(), b.reserve())
 }
 
-// Left says whether one more attempt may be made, and leaves the budget as it is.
-func (b *RetryBudget) Left() bool {
-	b.begin()
+// CanRetry says whether one more attempt may be made, and leaves the budget as it is.
+func (b *RetryBudget) CanRetry() bool {
+	b.fillOnFirstUse()
 	return b.tokens >= 1
 }
 
-// Retry says whether one more attempt may be made, and takes it off the budget.
-func (b *RetryBudget) Retry() bool {
-	if !b.Left() {
+// SpendRetry says whether one more attempt may be made, and takes it off the budget.
+func (b *RetryBudget) SpendRetry() bool {
+	if !b.CanRetry() {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-func (b *RetryBudget) begin() {
-	if !b.began {
-		b.began = true
+func (b *RetryBudget) fillOnFirstUse() {
+	if !b.isFilled {
+		b.isFilled = true
 		b.tokens = b.reserve()
 	}
 }
--- a/decide/place/late_test.go
+++ b/decide/place/stale_test.go
@@ -10,9 +10,9 @@
 // then may hold little now. Every entry reads the same. A caller's request must not wait
 // behind those that all entries sent to the server that was the emptier once; what
 // they tell is worth something still, so that the emptier one gets the most.
-func TestLateReportsDrawNoHerd(t *testing.T) {
+func TestStaleReportsCauseNoHerd(t *testing.T) {
 	table := newTable(2)
-	got := map[string]int{}
+	sent := map[string]int{}
 	const second = time.Second
 	for at := time.Duration(0); at < 20*second; at += second / 5 {
 		for i, running := range []int{10, 20} {
@@ -22,16 +22,16 @@
 	for range 10 {
 		vm, _ := table.Pick(20*second, Request{Offer: model})
 		table.Started(vm, 20*second)
-		got[vm]++
+		sent[vm]++
 	}
-	if got["vm-1"] < 2 || got["vm-0"] <= got["vm-1"] {
-		t.Errorf("sent %v by reports of 10 and 20 two seconds ago", got)
+	if sent["vm-1"] < 2 || sent["vm-0"] <= sent["vm-1"] {
+		t.Errorf("sent %v by reports of 10 and 20 two seconds ago", sent)
 	}
 }
 
 // The same reports, but of work that takes half a minute: it is there still, and a caller
 // is better off with the emptier server.
-func TestLateReportsOfLongWorkHold(t *testing.T) {
+func TestStaleReportsOfLongWorkAreUsed(t *testing.T) {
 	table := newTable(2)
 	for i, running := range []int{10, 20} {
 		table.Report(fmt.Sprint("vm-", i), 20*time.Second, Report{Limit: 32, FullLimit: 32, Running: running, WorkTime: 30 * time.Second, Age: 2 * time.Second})
--- a/decide/place/warm_test.go
+++ b/decide/place/warm_test.go
@@ -13,7 +13,7 @@
 // when the evening's load comes; and not more at once than it bears.
 func TestColdServerGetsWorkAtLowLoad(t *testing.T) {
 	table := NewTable(rand.New(rand.NewPCG(1, 1)), Config{})
-	table.Set([]Server{
+	table.SetServers([]Server{
 		{VM: "warm-1", Domain: "a", Offers: []string{"model:x"}, Weight: 1},
 		{VM: "warm-2", Domain: "b", Offers: []string{"model:x"}, Weight: 1},
 		{VM: "cold", Domain: "c", Offers: []string{"model:x"}, Weight: 1},
@@ -25,7 +25,7 @@
 		}
 		table.Report("cold", now, Report{Limit: 2, FullLimit: 32, WorkTime: 300 * time.Millisecond})
 	}
-	got, flying := 0, 0
+	sent, inFlight := 0, 0
 	for i := range 400 {
 		now := time.Duration(i) * 25 * time.Millisecond
 		report(now)
@@ -36,16 +36,16 @@
 		if vm != "cold" {
 			continue
 		}
-		got++
+		sent++
 		table.Started(vm, now)
-		flying++
-		if flying > 1 {
+		inFlight++
+		if inFlight > 1 {
 			t.Fatal("a second request while the first was under way")
 		}
 		table.Ended(vm, now, Outcome{Latency: 300 * time.Millisecond})
-		flying--
+		inFlight--
 	}
-	if got < 5 {
-		t.Errorf("%d of 400 requests went to the cold server", got)
+	if sent < 5 {
+		t.Errorf("%d of 400 requests went to the cold server", sent)
 	}
 }
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -52,7 +52,7 @@
 func newDirectory(subset bool) *directory {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &directory{
-		table:     place.NewTable(rng, place.Config{FullTrust: subset}),
+		table:     place.NewTable(rng, place.Config{TrustStaleReports: subset}),
 		shifter:   shift.New(shift.Config{}),
 		minter:    ticket.NewMinter(),
 		peers:     make(map[string]*member.Peer),
@@ -180,7 +180,7 @@
 		}
 		servers = append(servers, place.Server{VM: vm, Domain: domain, Offers: offers(status), Weight: weight})
 	}
-	d.table.Set(servers)
+	d.table.SetServers(servers)
 	d.split = splitModels(d.view, d.status)
 }
 
@@ -252,7 +252,7 @@
 	defer d.mu.Unlock()
 	domains := make(map[string]bool)
 	for vm, peer := range d.peers {
-		d.table.Suspect(vm, peer.Session.Suspect())
+		d.table.SetSuspect(vm, peer.Session.Suspect())
 		domains[peer.Hello.GetFailureDomain()] = true
 		// No ticket is minted from the blocks of an agent that gets no new work.
 		if d.links.forWork(vm) {
@@ -376,7 +376,7 @@
 func (d *directory) known(offer string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, capacity := d.table.Spare(offer, clock.Now())
+	_, capacity := d.table.Slots(offer, clock.Now())
 	return capacity > 0
 }
 
@@ -429,11 +429,11 @@
 func (d *directory) firstAttempt() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.First()
+	d.budget.CountRequest()
 }
 
 func (d *directory) mayRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget.Retry()
+	return d.budget.SpendRetry()
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -111,13 +111,13 @@
 	limit := clock.Now() + mintWait
 	for {
 		peer, code := e.directory.pick(place.Request{
-			Offer:      req.offer,
-			Prefix:     req.prefix,
-			Adapter:    req.adapter,
-			Avoid:      tried,
-			Left:       req.deadline - clock.Now(),
-			Size:       req.size,
-			Guaranteed: pass.guaranteed,
+			Offer:        req.offer,
+			Prefix:       req.prefix,
+			Adapter:      req.adapter,
+			Avoid:        tried,
+			TimeLeft:     req.deadline - clock.Now(),
+			RelativeSize: req.size,
+			WithinShare:  pass.guaranteed,
 		})
 		if code != api.ResultCode_OK {
 			if refused := e.postpone(ctx, req, pass, code); refused != nil {
@@ -177,7 +177,7 @@
 	case ctx.Err() != nil:
 	case err.Ran == api.Ran_RAN_NO:
 		outcome.Refused = true
-		outcome.Closed = closed(err.Code)
+		outcome.RefusesAll = closed(err.Code)
 	default:
 		outcome.Failed = true
 	}
--- a/internal/entry/rooms.go
+++ b/internal/entry/rooms.go
@@ -57,7 +57,7 @@
 	if !d.links.all() {
 		return d.subsetRoom(now, offer, entries)
 	}
-	free, capacity := d.table.Spare(offer, now)
+	free, capacity := d.table.Slots(offer, now)
 	return room{slots: admit.Part(d.flying[offer], free, capacity, entries), capacity: capacity}
 }
 
@@ -78,7 +78,7 @@
 func (d *directory) subsetRoom(now time.Duration, offer string, entries int) room {
 	var rooms []admit.Room
 	whole := 1.0
-	for _, r := range d.table.Rooms(offer, now) {
+	for _, r := range d.table.SlotsByServer(offer, now) {
 		of := int(d.status[r.VM].GetEntries())
 		if of == 0 {
 			of = entries
--- a/internal/gateway/fate.go
+++ b/internal/gateway/fate.go
@@ -73,14 +73,14 @@
 func (f *fleet) first(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(service).First()
+	f.budget(service).CountRequest()
 }
 
 // again says whether one more attempt for a request of a service may be made.
 func (f *fleet) again(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.budget(service).Retry()
+	return f.budget(service).SpendRetry()
 }
 
 func (f *fleet) budget(service string) *place.RetryBudget {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -98,7 +98,7 @@
 		bounds: b,
 		rng:    rng,
 		// Reports here are the other entries' own counts, a fraction of a second old.
-		table:    place.NewTable(rng, place.Config{QueueRoom: queueRoom, FullTrust: true}),
+		table:    place.NewTable(rng, place.Config{QueueRatio: queueRoom, TrustStaleReports: true}),
 		judge:    eject.New(eject.Config{}),
 		watch:    silence.New(silence.Config{}),
 		engines:  make(map[string]bool),
@@ -169,7 +169,7 @@
 		}
 		placed = append(placed, place.Server{VM: e.ID, Domain: e.FailureDomain, Offers: []string{offer(e.Service)}, Weight: weight})
 	}
-	f.table.Set(placed)
+	f.table.SetServers(placed)
 	known := func(id string) bool { return f.servers[id] != nil }
 	f.judge.Retain(known)
 	f.watch.Retain(known)
@@ -256,7 +256,7 @@
 		})
 		// When all of a service fail, something else is at fault, and none is worse than
 		// the others.
-		f.table.Suspect(id, s.closed || s.spared(paced) || f.shut[s.Service] || f.isOut(id, now) && out[s.Service] < all[s.Service])
+		f.table.SetSuspect(id, s.closed || s.spared(paced) || f.shut[s.Service] || f.isOut(id, now) && out[s.Service] < all[s.Service])
 	}
 	f.admit(now)
 }
@@ -287,7 +287,7 @@
 	avoid := append([]string(nil), n.tried...)
 	cold := false
 	for {
-		id, code := f.table.Pick(now, place.Request{Offer: offer(n.service), Avoid: avoid, Left: n.left})
+		id, code := f.table.Pick(now, place.Request{Offer: offer(n.service), Avoid: avoid, TimeLeft: n.left})
 		if code != api.ResultCode_OK {
 			if cold {
 				code = api.ResultCode_COLD
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -256,17 +256,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	budget := f.budget(t.service)
-	free, capacity := f.table.Spare(offer(t.service), now)
+	free, capacity := f.table.Slots(offer(t.service), now)
 	service := silence.Service{Name: t.service, LockStep: f.engines[t.service], FreeSlots: free, Slots: capacity, Entries: f.entries}
 	reason := f.watch.MoveReason(id, service, w, now)
-	if reason == silence.NotMoved || !budget.Left() {
+	if reason == silence.NotMoved || !budget.CanRetry() {
 		return nil, silence.NotMoved
 	}
 	s, code := f.pick(need{service: t.service, tried: t.tried, left: left(t.until, now)}, now)
 	if code != api.ResultCode_OK {
 		return nil, silence.NotMoved
 	}
-	budget.Retry()
+	budget.SpendRetry()
 	f.watch.RecordMove(now)
 	return &s, reason
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -62,7 +62,7 @@
 func (f *fleet) admit(now time.Duration) {
 	for service, held := range f.registered {
 		key := offer(service)
-		free, capacity := f.table.Spare(key, now)
+		free, capacity := f.table.Slots(key, now)
 		presence := admit.Here
 		switch {
 		case held == 0:
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -165,7 +165,7 @@
 		ledger := ticket.NewLedger(vm, name("incarnation", i), []byte("key"), ticket.Limits{})
 		minter.Add(0, ledger.Grant(0))
 	}
-	table.Set(servers)
+	table.SetServers(servers)
 	return []any{table, minter, reports}
 }
 
