--- a/decide/arrivals/arrivals.go
+++ b/decide/arrivals/arrivals.go
@@ -1,13 +1,12 @@
-// Package arrivals decides how many requests a second one entry sends to a backend server, so
-// that all entries together keep within what the server bears while it is cold.
+// Package arrivals limits the rate of requests that one entry sends to a cold backend server, so
+// that all entries together stay within what the server can bear.
 //
-// Nobody counts for all: a count would have to be asked for with every request. Each entry has
-// an equal share, and keeps to it by itself. That holds only while no entry takes itself for
-// one of fewer than there are, and while none spends a share twice; the safeguards below are
-// about these two.
+// There is no shared counter, since it would have to be asked for with every request. Each entry
+// has an equal share of the rate and keeps to it on its own. This holds only while no entry assumes
+// fewer entries than there are and no share is spent twice; the safeguards below cover these two
+// cases.
 //
-// Time is an argument, counted since the process started. A Share is not safe for use by
-// several goroutines at once.
+// Time is an argument, counted since the process started. A Share is not safe for concurrent use.
 package arrivals
 
 import (
@@ -16,49 +15,47 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit is what a cold backend server bears of all entries together: in any one second at most
-// Rate times Over and Slack besides.
+// Limit is what a cold backend server bears from all entries together: in any one second, at most
+// Rate*MaxRatio + Slack requests.
 type Limit struct {
-	// Rate is in requests a second; zero for no bound.
+	// Rate is in requests per second; zero means no limit.
 	Rate float64
-	// MaxRatio is a ratio of 1 or more, Slack a number of requests.
+	// MaxRatio is a ratio of 1 or more; Slack is a number of requests.
 	MaxRatio, Slack float64
 }
 
-// burst is what each of so many entries may send at once, above its part of the rate.
+// burst returns how many requests each of the given number of entries may send at once, beyond its
+// share of the rate.
 //
-// A process that has just come sends its part before all others have heard of it, which is one
-// more part of the rate than there should be. It is set aside; with few entries nothing is
-// left then, and one request at a time goes out.
+// One more share of the rate is kept back: a process that has just started sends its share before
+// all others know of it. With few entries nothing is left after that, and the burst is one request.
 func (l Limit) burst(entries float64) int {
 	headroom := l.Rate*(l.MaxRatio-1) + l.Slack - l.Rate/entries
 	return max(1, int(headroom/entries))
 }
 
-// stallThreshold is the time between two looks at a share past which the process has stood still:
-// it looks many times a second. Far below the time for which others go on counting an entry
-// that is silent.
+// stallThreshold is the time between two calls of Tick after which the process counts as stalled:
+// Tick is called many times a second. It is far below the time for which the others still count an
+// unresponsive entry.
 const stallThreshold = time.Second
 
-// Share is one entry's part of what a backend server may get.
+// Share is one entry's share of the requests to a backend server.
 type Share struct {
 	limit    Limit
 	entries  int
 	limiter  *rate.Limiter
 	lastTick time.Duration
-	// phase, from 0 to 1, is how late a share of less than one request a second begins; opens is
-	// when it does, zero once it has begun.
+	// phase, from 0 to 1, delays the start of a share of less than one request per second. startsAt
+	// is the time of that start; zero once the share has started.
 	phase    float64
 	startsAt time.Duration
 }
 
-// NewShare returns the share of one of so many entries.
+// NewShare returns the share of one of the given number of entries. phase is a random number from 0
+// to 1.
 //
-// Load: an entry that is killed and started again and again, or a whole herd of them. Harm
-// prevented: each start brings a burst on top of what the process before has just sent. A
-// share begins with nothing, so that both together send what one would have.
-//
-// phase is a random number from 0 to 1.
+// A new share has no saved tokens. Otherwise an entry, or many of them, that is killed and
+// restarted repeatedly would add a burst at each start to what the previous process has just sent.
 func NewShare(l Limit, entries int, phase float64, now time.Duration) *Share {
 	s := &Share{limit: l, entries: entries, phase: phase, lastTick: now}
 	s.limiter = rate.NewLimiter(s.rateAndBurst())
@@ -72,7 +69,7 @@
 	return rate.Limit(s.limit.Rate / n), s.limit.burst(n)
 }
 
-// Set takes the bound and the number of entries that may send now, this one included.
+// Set updates the limit and the number of entries that may send now, including this one.
 func (s *Share) Set(l Limit, entries int, now time.Duration) {
 	if l == s.limit && entries == s.entries {
 		return
@@ -83,11 +80,11 @@
 	s.limiter.SetBurstAt(asTime(now), burst)
 }
 
-// Tick tells the share that the process runs; to be called many times a second.
+// Tick tells the share that the process is running. It must be called many times a second.
 //
-// Load: a VM that is frozen for so long that the others no longer count it, and wakes with its
-// share saved up. Harm prevented: they send all that the server bears, and this one its burst
-// besides, before it hears how many there are.
+// If the process stalled, its saved tokens are discarded. A VM that is frozen for long is no longer
+// counted by the other entries, which then use the whole limit. Without this, it would add its
+// burst when it wakes, before it learns how many entries there are.
 func (s *Share) Tick(now time.Duration) {
 	if now-s.lastTick > stallThreshold {
 		s.reset(now)
@@ -95,7 +92,7 @@
 	s.lastTick = now
 }
 
-// Allow says whether one more request may go out now, and counts it.
+// Allow reports whether one more request may be sent now, and counts it.
 func (s *Share) Allow(now time.Duration) bool {
 	s.Tick(now)
 	if now < s.startsAt {
@@ -107,14 +104,15 @@
 	return s.limiter.AllowN(asTime(now), 1)
 }
 
-// reset takes what a share has saved up, and closes one of less than a request a second.
+// reset discards the saved tokens of a share, and delays the start of one of less than one request
+// per second.
 //
-// Load: so many entries that each may send a server one request in two seconds, and all start
-// at once. Harm prevented: none can send any server anything for two seconds, though all
-// servers are idle, and then all send each server one in the same moment. Instead each begins
-// at a moment of its own, by server: no sooner than what the process before has sent is a
-// second old, and spread over the time in which each earns one request, so that they come at
-// the server's rate and there is soon a server that an entry may send to.
+// With so many entries that each may send a server one request in two seconds, entries that start
+// together could send nothing to any server for two seconds, though all servers are idle, and would
+// then all send to each server at the same moment. So each share starts at its own time for each
+// server: not before the requests of the previous process are a second old, and spread over the
+// time in which a share earns one request. Requests then reach the server at its rate, and each
+// entry soon has a server that it may send to.
 func (s *Share) reset(now time.Duration) {
 	at := asTime(now)
 	s.limiter.AllowN(at, int(s.limiter.TokensAt(at)))
@@ -123,7 +121,7 @@
 	}
 }
 
-// start begins a share with one request.
+// start starts a share with one request.
 func (s *Share) start(now time.Duration) {
 	s.startsAt = 0
 	limit, burst := s.rateAndBurst()
@@ -132,7 +130,7 @@
 	s.limiter.AllowN(at, burst-1)
 }
 
-// epoch makes moments of times since the process started, for the rate limiter.
+// epoch is the base by which asTime converts times since the process start for the rate limiter.
 var epoch = time.Unix(0, 0)
 
 func asTime(now time.Duration) time.Time { return epoch.Add(now) }
--- a/decide/arrivals/arrivals_test.go
+++ b/decide/arrivals/arrivals_test.go
@@ -9,21 +9,21 @@
 
 const msec = time.Millisecond
 
-// siteLimit is the bound of a model server of the first users.
+// siteLimit is the limit of a model server at a site.
 var siteLimit = Limit{Rate: 36, MaxRatio: 1.5, Slack: 5}
 
-// limits are of sites that differ in what they allow beyond the rate.
+// limits differ in how far they allow requests beyond the rate.
 var limits = []Limit{siteLimit, {Rate: 20, MaxRatio: 1.5, Slack: 5}, {Rate: 10, MaxRatio: 1.5, Slack: 50}}
 
 func (l Limit) maxPerSecond() float64 { return l.Rate*l.MaxRatio + l.Slack }
 
-// simulation is a number of entries that press for one server with all they may.
+// simulation has a number of entries that send to one server as much as they may.
 type simulation struct {
 	limit  Limit
 	shares []*Share
-	// stalled are the entries that stand still.
+	// stalled are the entries whose process stands still.
 	stalled map[int]bool
-	// callersFrom is when callers come; until then the entries only look.
+	// callersFrom is when requests begin; until then the entries only call Tick.
 	callersFrom time.Duration
 	sent        []time.Duration
 	rng         *rand.Rand
@@ -52,7 +52,7 @@
 	}
 }
 
-// maxInOneSecond is the most that was sent in any one second.
+// maxInOneSecond returns the largest number of requests sent in any one second.
 func (w *simulation) maxInOneSecond() int {
 	most, first := 0, 0
 	for last := range w.sent {
@@ -64,11 +64,11 @@
 	return most
 }
 
-// A cold server gets all the callers of its service through all entries. In no second may it
-// get more than it bears, and it gets most of its rate, so that callers are served: in a calm,
-// when all entries are killed and started again and again, when one more comes of which the
-// others hear late, and when one sleeps for so long that the others share its part. Callers
-// press all the time, or come in the moment after which all shares were saved up.
+// A cold server gets all requests of its service through all entries. It must never get more in one
+// second than it bears, and must get most of its rate so that callers are served. The cases: steady
+// entries; all entries killed and restarted repeatedly; one more entry that the others learn of
+// late; and one that stalls for so long that the others use its share. Requests come from the
+// start, or begin late, when all shares have saved tokens.
 func TestAllEntriesTogetherKeepTheLimit(t *testing.T) {
 	const whole = 10 * time.Second
 	events := map[string]func(w *simulation, now time.Duration){
@@ -130,7 +130,7 @@
 	}
 }
 
-// A bound that an operator lowers, and one that is raised, hold from the next request on.
+// A limit that an operator lowers holds from the next request on.
 func TestAChangedLimitHoldsFromTheNextRequest(t *testing.T) {
 	w := newSimulation(siteLimit, 4)
 	lowered := Limit{Rate: 8, MaxRatio: 1, Slack: 0}
@@ -146,9 +146,9 @@
 	}
 }
 
-// So many entries start at once that each may send a server one request in two seconds. One
-// server that gets all of their callers bears it; and with many idle servers an entry finds one
-// for the few requests that wait there long before their callers leave.
+// So many entries start together that each may send a server one request in two seconds. A server
+// that gets the requests of all must not be overloaded. With many idle servers, an entry must find
+// one for a few queued requests long before their callers leave.
 func TestManyEntriesStartAtOnce(t *testing.T) {
 	limit := Limit{Rate: 23, MaxRatio: 1.5, Slack: 5}
 	const entries, servers = 45, 72
