--- a/decide/eject/eject.go
+++ b/decide/eject/eject.go
@@ -1,22 +1,23 @@
-// Package eject decides which backend servers get no work for a while because they fail.
+// Package eject takes backend servers out of load balancing for some time when they fail.
 //
-// It is made for backend servers that die without a word, or fail many of their requests
-// while they register themselves as sound. The harm prevented: a server that fails at once
-// always looks the least loaded, and draws request after request.
+// It covers backend servers that die unannounced, or fail many requests while they are registered
+// as healthy. Such a server has few requests in flight, so it looks the least loaded and would
+// attract request after request.
 //
-// Time is an argument. A Judge is not safe for use by several goroutines at once.
+// Time is an argument. A Tracker is not safe for concurrent use.
 package eject
 
 import "time"
 
-// Config holds the limits of a Judge. A zero field takes its default.
+// Config holds the limits of a Tracker. A zero field takes its default.
 type Config struct {
-	// ConsecutiveFailures is the number of failures in a row that eject a server. Default 3: servers fail
-	// single requests for reasons of the request.
+	// ConsecutiveFailures is the number of failures in a row that eject a server. Default 3:
+	// servers also fail single requests because of the request itself.
 	ConsecutiveFailures int
-	// BaseDuration is how long the first ejection lasts, MaxDuration the longest; each one lasts twice
-	// as long as that before. Defaults 0.5 s and 4 s: a server that restarts is back in
-	// seconds, and one request each 4 s is little to lose on one that is not.
+	// BaseDuration is the length of the first ejection, MaxDuration that of the longest; each
+	// ejection lasts twice as long as the one before. Defaults 0.5 s and 4 s: a server that
+	// restarts is back within seconds, and one failed request every 4 s is a small loss on one that
+	// is not.
 	BaseDuration, MaxDuration time.Duration
 }
 
@@ -33,7 +34,7 @@
 	return c
 }
 
-// Tracker keeps the record of each backend server.
+// Tracker tracks the failures of each backend server.
 type Tracker struct {
 	cfg     Config
 	records map[string]*record
@@ -45,22 +46,22 @@
 	ejectedUntil        time.Duration
 }
 
-// New returns a judge that knows no server.
+// New returns a tracker without any servers.
 func New(cfg Config) *Tracker {
 	return &Tracker{cfg: cfg.withDefaults(), records: make(map[string]*record)}
 }
 
-// RecordUnreachable says that a server could not be connected to. It is ejected at once: nothing
-// that a request does makes a server refuse connections. It returns for how long the server
-// is out by this, zero if it was out already.
+// RecordUnreachable records that the connection to a server failed. The server is ejected at once,
+// since no request can cause a server to refuse connections. It returns the length of the ejection,
+// zero if the server was ejected already.
 func (t *Tracker) RecordUnreachable(id string, now time.Duration) time.Duration {
 	r := t.record(id)
 	r.consecutiveFailures = max(r.consecutiveFailures, t.cfg.ConsecutiveFailures)
 	return t.eject(r, now)
 }
 
-// RecordFailure says that a server failed a request. It returns for how long the server is out by
-// this, zero if it is not.
+// RecordFailure records that a server failed a request. It returns the length of the ejection that
+// follows, zero if there is none.
 func (t *Tracker) RecordFailure(id string, now time.Duration) time.Duration {
 	r := t.record(id)
 	r.consecutiveFailures++
@@ -70,17 +71,17 @@
 	return t.eject(r, now)
 }
 
-// RecordSuccess says that a server has served a request.
+// RecordSuccess records that a server has served a request.
 func (t *Tracker) RecordSuccess(id string) { delete(t.records, id) }
 
-// Ejected says whether a server gets no work now. When its time is over it gets work until the
-// next failure, which ejects it again for longer.
+// Ejected reports whether a server is ejected now. After an ejection the server gets requests again
+// until its next failure, which ejects it for longer.
 func (t *Tracker) Ejected(id string, now time.Duration) bool {
 	r, ok := t.records[id]
 	return ok && now < r.ejectedUntil
 }
 
-// Retain forgets all servers but those of which known returns true.
+// Retain removes all servers for which known returns false.
 func (t *Tracker) Retain(known func(id string) bool) {
 	for id := range t.records {
 		if !known(id) {
@@ -98,8 +99,8 @@
 	return r
 }
 
-// eject takes a server out, unless it is out already: failures of requests that were sent
-// before count once.
+// eject ejects a server unless it is ejected already, so that failures of requests sent before the
+// ejection count once.
 func (t *Tracker) eject(r *record, now time.Duration) time.Duration {
 	if now < r.ejectedUntil {
 		return 0
--- a/decide/eject/eject_test.go
+++ b/decide/eject/eject_test.go
@@ -7,8 +7,8 @@
 
 const msec = time.Millisecond
 
-// A server fails every request at once. It gets three, then one after each ejection, which
-// lasts longer each time.
+// A server fails every request at once. It must get only three requests, then one after each
+// ejection, and ejections must get longer.
 func TestAServerThatFailsEverything(t *testing.T) {
 	j := New(Config{})
 	sent := 0
@@ -23,7 +23,7 @@
 	}
 }
 
-// A server fails one request in five for reasons of the requests, and stays.
+// A server fails one request in five because of the requests themselves. It must not be ejected.
 func TestSingleFailuresEjectNoServer(t *testing.T) {
 	j := New(Config{})
 	for i := range 100 {
@@ -33,25 +33,25 @@
 			j.RecordSuccess("a")
 		}
 		if j.Ejected("a", time.Duration(i)) {
-			t.Fatalf("out after request %d", i)
+			t.Fatalf("ejected after request %d", i)
 		}
 	}
 }
 
-// Ten requests are on their way to a server that dies. Their failures are one event, and
-// the server is tried again after the first, short time.
+// Ten requests are in flight to a server that dies. They must cause one ejection of the base
+// length.
 func TestSimultaneousFailuresEjectOnce(t *testing.T) {
 	j := New(Config{})
 	for i := range 10 {
 		if out := j.RecordUnreachable("a", 0); (out > 0) != (i == 0) {
-			t.Errorf("failure %d: out for %v by it", i+1, out)
+			t.Errorf("failure %d: ejected for %v", i+1, out)
 		}
 	}
 	if !j.Ejected("a", 499*msec) || j.Ejected("a", 500*msec) {
-		t.Error("not out for 500 ms")
+		t.Error("not ejected for 500 ms")
 	}
 	j.RecordSuccess("a")
 	if j.Ejected("a", 0) {
-		t.Error("out after it served")
+		t.Error("ejected after it served a request")
 	}
 }
