--- a/decide/internal/heap/heap.go
+++ b/decide/internal/heap/heap.go
@@ -1,26 +1,25 @@
-// Package heap is a binary heap whose elements know their place in it.
+// Package heap implements a binary heap whose elements know their index.
 package heap
 
-// Heap is a binary heap that tells each element its index, so that one in the
-// middle can be taken out.
+// Heap is a binary heap that reports the index of each element, so that any element can be removed.
 type Heap[T any] struct {
-	// Less orders the elements; the least is on top.
+	// Less orders the elements; the least one is at the top.
 	Less func(a, b T) bool
-	// Moved is told the new index of an element, or -1 when it is taken out.
+	// Moved is called with the new index of an element, or -1 when it is removed.
 	Moved    func(element T, index int)
 	elements []T
 }
 
-// Len is the number of elements.
+// Len returns the number of elements.
 func (h *Heap[T]) Len() int { return len(h.elements) }
 
-// Top is the least element. The heap must not be empty.
+// Top returns the least element. The heap must not be empty.
 func (h *Heap[T]) Top() T { return h.elements[0] }
 
-// All are the elements in no order. The caller must not change the slice.
+// All returns the elements in no particular order. The caller must not change the slice.
 func (h *Heap[T]) All() []T { return h.elements }
 
-// Push puts an element in.
+// Push adds an element.
 func (h *Heap[T]) Push(element T) {
 	h.elements = append(h.elements, element)
 	last := len(h.elements) - 1
@@ -28,7 +27,7 @@
 	h.up(last)
 }
 
-// Remove takes out the element at index.
+// Remove removes the element at index.
 func (h *Heap[T]) Remove(index int) {
 	last := len(h.elements) - 1
 	h.swap(index, last)
