--- a/decide/shift/example_test.go
+++ b/decide/shift/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/decide/shift"
 )
 
-// A failure domain leaves at short notice and comes back: new work stops within a
-// second and returns over ten.
+// A failure domain leaves at short notice and comes back: new requests stop within a second and
+// return over ten.
 func Example() {
 	s := shift.New(shift.Config{})
 	s.Leave(10*time.Second, "a")
--- a/decide/shift/shift_test.go
+++ b/decide/shift/shift_test.go
@@ -9,11 +9,11 @@
 	s := New(Config{})
 	s.Leave(0, "a")
 	if w := s.Weight(500*time.Millisecond, "a"); w < 0.4 || w > 0.6 {
-		t.Fatalf("weight %v half way", w)
+		t.Fatalf("weight %v halfway through the drain", w)
 	}
 	s.Leave(900*time.Millisecond, "a")
 	if w := s.Weight(time.Second, "a"); w != 0 {
-		t.Fatalf("weight %v after the drain: asking again must not begin anew", w)
+		t.Fatalf("weight %v after the drain: a second call must not restart it", w)
 	}
 	if w := s.Weight(time.Second, "b"); w != 1 {
 		t.Fatalf("weight %v of another domain", w)
@@ -36,12 +36,12 @@
 		last = w
 	}
 	if last != 1 {
-		t.Fatalf("weight %v in the end", last)
+		t.Fatalf("weight %v after the ramp, want 1", last)
 	}
 }
 
-// A failure domain leaves while it still ramps up from its last return. Its weight
-// goes on from where it stood.
+// A failure domain leaves while it still ramps up from its last return. Its weight must decrease
+// from its current value, without a step.
 func TestLeaveDuringReturn(t *testing.T) {
 	s := New(Config{})
 	s.Drop(0, "a")
@@ -52,7 +52,7 @@
 		t.Fatalf("weight stepped from %v to %v", before, w)
 	}
 	if w := s.Weight(6*time.Second, "a"); w != 0 {
-		t.Fatalf("weight %v", w)
+		t.Fatalf("weight %v after the drain, want 0", w)
 	}
 }
 
