--- a/decide/queue/queue.go
+++ b/decide/queue/queue.go
@@ -1,11 +1,11 @@
-// Package queue keeps requests that wait, at an agent or at an entry.
+// Package queue keeps queued requests, at an agent or at an entry.
 //
-// A Queue is bounded. Within one share the earliest deadline goes first; between
-// shares the one that has been served least for its weight goes first. A request
-// that can no longer end before its deadline comes out at once as a refusal.
+// A Queue has a limited length. Within one share the earliest deadline goes first; between shares,
+// the one that was served least for its weight goes first (weighted fair queueing). A request that
+// can no longer end before its deadline is removed at once, to be refused.
 //
-// The caller passes the time, since process start, into every method. A Queue is
-// not safe for use by several goroutines at once.
+// The caller passes the time since the process start to every method. A Queue is not safe for
+// concurrent use.
 package queue
 
 import (
@@ -14,34 +14,34 @@
 	"github.com/apricothub/apricothub/decide/internal/heap"
 )
 
-// Item is one waiting request.
+// Item is one queued request.
 type Item struct {
-	// ID names the request.
+	// ID identifies the request.
 	ID uint64
-	// Share names whose share the request is served from, such as a customer.
+	// Share names the share that the request counts against, such as a customer.
 	Share string
-	// Weight is the weight of the share against others. Zero means 1.
+	// Weight is the weight of the share relative to others. Zero means 1.
 	Weight float64
 	// Priority puts a request before others of its share; higher goes first.
 	Priority int
-	// Deadline is when the answer must be whole.
+	// Deadline is when the answer must be complete.
 	Deadline time.Duration
-	// WorkTime is the expected time of the work. The request is given up when less
-	// than WorkTime and a margin is left before Deadline.
+	// WorkTime is the expected time of the work. The request is given up when less than startMargin
+	// times WorkTime is left before Deadline.
 	WorkTime time.Duration
 }
 
-// startMargin is the ratio of the time left to the expected time of the work below which
-// a request is given up: of requests begun with just the expected time left half
-// would be late, and their work thrown away.
+// startMargin is the ratio of the time left to the expected time of the work below which a request
+// is given up. Of requests that start with just the expected time left, half would be late and
+// their work wasted.
 const startMargin = 1.3
 
-// latestStart is when the request must begin at the latest.
+// latestStart returns the latest time at which the request must start.
 func (i Item) latestStart() time.Duration {
 	return i.Deadline - time.Duration(startMargin*float64(i.WorkTime))
 }
 
-// Queue is a bounded queue with shares.
+// Queue is a weighted fair queue of limited length.
 type Queue struct {
 	capacity int
 	items    map[uint64]*node
@@ -52,11 +52,11 @@
 	virtualClock float64
 }
 
-// share is the waiting work of one share.
+// share holds the queued requests of one share.
 type share struct {
 	name    string
 	waiting heap.Heap[*node]
-	// virtualTime is the service received, in requests by weight.
+	// virtualTime is the service received so far: requests divided by weight.
 	virtualTime float64
 	index       int
 }
@@ -69,8 +69,8 @@
 
 // New returns a queue for at most capacity requests.
 //
-// The bound keeps the wait short: what waits longer than its work takes is
-// better refused, so that the caller can go elsewhere.
+// The limit keeps the queueing time short: a request that would be queued for longer than its work
+// takes is better refused, so that the caller can go elsewhere.
 func New(capacity int) *Queue {
 	return &Queue{
 		capacity: capacity,
@@ -81,11 +81,11 @@
 	}
 }
 
-// Len is the number of requests waiting.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Push puts a request in. It returns false when the queue is full, when the
-// request could not end in time, or when its ID is waiting already.
+// Push adds a request. It returns false when the queue is full, when the request could not end in
+// time, or when its ID is queued already.
 func (q *Queue) Push(now time.Duration, item Item) bool {
 	if len(q.items) >= q.capacity || now > item.latestStart() {
 		return false
@@ -99,20 +99,20 @@
 	s := q.shareOf(item.Share)
 	s.waiting.Push(n)
 	if s.waiting.Len() == 1 {
-		// A share that was idle saves up no claim on the time it did not use.
+		// A share that was idle gets no credit for the time that it did not use.
 		s.virtualTime = max(s.virtualTime, q.virtualClock)
 		q.ready.Push(s)
 	}
 	return true
 }
 
-// Displace puts a request into a full queue in place of another, which it
-// returns: the last one of the share that is served furthest ahead. It returns
-// false when the request is itself the furthest ahead, or can't end in time.
+// Displace adds a request to a full queue in place of another one, which it returns: the last
+// request of the share with the latest virtual finish time. It returns false when the new request
+// itself would finish last, or can't end in time.
 //
-// Load: one customer that fills every agent's queue. Harm prevented: a refusal of
-// a customer within its share for one beyond it. The cost is one look at each
-// share that waits, no more than the capacity.
+// Without this, a customer that fills the queues of all agents beyond its share would cause
+// refusals of customers within theirs. The cost is one check of each share with queued requests, of
+// which there are no more than the capacity.
 func (q *Queue) Displace(now time.Duration, item Item) (Item, bool) {
 	if now > item.latestStart() || len(q.items) < q.capacity {
 		return Item{}, false
@@ -136,8 +136,8 @@
 	return displaced.item, q.Push(now, item)
 }
 
-// lastFinishTime is the virtual time at which the last of a share's requests is served,
-// with some more of them.
+// lastFinishTime returns the virtual time at which the last request of a share is served, with
+// extra more of them queued.
 func (q *Queue) lastFinishTime(name string, weight float64, extra int) float64 {
 	s, ok := q.shares[name]
 	if !ok {
@@ -146,7 +146,7 @@
 	return max(s.virtualTime, q.virtualClock) + float64(s.waiting.Len()+extra)/weight
 }
 
-// lastToServe is the waiting request of a share that would be served lastToServe.
+// lastToServe returns the queued request of a share that would be served last.
 func (s *share) lastToServe() *node {
 	last := s.waiting.Top()
 	for _, n := range s.waiting.All() {
@@ -164,7 +164,7 @@
 	return item.Weight
 }
 
-// Pop takes out the request to start next. Call Expired before it.
+// Pop removes and returns the request to start next. Call RemoveExpired before it.
 func (q *Queue) Pop() (Item, bool) {
 	if q.ready.Len() == 0 {
 		return Item{}, false
@@ -178,7 +178,7 @@
 	return n.item, true
 }
 
-// RemoveExpired takes out every request that can't end before its deadline any more.
+// RemoveExpired removes and returns every request that can no longer end before its deadline.
 func (q *Queue) RemoveExpired(now time.Duration) []Item {
 	var expired []Item
 	for q.expiry.Len() > 0 {
@@ -192,7 +192,7 @@
 	return expired
 }
 
-// Remove takes out one request, such as one whose caller has gone.
+// Remove removes one request, such as one whose caller has disconnected.
 func (q *Queue) Remove(id uint64) (Item, bool) {
 	n, ok := q.items[id]
 	if !ok {
@@ -202,7 +202,7 @@
 	return n.item, true
 }
 
-// NextExpiry is when Expired has something to return at the latest.
+// NextExpiry returns the next time at which RemoveExpired has something to return.
 func (q *Queue) NextExpiry() (time.Duration, bool) {
 	if q.expiry.Len() == 0 {
 		return 0, false
@@ -232,8 +232,8 @@
 	q.dropIdle(s)
 }
 
-// dropIdle drops a share with nothing waiting once its virtual time has passed, so
-// that memory follows the customers who wait, not all who ever came.
+// dropIdle deletes a share without queued requests once its virtual time has passed, so that memory
+// follows the number of customers with queued requests, not that of all who ever sent one.
 func (q *Queue) dropIdle(s *share) {
 	if s.virtualTime <= q.virtualClock || q.ready.Len() == 0 {
 		delete(q.shares, s.name)
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run is the same; "make explore" takes another.
+// The seed is fixed so that every run is the same; "make explore" uses another one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
@@ -39,7 +39,7 @@
 		}
 	}
 	if heavy < 29 || heavy > 31 {
-		t.Fatalf("%d of 40 to the share of weight 3 beside 1", heavy)
+		t.Fatalf("%d of 40 requests went to the share of weight 3 beside one of weight 1", heavy)
 	}
 }
 
@@ -48,13 +48,13 @@
 	q.Push(0, Item{ID: 1, Share: "a", Deadline: 10 * time.Second, WorkTime: 2 * time.Second})
 	at, ok := q.NextExpiry()
 	if !ok || len(q.RemoveExpired(at-1)) != 0 {
-		t.Fatal("expired too soon")
+		t.Fatal("a request expired too soon")
 	}
 	if out := q.RemoveExpired(at); len(out) != 1 || at > 8*time.Second+1 {
-		t.Fatalf("%v at %v", out, at)
+		t.Fatalf("expired %v at %v", out, at)
 	}
 	if q.Push(9*time.Second, Item{ID: 2, Deadline: 10 * time.Second, WorkTime: 2 * time.Second}) {
-		t.Fatal("took a request that can't end in time")
+		t.Fatal("accepted a request that can't end in time")
 	}
 }
 
@@ -66,15 +66,15 @@
 	q.Push(0, Item{ID: 10, Share: "small", Weight: 1, Deadline: time.Hour})
 	out, ok := q.Displace(0, Item{ID: 11, Share: "other", Weight: 1, Deadline: time.Hour})
 	if !ok || out.ID != 2 {
-		t.Fatalf("gave up %d (%v), want the hog's last", out.ID, ok)
+		t.Fatalf("displaced %d (%v), want the last request of the hog", out.ID, ok)
 	}
 	if _, ok := q.Displace(0, Item{ID: 3, Share: "hog", Weight: 1, Deadline: time.Hour}); ok {
-		t.Fatal("the hog displaced another")
+		t.Fatal("the hog displaced a request of another share")
 	}
 }
 
-// Whatever is pushed, popped, removed, displaced and expired, in any order, every
-// request comes out exactly once and the bound holds.
+// For any order of push, pop, remove, displace and expiry, every request must be returned exactly
+// once, and the length limit must hold.
 func TestNothingIsLostOrDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(6)
@@ -82,7 +82,7 @@
 		var now time.Duration
 		remove := func(item Item) {
 			if !queued[item.ID] {
-				t.Fatalf("%d came out and was not in", item.ID)
+				t.Fatalf("%d was returned and was not queued", item.ID)
 			}
 			delete(queued, item.ID)
 		}
@@ -114,7 +114,7 @@
 				}
 			}
 			if q.Len() != len(queued) || q.Len() > 6 {
-				t.Fatalf("%d in the queue, %d expected", q.Len(), len(queued))
+				t.Fatalf("%d requests are queued, want %d", q.Len(), len(queued))
 			}
 		}
 		for q.Len() > 0 {
@@ -122,7 +122,7 @@
 			remove(got)
 		}
 		if len(q.shares) > 3 || q.ready.Len() != 0 || q.expiry.Len() != 0 {
-			t.Fatalf("left behind: %d shares", len(q.shares))
+			t.Fatalf("the empty queue still has %d shares", len(q.shares))
 		}
 	})
 }
