--- a/decide/silence/silence.go
+++ b/decide/silence/silence.go
@@ -1,47 +1,48 @@
-// Package silence decides when the VM of a backend server counts as silent, and which requests
-// are given to another server.
+// Package silence decides when the VM of a backend server counts as silent (unresponsive), and
+// which requests are moved to another server.
 //
-// It is made for VMs that stand still for seconds, or are cut off without a word, and for servers
-// and connections that hang: connections stand, and requests wait there. The harm prevented:
-// callers wait until they leave, and the server runs their requests for nobody when it is back. A
-// server that is only slow, or has much to do, keeps its requests: its VM answers when it is
-// asked, and some of the answer comes sooner or later.
+// It covers VMs that stall for seconds or are cut off unannounced, and servers and connections that
+// hang: connections stay open, and requests wait there. Without it, callers would wait until they
+// give up, and the server would then run their requests for nobody when it is back. A server that
+// is only slow or busy keeps its requests: its VM answers probes, and parts of the answer arrive
+// sooner or later.
 //
-// Time is an argument. Nothing here is safe for use by several goroutines at once.
+// Time is an argument. Nothing here is safe for concurrent use.
 package silence
 
 import "time"
 
-// Config holds the times that the decisions go by. A zero field takes its default.
+// Config holds the delays and limits of a Detector. A zero field takes its default.
 type Config struct {
-	// FirstProbeDelay is how long a request may wait for the first of its answer before its server's VM is
-	// asked, where its route has no aim. Default 300 ms.
+	// FirstProbeDelay is how long a request waits for the first part of its answer before its
+	// server's VM is probed, if its route has no objective. Default 300 ms.
 	FirstProbeDelay time.Duration
-	// FirstProbeRatio is that wait as a part of the route's aim. Default 0.6: what is left of it is
-	// enough for another server to meet the aim.
+	// FirstProbeRatio is that delay as a ratio of the route's objective. Default 0.6: the time left
+	// is enough for another server to meet the objective.
 	FirstProbeRatio float64
-	// GapProbeDelay is the same for the next event of an answer that has begun. Default 150 ms.
+	// GapProbeDelay is the same for the next event of an answer that has begun, if its route has no
+	// maximum pause. Default 150 ms.
 	GapProbeDelay time.Duration
-	// FirstMoveRatio and StuckFirst are FirstPart and First for a request that is moved though its
-	// server's VM answers, or cannot be asked. Defaults 2 and 1 s.
+	// FirstMoveRatio and FirstMoveDelay are the same as FirstProbeRatio and FirstProbeDelay for
+	// moving a request although its server's VM answers or cannot be probed. Defaults 2 and 1 s.
 	FirstMoveRatio float64
 	FirstMoveDelay time.Duration
-	// GapMovePauses is the same for the next event, as a multiple of the pause that the route
-	// accepts, StuckGap where it has none. Defaults 5 and 750 ms.
+	// GapMovePauses is the same for the next event, as a multiple of the route's maximum pause;
+	// GapMoveDelay applies if it has none. Defaults 5 and 750 ms.
 	GapMovePauses float64
 	GapMoveDelay  time.Duration
-	// ProbeInterval is the time between two questions to a VM that answers, so that a service which is
-	// slow as a whole costs few of them. Default 250 ms.
+	// ProbeInterval is the time between two probes of a VM that answers, so that a service that is
+	// slow as a whole causes few of them. Default 250 ms.
 	ProbeInterval time.Duration
-	// MaxReportAge is how long ago another server of a group in lock-step must have been heard at most
-	// for a request to be moved there. Default 250 ms: a group that is silent as a whole, as
-	// while it forms, serves it nowhere.
-	MaxReportAge time.Duration
-	// MoveInterval is the least time between two requests that one entry moves. Default 50 ms, a third
-	// of the time in which entries hear of each other's requests.
+	// MaxLastHeardAge is how long ago another server of a lock-step group may have been heard at
+	// most for a request to be moved there. Default 250 ms: a group that is silent as a whole, as
+	// while it forms, serves the request nowhere.
+	MaxLastHeardAge time.Duration
+	// MoveInterval is the minimum time between two requests that one entry moves. Default 50 ms, a
+	// third of the time after which entries know of each other's requests.
 	MoveInterval time.Duration
-	// ReservedRatio is the part of the room at a service's servers that is left to new requests.
-	// Default 0.1.
+	// ReservedRatio is the ratio of the slots of a service's servers that is kept free for new
+	// requests. Default 0.1.
 	ReservedRatio float64
 }
 
@@ -56,7 +57,7 @@
 	set(&c.FirstMoveDelay, time.Second)
 	set(&c.GapMoveDelay, 750*time.Millisecond)
 	set(&c.ProbeInterval, 250*time.Millisecond)
-	set(&c.MaxReportAge, 250*time.Millisecond)
+	set(&c.MaxLastHeardAge, 250*time.Millisecond)
 	set(&c.MoveInterval, 50*time.Millisecond)
 	if c.FirstProbeRatio == 0 {
 		c.FirstProbeRatio = 0.6
@@ -73,18 +74,18 @@
 	return c
 }
 
-// Progress is what a request has of its answer.
+// Progress is how much of its answer a request has received.
 type Progress struct {
-	// HasBegun says that some of the answer has come.
+	// HasBegun says that a part of the answer has arrived.
 	HasBegun bool
-	// Objective is the time within which the caller wants the first of it, MaxPause the longest one
-	// between two events; zero for unknown.
+	// Objective is the time within which the caller wants the first part of the answer, MaxPause
+	// the longest acceptable pause between two events; zero for unknown.
 	Objective, MaxPause time.Duration
-	// Since is when the last of it came, or when the request was sent.
+	// Since is when the last part arrived, or when the request was sent.
 	Since time.Duration
 }
 
-// Detector keeps what is known of the VMs of backend servers, by server.
+// Detector tracks the VMs of backend servers, by server.
 type Detector struct {
 	cfg     Config
 	servers map[string]*server
@@ -94,20 +95,21 @@
 
 type server struct {
 	service string
-	// probing says that the VM is being asked, answeredAt when it last answered.
+	// probing says that a probe of the VM is in flight; lastAnswerAt is when the VM last answered
+	// one.
 	probing      bool
 	lastAnswerAt time.Duration
 	silent       bool
-	// lastHeard is when anything last came from the server itself.
+	// lastHeard is when anything last arrived from the server itself.
 	lastHeard time.Duration
 }
 
-// New returns a watch that knows no server.
+// New returns a detector without any servers.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg.withDefaults(), servers: make(map[string]*server)}
 }
 
-// Retain forgets all servers but those of which known returns true.
+// Retain removes all servers for which known returns false.
 func (d *Detector) Retain(known func(id string) bool) {
 	for id := range d.servers {
 		if !known(id) {
@@ -116,8 +118,8 @@
 	}
 }
 
-// waitLimit is how long a request may wait, as parts of what its route asks for, or where the route
-// says nothing.
+// waitLimit is how long a request may wait: as multiples of its route's objective and maximum
+// pause, or as fixed times where the route has none.
 type waitLimit struct {
 	objectives, pauses float64
 	first, gap         time.Duration
@@ -136,25 +138,25 @@
 	}
 }
 
-// ProbeDelay is how long a request waits before its server's VM is asked.
+// ProbeDelay returns how long a request waits before its server's VM is probed.
 func (d *Detector) ProbeDelay(p Progress) time.Duration {
 	return waitLimit{objectives: d.cfg.FirstProbeRatio, pauses: 1, first: d.cfg.FirstProbeDelay, gap: d.cfg.GapProbeDelay}.duration(p)
 }
 
-// moveDelay is how long a request waits before it is moved though its server's VM answers.
+// moveDelay returns how long a request waits before it is moved although its server's VM answers.
 func (d *Detector) moveDelay(p Progress) time.Duration {
 	return waitLimit{objectives: d.cfg.FirstMoveRatio, pauses: d.cfg.GapMovePauses, first: d.cfg.FirstMoveDelay, gap: d.cfg.GapMoveDelay}.duration(p)
 }
 
-// Heard says that something came from a server itself.
+// Heard records that something arrived from the server itself.
 func (d *Detector) Heard(id, service string, now time.Duration) {
 	s := d.server(id)
 	s.service = service
 	s.lastHeard = now
 }
 
-// StartProbe says whether the VM of a server is to be asked now. Answered or Unanswered tells how that
-// ended.
+// StartProbe reports whether the VM of a server is to be probed now. If so, the caller reports the
+// outcome by ProbeAnswered or ProbeFailed.
 func (d *Detector) StartProbe(id string, now time.Duration) bool {
 	s := d.server(id)
 	if s.probing || s.lastAnswerAt > 0 && now-s.lastAnswerAt < d.cfg.ProbeInterval {
@@ -164,7 +166,8 @@
 	return true
 }
 
-// ProbeAnswered says that a VM has answered. It returns whether it had counted as silent.
+// ProbeAnswered records that a VM answered a probe. It returns whether the VM had counted as
+// silent.
 func (d *Detector) ProbeAnswered(id string, now time.Duration) bool {
 	s, ok := d.servers[id]
 	if !ok {
@@ -176,9 +179,9 @@
 	return wasSilent
 }
 
-// ProbeFailed says that a VM has not answered in time. It counts as silent, and is to be asked
-// again until it answers or again is false, as when it has been forgotten meanwhile. became says
-// that the silence is new.
+// ProbeFailed records that a VM did not answer a probe in time. The VM counts as silent, and is
+// probed until it answers or probeAgain is false, as when the server has been removed meanwhile.
+// becameSilent says that the VM did not count as silent before.
 func (d *Detector) ProbeFailed(id string) (becameSilent, probeAgain bool) {
 	s, ok := d.servers[id]
 	if !ok {
@@ -189,40 +192,42 @@
 	return becameSilent, true
 }
 
-// IsSilent says whether the VM of a server counts as silent.
+// IsSilent reports whether the VM of a server counts as silent.
 func (d *Detector) IsSilent(id string) bool {
 	s, ok := d.servers[id]
 	return ok && s.silent
 }
 
-// Service is what an entry knows of the servers of a service that get work.
+// Service is what an entry knows of the servers of a service that get requests.
 type Service struct {
 	Name string
 	// LockStep says that no server works while one of them does not.
 	LockStep bool
-	// FreeSlots and Slots are their places, Entries is the number of entries that send there.
+	// FreeSlots and Slots count the places for requests at the servers, free and in total; Entries
+	// is the number of entries that send there.
 	FreeSlots, Slots, Entries int
 }
 
-// Reason is why a request is moved.
+// Reason says why a request is moved.
 type Reason uint8
 
 const (
-	// NotMoved is that of a request that is not.
+	// NotMoved says that the request stays where it is.
 	NotMoved Reason = iota
 	// SilentVM says that the VM of its server does not answer.
 	SilentVM
-	// Stuck says that nothing comes of it, though the VM answers or cannot be asked.
+	// Stuck says that no part of the answer arrives, though the VM answers or cannot be probed.
 	Stuck
 )
 
-// MoveReason says whether, and why, a request that waits at a server is to be given to another one of
-// the service now: its server's VM is silent, or nothing has come for very long, others serve, and
-// they have room. Call Moved when it is.
+// MoveReason returns whether, and why, a request that waits at a server is to be moved to another
+// server of the service now: its server's VM is silent or nothing has arrived for very long, other
+// servers work, and they have free slots. Call RecordMove when it is moved.
 //
-// Load: a third of busy servers go silent with all that they hold. Harm prevented: it all comes to
-// the others at once, fills their queues for seconds, and makes every other caller late. All
-// entries move at the same moment, and hear of each other's requests only later.
+// The rate of moves and the slots used for them are limited. When a third of busy servers goes
+// silent, all their requests would otherwise go to the other servers at once, fill their queues for
+// seconds and make every other caller late: all entries move requests at the same moment, and learn
+// of each other's requests only later.
 func (d *Detector) MoveReason(id string, service Service, p Progress, now time.Duration) Reason {
 	reason := d.reason(id, p, now)
 	switch {
@@ -247,13 +252,13 @@
 	return NotMoved
 }
 
-// RecordMove says that a request was moved.
+// RecordMove records that a request was moved.
 func (d *Detector) RecordMove(now time.Duration) { d.lastMoveAt = now }
 
-// otherServerAlive says whether another server of a service has just been heard.
+// otherServerAlive reports whether another server of a service has been heard recently.
 func (d *Detector) otherServerAlive(id, service string, now time.Duration) bool {
 	for other, s := range d.servers {
-		if other != id && s.service == service && !s.silent && s.lastHeard > 0 && now-s.lastHeard <= d.cfg.MaxReportAge {
+		if other != id && s.service == service && !s.silent && s.lastHeard > 0 && now-s.lastHeard <= d.cfg.MaxLastHeardAge {
 			return true
 		}
 	}
--- a/decide/silence/silence_test.go
+++ b/decide/silence/silence_test.go
@@ -12,26 +12,27 @@
 	service = "drafts"
 )
 
-// withFreeSlots are engines with room for all that is moved.
+// withFreeSlots has engines with free slots for every request that is moved.
 var withFreeSlots = silence.Service{Name: service, LockStep: true, FreeSlots: 60, Slots: 96, Entries: 6}
 
-// begun is a stream whose last event came at a moment, and whose caller accepts pauses of 120 ms.
+// begun is a stream whose last event arrived at the given time and whose caller accepts pauses of
+// 120 ms.
 func begun(at time.Duration) silence.Progress {
 	return silence.Progress{HasBegun: true, MaxPause: 120 * ms, Since: at}
 }
 
-// detectorWithSilentVM returns a watch on two servers, of which e-0 has gone silent and e-1 was heard at a
-// moment.
+// detectorWithSilentVM returns a detector of two servers: e-0, which has become silent, and e-1,
+// which was last heard at the given time.
 func detectorWithSilentVM(t *testing.T, lastHeard time.Duration) *silence.Detector {
 	t.Helper()
 	w := silence.New(silence.Config{})
 	w.Heard("e-0", service, 1*ms)
 	w.Heard("e-1", service, lastHeard)
 	if !w.StartProbe("e-0", lastHeard) {
-		t.Fatal("a VM that was never asked is not asked")
+		t.Fatal("a VM that was never probed is not probed")
 	}
 	if became, again := w.ProbeFailed("e-0"); !became || !again {
-		t.Fatalf("the VM became silent: %v, is asked again: %v", became, again)
+		t.Fatalf("the VM became silent: %v, is probed again: %v", became, again)
 	}
 	return w
 }
@@ -54,18 +55,19 @@
 	}
 }
 
-// A VM stands still with a request in it: its caller waits until it leaves.
+// A VM stalls with a request in it. Unless the request is moved, its caller waits until it gives
+// up.
 func TestARequestLeavesASilentVM(t *testing.T) {
 	w := detectorWithSilentVM(t, 1000*ms)
 	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1000*ms) != silence.SilentVM {
-		t.Error("it stays")
+		t.Error("a request at a silent VM is not moved")
 	}
 	if w.MoveReason("e-0", withFreeSlots, begun(950*ms), 1000*ms) != silence.NotMoved {
-		t.Error("one whose last event came just now is moved")
+		t.Error("a request whose last event has just arrived is moved")
 	}
 }
 
-// All engines of a group are slow. Requests that are moved cost the work done so far, and gain
+// All engines of a group are slow. A request that is moved loses the work done so far and gains
 // nothing.
 func TestASlowServerKeepsItsRequests(t *testing.T) {
 	w := silence.New(silence.Config{})
@@ -73,52 +75,53 @@
 	w.StartProbe("e-0", 900*ms)
 	w.ProbeAnswered("e-0", 910*ms)
 	if w.MoveReason("e-0", withFreeSlots, begun(500*ms), 1000*ms) != silence.NotMoved {
-		t.Error("it is moved from a VM that answers")
+		t.Error("a request is moved from a VM that answers")
 	}
 	if w.StartProbe("e-0", 1000*ms) {
-		t.Error("the VM is asked again at once")
+		t.Error("the VM is probed again before the probe interval is over")
 	}
 	if !w.StartProbe("e-0", 1200*ms) {
-		t.Error("the VM is not asked again")
+		t.Error("the VM is not probed again after the probe interval")
 	}
 }
 
-// A group of engines stands still as a whole, as while it forms. Requests that are moved spend
-// their attempts, and are refused when it is back.
+// A group of engines stalls as a whole, as while it forms. Requests that are moved use up their
+// attempts, and are refused when the group is back.
 func TestRequestsStayWhileNoServerServes(t *testing.T) {
 	w := detectorWithSilentVM(t, 1000*ms)
 	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1300*ms) != silence.NotMoved {
-		t.Error("it is moved to a service of which nothing is heard")
+		t.Error("a request is moved though no other server has been heard")
 	}
 	w.Heard("e-1", "another", 1300*ms)
 	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1300*ms) != silence.NotMoved {
-		t.Error("it is moved since another service serves")
+		t.Error("a request is moved because a server of another service was heard")
 	}
 }
 
-// Six entries each have four requests at VMs that go silent. All at once they fill the other
-// servers' queues, and every caller is late.
+// Six entries each have four requests at VMs that become silent. If all were moved at once, they
+// would fill the queues of the other servers and make every caller late.
 func TestRequestsMoveWhileSlotsAreFree(t *testing.T) {
 	w := detectorWithSilentVM(t, 1000*ms)
 	almostFull := withFreeSlots
 	almostFull.FreeSlots = 14
 	if w.MoveReason("e-0", almostFull, begun(800*ms), 1000*ms) != silence.NotMoved {
-		t.Error("it takes the room that is left to new requests")
+		t.Error("a moved request takes a slot that is reserved for new requests")
 	}
 	almostFull.FreeSlots++
 	if w.MoveReason("e-0", almostFull, begun(800*ms), 1000*ms) != silence.SilentVM {
-		t.Error("it stays though there is room")
+		t.Error("a request is not moved though slots are free")
 	}
 	w.RecordMove(1000 * ms)
 	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1020*ms) != silence.NotMoved {
-		t.Error("another one follows before others can hear of the first")
+		t.Error("a second request is moved before the move interval is over")
 	}
 	if w.MoveReason("e-0", withFreeSlots, begun(800*ms), 1060*ms) != silence.SilentVM {
-		t.Error("no other one follows")
+		t.Error("no second request is moved after the move interval")
 	}
 }
 
-// A server, or the connection to it, hangs while its VM answers. Its caller waits until it leaves.
+// A server, or the connection to it, hangs while its VM answers. Unless the request is moved, its
+// caller waits until it gives up.
 func TestARequestLeavesAServerThatHangs(t *testing.T) {
 	independent := silence.Service{Name: "app", FreeSlots: 12, Slots: 18, Entries: 6}
 	lookUp := silence.Progress{Objective: 300 * ms, Since: 1000 * ms}
@@ -147,25 +150,25 @@
 func TestAVMThatAnswersIsNoLongerSilent(t *testing.T) {
 	w := detectorWithSilentVM(t, 1000*ms)
 	if became, again := w.ProbeFailed("e-0"); became || !again {
-		t.Errorf("silent for the second time: new %v, asked again %v", became, again)
+		t.Errorf("second failed probe: became silent %v, probed again %v", became, again)
 	}
 	if !w.ProbeAnswered("e-0", 2000*ms) || w.IsSilent("e-0") {
-		t.Error("it counts as silent")
+		t.Error("a VM that answered counts as silent")
 	}
 	if w.ProbeAnswered("e-0", 2100*ms) {
-		t.Error("it is back twice")
+		t.Error("the VM stops being silent twice")
 	}
 }
 
-// The registration of a silent VM lapses, and it registers again later. Left as silent by the
-// question under way meanwhile, it would get no work for good.
+// The registration of a silent VM expires while a probe is in flight, and the VM registers again
+// later. If the failed probe marked it as silent meanwhile, it would never get requests again.
 func TestAForgottenVMIsNotSilentForGood(t *testing.T) {
 	w := detectorWithSilentVM(t, 1000*ms)
 	w.Retain(func(id string) bool { return id != "e-0" })
 	if became, again := w.ProbeFailed("e-0"); became || again {
-		t.Errorf("the forgotten VM became silent: %v, is asked again: %v", became, again)
+		t.Errorf("the removed VM became silent: %v, is probed again: %v", became, again)
 	}
 	if w.IsSilent("e-0") || !w.StartProbe("e-0", 1100*ms) {
-		t.Error("it counts as silent, or is not asked")
+		t.Error("the removed VM counts as silent, or is not probed")
 	}
 }
