--- a/decide/place/example_test.go
+++ b/decide/place/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/apricothub/apricothub/decide/place"
 )
 
-// One of two backend servers is reported full. All requests go to the other one,
-// until it has as many in flight as it can hold.
+// One of two backend servers is reported full. All requests go to the other one, until it has as
+// many in flight as it can take.
 func Example() {
 	table := place.NewTable(rand.New(rand.NewPCG(1, 2)), place.Config{})
 	offers := []string{"model:x"}
--- a/decide/place/history.go
+++ b/decide/place/history.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// historyLength is the number of reports back that an entry's own work is
+// historyLength is the number of past reports for which an entry's own requests in flight are
 // remembered. At 200 ms between reports it covers an age of 3 s.
 const historyLength = 16
 
-// history is this entry's own work at a server at past reports. It is what to
-// subtract from a late report to know the work of the others.
+// history holds this entry's requests in flight at a server at the time of past reports. They are
+// subtracted from a stale report to get the requests of the other entries.
 type history struct {
 	entries [historyLength]historyEntry
 	next    int
@@ -23,7 +23,7 @@
 	h.next = (h.next + 1) % historyLength
 }
 
-// ownAt returns the own work ownAt a time, or the oldest known.
+// ownAt returns the own requests in flight at a time, or the oldest known number.
 func (h *history) ownAt(t time.Duration) int {
 	own := int32(0)
 	for i := range historyLength {
--- a/decide/place/load.go
+++ b/decide/place/load.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Report takes in what an agent says of its backend server. It may be late; what
-// this entry sent since then is added to it.
+// Report updates a backend server from its agent's report. The report may be stale; the requests
+// that this entry sent since then are added to it.
 func (t *Table) Report(vm string, now time.Duration, r Report) {
 	t.endBackoffs(now)
 	s, ok := t.byVM[vm]
@@ -24,13 +24,13 @@
 	t.update(s)
 }
 
-// discountStaleReport draws what a late report says of the others' work towards what is usual for all
-// servers, the more the later it is.
+// discountStaleReport moves the reported load of the other entries towards the average of all
+// servers, the further the older the report is.
 //
-// Load: reports that are older than the work takes. Harm prevented: by the time a report
-// is heard the work that it tells of has ended, and all entries that choose by it send to
-// the same servers, which they overfill until the next reports say so. What a
-// server holds then follows from what the entries send, and these know their own part.
+// When reports are older than the work takes, the work that they show has ended by the time they
+// arrive. Entries that all choose by them would send to the same servers and overfill these until
+// the next reports. The load of a server then depends on what the entries send now, and each entry
+// knows its own requests.
 func (s *server) discountStaleReport(trustStaleReports bool) {
 	s.expectedOthers = s.othersInFlight
 	cold := s.report.Limit < s.report.FullLimit
@@ -49,11 +49,10 @@
 	s.expectedOthers = average + trust*(s.othersInFlight-average)
 }
 
-// averagedReports is the number of reports over which the usual part of a limit that others
-// use is averaged.
+// averagedReports is the number of reports over which the utilization by other entries is averaged.
 const averagedReports = 64
 
-// updateAverageWorkTime adds a warm server's work time to what is usual for its offers.
+// updateAverageWorkTime adds a warm server's work time to the moving averages of its offers.
 func (s *server) updateAverageWorkTime() {
 	if s.report.WorkTime == 0 || s.report.Limit < s.report.FullLimit {
 		return
@@ -67,11 +66,11 @@
 	}
 }
 
-// coldWorkTimeFactor is how many times the usual work time a server in cold start is taken to
-// need until it reports its own.
+// coldWorkTimeFactor is the ratio of the work time assumed for a server in cold start to the
+// average of warm servers, until the server reports its own.
 const coldWorkTimeFactor = 3
 
-// workTime is the expected time of a request at a server; zero for unknown.
+// workTime returns the expected time of a request at a server; zero for unknown.
 func (s *server) workTime() time.Duration {
 	warm := s.hasReport && s.report.Limit >= s.report.FullLimit
 	if s.report.WorkTime > 0 || warm || len(s.memberships) == 0 {
@@ -80,12 +79,12 @@
 	return coldWorkTimeFactor * s.memberships[0].offer.averageWorkTime
 }
 
-// Suspect says that the link to a backend server has gone silent, or that it is
-// heard again.
+// SetSuspect sets whether a backend server is suspect, because nothing is received on the link to
+// it.
 //
-// Load: any. Harm prevented: requests that wait on a dead link until their
-// deadline. A suspect gets no new work at all; the callers' other choices do not
-// run out, since suspicion ends with the next heartbeat.
+// A suspect server gets no new requests, as these could wait on a dead link until their deadline.
+// Callers do not run out of other servers, since a server stops being suspect with its next
+// heartbeat.
 func (t *Table) SetSuspect(vm string, suspect bool) {
 	s, ok := t.byVM[vm]
 	if !ok || s.suspect == suspect {
@@ -95,7 +94,7 @@
 	t.update(s)
 }
 
-// Started says that a request is being sent to a backend server.
+// Started records that a request is being sent to a backend server.
 func (t *Table) Started(vm string, now time.Duration) {
 	t.endBackoffs(now)
 	if s, ok := t.byVM[vm]; ok {
@@ -104,16 +103,16 @@
 	}
 }
 
-// Ended says that a request sent to a backend server is over.
+// Ended records that a request sent to a backend server has ended.
 //
-// Load: a backend server that refuses or fails at once, and so always looks the
-// least loaded. Harm prevented: it draws every new request and refuses them all.
-// It gets nothing for Backoff, after which a report or one more try tells.
+// A server that refuses or fails requests at once always looks the least loaded, and would attract
+// every new request. It gets none for Config.Backoff, after which a report or another attempt shows
+// its state.
 //
-// Load: an agent that stops, or whose failure domain is marked out, with hundreds of
-// requests a second. Harm prevented: the entry hears of it up to a heartbeat later, sends
-// on what the agent refuses, and takes the offer's last backend server for full. What the
-// refusal says is what the next report will say, so it holds until that.
+// When an agent stops, or its failure domain is marked out, the entry learns of it up to a
+// heartbeat later. Until then it would send hundreds of requests per second to an agent that
+// refuses them, and take the offer's last backend server for full. So RefusesAll closes the server
+// until its next report, which will say the same.
 func (t *Table) Ended(vm string, now time.Duration, o Outcome) {
 	t.endBackoffs(now)
 	s, ok := t.byVM[vm]
@@ -133,7 +132,7 @@
 	t.update(s)
 }
 
-// endBackoffs lets the servers whose backoff is over take work again.
+// endBackoffs makes servers whose backoff is over available again.
 func (t *Table) endBackoffs(now time.Duration) {
 	ended := 0
 	for ended < len(t.backoffs) && t.backoffs[ended].until <= now {
@@ -149,12 +148,11 @@
 	}
 }
 
-// smoothOthers takes one more report of the other entries' work into the average.
+// smoothOthers adds one report of the other entries' requests in flight to the moving average.
 //
-// Load: reports so late that all entries act on the same old state for seconds.
-// Harm prevented: the herd in slow motion, in which all fill the backend servers
-// that were empty a while ago and starve the others, to and fro. The entry's own
-// work is not averaged, so that it still sees at once what it does itself.
+// Without it, all entries would act on the same stale state for seconds: a slow herd effect, in
+// which all fill the backend servers that were empty a while ago and starve the others, back and
+// forth. The entry's own requests are not averaged, so that it sees its own effect at once.
 func (s *server) smoothOthers(now time.Duration, othersInFlight, timeConstant float64) {
 	elapsed := float64(now - s.lastReportAt)
 	s.lastReportAt = now
@@ -165,14 +163,14 @@
 	s.othersInFlight += (othersInFlight - s.othersInFlight) * elapsed / (elapsed + timeConstant)
 }
 
-// load is the estimate of the work at a server: the others' by the reports, and
-// this entry's own as of now.
+// load returns the estimated number of requests at a server: those of other entries by the reports,
+// and this entry's own as of now.
 func (s *server) load() int {
 	return int(s.expectedOthers+0.5) + s.ownInFlight
 }
 
-// limit is the number of requests to have at a server. One that has not
-// reported yet counts as cold: it gets one request of each entry.
+// limit returns the number of requests to have at a server. A server that has not reported yet
+// counts as cold: it gets one request from each entry.
 func (s *server) limit() int {
 	weight := s.Weight * s.domainWeight
 	if weight <= 0 {
@@ -184,8 +182,8 @@
 	return max(int(float64(s.report.Limit)*weight), 1)
 }
 
-// utilization is the estimated load as a part of the limit, with the request that
-// is being placed.
+// utilization returns the ratio of the estimated load, including the request to be placed, to the
+// limit.
 func (s *server) utilization() float64 {
 	return float64(s.load()+1) / float64(s.limit())
 }
@@ -206,8 +204,8 @@
 	}
 }
 
-// state says what a server may get now. Nobody may wait at one in cold start whose
-// work time is not known yet: its queue may outlast any deadline.
+// state returns what a server may get now. No request may be queued at a server in cold start whose
+// work time is unknown: its queue may outlast any deadline.
 func (s *server) state(hasSlots bool) state {
 	switch {
 	case s.backoffUntil != 0:
@@ -221,8 +219,8 @@
 	}
 }
 
-// update brings the sums and lists of a server's offers up to date, at a cost
-// that depends only on the number of its offers.
+// update brings the sums and lists of a server's offers up to date. Its cost depends only on the
+// number of these offers.
 func (t *Table) update(s *server) {
 	before, after := s.contribution, t.contributionOf(s)
 	if before == after {
@@ -248,7 +246,7 @@
 	}
 }
 
-// remove takes the server at index out of a list.
+// remove removes the server at index from a list.
 func (o *offer) remove(from state, index int32) {
 	list := o.byState[from]
 	last := len(list) - 1
--- a/decide/place/pick.go
+++ b/decide/place/pick.go
@@ -7,15 +7,15 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Pick chooses the backend server for a request. The code is OK with a VM; or
-// NO_BACKEND, COLD or SATURATED with none, in which case the request has not run
-// and may wait at the entry. Call Started when the request is sent.
+// Pick chooses the backend server for a request. The code is OK with a VM; or NO_BACKEND, COLD or
+// SATURATED without one, in which case the request has not run and may be queued at the entry. Call
+// Started when the request is sent.
 //
-// Load: thousands of requests a second at each of many entries, by reports up to
-// seconds old. Harm prevented: the herd on the one that looked idle, and a scan
-// of all backend servers for each request. Two choices need no more than two
-// look-ups, and bring the longest queue from logarithmic down to log log of the
-// number of backend servers; a third would gain little.
+// Each of many entries picks for thousands of requests per second, by reports up to seconds old.
+// Choosing the least loaded server would cause the herd effect and a scan of all backend servers
+// for each request. The better of two random choices needs two look-ups at most and reduces the
+// longest queue from logarithmic to log log of the number of backend servers; a third choice would
+// gain little.
 func (t *Table) Pick(now time.Duration, req Request) (string, api.ResultCode) {
 	t.endBackoffs(now)
 	o, ok := t.offers[req.Offer]
@@ -38,16 +38,15 @@
 	return best.VM, api.ResultCode_OK
 }
 
-// withinAffinitySlack says whether affinity may take a server in place of the least full.
-//
-// Load: a hot prefix or adapter, such as every price rationale of one customer.
-// Harm prevented: one backend server overloaded while others idle.
+// withinAffinitySlack reports whether a server may be chosen for its affinity in place of the less
+// utilized one. Without this limit, a hot prefix or adapter, such as one used by every request of a
+// customer, would overload one backend server while others idle.
 func (t *Table) withinAffinitySlack(holder, best *server) bool {
 	return holder.utilization() <= best.utilization()+t.cfg.AffinitySlack
 }
 
-// betterOfTwo returns the less full of two random servers of a list, or one of them that
-// must warm up.
+// betterOfTwo returns the less utilized of two random servers of a list, or the one that must warm
+// up.
 func (t *Table) betterOfTwo(list []*server, req *Request) *server {
 	first := t.randomServer(list, req)
 	if first == nil {
@@ -63,18 +62,18 @@
 	return first
 }
 
-// warmUpMaxUtilization is the fullness below which a server's load leaves the choice to the needs
-// of others. Above it the less full of two is the better in any case.
+// warmUpMaxUtilization is the utilization of the other choice below which a server that must warm
+// up is preferred. Above it, the less utilized of the two is always the better choice.
 const warmUpMaxUtilization = 0.5
 
-// preferForWarmUp says that a server bears only a part of its full limit now and has no
-// work, while the other choice is not busy.
+// preferForWarmUp reports whether a server has a reduced limit and no requests, while the other
+// choice is not busy.
 //
-// Load: a backend server in cold start, or a failure domain that has returned, while
-// the others are half empty. Harm prevented: with a limit of 1 or 2 the first request
-// makes it as full as it may be, so that it is never the less full of two; it gets no
-// work, warms up by none, and is still cold when the load comes. It was drawn at the
-// odds of its part, which keeps entries from all sending it their first.
+// Without this, a backend server in cold start, or in a failure domain that has returned, gets
+// nothing while the others are half empty: with a limit of 1 or 2, its first request fills it, so
+// it is never the less utilized of two. It would not warm up, and would still be cold when the load
+// comes. The server was drawn with a probability according to its limit, which keeps the entries
+// from all sending their first request to it.
 func (s *server) preferForWarmUp(other *server, req *Request) bool {
 	if s.limit() >= s.report.FullLimit || s.load() > 0 || s.tooSlow(req) {
 		return false
@@ -82,17 +81,17 @@
 	return other.utilization() < warmUpMaxUtilization
 }
 
-// extraCandidates is the number of servers beyond the avoided ones that choose extraCandidates at. At
-// most a few servers are too slow at a time, or nearly all are.
+// extraCandidates is the number of servers that randomServer checks beyond the number of avoided
+// ones. At most a few servers are too slow at a time, or nearly all are.
 const extraCandidates = 4
 
-// randomServer returns a random server that was not tried and can end the request in
-// time; or, if none it looks at can, one that was not tried; or nil.
+// randomServer returns a random server that is not avoided and can end the request in time; or, if
+// no checked server can, one that is not avoided; or nil.
 //
-// Load: one backend server many times slower than the others, or some in cold
-// start, and requests that have waited. Harm prevented: work that is begun and
-// thrown away at the deadline. When all look too slow the estimates may be wrong,
-// and backend servers in cold start only warm up by work: then the work is given.
+// A backend server that is many times slower than the others, or in cold start, could not finish a
+// request that was queued for long, and the work would be wasted at the deadline. When all servers
+// look too slow, the estimates may be wrong, and servers in cold start warm up only by requests;
+// then one of them gets the request.
 func (t *Table) randomServer(list []*server, req *Request) *server {
 	n := len(list)
 	if n == 0 {
@@ -114,14 +113,15 @@
 	return fallback
 }
 
-// deadlineMargin is the ratio of the time left to the usual time of the work at a
-// backend server below which the server is too slow. Sizes spread: with a ratio of
-// 1 half of the requests would be late, and one of 2 keeps work from backend
-// servers in cold start, which then do not warm up.
+// deadlineMargin is the ratio of the time left to the average time of the work at a backend server
+// below which the server is too slow. Sizes vary: with a ratio of 1 half of the requests would be
+// late, and a ratio of 2 keeps requests from backend servers in cold start, which then do not warm
+// up.
 const deadlineMargin = 1.5
 
-// tooSlow says whether a request is not expected to end in time at a server, with
-// its wait there. A small size is not counted on: answers may be longer than asked.
+// tooSlow reports whether a request is not expected to end in time at a server, including its
+// queueing time there. A size below the average is not relied on: answers may be longer than
+// requested.
 func (s *server) tooSlow(req *Request) bool {
 	if req.TimeLeft == 0 {
 		return false
@@ -131,16 +131,16 @@
 	return deadlineMargin*float64(s.workTime())*queueFactor*relativeSize > float64(req.TimeLeft)
 }
 
-// unreportedLimitRatio is the part of its limit that a server counts as having until its
-// first report.
+// unreportedLimitRatio is the ratio of its limit that a server is assumed to have until its first
+// report.
 const unreportedLimitRatio = 0.1
 
-// drawByLimit says whether a server that bears only a part of its full limit now is
-// taken, at odds of that part.
+// drawByLimit reports whether a server with a reduced limit is chosen, at random with the ratio of
+// its limit to the full one as the probability.
 //
-// Load: a backend server in cold start, or one whose failure domain ramps up, beside
-// full-sized ones. Harm prevented: every entry finds it empty at the same moment and
-// sends what it alone could bear, so that most of it waits there.
+// Otherwise every entry would find a backend server that is in cold start, or whose failure domain
+// ramps up, empty at the same moment and send it what it can take from one entry alone; most of
+// these requests would be queued there.
 func (t *Table) drawByLimit(s *server) bool {
 	full := s.report.FullLimit
 	limitRatio := unreportedLimitRatio
@@ -154,8 +154,8 @@
 	return len(req.Avoid) > 0 && slices.Contains(req.Avoid, s.VM)
 }
 
-// affinityHolder returns the least full open server that holds the request's prompt
-// prefix, or else its adapter; nil for none.
+// affinityHolder returns the least utilized open server that holds the request's prompt prefix, or
+// else its adapter; nil for none.
 func (t *Table) affinityHolder(o *offer, req *Request) *server {
 	if req.Prefix != 0 {
 		if s := t.prefixHolder(o, req); s != nil {
@@ -193,7 +193,7 @@
 	return best
 }
 
-// openFor says whether a server may get work for an offer.
+// openFor reports whether a server may get requests for an offer.
 func (s *server) openFor(o *offer) bool {
 	if s.contribution.state != open {
 		return false
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,14 +1,13 @@
 // Package place decides which backend server gets a request.
 //
-// Each entry keeps one Table, for itself. It is made for many entries that share
-// the same backend servers and hear of their load late: reports may be seconds
-// old. The harm prevented is the herd, in which every entry sends to the backend
-// server that the last report showed idle. Two random choices, compared by the
-// entry's own work in flight and the reports together, keep the herd away
-// without agreement between entries.
+// Each entry has its own Table. Many entries share the same backend servers, and learn of their
+// load late: reports may be seconds old. If every entry sent its requests to the server that the
+// last report showed idle, all would overload that server together (the herd effect). The better of
+// two random choices, compared by the entry's own requests in flight together with the reports,
+// avoids this without coordination between entries.
 //
-// The caller passes the time, since process start, into every method. A Table is
-// not safe for use by several goroutines at once.
+// The caller passes the time since the process start to every method. A Table is not safe for
+// concurrent use.
 package place
 
 import (
@@ -20,30 +19,30 @@
 
 // Config holds the limits of placement. A zero field takes its default.
 type Config struct {
-	// QueueRatio is the part of a backend server's limit that may wait at its
-	// agent beyond the limit. Default 0.125: enough that no backend server idles
-	// for the age of a report, and little enough that the wait stays short.
+	// QueueRatio is the number of requests that may be queued at a backend server's agent beyond
+	// its limit, as a ratio of the limit. Default 0.125: enough that no backend server idles for
+	// the age of a report, and little enough that the queueing time stays short.
 	QueueRatio float64
-	// AffinitySlack is how much fuller, as a part of its limit, a backend server
-	// that holds the prompt prefix or adapter may be than the best of the random
-	// choices and still be taken. Default 0.25: past it a hot prefix would
-	// overload one backend server while others idle.
+	// AffinitySlack is how much higher the utilization of a backend server that holds the prompt
+	// prefix or adapter may be than that of the better random choice for it still to be chosen.
+	// Default 0.25: beyond it, a hot prefix would overload one backend server while others idle.
 	AffinitySlack float64
-	// Backoff is how long a backend server that refused gets no new work, unless
-	// a report reopens it. Default 250 ms, about the age of a report.
+	// Backoff is how long a backend server that refused a request or failed gets no new requests.
+	// Default 250 ms, about the age of a report.
 	Backoff time.Duration
-	// SmoothingRatio is the ratio of the time over which reports are averaged to their
-	// age. Default 4: an average over less swings with what entries did on seeing
-	// the last reports. Reports that are hardly old are hardly averaged.
+	// SmoothingRatio is the ratio of the time over which reports are averaged to their age. Default
+	// 4: a shorter average oscillates with the entries' own reactions to the last reports. Reports
+	// that are recent are hardly averaged.
 	SmoothingRatio float64
-	// TrustStaleReports takes late reports at their word, instead of drawing them towards what
-	// is usual for all servers. Off by default. It is for a table that holds some of the
-	// servers only: each of them has other entries with other callers then, and stays as
-	// full as it is for longer than reports are late. Drawn to the usual of four, the
-	// fullest got more still: 0.9923 of the requests in time at 80% load, all without.
+	// TrustStaleReports uses stale reports as they are instead of discounting them towards the
+	// average of all servers. Off by default. It is for a table that holds only a subset of the
+	// servers: each server then also gets requests of other entries with other callers, and its
+	// load outlasts the age of the reports. Discounted towards the average of four servers, the
+	// fullest server got even more requests: 0.9923 of the requests were in time at 80% load,
+	// against all of them without.
 	TrustStaleReports bool
-	// PrefixTableSize is the number of prompt prefixes remembered, rounded up to a
-	// power of two. Default 65536, 1 MiB.
+	// PrefixTableSize is the number of prompt prefixes remembered, rounded up to a power of two.
+	// Default 65536, 1 MiB.
 	PrefixTableSize int
 }
 
@@ -66,50 +65,47 @@
 	return c
 }
 
-// Server is one backend server that may get work.
+// Server is a backend server that may get requests.
 type Server struct {
-	// VM names it.
+	// VM identifies the server.
 	VM string
 	// Domain is its failure domain.
 	Domain string
-	// Offers are the keys of what it serves, such as "model:x", "service:y" or
-	// "adapter:z".
+	// Offers are the keys of what it serves, such as "model:x", "service:y" or "adapter:z".
 	Offers []string
-	// Weight, 0 to 1, is the part of its limit to use. Zero means none: it is
-	// out of service.
+	// Weight, 0 to 1, is the ratio of its limit to use. Zero means none: it is out of service.
 	Weight float64
 }
 
-// Report is what an agent last said of its backend server.
+// Report is what an agent last reported of its backend server.
 type Report struct {
-	// Limit is the number of requests it may hold now, FullLimit when warm.
+	// Limit is the number of requests it may have now, FullLimit that when it is warm.
 	Limit, FullLimit int
 	// Running and Queued are the requests of all entries at the agent.
 	Running, Queued int
-	// WorkTime is the smoothed time of one request.
+	// WorkTime is the average time of one request.
 	WorkTime time.Duration
-	// Age is how old the report is on arrival, as far as is known.
+	// Age is the age of the report on arrival, as far as it is known.
 	Age time.Duration
-	// Refusing says that the agent takes no new work.
+	// Refusing says that the agent accepts no new requests.
 	Refusing bool
-	// Prefixes are hashes of prompt prefixes in its cache; partial and late.
+	// Prefixes are hashes of prompt prefixes in the server's cache; incomplete, and possibly stale.
 	Prefixes []uint64
 }
 
-// Outcome is what became of one request that was sent to a backend server.
+// Outcome is how one request that was sent to a backend server ended.
 type Outcome struct {
-	// Latency is the time to the first token, or of the whole call. Zero when
-	// there was none.
+	// Latency is the time to the first token, or of the whole call; zero if there was none.
 	Latency time.Duration
-	// Refused says that the agent did not take the request.
+	// Refused says that the agent did not accept the request.
 	Refused bool
-	// RefusesAll says that it did not because it takes no new work from anybody.
+	// RefusesAll says that the agent accepts no new requests from anyone.
 	RefusesAll bool
 	// Failed says that the backend server or its link failed.
 	Failed bool
 }
 
-// Request is what Pick needs to know of a request.
+// Request is what Pick needs to know about a request.
 type Request struct {
 	// Offer is the key that the backend server must serve.
 	Offer string
@@ -117,34 +113,34 @@
 	Prefix uint64
 	// Adapter is the key of the adapter, as in Server.Offers; empty for none.
 	Adapter string
-	// Avoid names backend servers that were tried already.
+	// Avoid names the backend servers that must not be chosen, as they were tried already.
 	Avoid []string
 	// TimeLeft is the time until the request's deadline; zero for unknown.
 	TimeLeft time.Duration
-	// RelativeSize is the expected ratio of the request's work to the usual, such as by the
-	// number of tokens it may generate; zero for unknown.
+	// RelativeSize is the expected ratio of the request's work to that of an average request, for
+	// example by the number of tokens it may generate; zero for unknown.
 	RelativeSize float64
-	// WithinShare says that the customer is within its share: when all backend
-	// servers are full, the request may still wait at an agent, whose queue serves
-	// it before those beyond their share.
+	// WithinShare says that the customer is within its share: when all backend servers are full,
+	// the request may still be queued at an agent, whose queue serves it before requests beyond a
+	// share.
 	WithinShare bool
 }
 
-// Table is what one entry knows of the backend servers.
+// Table holds what one entry knows of the backend servers.
 type Table struct {
 	cfg     Config
 	rng     *rand.Rand
 	servers []*server
 	byVM    map[string]*server
-	// byID are the servers by their numbers, unused the numbers of those gone.
+	// byID are the servers by their IDs; freeIDs are the IDs of removed servers.
 	byID    []*server
 	freeIDs []int32
 	offers  map[string]*offer
-	// domainWeights holds the weights of failure domainWeights that are not 1.
+	// domainWeights holds the weights of failure domains that are not 1.
 	domainWeights map[string]float64
 	prefixes      prefixTable
-	// backoffs are the servers that refused, by the time they reopen. Backoff is
-	// the same for all, so that the order of arrival is the order of time.
+	// backoffs are the servers in backoff, ordered by its end. Backoff is the same for all, so
+	// appending keeps the order.
 	backoffs []backoff
 }
 
@@ -153,44 +149,44 @@
 	server *server
 }
 
-// server is one backend server with what is known of its load.
+// server is a backend server with what is known of its load.
 type server struct {
 	Server
 	id        int32
 	report    Report
 	hasReport bool
 	suspect   bool
-	// ownInFlight is this entry's work in flight; others is the smoothed work of the
-	// other entries by the reports, the last of which came at heardAt.
+	// ownInFlight are this entry's requests in flight; othersInFlight is the smoothed number of
+	// those of the other entries by the reports, the last of which arrived at lastReportAt.
 	ownInFlight    int
 	othersInFlight float64
-	// expectedOthers is others as it is expectedOthers to be now.
+	// expectedOthers is othersInFlight as it is expected to be now.
 	expectedOthers float64
 	lastReportAt   time.Duration
-	// ownHistory is this entry's work in flight at the last reports.
+	// ownHistory has this entry's requests in flight at the last reports.
 	ownHistory   history
 	backoffUntil time.Duration
 	memberships  []membership
 	domainWeight float64
-	// contribution is what the server adds to the sums of its offers now.
+	// contribution is what the server currently adds to the sums of its offers.
 	contribution contribution
 }
 
-// membership is the place of a server in the lists of one offer.
+// membership is the position of a server in the lists of one offer.
 type membership struct {
 	offer *offer
 	index int32
 }
 
-// state says in which list of its offers a server stands.
+// state says in which list of its offers a server is.
 type state uint8
 
 const (
-	// closed is in none: out, suspect, refusing or just refused.
+	// closed is in no list: out of service, suspect, refusing or in backoff.
 	closed state = iota
-	// open may get work.
+	// open may get requests.
 	open
-	// full holds all it may, and only guaranteed requests may wait there.
+	// full has all the requests it may have; only requests within their share may be queued there.
 	full
 )
 
@@ -207,15 +203,15 @@
 	byState   [full + 1][]*server
 	upCount   int
 	coldCount int
-	// averageWorkTime is the smoothed averageWorkTime time that warm servers report.
+	// averageWorkTime is the average of the work times that warm servers report.
 	averageWorkTime time.Duration
-	// averageUtilization is the smoothed part of their limits that warm servers hold for others.
+	// averageUtilization is the average share of the servers' limits that is used by other entries.
 	averageUtilization float64
 	// limit and free are sums over the servers that are up.
 	limit, free int
 }
 
-// NewTable returns an empty table. The random source is the table's own.
+// NewTable returns an empty table. It takes over the random source.
 func NewTable(rng *rand.Rand, cfg Config) *Table {
 	cfg = cfg.withDefaults()
 	return &Table{
@@ -228,8 +224,7 @@
 	}
 }
 
-// Set replaces the list of backend servers. What is known of those that stay is
-// kept.
+// SetServers replaces the list of backend servers. What is known of those that stay is kept.
 func (t *Table) SetServers(servers []Server) {
 	old := t.byVM
 	t.byVM = make(map[string]*server, len(servers))
@@ -246,9 +241,8 @@
 	}
 }
 
-// assignID gives a new server a assignID of its own, by which prefixes name it. It keeps
-// the assignID while it is in the list; a later one may have it, at the cost of a few
-// wrong prefixes.
+// assignID gives a new server an ID by which the prefix table refers to it. The server keeps the ID
+// while it is listed; a later server may reuse it, at the cost of a few wrong prefixes.
 func (t *Table) assignID(s *server) {
 	if last := len(t.freeIDs) - 1; last >= 0 {
 		s.id = t.freeIDs[last]
@@ -293,8 +287,8 @@
 	return 1
 }
 
-// SetDomainWeight multiplies the weights of a failure domain's backend servers,
-// as package shift says while the domain leaves or returns.
+// SetDomainWeight sets the factor for the weights of a failure domain's backend servers, which
+// package shift computes while the domain leaves or returns.
 func (t *Table) SetDomainWeight(domain string, weight float64) {
 	if t.domainWeight(domain) == weight {
 		return
@@ -308,8 +302,8 @@
 	}
 }
 
-// Spare says how many more requests the backend servers for an offer can take
-// now, and how many they can hold together.
+// Slots returns how many more requests the backend servers for an offer can take now, and how many
+// they can have together.
 func (t *Table) Slots(key string, now time.Duration) (free, capacity int) {
 	t.endBackoffs(now)
 	o, ok := t.offers[key]
@@ -319,7 +313,7 @@
 	return o.free, o.limit
 }
 
-// refusal says why no backend server for an offer is open.
+// refusal returns why no backend server for an offer is open.
 func (o *offer) refusal() api.ResultCode {
 	if o.upCount == 0 {
 		return api.ResultCode_NO_BACKEND
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run is the same; "make explore" takes another.
+// The seed is fixed so that every run is the same; "make explore" uses another one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
@@ -53,7 +53,7 @@
 		t.Fatalf("all full: %v", code)
 	}
 	if vm, _ := table.Pick(0, Request{Offer: model, WithinShare: true}); vm == "" {
-		t.Fatal("no place for a customer within its share")
+		t.Fatal("no server for a customer within its share")
 	}
 	for i := range 2 {
 		table.Report(fmt.Sprint("vm-", i), 0, Report{Limit: 2, FullLimit: 32, Running: 2})
@@ -83,7 +83,7 @@
 		}
 	}
 	if _, code := table.Pick(0, Request{Offer: model, Avoid: []string{"vm-5"}}); code == api.ResultCode_OK {
-		t.Fatal("picked one that was tried")
+		t.Fatal("picked a server that is to be avoided")
 	}
 	seen := map[string]bool{}
 	for range 200 {
@@ -91,13 +91,13 @@
 		seen[vm] = true
 	}
 	if !seen["vm-2"] {
-		t.Fatal("one that refused was never tried again")
+		t.Fatal("a server that refused a request got none after its backoff")
 	}
 }
 
-// The only agent stops, or its domain is marked out, and it says so in a refusal before
-// the entry hears of it otherwise. Nobody else is sent there, whatever the time to back
-// off, until a report says that it takes work.
+// The only agent stops, or its domain is marked out, and says so in a refusal before the entry
+// learns of it otherwise. No other request may be sent there, even after the backoff, until a
+// report says that the agent accepts requests.
 func TestAgentThatRefusesAllGetsNoRequestsUntilItsReport(t *testing.T) {
 	table := newTable(1)
 	table.Started("vm-0", 0)
@@ -153,8 +153,8 @@
 	}
 }
 
-// An agent's report is 2 s old. Since then this entry began 10 requests there. The
-// entry must count them on top of what the report says of the others.
+// An agent's report is 2 s old, and this entry has started 10 requests there since. The entry must
+// add them to the reported requests of the others.
 func TestStaleReportKeepsOwnInFlight(t *testing.T) {
 	table := newTable(1)
 	for range 10 {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Whatever happens to a table, the sums and lists of an offer are those of its
-// servers, counted anew.
+// After any sequence of changes, the sums and lists of an offer must equal those computed anew from
+// its servers.
 func TestSumsMatchServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(rand.New(rand.NewPCG(1, 2)), Config{})
@@ -205,7 +205,7 @@
 		up, limit, free = up+boolToInt(c.isUp), limit+c.limit, free+c.free
 		listed[c.state]++
 		if c.state != closed && o.byState[c.state][s.memberships[0].index] != s {
-			t.Fatalf("%s is not where it says", s.VM)
+			t.Fatalf("%s is not at its index in the list", s.VM)
 		}
 	}
 	if up != o.upCount || limit != o.limit || free != o.free {
@@ -253,9 +253,9 @@
 	}
 }
 
-// The VM list is read again, in another order and with one VM gone and one new. What
-// is known of prompt prefixes at those that stay must not be lost: each forgotten
-// prefix is a prompt worked through once more.
+// The VM list is read again, in another order, with one VM removed and one added. What is known of
+// prompt prefixes at the VMs that stay must not be lost: each forgotten prefix is a prompt that is
+// processed again.
 func TestPrefixesSurviveANewList(t *testing.T) {
 	table := newTable(10)
 	holder, _ := table.Pick(0, Request{Offer: model, Prefix: 7})
--- a/decide/place/prefix.go
+++ b/decide/place/prefix.go
@@ -1,12 +1,11 @@
 package place
 
-// prefixWays is the number of servers remembered for prefixes that share a set.
+// prefixWays is the number of servers remembered for the prefixes of one set.
 const prefixWays = 4
 
-// prefixTable remembers which servers were last given a prompt prefix. It has a
-// fixed size and forgets the oldest of a set, so that its memory is bounded and
-// a look-up costs the same for any number of prefixes. It may be wrong: a wrong
-// holder costs one cache miss.
+// prefixTable remembers which servers last got a prompt prefix. It has a fixed size and drops the
+// oldest slot of a set, so that its memory is bounded and a look-up costs the same for any number
+// of prefixes. It may be wrong, at the cost of one cache miss.
 type prefixTable struct {
 	slots []prefixSlot
 	mask  uint64
@@ -25,13 +24,13 @@
 	return prefixTable{slots: make([]prefixSlot, sets*prefixWays), mask: sets - 1}
 }
 
-// set returns the slots in which a prefix may stand, newest first.
+// set returns the slots of the set to which a prefix belongs, newest first.
 func (p *prefixTable) set(prefix uint64) []prefixSlot {
 	first := (prefix * 0x9E3779B97F4A7C15 >> 32 & p.mask) * prefixWays
 	return p.slots[first : first+prefixWays]
 }
 
-// put notes that a server holds a prefix, and moves it to the front of its set.
+// put records that a server holds a prefix, and moves it to the front of its set.
 func (p *prefixTable) put(prefix uint64, server int32) {
 	if prefix == 0 {
 		return
--- a/decide/place/retry.go
+++ b/decide/place/retry.go
@@ -1,17 +1,15 @@
 package place
 
-// RetryBudget bounds second attempts to a part of the first ones.
+// RetryBudget limits retries to a ratio of the first attempts.
 //
-// Load: many backend servers that refuse or fail at once. Harm prevented: the
-// retry storm, in which each failure makes more load and so more failures. With
-// a tenth, retries add at most 10% however bad things are.
+// When many backend servers refuse or fail requests at once, each failure would otherwise cause
+// more load and so more failures (a retry storm). With a ratio of 0.1, retries add at most 10% of
+// load.
 type RetryBudget struct {
-	// Ratio is the number of retries that each first attempt earns. Zero means
-	// the default 0.1.
+	// Ratio is the number of retries that each first attempt adds. Zero means the default 0.1.
 	Ratio float64
-	// Reserve is the number of retries that may be saved up, and that a new
-	// budget begins with. Zero means the default 10: a lone failure at low load
-	// is tried again.
+	// Reserve is the number of retries that may be saved up, and that a new budget starts with.
+	// Zero means the default 10, so that a single failure at low load is retried.
 	Reserve  float64
 	tokens   float64
 	isFilled bool
@@ -23,13 +21,13 @@
 	b.tokens = min(b.tokens+b.ratio(), b.reserve())
 }
 
-// CanRetry says whether one more attempt may be made, and leaves the budget as it is.
+// CanRetry reports whether a retry may be made, without changing the budget.
 func (b *RetryBudget) CanRetry() bool {
 	b.fillOnFirstUse()
 	return b.tokens >= 1
 }
 
-// SpendRetry says whether one more attempt may be made, and takes it off the budget.
+// SpendRetry reports whether a retry may be made, and deducts it from the budget.
 func (b *RetryBudget) SpendRetry() bool {
 	if !b.CanRetry() {
 		return false
--- a/decide/place/slots.go
+++ b/decide/place/slots.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ServerSlots is what one backend server can hold, as this entry sees it.
+// ServerSlots counts the slots of one backend server, as this entry sees them.
 type ServerSlots struct {
 	VM string
-	// Limit is the number of requests that it may hold, Free how many more it can take;
-	// both are 0 of one that gets no work now.
+	// Limit is the number of requests that it may have, Free how many more it can take; both are 0
+	// for a server that gets no requests now.
 	Limit, Free int
 }
 
-// SlotsByServer returns the room of each backend server for an offer; their sums are those of
-// Spare.
+// SlotsByServer returns the slots of each backend server for an offer; their sums are those that
+// Slots returns.
 func (t *Table) SlotsByServer(key string, now time.Duration) []ServerSlots {
 	t.endBackoffs(now)
 	o, ok := t.offers[key]
--- a/decide/place/stale_test.go
+++ b/decide/place/stale_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Reports come 2 s late, and the work that they tell of took 1 s: a server that held much
-// then may hold little now. Every entry reads the same. A caller's request must not wait
-// behind those that all entries sent to the server that was the emptier once; what
-// they tell is worth something still, so that the emptier one gets the most.
+// Reports are 2 s old, and the work that they show took 1 s, so a server that was full then may be
+// empty now. All entries get the same reports. If they sent everything to the server that was
+// emptier, requests would be queued behind one another there. The reports still have some value, so
+// the emptier server must get the most.
 func TestStaleReportsCauseNoHerd(t *testing.T) {
 	table := newTable(2)
 	sent := map[string]int{}
@@ -29,8 +29,8 @@
 	}
 }
 
-// The same reports, but of work that takes half a minute: it is there still, and a caller
-// is better off with the emptier server.
+// The same reports, but of work that takes half a minute: it is still running, and the emptier
+// server is the better choice.
 func TestStaleReportsOfLongWorkAreUsed(t *testing.T) {
 	table := newTable(2)
 	for i, running := range []int{10, 20} {
--- a/decide/place/warm_test.go
+++ b/decide/place/warm_test.go
@@ -8,9 +8,9 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A failure domain returns on a quiet afternoon: its backend server is cold and the
-// others are nearly empty. It must get some work all the same, or it is still cold
-// when the evening's load comes; and not more at once than it bears.
+// A failure domain returns at low load: its backend server is cold and the others are nearly empty.
+// The cold server must get some requests, or it is still cold when the load rises; but no more at
+// once than it can take.
 func TestColdServerGetsWorkAtLowLoad(t *testing.T) {
 	table := NewTable(rand.New(rand.NewPCG(1, 1)), Config{})
 	table.SetServers([]Server{
@@ -40,7 +40,7 @@
 		table.Started(vm, now)
 		inFlight++
 		if inFlight > 1 {
-			t.Fatal("a second request while the first was under way")
+			t.Fatal("a second request while the first was in flight")
 		}
 		table.Ended(vm, now, Outcome{Latency: 300 * time.Millisecond})
 		inFlight--
