--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -47,8 +47,8 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	table   *place.Table
-	judge   *eject.Judge
-	watch   *silence.Watch
+	judge   *eject.Tracker
+	watch   *silence.Detector
 	servers map[string]*server
 	budgets map[string]*place.RetryBudget
 	// entries is the number of live entries, mayLive that of those that may be at work, this
@@ -98,7 +98,7 @@
 		bounds: b,
 		rng:    rng,
 		// Reports here are the other entries' own counts, a fraction of a second old.
-		table:    place.NewTable(rng, place.Config{QueueRoom: queueRoom, FullTrust: true}),
+		table:    place.NewTable(rng, place.Config{QueueRatio: queueRoom, TrustStaleReports: true}),
 		judge:    eject.New(eject.Config{}),
 		watch:    silence.New(silence.Config{}),
 		engines:  make(map[string]bool),
@@ -169,10 +169,10 @@
 		}
 		placed = append(placed, place.Server{VM: e.ID, Domain: e.FailureDomain, Offers: []string{offer(e.Service)}, Weight: weight})
 	}
-	f.table.Set(placed)
+	f.table.SetServers(placed)
 	known := func(id string) bool { return f.servers[id] != nil }
-	f.judge.Keep(known)
-	f.watch.Keep(known)
+	f.judge.Retain(known)
+	f.watch.Retain(known)
 	f.refresh(now)
 }
 
@@ -187,7 +187,7 @@
 		s.arrivals = nil
 		return
 	}
-	bound := arrivals.Bound{Rate: s.service.ColdRate, Over: f.bounds.coldOver, Slack: f.bounds.coldSlack}
+	bound := arrivals.Limit{Rate: s.service.ColdRate, MaxRatio: f.bounds.coldOver, Slack: f.bounds.coldSlack}
 	if s.arrivals == nil {
 		s.arrivals = arrivals.NewShare(bound, f.mayLive, f.rng.Float64(), now)
 		return
@@ -249,14 +249,14 @@
 	}
 	for id, s := range f.servers {
 		if s.arrivals != nil {
-			s.arrivals.Look(now)
+			s.arrivals.Tick(now)
 		}
 		f.table.Report(id, now, place.Report{
 			Limit: s.limit(), FullLimit: s.Concurrency, Running: s.own + s.others, WorkTime: s.work,
 		})
 		// When all of a service fail, something else is at fault, and none is worse than
 		// the others.
-		f.table.Suspect(id, s.closed || s.spared(paced) || f.shut[s.Service] || f.isOut(id, now) && out[s.Service] < all[s.Service])
+		f.table.SetSuspect(id, s.closed || s.spared(paced) || f.shut[s.Service] || f.isOut(id, now) && out[s.Service] < all[s.Service])
 	}
 	f.admit(now)
 }
@@ -264,7 +264,7 @@
 // isOut says whether a server is left out for what it does: it fails, or its VM is silent. The
 // caller holds the lock.
 func (f *fleet) isOut(id string, now time.Duration) bool {
-	return f.judge.Out(id, now) || f.watch.Silent(id)
+	return f.judge.Ejected(id, now) || f.watch.IsSilent(id)
 }
 
 // need is what placing a request takes.
@@ -287,7 +287,7 @@
 	avoid := append([]string(nil), n.tried...)
 	cold := false
 	for {
-		id, code := f.table.Pick(now, place.Request{Offer: offer(n.service), Avoid: avoid, Left: n.left})
+		id, code := f.table.Pick(now, place.Request{Offer: offer(n.service), Avoid: avoid, TimeLeft: n.left})
 		if code != api.ResultCode_OK {
 			if cold {
 				code = api.ResultCode_COLD
