--- a/coord/keyed/keyed.go
+++ b/coord/keyed/keyed.go
@@ -1,110 +1,107 @@
-// Package keyed follows the newest record of each key in a log.
+// Package keyed tracks the newest record of each key in a log.
 //
-// A follower reads a listing of all keys once, and the log from the listing's end on. When
-// the log no longer keeps the offset that it would read next, it takes a new listing. A
-// listing may be late, may come from another member, and its pages may be of different
-// moments; what a Table holds never goes back all the same, since each key keeps its offset.
+// A follower reads a listing of all keys once, and the log from the listing's end on. When the log
+// no longer has the offset that it would read next, it takes a new listing. A listing may arrive
+// late, may come from another member, and its pages may be of different moments. A Table still
+// never goes back to an older record, since it keeps the offset of each key.
 //
-// A Table holds no clock, socket or goroutine, and is not safe for use by several
-// goroutines at once.
+// A Table has no clock, socket or goroutine, and is not safe for concurrent use.
 package keyed
 
-// Record is the newest record of a key.
+// Record is one record of a key in the log.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Change is one difference that a Table took in.
+// Change is one change to a Table.
 type Change struct {
 	Key string
-	// Value is nil when the key was dropped.
+	// Value is nil when the key was deleted.
 	Value  []byte
 	Offset int64
 }
 
-// Dropped says that the key is gone.
-func (c Change) Dropped() bool { return c.Value == nil }
+// Deleted reports whether the key was deleted.
+func (c Change) Deleted() bool { return c.Value == nil }
 
-// Table is what a follower knows of the keys.
+// Table holds the newest known record of each key.
 type Table struct {
-	next  int64
-	known map[string]Record
-	ready bool
+	nextOffset int64
+	newest     map[string]Record
+	hasListing bool
 }
 
-// New returns a table that knows nothing.
-func New() *Table { return &Table{known: make(map[string]Record)} }
+// New returns an empty table.
+func New() *Table { return &Table{newest: make(map[string]Record)} }
 
-// Ready says that a listing has been taken in: only then is a missing key known to be
-// missing.
-func (t *Table) Ready() bool { return t.ready }
+// Ready reports whether a listing was processed. Only then does a missing key mean that the log has
+// none.
+func (t *Table) Ready() bool { return t.hasListing }
 
-// Next is the offset to read from.
-func (t *Table) Next() int64 { return t.next }
+// NextOffset returns the log offset to read next.
+func (t *Table) NextOffset() int64 { return t.nextOffset }
 
-// Apply takes in one record of the log. An empty value drops the key. It returns nil when
-// the table knows of a newer record already.
-//
-// Load: reads that were answered late, or records that come both from the log and from
-// another member. Harm prevented: an older configuration that replaces a newer one.
+// Apply processes one record of the log. An empty value deletes the key. It returns nil when the
+// table already has a newer record; otherwise a late answer to a read, or a record received both
+// from the log and from another member, could replace a newer configuration by an older one.
 func (t *Table) Apply(r Record) *Change {
-	if r.Offset < t.next {
+	if r.Offset < t.nextOffset {
 		return nil
 	}
-	t.next = r.Offset + 1
-	return t.set(r)
+	t.nextOffset = r.Offset + 1
+	return t.setIfNewer(r)
 }
 
-func (t *Table) set(r Record) *Change {
-	old, held := t.known[r.Key]
-	if held && old.Offset >= r.Offset {
+func (t *Table) setIfNewer(r Record) *Change {
+	old, exists := t.newest[r.Key]
+	if exists && old.Offset >= r.Offset {
 		return nil
 	}
 	if len(r.Value) == 0 {
-		if !held {
+		if !exists {
 			return nil
 		}
-		delete(t.known, r.Key)
+		delete(t.newest, r.Key)
 		return &Change{Key: r.Key, Offset: r.Offset}
 	}
-	t.known[r.Key] = r
+	t.newest[r.Key] = r
 	return &Change{Key: r.Key, Value: r.Value, Offset: r.Offset}
 }
 
-// Replace takes in a listing of all keys; end is the end of the log when the listing began.
-// A listing older than what the table has read changes nothing.
+// Replace processes a listing of all keys; logEnd is the end of the log when the listing began. A
+// listing older than what the table has read changes nothing.
 //
-// A key that the listing lacks was dropped before end, unless the table knows a record of
-// it from end on.
-func (t *Table) Replace(records []Record, end int64) []Change {
-	if t.ready && end < t.next {
+// A key that the listing lacks was deleted before logEnd, unless the table has a record of it at or
+// after logEnd.
+func (t *Table) Replace(records []Record, logEnd int64) []Change {
+	if t.hasListing && logEnd < t.nextOffset {
 		return nil
 	}
-	t.ready = true
+	t.hasListing = true
 	var changes []Change
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
 		listed[r.Key] = true
-		if c := t.set(r); c != nil {
+		if c := t.setIfNewer(r); c != nil {
 			changes = append(changes, *c)
 		}
 	}
-	for key, r := range t.known {
-		if !listed[key] && r.Offset < end {
-			delete(t.known, key)
-			changes = append(changes, Change{Key: key, Offset: end - 1})
+	for key, r := range t.newest {
+		if !listed[key] && r.Offset < logEnd {
+			delete(t.newest, key)
+			changes = append(changes, Change{Key: key, Offset: logEnd - 1})
 		}
 	}
-	t.next = max(t.next, end)
+	t.nextOffset = max(t.nextOffset, logEnd)
 	return changes
 }
 
-// Records returns the newest record of each key, in no order.
+// Records returns the newest record of each key, in no particular order.
 func (t *Table) Records() []Record {
-	records := make([]Record, 0, len(t.known))
-	for _, r := range t.known {
+	records := make([]Record, 0, len(t.newest))
+	for _, r := range t.newest {
 		records = append(records, r)
 	}
 	return records
--- a/coord/registry/registry_test.go
+++ b/coord/registry/registry_test.go
@@ -9,41 +9,41 @@
 
 func ids(r *Registry) map[string]bool {
 	set := map[string]bool{}
-	for _, e := range r.Entries() {
+	for _, e := range r.Registrations() {
 		set[e.ID] = true
 	}
 	return set
 }
 
-// The store is away for longer than registrations last. When it is back all of them are
-// gone, and one server registers again within two seconds. Callers see no refusal for want
-// of servers, and nothing is sent to the one that did not come back.
-func TestRegistrationsThatLapsedInAnOutage(t *testing.T) {
+// The store is unreachable for longer than registrations last. When it is back all of them are
+// gone, and one of two servers registers again within two seconds. No request is refused for lack
+// of servers, and nothing is sent to the server that did not come back.
+func TestLapsedRegistrationsSurviveAnOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
 	r.Put(Server{ID: "b"}, 0)
-	r.Reachable(false, 10*second)
+	r.SetStoreReachable(false, 10*second)
 	r.Expire(20 * second)
 	if len(ids(r)) != 2 {
 		t.Fatalf("during the outage: %v", ids(r))
 	}
-	r.Reachable(true, 20*second)
+	r.SetStoreReachable(true, 20*second)
 	r.Remove("a", 20*second)
 	r.Remove("b", 20*second)
 	r.Put(Server{ID: "a"}, 21*second)
 	if gone := r.Expire(21 * second); len(gone) != 0 {
-		t.Fatalf("taken as gone after one second: %v", gone)
+		t.Fatalf("dropped after one second: %v", gone)
 	}
 	if gone := r.Expire(22 * second); len(gone) != 1 || gone[0] != "b" {
-		t.Fatalf("gone after two seconds: %v", gone)
+		t.Fatalf("dropped after two seconds: %v", gone)
 	}
 	if got := ids(r); !got["a"] || got["b"] {
 		t.Errorf("left: %v", got)
 	}
 }
 
-// While the store answers, a server that removes itself leaves at once.
-func TestRemovedInCalm(t *testing.T) {
+// While the store answers, a server that removes its registration is dropped at once.
+func TestRemovedAtOnceWhileStoreAnswers(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
 	r.Remove("a", second)
@@ -52,16 +52,16 @@
 	}
 }
 
-// A member that still reaches the store says that a registration is gone. This process
-// cannot ask, and believes it once the server has had its time.
-func TestRemovedByWordOfAnother(t *testing.T) {
+// Another entry that still reaches the store reports that a registration is gone. This process
+// cannot check, and drops the server once it has had time to register again.
+func TestRemovalFromAnotherEntryDuringOutage(t *testing.T) {
 	r := New()
 	r.Put(Server{ID: "a"}, 0)
-	r.Reachable(false, second)
+	r.SetStoreReachable(false, second)
 	r.Remove("a", 5*second)
 	r.Expire(6 * second)
 	if len(ids(r)) != 1 {
-		t.Fatal("gone before its time")
+		t.Fatal("dropped before the grace period ended")
 	}
 	r.Expire(7 * second)
 	if len(ids(r)) != 0 {
@@ -69,27 +69,27 @@
 	}
 }
 
-// A server that starts again under its old ID is a new one: what was known of its warmth
-// no longer holds.
-func TestBornAgain(t *testing.T) {
+// A server that restarts under its old ID counts as new: what was known about it, such as whether
+// it is warm, no longer holds.
+func TestRestartUnderSameIDIsNew(t *testing.T) {
 	r := New()
-	r.Put(Server{ID: "a", Born: 1}, 0)
-	r.Put(Server{ID: "a", Born: 1}, second)
-	if since := r.Entries()[0].Since; since != 0 {
-		t.Errorf("a heartbeat moved the start to %v", since)
+	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, 0)
+	r.Put(Server{ID: "a", StartedAtUnixMs: 1}, second)
+	if since := r.Registrations()[0].FirstHeard; since != 0 {
+		t.Errorf("a heartbeat changed FirstHeard to %v", since)
 	}
-	r.Put(Server{ID: "a", Born: 2}, 2*second)
-	if since := r.Entries()[0].Since; since != 2*second {
-		t.Errorf("the new start is %v", since)
+	r.Put(Server{ID: "a", StartedAtUnixMs: 2}, 2*second)
+	if since := r.Registrations()[0].FirstHeard; since != 2*second {
+		t.Errorf("FirstHeard after the restart is %v", since)
 	}
 }
 
 // All VMs lose power. Servers start again at their addresses under new IDs, while their old
-// registrations last. A caller's request must go to the new ones, in whatever order both are
-// heard; an address that a newer server has left counts for the old one again.
+// registrations remain. Requests must go to the new ones, in whatever order both are heard. When
+// the newer server at an address has left, the old one counts again.
 func TestTheLastOneBornHasTheAddress(t *testing.T) {
-	old := Server{ID: "old", Address: "10.0.0.1:80", Born: 1}
-	renewed := Server{ID: "new", Address: "10.0.0.1:80", Born: 9}
+	old := Server{ID: "old", Address: "10.0.0.1:80", StartedAtUnixMs: 1}
+	renewed := Server{ID: "new", Address: "10.0.0.1:80", StartedAtUnixMs: 9}
 	for _, order := range [][]Server{{old, renewed}, {renewed, old}, {old, renewed, old}} {
 		r := New()
 		for _, s := range order {
@@ -110,29 +110,29 @@
 	r.Put(Server{ID: "a", Address: "10.0.0.1:80"}, 0)
 	r.Put(Server{ID: "b", Address: "10.0.0.1:80"}, 0)
 	if got := ids(r); len(got) != 2 {
-		t.Errorf("servers that do not say when they were born: %v", got)
+		t.Errorf("servers without a start time: %v", got)
 	}
 }
 
-// Servers write a heartbeat a second. Only what differs in more than the time that a server
-// stays cold is passed on to others.
-func TestHeartbeatsSayNothingNew(t *testing.T) {
+// Servers write a heartbeat every second. Only one that differs in more than the remaining cold
+// time is passed on to others.
+func TestHeartbeatsReportNoChange(t *testing.T) {
 	r := New()
-	s := Server{ID: "a", Cold: 3 * second}
+	s := Server{ID: "a", ColdRemaining: 3 * second}
 	for i, c := range []struct {
 		change func()
 		want   bool
 	}{
 		{func() {}, true},
 		{func() {}, false},
-		{func() { s.Cold = second }, false},
-		{func() { s.Cold = 0 }, true},
+		{func() { s.ColdRemaining = second }, false},
+		{func() { s.ColdRemaining = 0 }, true},
 		{func() { s.Draining = true }, true},
 		{func() {}, false},
 	} {
 		c.change()
 		if got := r.Put(s, 0); got != c.want {
-			t.Errorf("registration %d: new %v, want %v", i, got, c.want)
+			t.Errorf("registration %d: changed %v, want %v", i, got, c.want)
 		}
 	}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -55,7 +55,7 @@
 	operators, servers *keyed.Table
 	registry           *registry.Registry
 	peers              *peering.Table
-	roll               peering.Roll
+	roll               peering.MemberPruner
 	table              *routing.Table
 	// out are the failure domains that operators have taken out.
 	out map[string]bool
@@ -88,7 +88,7 @@
 		out: make(map[string]bool), started: now,
 	}
 	for _, seed := range g.settings.Seeds {
-		c.peers.Learn(seed, now)
+		c.peers.AddPeer(seed, now)
 	}
 	return c
 }
@@ -104,7 +104,7 @@
 		case n := <-c.g.news:
 			c.takeNews(n)
 		case b := <-c.g.beats:
-			c.peers.Heard(b, clock.Now())
+			c.peers.HandleHeartbeat(b, clock.Now())
 		case s := <-c.g.states:
 			c.takeState(s)
 		case ask := <-c.g.stateRequests:
@@ -128,7 +128,7 @@
 		c.serversAway = n.err != nil
 		if n.err == nil {
 			// Before the records: what lapsed in an outage is kept for a while from now on.
-			c.registry.Reachable(true, n.at)
+			c.registry.SetStoreReachable(true, n.at)
 		}
 	}
 	if n.err != nil {
@@ -172,14 +172,14 @@
 	key := platform.ParseOperatorKey(change.Key)
 	switch {
 	case key.FailureDomain != "":
-		if change.Dropped() {
+		if change.Deleted() {
 			delete(c.out, key.FailureDomain)
 		} else {
 			c.out[key.FailureDomain] = true
 		}
 		_ = level.Info(c.logger).Log("msg", "A failure domain was marked.", "failure_domain", key.FailureDomain,
-			"out", !change.Dropped(), "offset", change.Offset)
-	case key.Config && !change.Dropped():
+			"out", !change.Deleted(), "offset", change.Offset)
+	case key.Config && !change.Deleted():
 		cfg, err := platform.DecodeConfig(change.Value)
 		if err != nil {
 			_ = level.Error(c.logger).Log("msg", "The configuration cannot be read; the last one stays in force.",
@@ -194,7 +194,7 @@
 
 // serverChanged takes in a change of a registration, and returns whether it says anything new.
 func (c *control) serverChanged(change keyed.Change, now time.Duration) bool {
-	if change.Dropped() {
+	if change.Deleted() {
 		c.registry.Remove(change.Key, now)
 		_ = level.Info(c.logger).Log("msg", "A registration is gone.", "server", change.Key, "offset", change.Offset)
 		return true
@@ -210,7 +210,7 @@
 	}
 	_ = level.Info(c.logger).Log("msg", "A registration is new or has changed.", "server", s.ID, "service", s.Service,
 		"failure_domain", s.FailureDomain, "concurrency", s.Concurrency, "draining", s.Draining,
-		"cold_ms", s.Cold.Milliseconds(), "offset", change.Offset)
+		"cold_ms", s.ColdRemaining.Milliseconds(), "offset", change.Offset)
 	return true
 }
 
@@ -222,13 +222,13 @@
 	}
 	live := c.peers.Live(now)
 	c.logLive(live)
-	c.registry.Reachable(!c.storeAway(live, now), now)
-	n := census{live: len(live) + 1, mayLive: c.peers.MayLive(now) + 1}
+	c.registry.SetStoreReachable(!c.storeAway(live, now), now)
+	n := census{live: len(live) + 1, mayLive: c.peers.MaybeLiveCount(now) + 1}
 	c.changed = c.changed || n != c.census
 	if c.changed && c.inForce(now) != nil {
 		c.changed = false
 		c.census = n
-		c.g.fleet.set(c.registry.Entries(), c.out, c.table, n, now)
+		c.g.fleet.set(c.registry.Registrations(), c.out, c.table, n, now)
 	}
 	c.g.fleet.setOthers(othersOf(live), c.pacesOf(live), now)
 	c.publish(live, now)
@@ -305,7 +305,7 @@
 		}
 	}
 	self := &api.PeerBeat{Ip: c.g.settings.IP, Serving: ready, Leaving: c.g.leaving.Load(), Fence: c.g.experts.Fence()}
-	v.coordinates = peering.Coordinator(self, c.mayCoordinate(live, now)) == c.g.settings.IP
+	v.coordinates = peering.SelectCoordinator(self, c.mayCoordinate(live, now)) == c.g.settings.IP
 	for _, b := range live {
 		v.followed = v.followed || b.GetFence() > self.GetFence()
 	}
@@ -332,7 +332,7 @@
 
 // beat sends this entry's beat to those that it is due to.
 func (c *control) beat(live []*api.PeerBeat, now time.Duration) {
-	due := c.peers.Due(now, c.urgent)
+	due := c.peers.TakeDue(now, c.urgent)
 	c.urgent = false
 	if len(due) == 0 {
 		return
@@ -342,7 +342,7 @@
 		Vm: c.g.settings.VM, FailureDomain: c.g.settings.FailureDomain, Ip: c.g.settings.IP,
 		Incarnation: c.g.incarnation, Sequence: c.sequence, CallersAddress: c.g.settings.Listen.Callers,
 		Serving: c.g.view.Load().ready, Leaving: c.g.leaving.Load(),
-		OperatorsNext: c.operators.Next(), ServersNext: c.servers.Next(), Fence: c.g.experts.Fence(),
+		OperatorsNext: c.operators.NextOffset(), ServersNext: c.servers.NextOffset(), Fence: c.g.experts.Fence(),
 		OperatorsAgeMs: -1, ServersAgeMs: -1,
 		OperatorsChanged: c.operatorsChangedAt, ServersChanged: c.serversChangedAt,
 	}
