--- a/cmd/measure/skew.go
+++ b/cmd/measure/skew.go
@@ -166,7 +166,7 @@
 		return nil, false
 	}
 	e.last = now
-	p, err := balance.Full(balance.Demand{Popularity: normalised(e.tokens)}, rankCount, slotsPerRank)
+	p, err := balance.PlaceFromScratch(balance.Demand{Popularity: normalised(e.tokens)}, rankCount, slotsPerRank)
 	return p, err == nil
 }
 
@@ -228,7 +228,7 @@
 		tokens := sampleTokens(rng, d.at(now))
 		demand := balance.Demand{Popularity: tokens}
 		if d.pace != nil {
-			demand.Pace = d.pace(now)
+			demand.Slowdowns = d.pace(now)
 		}
 		skew := demand.Stretch(placement)
 		skews = append(skews, skew)
@@ -287,7 +287,7 @@
 	fmt.Fprintf(&b, "| drift | policy | skew p50 | skew p99 | experts moved | GiB loaded | switches | longest step / usual | recovery | slowest decision |\n")
 	fmt.Fprintf(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, d := range drifts() {
-		start, err := balance.Full(balance.Demand{Popularity: d.at(0)}, rankCount, slotsPerRank)
+		start, err := balance.PlaceFromScratch(balance.Demand{Popularity: d.at(0)}, rankCount, slotsPerRank)
 		if err != nil {
 			return err.Error()
 		}
@@ -297,7 +297,7 @@
 		}{
 			{"static map", static{}},
 			{"full rebalance every 5 s", &everyInterval{interval: 5 * time.Second}},
-			{"own, first version", own{balance.New(balance.Config{Trigger: 1.06, Target: 1.03, Moves: 32, LoadCost: 5 * time.Millisecond}, start, 0)}},
+			{"own, first version", own{balance.New(balance.Config{TriggerSkew: 1.06, TargetSkew: 1.03, MaxRepackMoves: 32, LoadCost: 5 * time.Millisecond}, start, 0)}},
 			{"own, by popularity alone", byPopularity{own{balance.New(balance.Config{}, start, 0)}}},
 			{"own", own{balance.New(balance.Config{}, start, 0)}},
 		}
--- a/decide/balance/balance_test.go
+++ b/decide/balance/balance_test.go
@@ -17,14 +17,14 @@
 	_ = flag.Set("rapid.checks", "2000")
 }
 
-// popularityOf is a Zipf popularity in a seeded order.
-func popularityOf(seed uint64, experts int, exponent float64) []float64 {
+// zipfPopularity is a Zipf popularity in a seeded order.
+func zipfPopularity(seed uint64, experts int, exponent float64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := make([]float64, experts)
 	sum := 0.0
-	for i, at := range rng.Perm(experts) {
-		p[at] = math.Pow(float64(i+1), -exponent)
-		sum += p[at]
+	for i, expert := range rng.Perm(experts) {
+		p[expert] = math.Pow(float64(i+1), -exponent)
+		sum += p[expert]
 	}
 	for i := range p {
 		p[i] /= sum
@@ -58,7 +58,7 @@
 				t.Fatalf("%d moves, at most %d allowed", n, moves)
 			}
 			p = Repack(better, Demand{Popularity: popularity}, 1, moves)
-			full, err := Full(Demand{Popularity: popularity}, ranks, slots)
+			full, err := PlaceFromScratch(Demand{Popularity: popularity}, ranks, slots)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -92,11 +92,11 @@
 // hold the new ones. The balancer must be back under a skew of 1.1 after a few
 // decisions, with far fewer loads than a fresh placement.
 func TestBalancerFollowsSuddenSwap(t *testing.T) {
-	old, swapped := popularityOf(1, 256, 0.8), popularityOf(1, 256, 0.8)
+	old, swapped := zipfPopularity(1, 256, 0.8), zipfPopularity(1, 256, 0.8)
 	rand.New(rand.NewPCG(2, 0)).Shuffle(16, func(i, j int) {
 		swapped[i*16], swapped[j*16] = swapped[j*16], swapped[i*16]
 	})
-	start, err := Full(Demand{Popularity: old}, 256, 2)
+	start, err := PlaceFromScratch(Demand{Popularity: old}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 			break
 		}
 	}
-	fresh, _ := Full(Demand{Popularity: swapped}, 256, 2)
+	fresh, _ := PlaceFromScratch(Demand{Popularity: swapped}, 256, 2)
 	if b.Stretch() >= 1.1 || now > 6*time.Second {
 		t.Errorf("skew %.3f at %v", b.Stretch(), now)
 	}
@@ -124,9 +124,9 @@
 
 // Popularity stands still and only the counts are noisy. Nothing may be moved: each
 // load takes from the steps, and buys nothing.
-func TestBalancerRidesOutNoise(t *testing.T) {
-	popularity := popularityOf(3, 256, 0.8)
-	start, err := Full(Demand{Popularity: popularity}, 256, 2)
+func TestBalancerIgnoresNoise(t *testing.T) {
+	popularity := zipfPopularity(3, 256, 0.8)
+	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,11 +152,11 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, swap := range []bool{false, true} {
 		b.Run(fmt.Sprintf("swap=%v", swap), func(b *testing.B) {
-			old, next := popularityOf(1, 256, 0.8), popularityOf(1, 256, 0.8)
+			old, next := zipfPopularity(1, 256, 0.8), zipfPopularity(1, 256, 0.8)
 			if swap {
-				next = popularityOf(5, 256, 0.8)
+				next = zipfPopularity(5, 256, 0.8)
 			}
-			start, err := Full(Demand{Popularity: old}, 256, 2)
+			start, err := PlaceFromScratch(Demand{Popularity: old}, 256, 2)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -172,7 +172,7 @@
 // One expert on one rank with two slots: the second slot has nothing better to hold
 // than a copy. A slot left empty made the search for moves fail. Found by the property
 // test with seed 12523085495416364986.
-func TestMoreSlotsThanUse(t *testing.T) {
+func TestMoreSlotsThanUsefulReplicas(t *testing.T) {
 	p, err := NewPlacement(1, 1, 2)
 	if err != nil {
 		t.Fatal(err)
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -7,23 +7,23 @@
 
 // Config holds the limits of rebalancing. A zero field takes its default.
 type Config struct {
-	// Trigger is the skew past which a better placement is looked for, Target the
+	// TriggerSkew is the skew past which a better placement is looked for, TargetSkew the
 	// one at which the search stops. Defaults 1.03 and 1.01. Between the two nothing
 	// is done, so that noise around one limit does not move experts to and fro.
-	Trigger, Target float64
-	// FewMoves is the most experts loaded where single steps mend the skew, Moves
+	TriggerSkew, TargetSkew float64
+	// MaxImproveMoves is the most experts loaded where single steps mend the skew, MaxRepackMoves
 	// where they do not. Defaults 32 and 256.
-	FewMoves, Moves int
-	// Interval is the least time between new placements. Default 2 s. Past the skew
+	MaxImproveMoves, MaxRepackMoves int
+	// MinInterval is the least time between new placements. Default 2 s. Past the skew
 	// Urgent, 1.25 by default, a quarter of it.
-	Interval time.Duration
-	Urgent   float64
-	// Average is the time constant of the average of popularity. Default 10 s.
-	Average time.Duration
-	// Apart is the distance between what was just seen and the average, in parts of
+	MinInterval time.Duration
+	UrgentSkew  float64
+	// AverageTimeConstant is the time constant of the average of popularity. Default 10 s.
+	AverageTimeConstant time.Duration
+	// ChangeDistance is the distance between what was just seen and the average, in parts of
 	// all tokens, past which the average is dropped. Default 0.05: far above the
 	// noise of one observation, and far below a change of a hot expert.
-	Apart float64
+	ChangeDistance float64
 	// LoadCost is the time, summed over the steps that run while it loads, that one
 	// expert's load costs the group. Default 1 ms.
 	LoadCost time.Duration
@@ -32,32 +32,32 @@
 }
 
 func (c Config) withDefaults() Config {
-	setFloat(&c.Trigger, 1.03)
-	setFloat(&c.Target, 1.01)
-	setFloat(&c.Urgent, 1.25)
-	setFloat(&c.Apart, 0.05)
-	setTime(&c.Interval, 2*time.Second)
-	setTime(&c.Average, 10*time.Second)
-	setTime(&c.LoadCost, time.Millisecond)
-	setTime(&c.Horizon, 20*time.Second)
-	setInt(&c.FewMoves, 32)
-	setInt(&c.Moves, 256)
+	setDefaultFloat(&c.TriggerSkew, 1.03)
+	setDefaultFloat(&c.TargetSkew, 1.01)
+	setDefaultFloat(&c.UrgentSkew, 1.25)
+	setDefaultFloat(&c.ChangeDistance, 0.05)
+	setDefaultDuration(&c.MinInterval, 2*time.Second)
+	setDefaultDuration(&c.AverageTimeConstant, 10*time.Second)
+	setDefaultDuration(&c.LoadCost, time.Millisecond)
+	setDefaultDuration(&c.Horizon, 20*time.Second)
+	setDefaultInt(&c.MaxImproveMoves, 32)
+	setDefaultInt(&c.MaxRepackMoves, 256)
 	return c
 }
 
-func setInt(n *int, value int) {
+func setDefaultInt(n *int, value int) {
 	if *n == 0 {
 		*n = value
 	}
 }
 
-func setFloat(f *float64, value float64) {
+func setDefaultFloat(f *float64, value float64) {
 	if *f == 0 {
 		*f = value
 	}
 }
 
-func setTime(d *time.Duration, value time.Duration) {
+func setDefaultDuration(d *time.Duration, value time.Duration) {
 	if *d == 0 {
 		*d = value
 	}
@@ -66,13 +66,13 @@
 // Balancer follows the popularity of one group's experts and decides when another
 // placement is worth its cost.
 type Balancer struct {
-	cfg        Config
-	placement  *Placement
-	popularity []float64 // parts of all tokens, averaged
-	paces      paces
-	seen       bool
-	observed   time.Duration
-	changed    time.Duration
+	cfg           Config
+	placement     *Placement
+	popularity    []float64 // parts of all tokens, averaged
+	slowdowns     slowdownTracker
+	hasPopularity bool
+	observedAt    time.Duration
+	changedAt     time.Duration
 }
 
 // New returns a balancer for a group that runs with a placement since now.
@@ -81,7 +81,7 @@
 		cfg:        cfg.withDefaults(),
 		placement:  placement.Clone(),
 		popularity: make([]float64, placement.Experts),
-		changed:    now,
+		changedAt:  now,
 	}
 }
 
@@ -95,18 +95,18 @@
 // new and place for neither, so it is dropped when what was just seen is too far from
 // it.
 func (b *Balancer) Observe(now time.Duration, tokens []float64) {
-	sample := shares(tokens)
+	sample := normalize(tokens)
 	if sample == nil {
 		return
 	}
-	keep := math.Exp(-float64(now-b.observed) / float64(b.cfg.Average))
-	if !b.seen || apart(b.popularity, sample) > b.cfg.Apart {
-		keep = 0
+	oldWeight := math.Exp(-float64(now-b.observedAt) / float64(b.cfg.AverageTimeConstant))
+	if !b.hasPopularity || distance(b.popularity, sample) > b.cfg.ChangeDistance {
+		oldWeight = 0
 	}
-	b.seen = true
-	b.observed = now
-	for i, part := range sample {
-		b.popularity[i] = keep*b.popularity[i] + (1-keep)*part
+	b.hasPopularity = true
+	b.observedAt = now
+	for i, fraction := range sample {
+		b.popularity[i] = oldWeight*b.popularity[i] + (1-oldWeight)*fraction
 	}
 }
 
@@ -121,17 +121,17 @@
 // step.
 func (b *Balancer) ObserveRanks(ranks []RankWork) {
 	if len(ranks) == b.placement.Ranks {
-		b.paces.observe(ranks)
+		b.slowdowns.observe(ranks)
 	}
 }
 
 // SlowRanks returns the ranks that stay more than maxPace times slower than their group,
 // the slowest first. Nothing is decided on them here: they are for operators to replace.
-func (b *Balancer) SlowRanks() []SlowRank { return b.paces.slow() }
+func (b *Balancer) SlowRanks() []SlowRank { return b.slowdowns.slowRanks() }
 
 // Demand returns what the decisions go by.
 func (b *Balancer) Demand() Demand {
-	return Demand{Popularity: b.popularity, Pace: b.paces.known()}
+	return Demand{Popularity: b.popularity, Slowdowns: b.slowdowns.effective()}
 }
 
 // Stretch returns the expected stretch of steps under the present placement.
@@ -144,37 +144,37 @@
 // it costs more than it saves. The saving is the time by which steps get shorter over
 // the horizon; the cost is the time that the loads take from the steps.
 func (b *Balancer) Decide(now time.Duration) (*Placement, bool) {
-	if !b.seen {
+	if !b.hasPopularity {
 		return nil, false
 	}
 	demand := b.Demand()
 	before := demand.Stretch(b.placement)
-	interval := b.cfg.Interval
-	if before > b.cfg.Urgent {
+	interval := b.cfg.MinInterval
+	if before > b.cfg.UrgentSkew {
 		interval /= 4
 	}
-	if before <= b.cfg.Trigger || now-b.changed < interval {
+	if before <= b.cfg.TriggerSkew || now-b.changedAt < interval {
 		return nil, false
 	}
-	better := Improve(b.placement, demand, b.cfg.Target, b.cfg.FewMoves)
-	worth := b.worth(demand, before, better)
-	if demand.Stretch(better) > b.cfg.Trigger {
+	better := Improve(b.placement, demand, b.cfg.TargetSkew, b.cfg.MaxImproveMoves)
+	saving := b.netSaving(demand, before, better)
+	if demand.Stretch(better) > b.cfg.TriggerSkew {
 		// A few moves do not mend it; more may.
-		repacked := Repack(b.placement, demand, b.cfg.Target, b.cfg.Moves)
-		if w := b.worth(demand, before, repacked); w > worth {
-			better, worth = repacked, w
+		repacked := Repack(b.placement, demand, b.cfg.TargetSkew, b.cfg.MaxRepackMoves)
+		if repackSaving := b.netSaving(demand, before, repacked); repackSaving > saving {
+			better, saving = repacked, repackSaving
 		}
 	}
-	if worth <= 0 {
+	if saving <= 0 {
 		return nil, false
 	}
 	b.placement = better
-	b.changed = now
+	b.changedAt = now
 	return better, true
 }
 
-// worth is the time saved over the horizon less the time that loading costs.
-func (b *Balancer) worth(demand Demand, before float64, better *Placement) float64 {
+// netSaving is the time saved over the horizon less the time that loading costs.
+func (b *Balancer) netSaving(demand Demand, before float64, better *Placement) float64 {
 	moves := Moves(b.placement, better)
 	after := demand.Stretch(better)
 	saved := (before - after) / before * float64(b.cfg.Horizon)
--- a/decide/balance/demand.go
+++ b/decide/balance/demand.go
@@ -4,9 +4,9 @@
 type Demand struct {
 	// Popularity is the part of all tokens that each expert gets.
 	Popularity []float64
-	// Pace is the time that each rank takes for a token, in that of a usual one: 1.3 for
+	// Slowdowns is the time that each rank takes for a token, in that of a usual one: 1.3 for
 	// a rank that is a third slower. Nil when all are alike.
-	Pace []float64
+	Slowdowns []float64
 }
 
 // Stretch is the time of a step over that of an ideal placement, in which all ranks end
@@ -15,7 +15,7 @@
 // The skew of the ranks' times would not do for decisions: it also falls when the ranks
 // that wait are given more to do, which makes no step shorter.
 func (d Demand) Stretch(p *Placement) float64 {
-	ideal := d.ideal(p.Ranks)
+	ideal := d.idealTime(p.Ranks)
 	if ideal == 0 {
 		return 1
 	}
@@ -26,26 +26,26 @@
 	return peak / ideal
 }
 
-// ideal is the time in which all ranks together, each as fast as it is, do the work.
-func (d Demand) ideal(ranks int) float64 {
+// idealTime is the time in which all ranks together, each as fast as it is, do the work.
+func (d Demand) idealTime(ranks int) float64 {
 	work := 0.0
-	for _, part := range d.Popularity {
-		work += part
+	for _, fraction := range d.Popularity {
+		work += fraction
 	}
 	speed := 0.0
-	for _, pace := range d.paces(ranks) {
-		speed += 1 / pace
+	for _, slowdown := range d.slowdownsOf(ranks) {
+		speed += 1 / slowdown
 	}
 	return work / speed
 }
 
-func (d Demand) paces(ranks int) []float64 {
-	if d.Pace != nil {
-		return d.Pace
+func (d Demand) slowdownsOf(ranks int) []float64 {
+	if d.Slowdowns != nil {
+		return d.Slowdowns
 	}
-	pace := make([]float64, ranks)
-	for rank := range pace {
-		pace[rank] = 1
+	slowdowns := make([]float64, ranks)
+	for rank := range slowdowns {
+		slowdowns[rank] = 1
 	}
-	return pace
+	return slowdowns
 }
--- a/decide/balance/layers.go
+++ b/decide/balance/layers.go
@@ -10,28 +10,28 @@
 
 // Shape is what bounds the expert maps of a group.
 type Shape struct {
-	// Sets is the number of sets of layers, Experts that of the experts in each.
-	Sets, Experts int
-	// Ranks is the number of ranks, Slots the most experts that one holds of a set.
-	Ranks, Slots int
-	// Spare is the most experts of a set that are new to a rank in one change; zero for no
+	// LayerSets is the number of sets of layers, Experts that of the experts in each.
+	LayerSets, Experts int
+	// Ranks is the number of ranks, SlotsPerRank the most experts that one holds of a set.
+	Ranks, SlotsPerRank int
+	// MaxNewExperts is the most experts of a set that are new to a rank in one change; zero for no
 	// bound.
-	Spare int
+	MaxNewExperts int
 }
 
-// LayersConfig holds the limits of Layers. A zero field takes its default.
-type LayersConfig struct {
-	// Trigger is the skew past which a change of maps is looked for, Target the one at
+// LayerPlannerConfig holds the limits of Layers. A zero field takes its default.
+type LayerPlannerConfig struct {
+	// TriggerSkew is the skew past which a change of maps is looked for, TargetSkew the one at
 	// which the search stops, while passes are short against the pauses that callers
 	// accept. Defaults 1.6 and 1.25: callers notice no less, and each copy makes passes
 	// longer while it is under way and is worn out by the next change of popularity.
-	Trigger, Target float64
-	// PressedTrigger and PressedTarget are the same while passes are long, as in a burst:
+	TriggerSkew, TargetSkew float64
+	// LongPassTriggerSkew and LongPassTargetSkew are the same while passes are long, as in a burst:
 	// then each part of a pass decides whether streams are on time and requests wait.
 	// Defaults 1.2 and 1.1.
-	PressedTrigger, PressedTarget float64
-	// LoadTime is the time in which a rank copies one expert. Zero counts copies as free.
-	LoadTime time.Duration
+	LongPassTriggerSkew, LongPassTargetSkew float64
+	// CopyTime is the time in which a rank copies one expert. Zero counts copies as free.
+	CopyTime time.Duration
 	// SwitchTime is the time of a change beside its copies. Default 150 ms: some passes.
 	SwitchTime time.Duration
 	// Horizon is how long a map is expected to fit. Default 2.5 s, the time in which
@@ -39,43 +39,43 @@
 	Horizon time.Duration
 }
 
-func (c LayersConfig) withDefaults() LayersConfig {
-	setFloat(&c.Trigger, 1.6)
-	setFloat(&c.Target, 1.25)
-	setFloat(&c.PressedTrigger, 1.2)
-	setFloat(&c.PressedTarget, 1.1)
-	setTime(&c.SwitchTime, 150*time.Millisecond)
-	setTime(&c.Horizon, 2500*time.Millisecond)
+func (c LayerPlannerConfig) withDefaults() LayerPlannerConfig {
+	setDefaultFloat(&c.TriggerSkew, 1.6)
+	setDefaultFloat(&c.TargetSkew, 1.25)
+	setDefaultFloat(&c.LongPassTriggerSkew, 1.2)
+	setDefaultFloat(&c.LongPassTargetSkew, 1.1)
+	setDefaultDuration(&c.SwitchTime, 150*time.Millisecond)
+	setDefaultDuration(&c.Horizon, 2500*time.Millisecond)
 	return c
 }
 
-// copyBurden is the part by which passes take longer while ranks copy experts.
-const copyBurden = 0.15
+// copyOverhead is the part by which passes take longer while ranks copy experts.
+const copyOverhead = 0.15
 
-// Layers plans the expert maps of a group whose layers come in sets, each with experts of
+// LayerPlanner plans the expert maps of a group whose layers come in sets, each with experts of
 // its own. A pass goes through the sets one after the other, and in each of them waits for
 // the busiest rank.
-type Layers struct {
+type LayerPlanner struct {
 	shape Shape
-	cfg   LayersConfig
-	// seen is the popularity of the experts.
-	seen popularity
-	// pace is how many times slower than usual each rank is; nil when all are alike.
-	pace []float64
+	cfg   LayerPlannerConfig
+	// popularity is the popularity of the experts.
+	popularity popularityTracker
+	// slowdowns is how many times slower than usual each rank is; nil when all are alike.
+	slowdowns []float64
 }
 
-// NewLayers returns a planner for a group of which nothing is known yet.
-func NewLayers(shape Shape, cfg LayersConfig) (*Layers, error) {
-	if _, err := NewPlacement(shape.Experts, shape.Ranks, shape.Slots); err != nil {
+// NewLayerPlanner returns a planner for a group of which nothing is known yet.
+func NewLayerPlanner(shape Shape, cfg LayerPlannerConfig) (*LayerPlanner, error) {
+	if _, err := NewPlacement(shape.Experts, shape.Ranks, shape.SlotsPerRank); err != nil {
 		return nil, err
 	}
-	return &Layers{shape: shape, cfg: cfg.withDefaults()}, nil
+	return &LayerPlanner{shape: shape, cfg: cfg.withDefaults()}, nil
 }
 
 // Observe takes how often each expert was chosen in the passes since the last observation, by
 // set.
-func (l *Layers) Observe(passes int64, counts [][]float64) {
-	if len(counts) != l.shape.Sets {
+func (l *LayerPlanner) Observe(passes int64, counts [][]float64) {
+	if len(counts) != l.shape.LayerSets {
 		return
 	}
 	for _, set := range counts {
@@ -83,53 +83,53 @@
 			return
 		}
 	}
-	l.seen.observe(passes, counts)
+	l.popularity.observe(passes, counts)
 }
 
 // SetSwitchTime sets the time of a change beside its copies.
 //
 // Load: a group whose passes take most of a second, as with one engine many times slower.
 // Harm prevented: changes of one copy each, of which every one waits for a further pass.
-func (l *Layers) SetSwitchTime(d time.Duration) { l.cfg.SwitchTime = d }
+func (l *LayerPlanner) SetSwitchTime(d time.Duration) { l.cfg.SwitchTime = d }
 
-// slowPace is the pace from which on a rank counts as slow. What ranks report of healthy
+// slowRankThreshold is the pace from which on a rank counts as slow. What ranks report of healthy
 // engines differs by a few hundredths, and following that would copy experts for nothing.
-const slowPace = 1.2
+const slowRankThreshold = 1.2
 
-// ObservePaces takes how many times slower than usual each rank is.
+// ObserveSlowdowns takes how many times slower than usual each rank is.
 //
 // Load: a rank whose accelerator is throttled or shares its host. Harm prevented: every pass
 // waits for it with its part of the experts. A slow rank is given less to do, down to
 // nothing; what it loses is copied to others, so that only what is far from usual counts.
-func (l *Layers) ObservePaces(paces []float64) {
-	l.pace = nil
-	if len(paces) != l.shape.Ranks {
+func (l *LayerPlanner) ObserveSlowdowns(slowdowns []float64) {
+	l.slowdowns = nil
+	if len(slowdowns) != l.shape.Ranks {
 		return
 	}
-	for _, pace := range paces {
-		if pace >= slowPace {
-			l.pace = make([]float64, len(paces))
+	for _, slowdown := range slowdowns {
+		if slowdown >= slowRankThreshold {
+			l.slowdowns = make([]float64, len(slowdowns))
 		}
 	}
-	for rank := range l.pace {
-		l.pace[rank] = max(paces[rank], 1)
+	for rank := range l.slowdowns {
+		l.slowdowns[rank] = max(slowdowns[rank], 1)
 	}
 }
 
 // demand is what one set's map has to carry. The additional expert stands in the slots that
 // are free, and nobody chooses it.
-func (l *Layers) demand(set int) Demand {
-	return Demand{Popularity: append(slices.Clone(l.seen.parts[set]), 0), Pace: l.pace}
+func (l *LayerPlanner) demand(set int) Demand {
+	return Demand{Popularity: append(slices.Clone(l.popularity.fractions[set]), 0), Slowdowns: l.slowdowns}
 }
 
-// Change is a change of maps.
-type Change struct {
+// MapChange is a change of maps.
+type MapChange struct {
 	// Maps are the maps to change to, by set of layers.
 	Maps []LayerMap
-	// Before and After are the skews of the maps in use and of those to change to.
-	Before, After float64
-	// Loads is the most experts that one rank copies.
-	Loads int
+	// SkewBefore and SkewAfter are the skews of the maps in use and of those to change to.
+	SkewBefore, SkewAfter float64
+	// MaxCopies is the most experts that one rank copies.
+	MaxCopies int
 }
 
 // Plan returns the change to make from the maps in use, or nil when none is worth it.
@@ -139,64 +139,64 @@
 // of a second for each expert that is new to them. Harm prevented: waiting for the perfect
 // map while the group is slow. How much is copied before the next change of maps is weighed
 // over the horizon, with the changes that can follow it.
-func (l *Layers) Plan(current []LayerMap, pressed bool) *Change {
-	trigger, target := l.cfg.Trigger, l.cfg.Target
-	if pressed {
-		trigger, target = l.cfg.PressedTrigger, l.cfg.PressedTarget
+func (l *LayerPlanner) Plan(current []LayerMap, longPasses bool) *MapChange {
+	trigger, target := l.cfg.TriggerSkew, l.cfg.TargetSkew
+	if longPasses {
+		trigger, target = l.cfg.LongPassTriggerSkew, l.cfg.LongPassTargetSkew
 	}
 	if l.Skew(current) <= trigger {
 		return nil
 	}
-	plans := l.plans(current, target)
-	at := l.timing().cheapest(plans)
-	if at == 0 {
+	candidates := l.candidates(current, target)
+	chosen := l.timing().cheapestStride(candidates)
+	if chosen == 0 {
 		return nil
 	}
-	return &Change{
-		Maps: l.layerMaps(plans[at]), Before: plans[0].stretch, After: plans[at].stretch, Loads: plans[at].copies,
+	return &MapChange{
+		Maps: l.layerMaps(candidates[chosen]), SkewBefore: candidates[0].stretch, SkewAfter: candidates[chosen].stretch, MaxCopies: candidates[chosen].maxCopies,
 	}
 }
 
-// plans returns what the maps in use can be changed to. They must be of the group's shape.
-func (l *Layers) plans(current []LayerMap, target float64) []plan {
-	from, demands := make([]*Placement, l.shape.Sets), make([]Demand, l.shape.Sets)
+// candidates returns what the maps in use can be changed to. They must be of the group's shape.
+func (l *LayerPlanner) candidates(current []LayerMap, target float64) []candidate {
+	from, demands := make([]*Placement, l.shape.LayerSets), make([]Demand, l.shape.LayerSets)
 	for i := range from {
 		from[i], _ = l.placement(current[i])
 		demands[i] = l.demand(i)
 	}
-	return newSequence(from, demands, l.shape.Spare, target, int32(l.shape.Experts)).plans(l.mostCopies())
+	return newLayerSearch(from, demands, l.shape.MaxNewExperts, target, int32(l.shape.Experts)).candidates(l.maxCopies())
 }
 
-func (l *Layers) timing() timing {
-	return timing{copy: l.cfg.LoadTime, change: l.cfg.SwitchTime, horizon: l.cfg.Horizon}
+func (l *LayerPlanner) timing() timing {
+	return timing{copyTime: l.cfg.CopyTime, switchTime: l.cfg.SwitchTime, horizon: l.cfg.Horizon}
 }
 
 // layerMaps are the maps of a plan, by set of layers.
-func (l *Layers) layerMaps(p plan) []LayerMap {
-	maps := make([]LayerMap, 0, len(p.placements))
-	for _, placement := range p.placements {
+func (l *LayerPlanner) layerMaps(c candidate) []LayerMap {
+	maps := make([]LayerMap, 0, len(c.placements))
+	for _, placement := range c.placements {
 		maps = append(maps, l.layerMap(placement))
 	}
 	return maps
 }
 
-// mostCopies is the most experts that a rank can be asked to copy: what it takes, and what is
+// maxCopies is the most experts that a rank can be asked to copy: what it takes, and what is
 // done within the horizon.
-func (l *Layers) mostCopies() int {
-	most := l.shape.Sets * l.shape.Slots
-	if l.shape.Spare > 0 {
-		most = l.shape.Sets * l.shape.Spare
+func (l *LayerPlanner) maxCopies() int {
+	limit := l.shape.LayerSets * l.shape.SlotsPerRank
+	if l.shape.MaxNewExperts > 0 {
+		limit = l.shape.LayerSets * l.shape.MaxNewExperts
 	}
-	if l.cfg.LoadTime > 0 {
-		most = min(most, max(1, int(l.cfg.Horizon/l.cfg.LoadTime)))
+	if l.cfg.CopyTime > 0 {
+		limit = min(limit, max(1, int(l.cfg.Horizon/l.cfg.CopyTime)))
 	}
-	return most
+	return limit
 }
 
 // Skew is the time that a pass spends on experts with the given maps, against the time if
 // all ranks were evenly busy.
-func (l *Layers) Skew(current []LayerMap) float64 {
-	if len(current) != l.shape.Sets || l.seen.parts == nil {
+func (l *LayerPlanner) Skew(current []LayerMap) float64 {
+	if len(current) != l.shape.LayerSets || l.popularity.fractions == nil {
 		return 1
 	}
 	sum := 0.0
@@ -207,38 +207,38 @@
 		}
 		sum += l.demand(i).Stretch(p)
 	}
-	return sum / float64(l.shape.Sets)
+	return sum / float64(l.shape.LayerSets)
 }
 
 // placement makes a placement of one set's map, with the additional expert in free slots.
-func (l *Layers) placement(m LayerMap) (*Placement, bool) {
+func (l *LayerPlanner) placement(m LayerMap) (*Placement, bool) {
 	if len(m) != l.shape.Ranks {
 		return nil, false
 	}
-	none := int32(l.shape.Experts)
-	p := &Placement{Experts: l.shape.Experts + 1, Ranks: l.shape.Ranks, SlotsPerRank: l.shape.Slots}
+	filler := int32(l.shape.Experts)
+	p := &Placement{Experts: l.shape.Experts + 1, Ranks: l.shape.Ranks, SlotsPerRank: l.shape.SlotsPerRank}
 	for _, experts := range m {
-		if len(experts) > l.shape.Slots {
+		if len(experts) > l.shape.SlotsPerRank {
 			return nil, false
 		}
 		for _, expert := range experts {
-			if expert < 0 || expert >= none {
+			if expert < 0 || expert >= filler {
 				return nil, false
 			}
 		}
 		p.Slots = append(p.Slots, experts...)
-		for range l.shape.Slots - len(experts) {
-			p.Slots = append(p.Slots, none)
+		for range l.shape.SlotsPerRank - len(experts) {
+			p.Slots = append(p.Slots, filler)
 		}
 	}
 	return p, true
 }
 
-func (l *Layers) layerMap(p *Placement) LayerMap {
+func (l *LayerPlanner) layerMap(p *Placement) LayerMap {
 	m := make(LayerMap, p.Ranks)
 	for rank := range m {
 		experts := []int32{}
-		for _, expert := range p.rank(rank) {
+		for _, expert := range p.rankSlots(rank) {
 			if int(expert) < l.shape.Experts && !slices.Contains(experts, expert) {
 				experts = append(experts, expert)
 			}
--- a/decide/balance/layers_test.go
+++ b/decide/balance/layers_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// inTurn is the map that a group starts with.
-func inTurn(s Shape) []LayerMap {
-	maps := make([]LayerMap, s.Sets)
+// roundRobinMaps is the map that a group starts with.
+func roundRobinMaps(s Shape) []LayerMap {
+	maps := make([]LayerMap, s.LayerSets)
 	for i := range maps {
 		maps[i] = make(LayerMap, s.Ranks)
 		for expert := range s.Experts {
@@ -24,15 +24,15 @@
 // zipf draws the popularity of experts, in a random order.
 func zipf(rng *rand.Rand, experts int, skew float64) []float64 {
 	counts := make([]float64, experts)
-	for i, at := range rng.Perm(experts) {
-		counts[at] = 1000 / math.Pow(float64(i+1), skew)
+	for i, expert := range rng.Perm(experts) {
+		counts[expert] = 1000 / math.Pow(float64(i+1), skew)
 	}
 	return counts
 }
 
 // zipfCounts draws the popularity of the experts of all sets of layers.
 func zipfCounts(rng *rand.Rand, s Shape, skew float64) [][]float64 {
-	counts := make([][]float64, s.Sets)
+	counts := make([][]float64, s.LayerSets)
 	for i := range counts {
 		counts[i] = zipf(rng, s.Experts, skew)
 	}
@@ -43,19 +43,19 @@
 // several times the mean. Ranks take three new experts in a change. Within a few changes the
 // passes take little more than with evenly busy ranks, and no change asks for more than the
 // ranks take or leaves an expert without a rank.
-func TestPlanWithinWhatRanksTake(t *testing.T) {
-	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, Spare: 3}
+func TestPlanKeepsRankLimits(t *testing.T) {
+	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	const groups = 20
 	sum := 0.0
 	for seed := range uint64(groups) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		l, err := NewLayers(shape, LayersConfig{})
+		l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		counts := zipfCounts(rng, shape, 1.3)
 		l.Observe(20, counts)
-		maps := inTurn(shape)
+		maps := roundRobinMaps(shape)
 		changes := 0
 		for ; ; changes++ {
 			change := l.Plan(maps, true)
@@ -80,15 +80,15 @@
 	for set := range to {
 		held := make([]bool, shape.Experts)
 		for rank, experts := range to[set] {
-			loaded := 0
+			copied := 0
 			for _, expert := range experts {
 				held[expert] = true
 				if !slices.Contains(from[set][rank], expert) {
-					loaded++
+					copied++
 				}
 			}
-			if loaded > shape.Spare || len(experts) > shape.Slots {
-				t.Fatalf("rank %d takes %d new experts and holds %d", rank, loaded, len(experts))
+			if copied > shape.MaxNewExperts || len(experts) > shape.SlotsPerRank {
+				t.Fatalf("rank %d takes %d new experts and holds %d", rank, copied, len(experts))
 			}
 		}
 		if slices.Contains(held, false) {
@@ -99,8 +99,8 @@
 
 // Popularity that hardly changed is no reason to copy experts.
 func TestPlanLeavesAGoodMapAlone(t *testing.T) {
-	shape := Shape{Sets: 1, Experts: 24, Ranks: 6, Slots: 6, Spare: 3}
-	l, err := NewLayers(shape, LayersConfig{})
+	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6, MaxNewExperts: 3}
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,8 +109,8 @@
 		even[i] = 100 + float64(i%2)
 	}
 	l.Observe(20, [][]float64{even})
-	if change := l.Plan(inTurn(shape), true); change != nil {
-		t.Errorf("a change from %.3f to %.3f", change.Before, change.After)
+	if change := l.Plan(roundRobinMaps(shape), true); change != nil {
+		t.Errorf("a change from %.3f to %.3f", change.SkewBefore, change.SkewAfter)
 	}
 }
 
@@ -118,18 +118,18 @@
 // several times the ideal gets most of its relief from one new expert a rank, and is not kept
 // waiting for three; with copies that cost nothing it takes all at once.
 func TestPlanWeighsCopiesAgainstTime(t *testing.T) {
-	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, Spare: 3}
+	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	rng := rand.New(rand.NewPCG(3, 1))
 	counts := zipfCounts(rng, shape, 1.3)
-	loads := func(each time.Duration) int {
-		l, err := NewLayers(shape, LayersConfig{LoadTime: each})
+	maxCopies := func(copyTime time.Duration) int {
+		l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: copyTime})
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.Observe(20, counts)
-		return l.Plan(inTurn(shape), true).Loads
+		return l.Plan(roundRobinMaps(shape), true).MaxCopies
 	}
-	if slow, free := loads(100*time.Millisecond), loads(0); slow > shape.Sets || free <= slow {
+	if slow, free := maxCopies(100*time.Millisecond), maxCopies(0); slow > shape.LayerSets || free <= slow {
 		t.Errorf("a rank copies %d experts at 100 ms each, %d for nothing", slow, free)
 	}
 }
@@ -137,8 +137,8 @@
 // While passes are short, callers notice nothing of a moderate skew, and no expert is copied
 // for it; while they are long, it is worth a change.
 func TestPlanUnderPressure(t *testing.T) {
-	shape := Shape{Sets: 1, Experts: 24, Ranks: 6, Slots: 6, Spare: 3}
-	l, err := NewLayers(shape, LayersConfig{})
+	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6, MaxNewExperts: 3}
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	}
 	counts[0] = 230
 	l.Observe(20, [][]float64{counts})
-	if l.Plan(inTurn(shape), false) != nil || l.Plan(inTurn(shape), true) == nil {
-		t.Errorf("skew %.2f: a change without pressure, or none with it", l.Skew(inTurn(shape)))
+	if l.Plan(roundRobinMaps(shape), false) != nil || l.Plan(roundRobinMaps(shape), true) == nil {
+		t.Errorf("skew %.2f: a change without pressure, or none with it", l.Skew(roundRobinMaps(shape)))
 	}
 }
 
@@ -157,18 +157,18 @@
 // wait for it in each pass, until its experts stand on others as well. Within some changes
 // a pass takes no more than twice what the others alone would need.
 func TestPlanMovesWorkOffASlowRank(t *testing.T) {
-	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, Spare: 3}
+	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	rng := rand.New(rand.NewPCG(5, 1))
-	l, err := NewLayers(shape, LayersConfig{})
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	counts := zipfCounts(rng, shape, 1.3)
 	l.Observe(20, counts)
-	paces := slices.Repeat([]float64{1.02}, shape.Ranks)
-	paces[4] = 12
-	l.ObservePaces(paces)
-	maps := inTurn(shape)
+	slowdowns := slices.Repeat([]float64{1.02}, shape.Ranks)
+	slowdowns[4] = 12
+	l.ObserveSlowdowns(slowdowns)
+	maps := roundRobinMaps(shape)
 	before := l.Skew(maps)
 	for range 6 {
 		change := l.Plan(maps, true)
@@ -184,9 +184,9 @@
 }
 
 // A report that makes no sense, such as of a group with other ranks, plans nothing.
-func TestPlanOfAnotherShape(t *testing.T) {
-	shape := Shape{Sets: 1, Experts: 24, Ranks: 6, Slots: 6}
-	l, err := NewLayers(shape, LayersConfig{})
+func TestPlanIgnoresMapsOfAnotherShape(t *testing.T) {
+	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6}
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/decide/balance/pace.go
+++ b/decide/balance/pace.go
@@ -14,92 +14,92 @@
 }
 
 const (
-	// paceWindows is the number of observations whose median counts as a rank's pace. A
+	// slowdownWindow is the number of observations whose median counts as a rank's pace. A
 	// rank that stalls for a second or two must not have its experts moved, and moved
 	// back when it goes on: only what lasts for most of the observations is believed.
-	paceWindows = 5
-	// paceNoise is the deviation from 1 up to which a pace counts as usual. Measured
+	slowdownWindow = 5
+	// slowdownTolerance is the deviation from 1 up to which a pace counts as usual. Measured
 	// times of healthy ranks differ by a few hundredths, and following them would load
 	// experts for nothing.
-	paceNoise = 0.05
-	// maxPace bounds a rank's pace. A rank three times slower holds the group up
+	slowdownTolerance = 0.05
+	// maxSlowdown bounds a rank's pace. A rank three times slower holds the group up
 	// whatever stands on it, since every expert must stand somewhere: it is for the
 	// platform to replace, and emptying it would only load experts twice.
-	maxPace = 3
+	maxSlowdown = 3
 )
 
-// paces follows how fast the ranks of a group are, each against the usual one.
-type paces struct {
-	windows [][]float64 // of the newest observations, each with all ranks
-	next    int
+// slowdownTracker follows how fast the ranks of a group are, each against the usual one.
+type slowdownTracker struct {
+	observations [][]float64 // of the newest observations, each with all ranks
+	next         int
 }
 
 // observe takes one observation of all ranks. One that does not tell of every rank says
 // nothing of what is usual, and is left out.
-func (p *paces) observe(ranks []RankWork) {
-	each := make([]float64, len(ranks))
+func (p *slowdownTracker) observe(ranks []RankWork) {
+	slowdowns := make([]float64, len(ranks))
 	for i, work := range ranks {
 		if work.Tokens <= 0 || work.Time <= 0 {
 			return
 		}
-		each[i] = work.Time.Seconds() / work.Tokens
+		slowdowns[i] = work.Time.Seconds() / work.Tokens
 	}
-	usual := median(each)
-	for i := range each {
-		each[i] /= usual
+	typical := median(slowdowns)
+	for i := range slowdowns {
+		slowdowns[i] /= typical
 	}
-	if len(p.windows) < paceWindows {
-		p.windows = append(p.windows, each)
+	if len(p.observations) < slowdownWindow {
+		p.observations = append(p.observations, slowdowns)
 		return
 	}
-	p.windows[p.next] = each
-	p.next = (p.next + 1) % paceWindows
+	p.observations[p.next] = slowdowns
+	p.next = (p.next + 1) % slowdownWindow
 }
 
-// lasting returns the median pace of each rank; nil while too little was seen.
-func (p *paces) lasting() []float64 {
-	if len(p.windows) < paceWindows {
+// medians returns the median pace of each rank; nil while too little was seen.
+func (p *slowdownTracker) medians() []float64 {
+	if len(p.observations) < slowdownWindow {
 		return nil
 	}
-	medians := make([]float64, len(p.windows[0]))
-	seen := make([]float64, paceWindows)
+	medians := make([]float64, len(p.observations[0]))
+	recent := make([]float64, slowdownWindow)
 	for rank := range medians {
-		for i, window := range p.windows {
-			seen[i] = window[rank]
+		for i, observation := range p.observations {
+			recent[i] = observation[rank]
 		}
-		medians[rank] = median(seen)
+		medians[rank] = median(recent)
 	}
 	return medians
 }
 
-// known returns the pace of each rank that decisions go by; nil while too little was seen.
-func (p *paces) known() []float64 {
-	known := p.lasting()
-	for rank, pace := range known {
-		known[rank] = min(max(pace, 1/float64(maxPace)), maxPace)
-		if d := pace - 1; -paceNoise < d && d < paceNoise {
-			known[rank] = 1
+// effective returns the pace of each rank that decisions go by; nil while too little was seen.
+func (p *slowdownTracker) effective() []float64 {
+	slowdowns := p.medians()
+	for rank, slowdown := range slowdowns {
+		slowdowns[rank] = min(max(slowdown, 1/float64(maxSlowdown)), maxSlowdown)
+		if d := slowdown - 1; -slowdownTolerance < d && d < slowdownTolerance {
+			slowdowns[rank] = 1
 		}
 	}
-	return known
+	return slowdowns
 }
 
 // SlowRank is a rank that stays slower than moving its experts can make good.
 type SlowRank struct {
 	// Rank is its number in the group, Pace its time for a token over the usual one.
-	Rank int
-	Pace float64
+	Rank     int
+	Slowdown float64
 }
 
-// slow returns the ranks past maxPace, the slowest first.
-func (p *paces) slow() []SlowRank {
+// slowRanks returns the ranks past maxPace, the slowest first.
+func (p *slowdownTracker) slowRanks() []SlowRank {
 	var slow []SlowRank
-	for rank, pace := range p.lasting() {
-		if pace > maxPace {
-			slow = append(slow, SlowRank{Rank: rank, Pace: pace})
+	for rank, slowdown := range p.medians() {
+		if slowdown > maxSlowdown {
+			slow = append(slow, SlowRank{Rank: rank, Slowdown: slowdown})
 		}
 	}
-	slices.SortStableFunc(slow, func(a, b SlowRank) int { return cmp.Compare(b.Pace, a.Pace) })
+	slices.SortStableFunc(slow, func(a, b SlowRank) int { return cmp.Compare(b.Slowdown, a.Slowdown) })
 	return slow
 }
 
--- a/decide/balance/pace_test.go
+++ b/decide/balance/pace_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// rankTimes is what the ranks report of a placement, each with its pace.
-func rankTimes(p *Placement, d Demand) []RankWork {
+// rankWork is what the ranks report of a placement, each with its pace.
+func rankWork(p *Placement, d Demand) []RankWork {
 	tokens, times := p.Loads(d.Popularity), p.Times(d)
 	work := make([]RankWork, len(tokens))
 	for rank := range work {
@@ -17,13 +17,13 @@
 	return work
 }
 
-// follow observes and decides so many times, a second apart, and returns the experts moved.
-func follow(b *Balancer, d Demand, from, times int) int {
+// runBalancer observes and decides so many times, a second apart, and returns the experts moved.
+func runBalancer(b *Balancer, d Demand, from, times int) int {
 	moves := 0
 	for i := range times {
 		now := time.Duration(from+i) * time.Second
 		b.Observe(now, d.Popularity)
-		b.ObserveRanks(rankTimes(b.Placement(), d))
+		b.ObserveRanks(rankWork(b.Placement(), d))
 		before := b.Placement()
 		if p, ok := b.Decide(now); ok {
 			moves += Moves(before, p)
@@ -32,25 +32,25 @@
 	return moves
 }
 
-// slow returns the paces of ranks that are all alike but for one.
-func slow(ranks, rank int, pace float64) []float64 {
-	paces := Demand{}.paces(ranks)
-	paces[rank] = pace
-	return paces
+// oneSlowRank returns the paces of ranks that are all alike but for one.
+func oneSlowRank(ranks, rank int, slowdown float64) []float64 {
+	slowdowns := Demand{}.slowdownsOf(ranks)
+	slowdowns[rank] = slowdown
+	return slowdowns
 }
 
 // One accelerator is throttled and takes 1.3 times as long for each token. By tokens all is
 // even, and every step of the group is 1.3 times as long. The experts must be placed by time.
 func TestSlowRankGetsLess(t *testing.T) {
-	popularity := popularityOf(1, 256, 0.8)
-	start, err := Full(Demand{Popularity: popularity}, 256, 2)
+	popularity := zipfPopularity(1, 256, 0.8)
+	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := Demand{Popularity: popularity, Pace: slow(256, 17, 1.3)}
+	d := Demand{Popularity: popularity, Slowdowns: oneSlowRank(256, 17, 1.3)}
 	b := New(Config{}, start, 0)
 	before := d.Stretch(start)
-	moves := follow(b, d, 1, 15)
+	moves := runBalancer(b, d, 1, 15)
 	after := d.Stretch(b.Placement())
 	t.Logf("stretch %.3f, then %.3f after %d moves", before, after, moves)
 	if before < 1.25 || after > 1.05 {
@@ -64,15 +64,15 @@
 // A rank stalls for two seconds and goes on. Its experts stay where they are: to load them
 // elsewhere and back would cost more steps than the stall.
 func TestStalledRankKeepsItsExperts(t *testing.T) {
-	popularity := popularityOf(1, 256, 0.8)
-	start, err := Full(Demand{Popularity: popularity}, 256, 2)
+	popularity := zipfPopularity(1, 256, 0.8)
+	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := New(Config{}, start, 0)
-	moves := follow(b, Demand{Popularity: popularity}, 1, 10)
-	moves += follow(b, Demand{Popularity: popularity, Pace: slow(256, 17, 20)}, 11, 2)
-	moves += follow(b, Demand{Popularity: popularity}, 13, 10)
+	moves := runBalancer(b, Demand{Popularity: popularity}, 1, 10)
+	moves += runBalancer(b, Demand{Popularity: popularity, Slowdowns: oneSlowRank(256, 17, 20)}, 11, 2)
+	moves += runBalancer(b, Demand{Popularity: popularity}, 13, 10)
 	if moves != 0 {
 		t.Errorf("%d experts moved", moves)
 	}
@@ -90,11 +90,11 @@
 			t.Fatal(err)
 		}
 		b := New(Config{}, start, 0)
-		for range 2 * paceWindows {
+		for range 2 * slowdownWindow {
 			b.ObserveRanks(report)
 		}
-		if pace := b.Demand().Pace; pace != nil {
-			t.Errorf("%s: %v", name, pace)
+		if slowdowns := b.Demand().Slowdowns; slowdowns != nil {
+			t.Errorf("%s: %v", name, slowdowns)
 		}
 	}
 }
@@ -111,12 +111,12 @@
 			t.Fatal(err)
 		}
 		for range 3 {
-			d := Demand{Popularity: make([]float64, experts), Pace: make([]float64, ranks)}
+			d := Demand{Popularity: make([]float64, experts), Slowdowns: make([]float64, ranks)}
 			for i := range d.Popularity {
 				d.Popularity[i] = float64(rapid.IntRange(0, 100).Draw(t, "tokens"))
 			}
-			for i := range d.Pace {
-				d.Pace[i] = float64(rapid.IntRange(4, 30).Draw(t, "pace")) / 10
+			for i := range d.Slowdowns {
+				d.Slowdowns[i] = float64(rapid.IntRange(4, 30).Draw(t, "pace")) / 10
 			}
 			moves := rapid.IntRange(0, 20).Draw(t, "moves")
 			better := Improve(p, d, 1, moves)
@@ -136,23 +136,23 @@
 // two observations, or is slower by less than the bound, must not be: nobody is woken for it.
 func TestRankBeyondTheBoundIsNamed(t *testing.T) {
 	for _, c := range []struct {
-		pace  float64
-		times int
-		named bool
+		slowdown float64
+		times    int
+		named    bool
 	}{{8, 5, true}, {8, 2, false}, {2.5, 5, false}} {
-		popularity := popularityOf(1, 64, 0.8)
-		start, err := Full(Demand{Popularity: popularity}, 64, 2)
+		popularity := zipfPopularity(1, 64, 0.8)
+		start, err := PlaceFromScratch(Demand{Popularity: popularity}, 64, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b := New(Config{}, start, 0)
-		follow(b, Demand{Popularity: popularity}, 1, 5)
-		follow(b, Demand{Popularity: popularity, Pace: slow(64, 17, c.pace)}, 6, c.times)
+		runBalancer(b, Demand{Popularity: popularity}, 1, 5)
+		runBalancer(b, Demand{Popularity: popularity, Slowdowns: oneSlowRank(64, 17, c.slowdown)}, 6, c.times)
 		named := b.SlowRanks()
 		if (len(named) == 1) != c.named {
-			t.Errorf("%v times slower in %d observations: %v", c.pace, c.times, named)
+			t.Errorf("%v times slower in %d observations: %v", c.slowdown, c.times, named)
 		}
-		if c.named && (len(named) != 1 || named[0].Rank != 17 || named[0].Pace < 7.9 || named[0].Pace > 8.1) {
+		if c.named && (len(named) != 1 || named[0].Rank != 17 || named[0].Slowdown < 7.9 || named[0].Slowdown > 8.1) {
 			t.Errorf("%v", named)
 		}
 	}
--- a/decide/balance/placement.go
+++ b/decide/balance/placement.go
@@ -91,8 +91,8 @@
 // takes for all tokens.
 func (p *Placement) Times(d Demand) []float64 {
 	times := p.Loads(d.Popularity)
-	for rank, pace := range d.Pace {
-		times[rank] *= pace
+	for rank, slowdown := range d.Slowdowns {
+		times[rank] *= slowdown
 	}
 	return times
 }
@@ -116,10 +116,10 @@
 	moves := 0
 	for rank := range to.Ranks {
 		held := make(map[int32]int)
-		for _, expert := range from.rank(rank) {
+		for _, expert := range from.rankSlots(rank) {
 			held[expert]++
 		}
-		for _, expert := range to.rank(rank) {
+		for _, expert := range to.rankSlots(rank) {
 			if held[expert] > 0 {
 				held[expert]--
 				continue
@@ -130,6 +130,6 @@
 	return moves
 }
 
-func (p *Placement) rank(r int) []int32 {
+func (p *Placement) rankSlots(r int) []int32 {
 	return p.Slots[r*p.SlotsPerRank : (r+1)*p.SlotsPerRank]
 }
--- a/decide/balance/popularity_test.go
+++ b/decide/balance/popularity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// choices draws the tokens of some passes, each of which chooses so many experts of a set.
-func choices(rng *rand.Rand, popularity [][]float64, passes, picks int) [][]float64 {
+// drawTokens draws the tokens of some passes, each of which chooses so many experts of a set.
+func drawTokens(rng *rand.Rand, popularity [][]float64, passes, choicesPerPass int) [][]float64 {
 	counts := make([][]float64, len(popularity))
 	for i, set := range popularity {
 		counts[i] = make([]float64, len(set))
@@ -14,7 +14,7 @@
 		for _, p := range set {
 			sum += p
 		}
-		for range passes * picks {
+		for range passes * choicesPerPass {
 			at := rng.Float64() * sum
 			expert := 0
 			for at -= set[0]; at > 0 && expert < len(set)-1; at -= set[expert] {
@@ -26,37 +26,37 @@
 	return counts
 }
 
-func zipfSets(rng *rand.Rand, sets, experts int, skew float64) [][]float64 {
-	return sampleOf(zipfCounts(rng, Shape{Sets: sets, Experts: experts}, skew))
+func zipfFractions(rng *rand.Rand, sets, experts int, skew float64) [][]float64 {
+	return normalizeSets(zipfCounts(rng, Shape{LayerSets: sets, Experts: experts}, skew))
 }
 
 // A popularity that stays is seen through the noise of single passes: nothing counts as a
 // change, and the average comes far closer to the truth than what was seen last.
 func TestPopularityThroughNoise(t *testing.T) {
-	for _, picks := range []int{100, 480, 3000} {
-		rng := rand.New(rand.NewPCG(4, uint64(picks)))
-		truth := zipfSets(rng, 3, 96, 1.2)
-		p := popularity{}
+	for _, choicesPerPass := range []int{100, 480, 3000} {
+		rng := rand.New(rand.NewPCG(4, uint64(choicesPerPass)))
+		truth := zipfFractions(rng, 3, 96, 1.2)
+		p := popularityTracker{}
 		for range 200 {
 			passes := 1 + rng.IntN(4)
-			p.observe(int64(passes), choices(rng, truth, passes, picks))
+			p.observe(int64(passes), drawTokens(rng, truth, passes, choicesPerPass))
 			if p.passes < 1 {
 				t.Fatal("the average stands for nothing")
 			}
 		}
-		if p.passes < mostPasses {
-			t.Errorf("%d choices a pass: noise was taken for a change", picks)
+		if p.passes < maxAveragedPasses {
+			t.Errorf("%d choices a pass: noise was taken for a change", choicesPerPass)
 		}
-		one := distance(truth, sampleOf(choices(rng, truth, 1, picks)))
-		if d := distance(truth, p.parts); d > one/3 {
-			t.Errorf("%d choices a pass: the average is off by %.3f, one pass by %.3f", picks, d, one)
+		onePass := meanDistance(truth, normalizeSets(drawTokens(rng, truth, 1, choicesPerPass)))
+		if d := meanDistance(truth, p.fractions); d > onePass/3 {
+			t.Errorf("%d choices a pass: the average is off by %.3f, one pass by %.3f", choicesPerPass, d, onePass)
 		}
 	}
 }
 
-func sampleOf(tokens [][]float64) [][]float64 {
+func normalizeSets(tokens [][]float64) [][]float64 {
 	for i := range tokens {
-		tokens[i] = shares(tokens[i])
+		tokens[i] = normalize(tokens[i])
 	}
 	return tokens
 }
@@ -64,9 +64,9 @@
 // Half of what is liked changes in the middle of a sample. Two samples later the average is
 // of the new popularity: a map made by it does not serve the old one.
 func TestPopularityChangesAtOnce(t *testing.T) {
-	for _, picks := range []int{480, 3000} {
-		rng := rand.New(rand.NewPCG(9, uint64(picks)))
-		before, other := zipfSets(rng, 3, 96, 1.2), zipfSets(rng, 3, 96, 1.2)
+	for _, choicesPerPass := range []int{480, 3000} {
+		rng := rand.New(rand.NewPCG(9, uint64(choicesPerPass)))
+		before, other := zipfFractions(rng, 3, 96, 1.2), zipfFractions(rng, 3, 96, 1.2)
 		after := make([][]float64, len(before))
 		for i := range after {
 			after[i] = make([]float64, len(before[i]))
@@ -74,21 +74,21 @@
 				after[i][e] = 0.5*before[i][e] + 0.5*other[i][e]
 			}
 		}
-		p := popularity{}
+		p := popularityTracker{}
 		for range 30 {
-			p.observe(3, choices(rng, before, 3, picks))
+			p.observe(3, drawTokens(rng, before, 3, choicesPerPass))
 		}
-		mixed := choices(rng, before, 1, picks)
-		for i, set := range choices(rng, after, 2, picks) {
+		mixed := drawTokens(rng, before, 1, choicesPerPass)
+		for i, set := range drawTokens(rng, after, 2, choicesPerPass) {
 			for e, n := range set {
 				mixed[i][e] += n
 			}
 		}
 		p.observe(3, mixed)
-		p.observe(3, choices(rng, after, 3, picks))
-		p.observe(3, choices(rng, after, 3, picks))
-		if old, is := distance(before, p.parts), distance(after, p.parts); is > old/2 {
-			t.Errorf("%d choices a pass: %.3f from the new popularity, %.3f from the old", picks, is, old)
+		p.observe(3, drawTokens(rng, after, 3, choicesPerPass))
+		p.observe(3, drawTokens(rng, after, 3, choicesPerPass))
+		if fromOld, fromNew := meanDistance(before, p.fractions), meanDistance(after, p.fractions); fromNew > fromOld/2 {
+			t.Errorf("%d choices a pass: %.3f from the new popularity, %.3f from the old", choicesPerPass, fromNew, fromOld)
 		}
 	}
 }
--- a/decide/balance/repack.go
+++ b/decide/balance/repack.go
@@ -8,22 +8,22 @@
 //
 // Load: a drift that has gone so far that no single step of Improve makes the busiest
 // rank lighter. Harm prevented: staying there for good.
-func Repack(p *Placement, d Demand, target float64, moves int) *Placement {
-	wanted := apportion(d.Popularity, len(p.Slots), p.Ranks)
-	r := &repacking{p: p.Clone(), popularity: d.Popularity, pace: d.paces(p.Ranks), wanted: wanted}
-	r.countTimes()
+func Repack(p *Placement, d Demand, target float64, maxMoves int) *Placement {
+	wanted := apportionReplicas(d.Popularity, len(p.Slots), p.Ranks)
+	r := &repacking{p: p.Clone(), popularity: d.Popularity, slowdowns: d.slowdownsOf(p.Ranks), wanted: wanted}
+	r.computeTimes()
 	r.removeSurplus()
 	r.fillDeficits()
-	return Improve(r.p, d, target, moves)
+	return Improve(r.p, d, target, maxMoves)
 }
 
-// empty marks a slot whose replica has been given up.
-const empty = int32(-1)
+// emptySlot marks a slot whose replica has been given up.
+const emptySlot = int32(-1)
 
 type repacking struct {
 	p          *Placement
 	popularity []float64
-	pace       []float64
+	slowdowns  []float64
 	wanted     []int32
 	times      []float64 // of each rank
 }
@@ -32,18 +32,18 @@
 	return r.popularity[expert] / float64(r.wanted[expert])
 }
 
-// countTimes counts the ranks' times as if every expert had the replicas wanted.
-func (r *repacking) countTimes() {
+// computeTimes counts the ranks' times as if every expert had the replicas wanted.
+func (r *repacking) computeTimes() {
 	r.times = make([]float64, r.p.Ranks)
 	for slot, expert := range r.p.Slots {
-		r.add(slot, r.unitLoad(expert))
+		r.addLoad(slot, r.unitLoad(expert))
 	}
 }
 
-// add counts tokens that come to a slot's rank, or leave it.
-func (r *repacking) add(slot int, load float64) {
+// addLoad counts tokens that come to a slot's rank, or leave it.
+func (r *repacking) addLoad(slot int, load float64) {
 	rank := slot / r.p.SlotsPerRank
-	r.times[rank] += r.pace[rank] * load
+	r.times[rank] += r.slowdowns[rank] * load
 }
 
 // removeSurplus gives up the replicas that are too many, those on the busiest ranks
@@ -52,8 +52,8 @@
 	for expert, held := range r.p.Replicas() {
 		for held > r.wanted[expert] {
 			slot := r.busiestSlotOf(int32(expert))
-			r.add(slot, -r.unitLoad(int32(expert)))
-			r.p.Slots[slot] = empty
+			r.addLoad(slot, -r.unitLoad(int32(expert)))
+			r.p.Slots[slot] = emptySlot
 			held--
 		}
 	}
@@ -76,16 +76,16 @@
 // that have room.
 func (r *repacking) fillDeficits() {
 	for _, expert := range r.missing() {
-		slot := r.idlestSlotFor(expert)
+		slot := r.leastBusySlotFor(expert)
 		r.p.Slots[slot] = expert
-		r.add(slot, r.unitLoad(expert))
+		r.addLoad(slot, r.unitLoad(expert))
 	}
 }
 
 func (r *repacking) missing() []int32 {
 	held := make([]int32, r.p.Experts)
 	for _, expert := range r.p.Slots {
-		if expert != empty {
+		if expert != emptySlot {
 			held[expert]++
 		}
 	}
@@ -107,18 +107,18 @@
 	return missing
 }
 
-// idlestSlotFor returns the empty slot on the least busy rank, one that does not hold
+// leastBusySlotFor returns the empty slot on the least busy rank, one that does not hold
 // the expert if there is any.
-func (r *repacking) idlestSlotFor(expert int32) int {
+func (r *repacking) leastBusySlotFor(expert int32) int {
 	best, bestHolds := -1, true
 	for slot, held := range r.p.Slots {
-		if held != empty {
+		if held != emptySlot {
 			continue
 		}
 		rank := slot / r.p.SlotsPerRank
-		holds := slices.Contains(r.p.rank(rank), expert)
-		idler := best < 0 || r.times[rank] < r.times[best/r.p.SlotsPerRank]
-		if best < 0 || bestHolds && !holds || bestHolds == holds && idler {
+		holds := slices.Contains(r.p.rankSlots(rank), expert)
+		lessBusy := best < 0 || r.times[rank] < r.times[best/r.p.SlotsPerRank]
+		if best < 0 || bestHolds && !holds || bestHolds == holds && lessBusy {
 			best, bestHolds = slot, holds
 		}
 	}
--- a/decide/balance/full.go
+++ b/decide/balance/scratch.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Full returns the best placement for a demand regardless of where anything stands
+// PlaceFromScratch returns the best placement for a demand regardless of where anything stands
 // now. It is the yardstick for skew, and the first placement of a group that knows its
 // popularity; as a way to follow drift it moves nearly everything each time.
 //
 // Replicas go one by one to the expert whose replicas are busiest; then the busiest
 // replicas are stood first, each on the least busy rank that has room.
-func Full(d Demand, ranks, slotsPerRank int) (*Placement, error) {
-	popularity, pace := d.Popularity, d.paces(ranks)
+func PlaceFromScratch(d Demand, ranks, slotsPerRank int) (*Placement, error) {
+	popularity, slowdowns := d.Popularity, d.slowdownsOf(ranks)
 	p, err := NewPlacement(len(popularity), ranks, slotsPerRank)
 	if err != nil {
 		return nil, err
 	}
-	replicas := apportion(popularity, len(p.Slots), ranks)
+	replicas := apportionReplicas(popularity, len(p.Slots), ranks)
 	type replica struct {
 		expert int32
 		load   float64
@@ -40,28 +40,28 @@
 	queue := newRankHeap(ranks)
 	used := make([]int, ranks)
 	for _, r := range all {
-		rank := queue.place(r.expert, p, used)
+		rank := queue.popFor(r.expert, p, used)
 		p.Slots[rank*slotsPerRank+used[rank]] = r.expert
 		used[rank]++
-		queue.add(rank, pace[rank]*r.load, used[rank] < slotsPerRank)
+		queue.add(rank, slowdowns[rank]*r.load, used[rank] < slotsPerRank)
 	}
 	return Improve(p, d, 1, len(p.Slots)), nil
 }
 
-// apportion gives each expert one replica and the rest to the busiest; no expert gets
+// apportionReplicas gives each expert one replica and the rest to the busiest; no expert gets
 // more than one for each rank, while others can take one.
-func apportion(popularity []float64, slots, ranks int) []int32 {
+func apportionReplicas(popularity []float64, slots, ranks int) []int32 {
 	h := &expertHeap{popularity: popularity, replicas: make([]int32, len(popularity))}
 	for expert := range popularity {
 		h.replicas[expert] = 1
 		h.order = append(h.order, int32(expert))
 	}
 	heap.Init(h)
-	for left := slots - len(popularity); left > 0; {
+	for remaining := slots - len(popularity); remaining > 0; {
 		if h.Len() == 0 {
 			// Every rank has every expert; the slots left over must hold something.
-			h.replicas[left%len(popularity)]++
-			left--
+			h.replicas[remaining%len(popularity)]++
+			remaining--
 			continue
 		}
 		top := h.order[0]
@@ -71,7 +71,7 @@
 			continue
 		}
 		h.replicas[top]++
-		left--
+		remaining--
 		heap.Fix(h, 0)
 	}
 	return h.replicas
@@ -127,12 +127,12 @@
 	return last
 }
 
-// place takes out the least busy rank that does not hold the expert yet, or the least
+// popFor takes out the least busy rank that does not hold the expert yet, or the least
 // busy one if all that have room do.
-func (h *rankHeap) place(expert int32, p *Placement, used []int) int {
-	var passed []int
+func (h *rankHeap) popFor(expert int32, p *Placement, used []int) int {
+	var skipped []int
 	defer func() {
-		for _, rank := range passed {
+		for _, rank := range skipped {
 			heap.Push(h, rank)
 		}
 	}()
@@ -142,16 +142,16 @@
 		if !slices.Contains(held, expert) {
 			return rank
 		}
-		passed = append(passed, rank)
+		skipped = append(skipped, rank)
 	}
-	rank := passed[0]
-	passed = passed[1:]
+	rank := skipped[0]
+	skipped = skipped[1:]
 	return rank
 }
 
-func (h *rankHeap) add(rank int, load float64, room bool) {
+func (h *rankHeap) add(rank int, load float64, hasFreeSlot bool) {
 	h.loads[rank] += load
-	if room {
+	if hasFreeSlot {
 		heap.Push(h, rank)
 	}
 }
--- a/decide/balance/sequence_test.go
+++ b/decide/balance/sequence_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// relief follows one group after its popularity has changed at once, and returns the mean
+// meanSkewOver follows one group after its popularity has changed at once, and returns the mean
 // skew of its passes over the span. at chooses how many plans ahead each change goes.
-func relief(t *testing.T, l *Layers, maps []LayerMap, span time.Duration, at func(timing, []plan) int) float64 {
+func meanSkewOver(t *testing.T, l *LayerPlanner, maps []LayerMap, span time.Duration, chooseStride func(timing, []candidate) int) float64 {
 	t.Helper()
 	sum, left := 0.0, span
 	for left > 0 {
-		plans := l.plans(maps, l.cfg.PressedTarget)
-		n := at(l.timing(), plans)
-		if n == 0 {
+		candidates := l.candidates(maps, l.cfg.LongPassTargetSkew)
+		chosen := chooseStride(l.timing(), candidates)
+		if chosen == 0 {
 			break
 		}
-		took := min(left, time.Duration(plans[n].copies)*l.cfg.LoadTime+l.cfg.SwitchTime)
-		sum += plans[0].stretch * took.Seconds()
+		took := min(left, time.Duration(candidates[chosen].maxCopies)*l.cfg.CopyTime+l.cfg.SwitchTime)
+		sum += candidates[0].stretch * took.Seconds()
 		left -= took
-		next := l.layerMaps(plans[n])
+		next := l.layerMaps(candidates[chosen])
 		checkChange(t, l.shape, maps, next)
 		maps = next
 	}
@@ -35,28 +35,28 @@
 // change nor the largest is right for all.
 func TestSizeOfAChangeFollowsTheCopies(t *testing.T) {
 	shapes := []Shape{
-		{Sets: 3, Experts: 96, Ranks: 12, Slots: 11, Spare: 4},
-		{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, Spare: 3},
-		{Sets: 16, Experts: 96, Ranks: 24, Slots: 5, Spare: 2},
-		{Sets: 2, Experts: 40, Ranks: 6, Slots: 9, Spare: 1},
+		{LayerSets: 3, Experts: 96, Ranks: 12, SlotsPerRank: 11, MaxNewExperts: 4},
+		{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3},
+		{LayerSets: 16, Experts: 96, Ranks: 24, SlotsPerRank: 5, MaxNewExperts: 2},
+		{LayerSets: 2, Experts: 40, Ranks: 6, SlotsPerRank: 9, MaxNewExperts: 1},
 	}
 	const span = 2500 * time.Millisecond
 	for _, shape := range shapes {
-		for _, each := range []time.Duration{10 * time.Millisecond, 80 * time.Millisecond, 400 * time.Millisecond, 1200 * time.Millisecond} {
-			t.Run(fmt.Sprint(shape, each), func(t *testing.T) {
-				rng := rand.New(rand.NewPCG(7, uint64(shape.Sets)))
-				l, err := NewLayers(shape, LayersConfig{LoadTime: each})
+		for _, copyTime := range []time.Duration{10 * time.Millisecond, 80 * time.Millisecond, 400 * time.Millisecond, 1200 * time.Millisecond} {
+			t.Run(fmt.Sprint(shape, copyTime), func(t *testing.T) {
+				rng := rand.New(rand.NewPCG(7, uint64(shape.LayerSets)))
+				l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: copyTime})
 				if err != nil {
 					t.Fatal(err)
 				}
 				counts := zipfCounts(rng, shape, 1.2)
 				l.Observe(20, counts)
-				best := l.Skew(inTurn(shape))
-				for _, size := range []int{1, 2, 4, 8, shape.Sets * max(shape.Spare, 1)} {
-					fixed := relief(t, l, inTurn(shape), span, func(_ timing, plans []plan) int { return min(size, len(plans)-1) })
+				best := l.Skew(roundRobinMaps(shape))
+				for _, size := range []int{1, 2, 4, 8, shape.LayerSets * max(shape.MaxNewExperts, 1)} {
+					fixed := meanSkewOver(t, l, roundRobinMaps(shape), span, func(_ timing, candidates []candidate) int { return min(size, len(candidates)-1) })
 					best = min(best, fixed)
 				}
-				got := relief(t, l, inTurn(shape), span, timing.cheapest)
+				got := meanSkewOver(t, l, roundRobinMaps(shape), span, timing.cheapestStride)
 				if got > 1.07*best {
 					t.Errorf("mean skew %.2f, with the best fixed size %.2f", got, best)
 				}
@@ -68,21 +68,21 @@
 // Of three sets of layers one keeps the group waiting. A rank copies experts of that one
 // only, and the copies of the others' experts do not delay the relief.
 func TestCopiesGoWhereTheGroupWaits(t *testing.T) {
-	shape := Shape{Sets: 3, Experts: 48, Ranks: 8, Slots: 8, Spare: 4}
-	l, err := NewLayers(shape, LayersConfig{LoadTime: 400 * time.Millisecond})
+	shape := Shape{LayerSets: 3, Experts: 48, Ranks: 8, SlotsPerRank: 8, MaxNewExperts: 4}
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: 400 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	even := slices.Repeat([]float64{100}, shape.Experts)
 	skewed := zipf(rand.New(rand.NewPCG(2, 1)), shape.Experts, 1.3)
 	l.Observe(20, [][]float64{even, skewed, even})
-	change := l.Plan(inTurn(shape), true)
-	if change == nil || change.Loads != 1 {
+	change := l.Plan(roundRobinMaps(shape), true)
+	if change == nil || change.MaxCopies != 1 {
 		t.Fatalf("not a change of one copy each: %+v", change)
 	}
 	for _, set := range []int{0, 2} {
 		for rank, experts := range change.Maps[set] {
-			if !slices.Equal(experts, inTurn(shape)[set][rank]) {
+			if !slices.Equal(experts, roundRobinMaps(shape)[set][rank]) {
 				t.Errorf("set %d: rank %d holds %v", set, rank, experts)
 			}
 		}
@@ -93,21 +93,21 @@
 // The first change then copies more than where passes are short, and less of the time goes by
 // between changes.
 func TestLongPassesMakeLargerChanges(t *testing.T) {
-	shape := Shape{Sets: 3, Experts: 96, Ranks: 12, Slots: 11, Spare: 4}
-	l, err := NewLayers(shape, LayersConfig{LoadTime: 80 * time.Millisecond})
+	shape := Shape{LayerSets: 3, Experts: 96, Ranks: 12, SlotsPerRank: 11, MaxNewExperts: 4}
+	l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: 80 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(3, 1))
 	l.Observe(20, [][]float64{zipf(rng, 96, 1.3), zipf(rng, 96, 1.3), zipf(rng, 96, 1.3)})
-	paces := slices.Repeat([]float64{1}, shape.Ranks)
-	paces[5] = 12
-	l.ObservePaces(paces)
-	loads := func(change time.Duration) int {
-		l.SetSwitchTime(change)
-		return l.Plan(inTurn(shape), true).Loads
+	slowdowns := slices.Repeat([]float64{1}, shape.Ranks)
+	slowdowns[5] = 12
+	l.ObserveSlowdowns(slowdowns)
+	maxCopies := func(switchTime time.Duration) int {
+		l.SetSwitchTime(switchTime)
+		return l.Plan(roundRobinMaps(shape), true).MaxCopies
 	}
-	if short, long := loads(50*time.Millisecond), loads(900*time.Millisecond); long <= short {
+	if short, long := maxCopies(50*time.Millisecond), maxCopies(900*time.Millisecond); long <= short {
 		t.Errorf("a rank copies %d experts with short passes, %d with long ones", short, long)
 	}
 }
--- a/internal/agent/rankwork.go
+++ b/internal/agent/rankwork.go
@@ -108,6 +108,6 @@
 	status.Slowest = &api.SlowRank{
 		Rank: uint32(slowest.Rank),
 		Vm:   r.ranks.vms[slowest.Rank],
-		Pace: slowest.Pace,
+		Pace: slowest.Slowdown,
 	}
 }
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -26,7 +26,7 @@
 	name    string
 	machine *mapswitch.Machine
 	epoch   int64
-	layers  *balance.Layers
+	layers  *balance.LayerPlanner
 	shape   balance.Shape
 	// counts are the last counts of each rank, by engine; a rank that starts anew counts
 	// from zero.
@@ -102,7 +102,7 @@
 func (g *group) begin(members []*member) bool {
 	state := members[0].reply.GetState()
 	e := members[0].engine.Shape
-	shape := balance.Shape{Sets: e.LayerSets, Experts: e.Experts, Ranks: int(state.GetSize()), Slots: e.Slots, Spare: e.Spare}
+	shape := balance.Shape{LayerSets: e.LayerSets, Experts: e.Experts, Ranks: int(state.GetSize()), SlotsPerRank: e.Slots, MaxNewExperts: e.Spare}
 	if g.epoch != state.GetEpoch() {
 		g.epoch = state.GetEpoch()
 		g.target, g.plan = 0, nil
@@ -112,7 +112,7 @@
 	if g.layers != nil && g.shape == shape {
 		return true
 	}
-	layers, err := balance.NewLayers(shape, balance.LayersConfig{LoadTime: loadTime(e)})
+	layers, err := balance.NewLayerPlanner(shape, balance.LayerPlannerConfig{CopyTime: loadTime(e)})
 	if err != nil {
 		return false
 	}
@@ -161,13 +161,13 @@
 
 // observe sums what all ranks' requests chose since the last look.
 func (g *group) observe(members []*member, passes int64) {
-	sums := make([][]float64, g.shape.Sets)
+	sums := make([][]float64, g.shape.LayerSets)
 	for i := range sums {
 		sums[i] = make([]float64, g.shape.Experts)
 	}
 	for _, m := range members {
 		id, counts := m.engine.ID, m.reply.GetCounts()
-		if len(counts) != g.shape.Sets*g.shape.Experts {
+		if len(counts) != g.shape.LayerSets*g.shape.Experts {
 			continue
 		}
 		last := g.counts[id]
@@ -185,19 +185,19 @@
 	for rank, m := range members {
 		paces[rank] = m.reply.GetState().GetPace()
 	}
-	g.layers.ObservePaces(paces)
+	g.layers.ObserveSlowdowns(paces)
 }
 
 // current returns the maps in use, or nil until all ranks have told theirs.
 func (g *group) current(members []*member) []balance.LayerMap {
-	maps := make([]balance.LayerMap, g.shape.Sets)
+	maps := make([]balance.LayerMap, g.shape.LayerSets)
 	for i := range maps {
 		maps[i] = make(balance.LayerMap, g.shape.Ranks)
 	}
 	complete := true
 	for rank, m := range members {
 		state := m.reply.GetState()
-		if sets := m.reply.GetExperts(); len(sets) == g.shape.Sets && m.reply.GetExpertsVersion() == state.GetMap() {
+		if sets := m.reply.GetExperts(); len(sets) == g.shape.LayerSets && m.reply.GetExpertsVersion() == state.GetMap() {
 			told := heldExperts{epoch: state.GetEpoch(), version: state.GetMap()}
 			for _, set := range sets {
 				told.sets = append(told.sets, set.GetExperts())
@@ -232,8 +232,8 @@
 	}
 	g.target, g.plan, g.began = g.c.version(), change.Maps, now
 	_ = level.Info(g.c.logger).Log("msg", "Experts are moved to follow their popularity.", "group", g.name, "epoch", g.epoch,
-		"version", g.target, "pass", g.pass, "pressed", g.pressed(), "skew", change.Before, "skew_after", change.After,
-		"loads", change.Loads, "fence", g.c.fence.Load())
+		"version", g.target, "pass", g.pass, "pressed", g.pressed(), "skew", change.SkewBefore, "skew_after", change.SkewAfter,
+		"loads", change.MaxCopies, "fence", g.c.fence.Load())
 }
 
 // drive gives the orders that are next, and goes on with what the ranks answer.
--- a/test/group_test.go
+++ b/test/group_test.go
@@ -132,20 +132,20 @@
 		Agent: harness.Settings{"group": {"experts": "32", "slots-per-rank": "2", "expert-bytes": "65536"}},
 	})
 	stepsOn(t, c, "at the start")
-	demand := balance.Demand{Popularity: make([]float64, 32), Pace: make([]float64, 32)}
+	demand := balance.Demand{Popularity: make([]float64, 32), Slowdowns: make([]float64, 32)}
 	for i := range demand.Popularity {
 		demand.Popularity[i] = float64(100 + 20*(i%8))
-		demand.Pace[i] = 1
+		demand.Slowdowns[i] = 1
 	}
 	const slowEngine, slowRank = 2, 3
-	demand.Pace[slowEngine*8+slowRank] = 2
+	demand.Slowdowns[slowEngine*8+slowRank] = 2
 	even, err := balance.NewPlacement(32, 32, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := demand.Stretch(even)
 	for i, m := range c.EngineAgents() {
-		m.Backend.Throttle(demand.Popularity, demand.Pace[i*8:(i+1)*8])
+		m.Backend.Throttle(demand.Popularity, demand.Slowdowns[i*8:(i+1)*8])
 	}
 	harness.Eventually(t, 3*stepsWithin, "the slow rank has less to do", func() error {
 		placement := inUse(c)
