--- a/decide/balance/balance_test.go
+++ b/decide/balance/balance_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run is the same; "make explore" takes another.
+// The seed is fixed so that every run is the same; "make explore" uses another.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
 }
 
-// zipfPopularity is a Zipf popularity in a seeded order.
+// zipfPopularity returns a Zipf popularity in a seeded random order.
 func zipfPopularity(seed uint64, experts int, exponent float64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := make([]float64, experts)
@@ -32,8 +32,8 @@
 	return p
 }
 
-// Whatever the popularity, every expert keeps a replica and no placement is worse
-// than the one before: an expert without a replica would leave its tokens nowhere.
+// Guards against placements that lose an expert's last replica, or that are worse than the one
+// before, for any popularity. The tokens of an expert without a replica could not be processed.
 func TestPlacementsStayComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		experts := rapid.IntRange(1, 24).Draw(t, "experts")
@@ -71,10 +71,9 @@
 	})
 }
 
-// The group's steps get longer after a move that was meant to shorten them. One rank
-// holds two replicas of an expert; another replica of it is given up, and the rank takes
-// over the tokens twice, while the search had counted them once. Found by
-// TestPlacementsStayComplete with -rapid.seed=2303731226942751282.
+// Guards against a move that makes the group's steps longer. One rank holds two replicas of an
+// expert; another replica is dropped, and the rank takes over the load twice, while the search
+// counted it once. Found by TestPlacementsStayComplete with -rapid.seed=2303731226942751282.
 func TestImproveCountsTwoReplicasOnOneRank(t *testing.T) {
 	p, err := NewPlacement(5, 3, 3)
 	if err != nil {
@@ -88,9 +87,9 @@
 	}
 }
 
-// The hottest experts change at once, and the whole group waits for the ranks that
-// hold the new ones. The balancer must be back under a skew of 1.1 after a few
-// decisions, with far fewer loads than a fresh placement.
+// The hottest experts change abruptly, and the whole group waits for the ranks that hold the new
+// ones. After a few decisions the skew must be below 1.1 again, with fewer loads than a placement
+// from scratch.
 func TestBalancerFollowsSuddenSwap(t *testing.T) {
 	old, swapped := zipfPopularity(1, 256, 0.8), zipfPopularity(1, 256, 0.8)
 	rand.New(rand.NewPCG(2, 0)).Shuffle(16, func(i, j int) {
@@ -118,12 +117,12 @@
 		t.Errorf("skew %.3f at %v", b.Stretch(), now)
 	}
 	if all := Moves(start, fresh); moves > all {
-		t.Errorf("%d moves, a fresh placement takes %d", moves, all)
+		t.Errorf("%d moves, a placement from scratch takes %d", moves, all)
 	}
 }
 
-// Popularity stands still and only the counts are noisy. Nothing may be moved: each
-// load takes from the steps, and buys nothing.
+// Popularity is constant and only the counts are noisy. Loading experts for noise delays the steps
+// and gains nothing.
 func TestBalancerIgnoresNoise(t *testing.T) {
 	popularity := zipfPopularity(3, 256, 0.8)
 	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
@@ -169,8 +168,8 @@
 	}
 }
 
-// One expert on one rank with two slots: the second slot has nothing better to hold
-// than a copy. A slot left empty made the search for moves fail. Found by the property
+// Guards against a slot that stays empty, which made the search for moves fail. One expert on one
+// rank with two slots: the second slot can only hold another replica of it. Found by the property
 // test with seed 12523085495416364986.
 func TestMoreSlotsThanUsefulReplicas(t *testing.T) {
 	p, err := NewPlacement(1, 1, 2)
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Config holds the limits of rebalancing. A zero field takes its default.
+// Config holds the thresholds and limits of rebalancing. A zero field takes its default.
 type Config struct {
-	// TriggerSkew is the skew past which a better placement is looked for, TargetSkew the
-	// one at which the search stops. Defaults 1.03 and 1.01. Between the two nothing
-	// is done, so that noise around one limit does not move experts to and fro.
+	// TriggerSkew is the skew above which the balancer searches for a better placement, TargetSkew
+	// the skew at which the search stops. Defaults 1.03 and 1.01. The gap is hysteresis: with a
+	// single threshold, noise around it would move experts back and forth.
 	TriggerSkew, TargetSkew float64
-	// MaxImproveMoves is the most experts loaded where single steps mend the skew, MaxRepackMoves
-	// where they do not. Defaults 32 and 256.
+	// MaxImproveMoves limits the experts that Improve loads. When Improve does not bring the skew
+	// below TriggerSkew, Repack is tried as well; MaxRepackMoves limits the moves of its final
+	// Improve. Defaults 32 and 256.
 	MaxImproveMoves, MaxRepackMoves int
-	// MinInterval is the least time between new placements. Default 2 s. Past the skew
-	// Urgent, 1.25 by default, a quarter of it.
+	// MinInterval is the minimum time between two new placements. Default 2 s. While the skew is
+	// above UrgentSkew, 1.25 by default, a quarter of MinInterval applies.
 	MinInterval time.Duration
 	UrgentSkew  float64
-	// AverageTimeConstant is the time constant of the average of popularity. Default 10 s.
+	// AverageTimeConstant is the time constant of the moving average of popularity. Default 10 s.
 	AverageTimeConstant time.Duration
-	// ChangeDistance is the distance between what was just seen and the average, in parts of
-	// all tokens, past which the average is dropped. Default 0.05: far above the
-	// noise of one observation, and far below a change of a hot expert.
+	// ChangeDistance is the distance between an observation and the average, as a fraction of all
+	// tokens, above which the average is discarded. Default 0.05, which is far above the noise of
+	// one observation and far below a change of a hot expert.
 	ChangeDistance float64
-	// LoadCost is the time, summed over the steps that run while it loads, that one
-	// expert's load costs the group. Default 1 ms.
+	// LoadCost is the total delay that loading one expert adds to the steps running meanwhile.
+	// Default 1 ms.
 	LoadCost time.Duration
-	// Horizon is how long a new placement is expected to stay good. Default 20 s.
+	// Horizon is how long a new placement is expected to remain good. Default 20 s.
 	Horizon time.Duration
 }
 
@@ -63,19 +64,19 @@
 	}
 }
 
-// Balancer follows the popularity of one group's experts and decides when another
-// placement is worth its cost.
+// Balancer tracks the popularity of the experts of one group and decides when another placement is
+// worth its cost.
 type Balancer struct {
 	cfg           Config
 	placement     *Placement
-	popularity    []float64 // parts of all tokens, averaged
+	popularity    []float64 // fractions of all tokens, averaged
 	slowdowns     slowdownTracker
 	hasPopularity bool
 	observedAt    time.Duration
 	changedAt     time.Duration
 }
 
-// New returns a balancer for a group that runs with a placement since now.
+// New returns a balancer for a group that has run with a placement since now.
 func New(cfg Config, placement *Placement, now time.Duration) *Balancer {
 	return &Balancer{
 		cfg:        cfg.withDefaults(),
@@ -85,15 +86,14 @@
 	}
 }
 
-// Placement returns the placement last decided on.
+// Placement returns the placement of the latest decision.
 func (b *Balancer) Placement() *Placement { return b.placement }
 
-// Observe takes the tokens that each expert got since the last observation.
+// Observe records the tokens that each expert received since the last observation.
 //
-// Load: counts with noise, on a popularity that drifts or changes at once. The average
-// rides out the noise; after a sudden change it would mix the old popularity with the
-// new and place for neither, so it is dropped when what was just seen is too far from
-// it.
+// Counts are noisy, and popularity either drifts or changes abruptly. The moving average suppresses
+// the noise. After an abrupt change it would mix the old and the new popularity and produce a
+// placement that fits neither, so it is discarded when an observation is too far from it.
 func (b *Balancer) Observe(now time.Duration, tokens []float64) {
 	sample := normalize(tokens)
 	if sample == nil {
@@ -110,39 +110,38 @@
 	}
 }
 
-// Popularity returns what the decisions go by, as parts of all tokens.
+// Popularity returns the popularity that decisions are based on, as fractions of all tokens.
 func (b *Balancer) Popularity() []float64 { return b.popularity }
 
-// ObserveRanks takes what each rank of the group did since the last observation, all of
-// it under one placement.
+// ObserveRanks records the work of each rank of the group since the last observation, all of it
+// under one placement.
 //
-// Load: a rank whose accelerator is throttled or shares its host. Harm prevented: a
-// placement that is even by tokens, in which all ranks wait for the slow one in each
-// step.
+// A rank whose accelerator is throttled or shares its host is slower than the others. A placement
+// that is even by tokens would make all ranks wait for it in each step.
 func (b *Balancer) ObserveRanks(ranks []RankWork) {
 	if len(ranks) == b.placement.Ranks {
 		b.slowdowns.observe(ranks)
 	}
 }
 
-// SlowRanks returns the ranks that stay more than maxPace times slower than their group,
-// the slowest first. Nothing is decided on them here: they are for operators to replace.
+// SlowRanks returns the ranks that stay more than maxSlowdown times slower than their group, the
+// slowest first. They do not affect decisions; operators have to replace them.
 func (b *Balancer) SlowRanks() []SlowRank { return b.slowdowns.slowRanks() }
 
-// Demand returns what the decisions go by.
+// Demand returns the demand that decisions are based on.
 func (b *Balancer) Demand() Demand {
 	return Demand{Popularity: b.popularity, Slowdowns: b.slowdowns.effective()}
 }
 
-// Stretch returns the expected stretch of steps under the present placement.
+// Stretch returns the expected stretch of steps under the current placement.
 func (b *Balancer) Stretch() float64 { return b.Demand().Stretch(b.placement) }
 
 // Decide returns a new placement and true when one is worth its cost now.
 //
-// Load: popularity that drifts all the time, slowly or at once, and ranks that become
-// slower than others. Harm prevented: a busiest rank that makes all others wait; and loading so many experts, so often, that
-// it costs more than it saves. The saving is the time by which steps get shorter over
-// the horizon; the cost is the time that the loads take from the steps.
+// Popularity drifts slowly or changes abruptly, and ranks become slower than others; all ranks then
+// wait for the busiest one. Loading too many experts, or too often, costs more than it saves. The
+// saving is the time by which steps get shorter over the horizon; the cost is the delay that
+// loading adds to the steps.
 func (b *Balancer) Decide(now time.Duration) (*Placement, bool) {
 	if !b.hasPopularity {
 		return nil, false
@@ -159,7 +158,7 @@
 	better := Improve(b.placement, demand, b.cfg.TargetSkew, b.cfg.MaxImproveMoves)
 	saving := b.netSaving(demand, before, better)
 	if demand.Stretch(better) > b.cfg.TriggerSkew {
-		// A few moves do not mend it; more may.
+		// A few moves do not reduce the skew enough; more may.
 		repacked := Repack(b.placement, demand, b.cfg.TargetSkew, b.cfg.MaxRepackMoves)
 		if repackSaving := b.netSaving(demand, before, repacked); repackSaving > saving {
 			better, saving = repacked, repackSaving
@@ -173,7 +172,7 @@
 	return better, true
 }
 
-// netSaving is the time saved over the horizon less the time that loading costs.
+// netSaving returns the time saved over the horizon minus the time that loading costs.
 func (b *Balancer) netSaving(demand Demand, before float64, better *Placement) float64 {
 	moves := Moves(b.placement, better)
 	after := demand.Stretch(better)
--- a/decide/balance/bench_test.go
+++ b/decide/balance/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkPlan is the time of one decision after popularity has changed at once.
+// BenchmarkPlan measures one decision after an abrupt change of popularity.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct {
 		shape    Shape
--- a/decide/balance/copies.go
+++ b/decide/balance/copies.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// copyCounts counts what each rank copyCounts over several placements, and bounds it.
+// copyCounts counts the experts that each rank copies over several placements, and limits them.
 type copyCounts struct {
-	// maxPerRank is the bound of each rank, of is what each rank copies now.
+	// maxPerRank is the limit of each rank, byRank the current number of copies of each.
 	maxPerRank int
 	byRank     []int
 }
 
-// copyLimit bounds the experts that ranks copy to come from one placement to another. A nil
-// limit bounds nothing.
+// copyLimit limits the experts that ranks copy to change from one placement to another. A nil
+// copyLimit allows any number.
 type copyLimit struct {
 	// origin is the placement in use.
 	origin *Placement
-	// maxNewExperts is the most experts that one rank takes for this placement; zero for no bound.
+	// maxNewExperts is the maximum number of experts that one rank copies for this placement; zero
+	// means no limit.
 	maxNewExperts int
-	// filler is an expert that stands for an empty slot and is not copied.
+	// filler is the expert that stands for an empty slot; it is never copied.
 	filler int32
-	// total counts with those of other placements.
+	// total counts the copies over all placements.
 	total *copyCounts
 }
 
-// allows says whether a rank may come to hold an expert.
+// allows reports whether the rank may be given the expert.
 func (l *copyLimit) allows(p *Placement, rank int, expert int32) bool {
 	if l == nil || expert == l.filler || slices.Contains(l.origin.rankSlots(rank), expert) {
 		return true
@@ -30,14 +31,14 @@
 	return l.total.byRank[rank] < l.total.maxPerRank && (l.maxNewExperts == 0 || l.countCopies(p, rank) < l.maxNewExperts)
 }
 
-// addToTotal adds what a rank copies, times sign, to the addToTotal over all placements.
+// addToTotal adds the copies of a rank, multiplied by sign, to the total over all placements.
 func (l *copyLimit) addToTotal(p *Placement, rank, sign int) {
 	if l != nil {
 		l.total.byRank[rank] += sign * l.countCopies(p, rank)
 	}
 }
 
-// countCopies counts the experts that a rank holds and did not hold at the origin.
+// countCopies returns the number of experts that the rank holds and did not hold in the origin.
 func (l *copyLimit) countCopies(p *Placement, rank int) int {
 	n := 0
 	held, before := p.rankSlots(rank), l.origin.rankSlots(rank)
--- a/decide/balance/demand.go
+++ b/decide/balance/demand.go
@@ -1,19 +1,19 @@
 package balance
 
-// Demand is what a placement has to carry, and how fast the ranks that carry it are.
+// Demand is the work that a placement has to carry and the speed of the ranks that carry it.
 type Demand struct {
-	// Popularity is the part of all tokens that each expert gets.
+	// Popularity is the fraction of all tokens that each expert receives.
 	Popularity []float64
-	// Slowdowns is the time that each rank takes for a token, in that of a usual one: 1.3 for
-	// a rank that is a third slower. Nil when all are alike.
+	// Slowdowns is the time that each rank takes for a token relative to a typical rank: 1.3 for a
+	// rank that is a third slower. Nil when all ranks are alike.
 	Slowdowns []float64
 }
 
-// Stretch is the time of a step over that of an ideal placement, in which all ranks end
-// at once; 1 is perfect. With ranks all alike it is the skew of their loads.
+// Stretch returns the time of a step relative to that of an ideal placement, in which all ranks
+// finish at the same time; 1 is perfect. When all ranks are alike it is the skew of their loads.
 //
-// The skew of the ranks' times would not do for decisions: it also falls when the ranks
-// that wait are given more to do, which makes no step shorter.
+// The skew of the ranks' times is no basis for decisions: it also falls when the waiting ranks are
+// given more work, which does not make steps shorter.
 func (d Demand) Stretch(p *Placement) float64 {
 	ideal := d.idealTime(p.Ranks)
 	if ideal == 0 {
@@ -26,7 +26,7 @@
 	return peak / ideal
 }
 
-// idealTime is the time in which all ranks together, each as fast as it is, do the work.
+// idealTime returns the time in which all ranks together do the work, each at its own speed.
 func (d Demand) idealTime(ranks int) float64 {
 	work := 0.0
 	for _, fraction := range d.Popularity {
@@ -39,6 +39,7 @@
 	return work / speed
 }
 
+// slowdownsOf returns the slowdown of each rank, 1 for all when none are known.
 func (d Demand) slowdownsOf(ranks int) []float64 {
 	if d.Slowdowns != nil {
 		return d.Slowdowns
--- a/decide/balance/example_test.go
+++ b/decide/balance/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/decide/balance"
 )
 
-// One of eight experts becomes popular. The balancer gives it more replicas, since
-// all ranks wait for the busiest in each step.
+// One of eight experts becomes popular. The balancer gives it more replicas, since all ranks wait
+// for the busiest in each step.
 func Example() {
 	placement, _ := balance.NewPlacement(8, 4, 3)
 	balancer := balance.New(balance.Config{}, placement, 0)
--- a/decide/balance/improve.go
+++ b/decide/balance/improve.go
@@ -2,17 +2,15 @@
 
 import "slices"
 
-// Improve returns a placement that is better for a demand, with at most so many moves,
-// and stops as soon as the stretch is at or under the target. It changes nothing in
-// place.
+// Improve returns a better placement for a demand that differs from p by at most maxMoves moves. It
+// stops as soon as the stretch is at or below the target. It does not modify p.
 //
-// Load: a popularity that has drifted from the one the placement was made for. Harm
-// prevented: moving nearly everything, as a fresh placement would, to mend what a few
-// moves mend. Each round takes the busiest rank and tries what lightens it most:
-// another replica of one of its experts, in place of a replica that can be spared
-// elsewhere; a lighter replica in place of one that it can spare itself; or an
-// exchange of one of its replicas for a lighter one of another rank. A round
-// that finds nothing better ends the search.
+// When popularity has drifted from the one that the placement was made for, a few moves restore the
+// balance, where a placement from scratch would move nearly every expert. Each round takes the
+// busiest rank and applies the change that relieves it most: another replica of one of its experts
+// in place of a replica that another rank can spare; a lighter replica in place of one that it can
+// spare itself; or an exchange of one of its replicas for a lighter one of another rank. The search
+// ends when a round finds no improvement.
 func Improve(p *Placement, d Demand, target float64, maxMoves int) *Placement {
 	s := newSearch(p.Clone(), d)
 	for maxMoves > 0 {
@@ -30,24 +28,24 @@
 	return s.p
 }
 
-// search is a placement with what is needed to judge changes quickly.
+// search is a placement with the data that is needed to evaluate changes quickly.
 type search struct {
 	p          *Placement
 	popularity []float64
-	slowdowns  []float64 // of each rank
+	slowdowns  []float64 // by rank
 	replicas   []int32
-	times      []float64 // of each rank
+	times      []float64 // by rank
 	idealTime  float64
-	// busiestHolders are, by expert, the two busiest of its holders once one of its replicas
-	// is given up.
+	// busiestHolders holds, by expert, the two busiest ranks that hold it once one of its replicas
+	// is dropped.
 	busiestHolders []holderTimes
-	// copyLimit bounds the experts that ranks copy; nil for no bound.
+	// copyLimit limits the experts that ranks copy; nil for no limit.
 	copyLimit *copyLimit
 }
 
-// holderTimes holds the times of an expert's two busiest ranks, as they are when one
-// replica fewer stands and each rank takes over a part for each replica it holds, and
-// which rank is the busiest.
+// holderTimes holds the times of the two busiest ranks that hold an expert, and which rank is the
+// busiest. The times are those after one replica is dropped and each rank takes over a share for
+// each replica that it holds.
 type holderTimes struct {
 	first, second float64
 	rank          int
@@ -67,12 +65,12 @@
 	return s
 }
 
-// updateBusiestHolders is done once a round, so that judging a spare replica takes the same
-// time however many replicas there are.
+// updateBusiestHolders runs once per round, so that the cost of evaluating a spare replica does not
+// depend on the number of replicas.
 //
-// A rank that holds an expert twice takes over two parts when a replica elsewhere is
-// given up. Counted as one part, the rank could come out busier than the busiest was,
-// and the group's steps longer after a move meant to shorten them.
+// A rank that holds an expert twice takes over two shares when a replica on another rank is
+// dropped. If it were counted as one share, the rank could become busier than the busiest rank was,
+// and a move meant to shorten the group's steps would lengthen them.
 func (s *search) updateBusiestHolders() {
 	for expert := range s.busiestHolders {
 		s.busiestHolders[expert] = holderTimes{rank: -1}
@@ -80,7 +78,8 @@
 	for rank := range s.times {
 		held := s.p.rankSlots(rank)
 		for i, expert := range held {
-			// Whoever holds an expert that nobody chooses takes over nothing.
+			// Dropping a replica of an expert that receives no tokens adds no load to its other
+			// holders.
 			if s.replicas[expert] < 2 || s.popularity[expert] == 0 || slices.Contains(held[:i], expert) {
 				continue
 			}
@@ -90,6 +89,7 @@
 	}
 }
 
+// add records the time of one holder, if it is among the two busiest.
 func (h *holderTimes) add(rank int, time float64) {
 	switch {
 	case h.rank < 0 || time > h.first:
@@ -99,7 +99,7 @@
 	}
 }
 
-// maxExcept is the time of the busiest holder beside a rank.
+// maxExcept returns the time of the busiest holder other than the given rank.
 func (h holderTimes) maxExcept(rank int) float64 {
 	if h.rank == rank {
 		return h.second
@@ -107,19 +107,21 @@
 	return h.first
 }
 
-// extraLoadPerReplica is what each replica of an expert gets more when one is given up.
+// extraLoadPerReplica returns the load that each remaining replica of an expert gains when one is
+// dropped.
 func (s *search) extraLoadPerReplica(expert int32) float64 {
 	n := float64(s.replicas[expert])
 	return s.popularity[expert]/(n-1) - s.popularity[expert]/n
 }
 
-// timeAfterDropping is the time of a rank that gives up one of its replicas of an expert, and
-// takes over its part for each further one that it holds.
+// timeAfterDropping returns the time of a rank that drops one of its replicas of an expert and
+// takes over its share of the load for each other replica that it holds.
 func (s *search) timeAfterDropping(rank int, expert int32) float64 {
 	remaining := countReplicas(s.p.rankSlots(rank), expert) - 1
 	return s.times[rank] - s.slowdowns[rank]*(s.unitLoad(expert)-float64(remaining)*s.extraLoadPerReplica(expert))
 }
 
+// countReplicas returns how many of the held replicas are of the expert.
 func countReplicas(held []int32, expert int32) int {
 	n := 0
 	for _, e := range held {
@@ -130,6 +132,7 @@
 	return n
 }
 
+// busiest returns the busiest rank and its time.
 func (s *search) busiest() (int, float64) {
 	hot := 0
 	for rank, time := range s.times {
@@ -140,27 +143,29 @@
 	return hot, s.times[hot]
 }
 
-// change is one step of the search: the slot gets the expert, and for an exchange the
-// other slot gets what stood in the first.
+// change is one step of the search: the slot gets the expert, and in an exchange the other slot
+// gets the expert that was in the first.
 type change struct {
 	slot       int
 	expert     int32
-	otherSlot  int // slot of an exchange; -1 for none
-	loads      int // experts to be loaded; 0 for no change
+	otherSlot  int // second slot of an exchange; -1 for none
+	loads      int // experts to load; 0 for no change
 	gain       float64
 	isExchange bool
 }
 
-// isBetterThan prefers what lightens the busiest rank most for each expert loaded.
+// isBetterThan prefers the change that relieves the busiest rank most per expert loaded.
 func (c change) isBetterThan(other change) bool {
 	return other.loads == 0 || c.gain/float64(c.loads) > other.gain/float64(other.loads)
 }
 
-// unitLoad is the load of one replica of an expert.
+// unitLoad returns the load of one replica of an expert.
 func (s *search) unitLoad(expert int32) float64 {
 	return s.popularity[expert] / float64(s.replicas[expert])
 }
 
+// bestChange returns the best change that relieves the busiest rank, or one without loads if there
+// is none.
 func (s *search) bestChange(hot int, peak float64, maxMoves int) change {
 	best := change{}
 	for i, expert := range s.p.rankSlots(hot) {
@@ -174,8 +179,8 @@
 	return best
 }
 
-// tryAddReplica looks for a slot that gives up a spare replica for another of the hot
-// rank's expert.
+// tryAddReplica looks for a spare replica on another rank to replace with another replica of the
+// busiest rank's expert.
 func (s *search) tryAddReplica(best *change, hot int, peak float64, expert int32) {
 	n := float64(s.replicas[expert])
 	relief := s.slowdowns[hot] * (s.popularity[expert]/n - s.popularity[expert]/(n+1))
@@ -190,7 +195,7 @@
 		if c.gain <= minGainFraction*s.idealTime || !c.isBetterThan(*best) || !s.copyLimit.allows(s.p, rank, expert) {
 			continue
 		}
-		// Only now the costly part: what the holders of the spare must bear.
+		// The expensive part comes last: the load that moves to the other holders of the spare.
 		after = s.timeAfterDropping(rank, spare) + s.slowdowns[rank]*added
 		c.gain = min(c.gain, peak-after, peak-s.busiestHolders[spare].maxExcept(rank))
 		if c.gain > minGainFraction*s.idealTime && c.isBetterThan(*best) {
@@ -199,8 +204,8 @@
 	}
 }
 
-// tryReplaceReplica looks for an expert to stand in the hot rank's slot in place of a replica
-// that the others of its expert can do without.
+// tryReplaceReplica looks for a lighter expert for the busiest rank's slot, in place of a replica
+// whose load the other replicas of its expert can take over.
 func (s *search) tryReplaceReplica(best *change, slot int, peak float64, expert int32) {
 	if s.replicas[expert] < 2 {
 		return
@@ -221,11 +226,11 @@
 	}
 }
 
-// minGainFraction is the least relief, as a part of the ideal time, for which a replica is
-// loaded; less is lost in the noise of sampling.
+// minGainFraction is the minimum relief, as a fraction of the ideal time, for which a replica is
+// loaded. Smaller gains are lost in the sampling noise.
 const minGainFraction = 0.002
 
-// tryExchange looks for a lighter replica on another rank to change places with.
+// tryExchange looks for a lighter replica on another rank to exchange with the busiest rank's.
 func (s *search) tryExchange(best *change, peak float64, slot int, expert int32) {
 	ownLoad := s.unitLoad(expert)
 	hot := slot / s.p.SlotsPerRank
@@ -259,7 +264,7 @@
 	s.updateBusiestHolders()
 }
 
-// setSlot stands an expert in a slot in place of another.
+// setSlot replaces the expert in a slot.
 func (s *search) setSlot(slot int, expert int32) {
 	rank := slot / s.p.SlotsPerRank
 	s.copyLimit.addToTotal(s.p, rank, -1)
--- a/decide/balance/layers.go
+++ b/decide/balance/layers.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// LayerMap holds, for each rank, the experts that it holds in one set of layers.
+// LayerMap lists, for each rank, the experts that it holds in one set of layers.
 type LayerMap [][]int32
 
-// Shape is what bounds the expert maps of a group.
+// Shape describes the dimensions and limits of a group's expert maps.
 type Shape struct {
-	// LayerSets is the number of sets of layers, Experts that of the experts in each.
+	// LayerSets is the number of sets of layers, Experts the number of experts in each set.
 	LayerSets, Experts int
-	// Ranks is the number of ranks, SlotsPerRank the most experts that one holds of a set.
+	// Ranks is the number of ranks, SlotsPerRank the maximum number of experts of a set that one
+	// rank holds.
 	Ranks, SlotsPerRank int
-	// MaxNewExperts is the most experts of a set that are new to a rank in one change; zero for no
-	// bound.
+	// MaxNewExperts is the maximum number of experts of a set that are new to a rank in one change;
+	// zero means no limit.
 	MaxNewExperts int
 }
 
-// LayerPlannerConfig holds the limits of Layers. A zero field takes its default.
+// LayerPlannerConfig holds the parameters of a LayerPlanner. A zero field takes its default.
 type LayerPlannerConfig struct {
-	// TriggerSkew is the skew past which a change of maps is looked for, TargetSkew the one at
-	// which the search stops, while passes are short against the pauses that callers
-	// accept. Defaults 1.6 and 1.25: callers notice no less, and each copy makes passes
-	// longer while it is under way and is worn out by the next change of popularity.
+	// TriggerSkew is the skew above which a change of maps is searched for, TargetSkew the skew at
+	// which the search stops, while passes are short relative to the pauses that callers accept.
+	// Defaults 1.6 and 1.25: callers would not notice a smaller skew, while each copy makes passes
+	// longer as long as it runs and loses its value with the next change of popularity.
 	TriggerSkew, TargetSkew float64
-	// LongPassTriggerSkew and LongPassTargetSkew are the same while passes are long, as in a burst:
-	// then each part of a pass decides whether streams are on time and requests wait.
-	// Defaults 1.2 and 1.1.
+	// LongPassTriggerSkew and LongPassTargetSkew replace them while passes are long, as in a burst:
+	// every fraction of a pass then decides whether streams are on time and how long requests are
+	// queued. Defaults 1.2 and 1.1.
 	LongPassTriggerSkew, LongPassTargetSkew float64
-	// CopyTime is the time in which a rank copies one expert. Zero counts copies as free.
+	// CopyTime is the time in which a rank copies one expert. Zero means that copies are free.
 	CopyTime time.Duration
-	// SwitchTime is the time of a change beside its copies. Default 150 ms: some passes.
+	// SwitchTime is the time of a change in addition to its copies. Default 150 ms, the time of
+	// several passes.
 	SwitchTime time.Duration
-	// Horizon is how long a map is expected to fit. Default 2.5 s, the time in which
-	// popularity changes where it changes fast.
+	// Horizon is how long a map is expected to fit. Default 2.5 s, the time between changes where
+	// popularity changes fast.
 	Horizon time.Duration
 }
 
@@ -49,22 +51,22 @@
 	return c
 }
 
-// copyOverhead is the part by which passes take longer while ranks copy experts.
+// copyOverhead is the fraction by which passes take longer while ranks copy experts.
 const copyOverhead = 0.15
 
-// LayerPlanner plans the expert maps of a group whose layers come in sets, each with experts of
-// its own. A pass goes through the sets one after the other, and in each of them waits for
-// the busiest rank.
+// LayerPlanner plans the expert maps of a group whose layers are divided into sets, each with its
+// own experts. A pass goes through the sets one after the other and waits in each for the busiest
+// rank.
 type LayerPlanner struct {
 	shape Shape
 	cfg   LayerPlannerConfig
-	// popularity is the popularity of the experts.
+	// popularity tracks the popularity of the experts.
 	popularity popularityTracker
 	// slowdowns is how many times slower than usual each rank is; nil when all are alike.
 	slowdowns []float64
 }
 
-// NewLayerPlanner returns a planner for a group of which nothing is known yet.
+// NewLayerPlanner returns a planner without any observations.
 func NewLayerPlanner(shape Shape, cfg LayerPlannerConfig) (*LayerPlanner, error) {
 	if _, err := NewPlacement(shape.Experts, shape.Ranks, shape.SlotsPerRank); err != nil {
 		return nil, err
@@ -72,8 +74,8 @@
 	return &LayerPlanner{shape: shape, cfg: cfg.withDefaults()}, nil
 }
 
-// Observe takes how often each expert was chosen in the passes since the last observation, by
-// set.
+// Observe records how often each expert was chosen in the passes since the last observation, by set
+// of layers. Counts that do not match the shape are ignored.
 func (l *LayerPlanner) Observe(passes int64, counts [][]float64) {
 	if len(counts) != l.shape.LayerSets {
 		return
@@ -86,21 +88,22 @@
 	l.popularity.observe(passes, counts)
 }
 
-// SetSwitchTime sets the time of a change beside its copies.
+// SetSwitchTime sets the time of a change in addition to its copies.
 //
-// Load: a group whose passes take most of a second, as with one engine many times slower.
-// Harm prevented: changes of one copy each, of which every one waits for a further pass.
+// The passes of a group take most of a second when one engine is many times slower. With a switch
+// time that is too short, the planner would plan changes of one copy each, and each of them would
+// wait for another pass.
 func (l *LayerPlanner) SetSwitchTime(d time.Duration) { l.cfg.SwitchTime = d }
 
-// slowRankThreshold is the pace from which on a rank counts as slow. What ranks report of healthy
-// engines differs by a few hundredths, and following that would copy experts for nothing.
+// slowRankThreshold is the slowdown from which on a rank counts as slow. The reported slowdowns of
+// healthy engines differ by a few hundredths; following them would copy experts for nothing.
 const slowRankThreshold = 1.2
 
-// ObserveSlowdowns takes how many times slower than usual each rank is.
+// ObserveSlowdowns records how many times slower than usual each rank is.
 //
-// Load: a rank whose accelerator is throttled or shares its host. Harm prevented: every pass
-// waits for it with its part of the experts. A slow rank is given less to do, down to
-// nothing; what it loses is copied to others, so that only what is far from usual counts.
+// Every pass waits for a rank whose accelerator is throttled or shares its host. Such a rank is
+// given less work, down to none. Its experts have to be copied to other ranks, so only ranks that
+// are far slower than usual count.
 func (l *LayerPlanner) ObserveSlowdowns(slowdowns []float64) {
 	l.slowdowns = nil
 	if len(slowdowns) != l.shape.Ranks {
@@ -116,29 +119,29 @@
 	}
 }
 
-// demand is what one set's map has to carry. The additional expert stands in the slots that
-// are free, and nobody chooses it.
+// demand returns the demand on the map of one set. The filler expert occupies the free slots and
+// receives no tokens.
 func (l *LayerPlanner) demand(set int) Demand {
 	return Demand{Popularity: append(slices.Clone(l.popularity.fractions[set]), 0), Slowdowns: l.slowdowns}
 }
 
 // MapChange is a change of maps.
 type MapChange struct {
-	// Maps are the maps to change to, by set of layers.
+	// Maps are the new maps, by set of layers.
 	Maps []LayerMap
-	// SkewBefore and SkewAfter are the skews of the maps in use and of those to change to.
+	// SkewBefore and SkewAfter are the skews of the current and of the new maps.
 	SkewBefore, SkewAfter float64
-	// MaxCopies is the most experts that one rank copies.
+	// MaxCopies is the maximum number of experts that one rank copies.
 	MaxCopies int
 }
 
-// Plan returns the change to make from the maps in use, or nil when none is worth it.
-// pressed says that passes are long against the pauses that callers accept.
+// Plan returns the change to make from the current maps, or nil when none is worth it. longPasses
+// says that passes are long relative to the pauses that callers accept.
 //
-// Load: a popularity of which half changes within a few seconds, and ranks that take tenths
-// of a second for each expert that is new to them. Harm prevented: waiting for the perfect
-// map while the group is slow. How much is copied before the next change of maps is weighed
-// over the horizon, with the changes that can follow it.
+// Half of the popularity can change within a few seconds, and a rank takes tenths of a second to
+// copy each new expert, so waiting for a perfect map would leave the group slow meanwhile. The
+// number of copies before the next change is chosen by the total cost over the horizon, including
+// the changes that can follow.
 func (l *LayerPlanner) Plan(current []LayerMap, longPasses bool) *MapChange {
 	trigger, target := l.cfg.TriggerSkew, l.cfg.TargetSkew
 	if longPasses {
@@ -157,7 +160,8 @@
 	}
 }
 
-// candidates returns what the maps in use can be changed to. They must be of the group's shape.
+// candidates returns the placements that the current maps can be changed to. The maps must match
+// the group's shape.
 func (l *LayerPlanner) candidates(current []LayerMap, target float64) []candidate {
 	from, demands := make([]*Placement, l.shape.LayerSets), make([]Demand, l.shape.LayerSets)
 	for i := range from {
@@ -171,7 +175,7 @@
 	return timing{copyTime: l.cfg.CopyTime, switchTime: l.cfg.SwitchTime, horizon: l.cfg.Horizon}
 }
 
-// layerMaps are the maps of a plan, by set of layers.
+// layerMaps returns the maps of a candidate, by set of layers.
 func (l *LayerPlanner) layerMaps(c candidate) []LayerMap {
 	maps := make([]LayerMap, 0, len(c.placements))
 	for _, placement := range c.placements {
@@ -180,8 +184,8 @@
 	return maps
 }
 
-// maxCopies is the most experts that a rank can be asked to copy: what it takes, and what is
-// done within the horizon.
+// maxCopies returns the maximum number of experts that a rank can be asked to copy: limited by what
+// it can take, and by what can be copied within the horizon.
 func (l *LayerPlanner) maxCopies() int {
 	limit := l.shape.LayerSets * l.shape.SlotsPerRank
 	if l.shape.MaxNewExperts > 0 {
@@ -193,8 +197,9 @@
 	return limit
 }
 
-// Skew is the time that a pass spends on experts with the given maps, against the time if
-// all ranks were evenly busy.
+// Skew returns the time that a pass spends on experts with the given maps, relative to the time if
+// all ranks were evenly busy. It is 1 while nothing was observed and for maps that do not match the
+// shape.
 func (l *LayerPlanner) Skew(current []LayerMap) float64 {
 	if len(current) != l.shape.LayerSets || l.popularity.fractions == nil {
 		return 1
@@ -210,7 +215,8 @@
 	return sum / float64(l.shape.LayerSets)
 }
 
-// placement makes a placement of one set's map, with the additional expert in free slots.
+// placement converts the map of one set to a placement, with the filler expert in free slots. It
+// returns false if the map does not match the shape.
 func (l *LayerPlanner) placement(m LayerMap) (*Placement, bool) {
 	if len(m) != l.shape.Ranks {
 		return nil, false
@@ -234,6 +240,7 @@
 	return p, true
 }
 
+// layerMap converts a placement to the map of one set, without the filler expert and duplicates.
 func (l *LayerPlanner) layerMap(p *Placement) LayerMap {
 	m := make(LayerMap, p.Ranks)
 	for rank := range m {
--- a/decide/balance/layers_test.go
+++ b/decide/balance/layers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// roundRobinMaps is the map that a group starts with.
+// roundRobinMaps returns the maps that a group starts with.
 func roundRobinMaps(s Shape) []LayerMap {
 	maps := make([]LayerMap, s.LayerSets)
 	for i := range maps {
@@ -21,7 +21,7 @@
 	return maps
 }
 
-// zipf draws the popularity of experts, in a random order.
+// zipf returns a Zipf popularity of experts in random order.
 func zipf(rng *rand.Rand, experts int, skew float64) []float64 {
 	counts := make([]float64, experts)
 	for i, expert := range rng.Perm(experts) {
@@ -30,7 +30,7 @@
 	return counts
 }
 
-// zipfCounts draws the popularity of the experts of all sets of layers.
+// zipfCounts returns the popularity of the experts of all sets of layers.
 func zipfCounts(rng *rand.Rand, s Shape, skew float64) [][]float64 {
 	counts := make([][]float64, s.LayerSets)
 	for i := range counts {
@@ -39,10 +39,10 @@
 	return counts
 }
 
-// A group starts with experts in turn and a popularity under which its busiest rank has
-// several times the mean. Ranks take three new experts in a change. Within a few changes the
-// passes take little more than with evenly busy ranks, and no change asks for more than the
-// ranks take or leaves an expert without a rank.
+// Guards against changes that ask a rank for more than its limits allow or that leave an expert
+// without a rank. A group starts with its experts in turn, and its busiest rank has several times
+// the mean load; a rank takes three new experts per change. Within a few changes passes must take
+// little longer than with evenly busy ranks.
 func TestPlanKeepsRankLimits(t *testing.T) {
 	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	const groups = 20
@@ -97,7 +97,7 @@
 	}
 }
 
-// Popularity that hardly changed is no reason to copy experts.
+// Guards against copies that gain nothing: the experts are almost evenly popular.
 func TestPlanLeavesAGoodMapAlone(t *testing.T) {
 	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6, MaxNewExperts: 3}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
@@ -114,9 +114,9 @@
 	}
 }
 
-// Copying takes time, and popularity changes every few seconds. A group of which a pass takes
-// several times the ideal gets most of its relief from one new expert a rank, and is not kept
-// waiting for three; with copies that cost nothing it takes all at once.
+// Copying takes time, and popularity changes every few seconds. A group whose passes take several
+// times the ideal gets most of its relief from one new expert per rank, and must not wait for
+// three. When copies are free, it copies all at once.
 func TestPlanWeighsCopiesAgainstTime(t *testing.T) {
 	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	rng := rand.New(rand.NewPCG(3, 1))
@@ -134,8 +134,8 @@
 	}
 }
 
-// While passes are short, callers notice nothing of a moderate skew, and no expert is copied
-// for it; while they are long, it is worth a change.
+// While passes are short, callers do not notice a moderate skew and no expert may be copied for it;
+// while passes are long, it is worth a change.
 func TestPlanUnderPressure(t *testing.T) {
 	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6, MaxNewExperts: 3}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
@@ -153,9 +153,9 @@
 	}
 }
 
-// One rank of twelve takes twelve times as long for the same work. All callers of the group
-// wait for it in each pass, until its experts stand on others as well. Within some changes
-// a pass takes no more than twice what the others alone would need.
+// One rank of twelve takes twelve times as long for the same work, and each pass waits for it until
+// other ranks hold its experts as well. After some changes a pass must take at most twice what the
+// other ranks alone would need.
 func TestPlanMovesWorkOffASlowRank(t *testing.T) {
 	shape := Shape{LayerSets: 4, Experts: 72, Ranks: 12, SlotsPerRank: 8, MaxNewExperts: 3}
 	rng := rand.New(rand.NewPCG(5, 1))
@@ -183,7 +183,8 @@
 	}
 }
 
-// A report that makes no sense, such as of a group with other ranks, plans nothing.
+// Guards against planning from maps that do not match the group, such as those of a group with
+// another number of ranks.
 func TestPlanIgnoresMapsOfAnotherShape(t *testing.T) {
 	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
--- a/decide/balance/pace.go
+++ b/decide/balance/pace.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// RankWork is what one rank did since the last observation.
+// RankWork is the work of one rank since the last observation.
 type RankWork struct {
-	// Tokens counts the tokens of the rank's experts, Time how long it took for them.
+	// Tokens is the number of tokens that the rank's experts processed, Time how long that took.
 	Tokens float64
 	Time   time.Duration
 }
 
 const (
-	// slowdownWindow is the number of observations whose median counts as a rank's pace. A
-	// rank that stalls for a second or two must not have its experts moved, and moved
-	// back when it goes on: only what lasts for most of the observations is believed.
+	// slowdownWindow is the number of observations whose median is a rank's slowdown. The experts
+	// of a rank that stalls for a second or two must not be moved away and back again: only a
+	// slowdown that lasts for most of the observations counts.
 	slowdownWindow = 5
-	// slowdownTolerance is the deviation from 1 up to which a pace counts as usual. Measured
-	// times of healthy ranks differ by a few hundredths, and following them would load
-	// experts for nothing.
+	// slowdownTolerance is the deviation from 1 up to which a slowdown counts as 1. The measured
+	// times of healthy ranks differ by a few hundredths; following them would load experts for
+	// nothing.
 	slowdownTolerance = 0.05
-	// maxSlowdown bounds a rank's pace. A rank three times slower holds the group up
-	// whatever stands on it, since every expert must stand somewhere: it is for the
-	// platform to replace, and emptying it would only load experts twice.
+	// maxSlowdown limits the slowdown of a rank in decisions. A rank that is three times slower
+	// delays the group whatever it holds, since every expert needs a rank. The platform has to
+	// replace it, and moving its experts away would only load them twice.
 	maxSlowdown = 3
 )
 
-// slowdownTracker follows how fast the ranks of a group are, each against the usual one.
+// slowdownTracker tracks the speed of each rank of a group relative to the typical rank.
 type slowdownTracker struct {
-	observations [][]float64 // of the newest observations, each with all ranks
+	observations [][]float64 // the latest, each with all ranks
 	next         int
 }
 
-// observe takes one observation of all ranks. One that does not tell of every rank says
-// nothing of what is usual, and is left out.
+// observe records one observation of all ranks. An observation that lacks a rank is ignored, since
+// it does not show what is typical of the group.
 func (p *slowdownTracker) observe(ranks []RankWork) {
 	slowdowns := make([]float64, len(ranks))
 	for i, work := range ranks {
@@ -56,7 +56,7 @@
 	p.next = (p.next + 1) % slowdownWindow
 }
 
-// medians returns the median pace of each rank; nil while too little was seen.
+// medians returns the median slowdown of each rank, or nil while there are too few observations.
 func (p *slowdownTracker) medians() []float64 {
 	if len(p.observations) < slowdownWindow {
 		return nil
@@ -72,7 +72,8 @@
 	return medians
 }
 
-// effective returns the pace of each rank that decisions go by; nil while too little was seen.
+// effective returns the slowdown of each rank to be used in decisions, or nil while there are too
+// few observations.
 func (p *slowdownTracker) effective() []float64 {
 	slowdowns := p.medians()
 	for rank, slowdown := range slowdowns {
@@ -84,14 +85,14 @@
 	return slowdowns
 }
 
-// SlowRank is a rank that stays slower than moving its experts can make good.
+// SlowRank is a rank so slow that moving its experts does not compensate for it.
 type SlowRank struct {
-	// Rank is its number in the group, Pace its time for a token over the usual one.
+	// Rank is its number in the group, Slowdown its time per token relative to the typical rank.
 	Rank     int
 	Slowdown float64
 }
 
-// slowRanks returns the ranks past maxPace, the slowest first.
+// slowRanks returns the ranks above maxSlowdown, the slowest first.
 func (p *slowdownTracker) slowRanks() []SlowRank {
 	var slow []SlowRank
 	for rank, slowdown := range p.medians() {
@@ -103,7 +104,7 @@
 	return slow
 }
 
-// median returns the middle of the values, the lower of two.
+// median returns the middle value, the lower of the two if their number is even.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[(len(sorted)-1)/2]
--- a/decide/balance/pace_test.go
+++ b/decide/balance/pace_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// rankWork is what the ranks report of a placement, each with its pace.
+// rankWork returns what the ranks report under a placement, each with its slowdown.
 func rankWork(p *Placement, d Demand) []RankWork {
 	tokens, times := p.Loads(d.Popularity), p.Times(d)
 	work := make([]RankWork, len(tokens))
@@ -17,7 +17,8 @@
 	return work
 }
 
-// runBalancer observes and decides so many times, a second apart, and returns the experts moved.
+// runBalancer observes and decides the given number of times, one second apart, and returns the
+// number of experts moved.
 func runBalancer(b *Balancer, d Demand, from, times int) int {
 	moves := 0
 	for i := range times {
@@ -32,15 +33,15 @@
 	return moves
 }
 
-// oneSlowRank returns the paces of ranks that are all alike but for one.
+// oneSlowRank returns slowdowns of 1 for all ranks but one.
 func oneSlowRank(ranks, rank int, slowdown float64) []float64 {
 	slowdowns := Demand{}.slowdownsOf(ranks)
 	slowdowns[rank] = slowdown
 	return slowdowns
 }
 
-// One accelerator is throttled and takes 1.3 times as long for each token. By tokens all is
-// even, and every step of the group is 1.3 times as long. The experts must be placed by time.
+// One accelerator is throttled and takes 1.3 times as long for each token. The tokens are evenly
+// spread, yet every step of the group takes 1.3 times as long. Experts must be placed by time.
 func TestSlowRankGetsLess(t *testing.T) {
 	popularity := zipfPopularity(1, 256, 0.8)
 	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
@@ -61,7 +62,7 @@
 	}
 }
 
-// A rank stalls for two seconds and goes on. Its experts stay where they are: to load them
+// A rank stalls for two seconds and then continues. Its experts must not be moved: loading them
 // elsewhere and back would cost more steps than the stall.
 func TestStalledRankKeepsItsExperts(t *testing.T) {
 	popularity := zipfPopularity(1, 256, 0.8)
@@ -78,7 +79,7 @@
 	}
 }
 
-// A rank that gives no times, and reports of too few ranks, say nothing of any pace.
+// Guards against slowdowns derived from reports that have no times or lack ranks.
 func TestPacesNeedAllRanks(t *testing.T) {
 	for name, report := range map[string][]RankWork{
 		"one without tokens": {{Tokens: 10, Time: time.Second}, {}},
@@ -99,8 +100,8 @@
 	}
 }
 
-// Whatever the popularity and however slow each rank, no step gets longer by a placement
-// that was meant to shorten it, and every expert keeps a replica.
+// Guards against a new placement that makes steps longer or loses an expert's last replica, for any
+// popularity and any slowdowns.
 func TestNoStepGetsLonger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		experts := rapid.IntRange(1, 24).Draw(t, "experts")
@@ -131,9 +132,9 @@
 	})
 }
 
-// One rank takes 8 times as long for good. Its experts cannot be moved away altogether, so
-// every step waits for it until somebody replaces it: it must be named. One that stalls for
-// two observations, or is slower by less than the bound, must not be: nobody is woken for it.
+// One rank takes 8 times as long permanently. Its experts cannot all be moved away, so every step
+// waits for it until it is replaced: it must be reported. A rank that stalls for two observations,
+// or whose slowdown is below the limit, must not be reported, since it needs no operator.
 func TestRankBeyondTheBoundIsNamed(t *testing.T) {
 	for _, c := range []struct {
 		slowdown float64
--- a/decide/balance/placement.go
+++ b/decide/balance/placement.go
@@ -1,19 +1,18 @@
-// Package balance decides where the replicas of experts stand as their popularity
-// drifts.
+// Package balance decides on which ranks the replicas of experts are placed as their popularity
+// changes.
 //
-// All ranks of a group advance in lock-step, so the busiest rank sets the time of
-// every step. A hot expert is given several replicas, among which its tokens are
-// split evenly; the rest of the work is to stand replicas on ranks so that the ranks
-// are evenly busy, and to move few of them: each move loads an expert's weights
-// through a rate-limited store. The package holds no clock, socket or goroutine.
+// All ranks of a group advance in lock-step, so the busiest rank determines the time of every step.
+// A hot expert is given several replicas, and its tokens are split evenly among them. Replicas are
+// placed so that the ranks are evenly busy, with as few moves as possible: each move loads an
+// expert's weights through a rate-limited store. The package uses no clock, socket or goroutine.
 package balance
 
 import (
 	"github.com/go-faster/errors"
 )
 
-// Placement says which expert stands in each slot of each rank. Slot s of rank r is
-// element r*SlotsPerRank+s. It is a value: Clone before changing it.
+// Placement says which expert occupies each slot of each rank. Slot s of rank r is element
+// r*SlotsPerRank+s. Clone it before changing it.
 type Placement struct {
 	Experts      int
 	Ranks        int
@@ -21,11 +20,11 @@
 	Slots        []int32
 }
 
-// ErrShape says that experts, ranks and slots do not fit together.
+// ErrShape is returned when there are fewer slots than experts, or no experts, ranks or slots.
 var ErrShape = errors.New("every expert needs a slot")
 
-// NewPlacement spreads experts over the slots in turn, as a group starts before it
-// knows anything of their popularity.
+// NewPlacement spreads the experts over the slots in turn. A group starts with this placement,
+// before the popularity of its experts is known.
 func NewPlacement(experts, ranks, slotsPerRank int) (*Placement, error) {
 	if experts < 1 || ranks < 1 || slotsPerRank < 1 || ranks*slotsPerRank < experts {
 		return nil, ErrShape
@@ -50,15 +49,15 @@
 	return p, nil
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p *Placement) Clone() *Placement {
 	c := *p
 	c.Slots = append([]int32(nil), p.Slots...)
 	return &c
 }
 
-// Complete says that every expert has a replica. A map without one would leave its
-// tokens nowhere to go.
+// Complete reports whether every expert has a replica. The tokens of an expert without one could
+// not be processed.
 func (p *Placement) Complete() bool {
 	for _, n := range p.Replicas() {
 		if n == 0 {
@@ -68,7 +67,7 @@
 	return true
 }
 
-// Replicas counts the replicas of each expert.
+// Replicas returns the number of replicas of each expert.
 func (p *Placement) Replicas() []int32 {
 	replicas := make([]int32, p.Experts)
 	for _, expert := range p.Slots {
@@ -77,7 +76,7 @@
 	return replicas
 }
 
-// Loads returns how busy each rank is when experts are as popular as given.
+// Loads returns the load of each rank for the given popularity of the experts.
 func (p *Placement) Loads(popularity []float64) []float64 {
 	replicas := p.Replicas()
 	loads := make([]float64, p.Ranks)
@@ -87,8 +86,8 @@
 	return loads
 }
 
-// Times returns how long each rank takes for a demand, in the time that a rank of pace 1
-// takes for all tokens.
+// Times returns how long each rank takes for a demand, relative to the time that a rank with
+// slowdown 1 takes for all tokens.
 func (p *Placement) Times(d Demand) []float64 {
 	times := p.Loads(d.Popularity)
 	for rank, slowdown := range d.Slowdowns {
@@ -97,7 +96,7 @@
 	return times
 }
 
-// Skew returns the busiest rank's load over the mean; 1 is perfect.
+// Skew returns the load of the busiest rank divided by the mean load; 1 is perfect.
 func Skew(loads []float64) float64 {
 	sum, peak := 0.0, 0.0
 	for _, load := range loads {
@@ -110,8 +109,8 @@
 	return peak * float64(len(loads)) / sum
 }
 
-// Moves counts the slots whose expert must be loaded to come from one placement to
-// another: an expert that its rank holds already, in whichever slot, is not loaded.
+// Moves returns the number of slots whose expert must be loaded to change from one placement to
+// another. An expert that the rank already holds, in whichever slot, is not loaded.
 func Moves(from, to *Placement) int {
 	moves := 0
 	for rank := range to.Ranks {
@@ -130,6 +129,7 @@
 	return moves
 }
 
+// rankSlots returns the experts in the slots of one rank.
 func (p *Placement) rankSlots(r int) []int32 {
 	return p.Slots[r*p.SlotsPerRank : (r+1)*p.SlotsPerRank]
 }
--- a/decide/balance/popularity.go
+++ b/decide/balance/popularity.go
@@ -2,38 +2,39 @@
 
 import "math"
 
-// popularityTracker follows how often the experts of all sets of layers are chosen.
+// popularityTracker tracks how often the experts of all sets of layers are chosen.
 //
-// Load: each pass chooses a few dozen experts a rank, so that what is seen of some passes is
-// noisy; and popularityTracker that changes at once, every few seconds. Harm prevented: experts
-// copied after noise, and an average that mixes the popularityTracker before a change with the one
-// after it and places for neither. The noise is measured, so that a change stands out by
-// more than it, whatever the size of the group.
+// Each pass chooses a few dozen experts per rank, so that counts of a few passes are noisy, and
+// popularity can change abruptly every few seconds. Without a separation of the two, experts would
+// be copied because of noise, and the average would mix the popularity before and after a change
+// and produce maps that fit neither. The noise is measured, so that a change is detected by
+// exceeding it, whatever the size of the group.
 type popularityTracker struct {
-	// fractions are the fractions of all tokens of each expert, by set.
+	// fractions holds each expert's fraction of all tokens, by set.
 	fractions [][]float64
-	// passes is the number of passes that the average stands for.
+	// passes is the number of passes that the average represents.
 	passes float64
-	// noise is the usual distance of one pass from the average; zero for unknown.
+	// noise is the average distance of one pass from the average popularity; zero while unknown.
 	noise float64
 }
 
 const (
-	// maxAveragedPasses is the number of passes that are averaged at most: with more, slow drift is
-	// followed late, with fewer the average is noise itself.
+	// maxAveragedPasses limits the number of passes that are averaged: with more, the average lags
+	// behind slow drift; with fewer, it is dominated by noise.
 	maxAveragedPasses = 32
-	// minChangeDistance is the distance in parts of all tokens up to which nothing counts as a change.
+	// minChangeDistance is the distance, as a fraction of all tokens, up to which nothing counts as
+	// a change.
 	minChangeDistance = 0.05
-	// changeToNoiseRatio is how many times farther than usual a change is. The distances of samples
-	// that differ by noise alone spread by a few hundredths of their mean.
+	// changeToNoiseRatio is how many times the expected distance counts as a change. The distances
+	// of samples that differ by noise alone vary by a few hundredths of their mean.
 	changeToNoiseRatio = 2
-	// noiseWeight is the weight of the newest distance in the usual one.
+	// noiseWeight is the weight of the latest distance in the moving average of the noise.
 	noiseWeight = 0.1
-	// initialNoise stands for the noise of one pass until it is known.
+	// initialNoise is used as the noise of one pass until it is known.
 	initialNoise = 0.2
 )
 
-// observe takes the tokens that each expert got in some passes, by set.
+// observe records the tokens that each expert received in some passes, by set.
 func (p *popularityTracker) observe(passes int64, tokens [][]float64) {
 	sample := make([][]float64, len(tokens))
 	for i, set := range tokens {
@@ -65,6 +66,7 @@
 	}
 }
 
+// expectedNoise returns the measured noise of one pass, or initialNoise while it is unknown.
 func (p *popularityTracker) expectedNoise() float64 {
 	if p.noise == 0 {
 		return initialNoise
@@ -72,13 +74,13 @@
 	return p.noise
 }
 
-// reset begins the average anew. The sample in which popularity changed is of both sides of
-// the reset and stands for one pass only.
+// reset restarts the average. The sample in which the change was detected spans both sides of the
+// change, and therefore counts as one pass only.
 func (p *popularityTracker) reset(sample [][]float64) {
 	p.fractions, p.passes = sample, 1
 }
 
-// normalize returns the parts of all tokens; nil for none.
+// normalize returns the fraction of all tokens that each expert received; nil if there are none.
 func normalize(tokens []float64) []float64 {
 	sum := 0.0
 	for _, n := range tokens {
@@ -94,7 +96,7 @@
 	return fractions
 }
 
-// meanDistance is how far the popularities of all sets are from each other; the mean over the sets.
+// meanDistance returns the mean distance between two popularities over all sets.
 func meanDistance(a, b [][]float64) float64 {
 	sum := 0.0
 	for i := range a {
@@ -103,7 +105,7 @@
 	return sum / float64(len(a))
 }
 
-// distance is how far two popularities are from each other, in parts of all tokens.
+// distance returns the distance between two popularities, as a fraction of all tokens.
 func distance(a, b []float64) float64 {
 	sum := 0.0
 	for expert := range a {
--- a/decide/balance/popularity_test.go
+++ b/decide/balance/popularity_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// drawTokens draws the tokens of some passes, each of which chooses so many experts of a set.
+// drawTokens draws the tokens of some passes, each of which chooses choicesPerPass experts of a
+// set.
 func drawTokens(rng *rand.Rand, popularity [][]float64, passes, choicesPerPass int) [][]float64 {
 	counts := make([][]float64, len(popularity))
 	for i, set := range popularity {
@@ -30,8 +31,8 @@
 	return normalizeSets(zipfCounts(rng, Shape{LayerSets: sets, Experts: experts}, skew))
 }
 
-// A popularity that stays is seen through the noise of single passes: nothing counts as a
-// change, and the average comes far closer to the truth than what was seen last.
+// Guards against noise that is taken for a change. With a constant popularity, the average must be
+// far closer to it than a single pass.
 func TestPopularityThroughNoise(t *testing.T) {
 	for _, choicesPerPass := range []int{100, 480, 3000} {
 		rng := rand.New(rand.NewPCG(4, uint64(choicesPerPass)))
@@ -61,8 +62,8 @@
 	return tokens
 }
 
-// Half of what is liked changes in the middle of a sample. Two samples later the average is
-// of the new popularity: a map made by it does not serve the old one.
+// Half of the popularity changes in the middle of a sample. Two samples later the average must be
+// that of the new popularity, since a map made for the old one does not serve it.
 func TestPopularityChangesAtOnce(t *testing.T) {
 	for _, choicesPerPass := range []int{480, 3000} {
 		rng := rand.New(rand.NewPCG(9, uint64(choicesPerPass)))
--- a/decide/balance/repack.go
+++ b/decide/balance/repack.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Repack returns a placement with as many replicas of each expert as its popularity
-// calls for, keeping every replica that stands where it can stay. It moves more than
-// Improve and far less than Full.
+// Repack returns a placement with the number of replicas of each expert that its popularity calls
+// for. It keeps each replica in its slot where possible, and so moves more than Improve and far
+// fewer than PlaceFromScratch.
 //
-// Load: a drift that has gone so far that no single step of Improve makes the busiest
-// rank lighter. Harm prevented: staying there for good.
+// It serves when the popularity has drifted so far that no single step of Improve relieves the
+// busiest rank. Without it the group would keep that skew.
 func Repack(p *Placement, d Demand, target float64, maxMoves int) *Placement {
 	wanted := apportionReplicas(d.Popularity, len(p.Slots), p.Ranks)
 	r := &repacking{p: p.Clone(), popularity: d.Popularity, slowdowns: d.slowdownsOf(p.Ranks), wanted: wanted}
@@ -17,7 +17,7 @@
 	return Improve(r.p, d, target, maxMoves)
 }
 
-// emptySlot marks a slot whose replica has been given up.
+// emptySlot marks a slot whose replica was dropped.
 const emptySlot = int32(-1)
 
 type repacking struct {
@@ -25,14 +25,14 @@
 	popularity []float64
 	slowdowns  []float64
 	wanted     []int32
-	times      []float64 // of each rank
+	times      []float64 // by rank
 }
 
 func (r *repacking) unitLoad(expert int32) float64 {
 	return r.popularity[expert] / float64(r.wanted[expert])
 }
 
-// computeTimes counts the ranks' times as if every expert had the replicas wanted.
+// computeTimes computes the ranks' times as if every expert had the wanted number of replicas.
 func (r *repacking) computeTimes() {
 	r.times = make([]float64, r.p.Ranks)
 	for slot, expert := range r.p.Slots {
@@ -40,14 +40,13 @@
 	}
 }
 
-// addLoad counts tokens that come to a slot's rank, or leave it.
+// addLoad adds load to the rank of a slot; a negative load is removed.
 func (r *repacking) addLoad(slot int, load float64) {
 	rank := slot / r.p.SlotsPerRank
 	r.times[rank] += r.slowdowns[rank] * load
 }
 
-// removeSurplus gives up the replicas that are too many, those on the busiest ranks
-// first.
+// removeSurplus drops surplus replicas, those on the busiest ranks first.
 func (r *repacking) removeSurplus() {
 	for expert, held := range r.p.Replicas() {
 		for held > r.wanted[expert] {
@@ -72,8 +71,8 @@
 	return best
 }
 
-// fillDeficits stands the missing replicas, busiest first, on the least busy ranks
-// that have room.
+// fillDeficits places the missing replicas, busiest first, on the least busy ranks with empty
+// slots.
 func (r *repacking) fillDeficits() {
 	for _, expert := range r.missing() {
 		slot := r.leastBusySlotFor(expert)
@@ -82,6 +81,7 @@
 	}
 }
 
+// missing returns the experts of the missing replicas, busiest first.
 func (r *repacking) missing() []int32 {
 	held := make([]int32, r.p.Experts)
 	for _, expert := range r.p.Slots {
@@ -107,8 +107,8 @@
 	return missing
 }
 
-// leastBusySlotFor returns the empty slot on the least busy rank, one that does not hold
-// the expert if there is any.
+// leastBusySlotFor returns the empty slot on the least busy rank, preferring ranks that do not hold
+// the expert.
 func (r *repacking) leastBusySlotFor(expert int32) int {
 	best, bestHolds := -1, true
 	for slot, held := range r.p.Slots {
--- a/decide/balance/scratch.go
+++ b/decide/balance/scratch.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// PlaceFromScratch returns the best placement for a demand regardless of where anything stands
-// now. It is the yardstick for skew, and the first placement of a group that knows its
-// popularity; as a way to follow drift it moves nearly everything each time.
+// PlaceFromScratch returns the best placement for a demand, regardless of the current one. It is
+// the reference for skew, and the first placement of a group whose popularity is known. It is not
+// suited to follow drift, since it moves nearly every expert each time.
 //
-// Replicas go one by one to the expert whose replicas are busiest; then the busiest
-// replicas are stood first, each on the least busy rank that has room.
+// Replicas are assigned one by one to the expert whose replicas are busiest. The replicas are then
+// placed, busiest first, each on the least busy rank with a free slot.
 func PlaceFromScratch(d Demand, ranks, slotsPerRank int) (*Placement, error) {
 	popularity, slowdowns := d.Popularity, d.slowdownsOf(ranks)
 	p, err := NewPlacement(len(popularity), ranks, slotsPerRank)
@@ -48,8 +48,8 @@
 	return Improve(p, d, 1, len(p.Slots)), nil
 }
 
-// apportionReplicas gives each expert one replica and the rest to the busiest; no expert gets
-// more than one for each rank, while others can take one.
+// apportionReplicas gives each expert one replica and the remaining ones to the busiest experts. No
+// expert gets more than one replica per rank as long as others can take one.
 func apportionReplicas(popularity []float64, slots, ranks int) []int32 {
 	h := &expertHeap{popularity: popularity, replicas: make([]int32, len(popularity))}
 	for expert := range popularity {
@@ -59,14 +59,14 @@
 	heap.Init(h)
 	for remaining := slots - len(popularity); remaining > 0; {
 		if h.Len() == 0 {
-			// Every rank has every expert; the slots left over must hold something.
+			// Every rank has every expert; the remaining slots still have to hold something.
 			h.replicas[remaining%len(popularity)]++
 			remaining--
 			continue
 		}
 		top := h.order[0]
 		if int(h.replicas[top]) >= ranks {
-			// Every rank has it. Nothing is gained by a second on one rank.
+			// Every rank has it; a second replica on one rank gains nothing.
 			heap.Pop(h)
 			continue
 		}
@@ -101,7 +101,7 @@
 	return last
 }
 
-// rankHeap orders ranks that have room by load, least busy first.
+// rankHeap orders the ranks with free slots by load, least busy first.
 type rankHeap struct {
 	loads []float64
 	order []int
@@ -127,8 +127,8 @@
 	return last
 }
 
-// popFor takes out the least busy rank that does not hold the expert yet, or the least
-// busy one if all that have room do.
+// popFor removes and returns the least busy rank that does not hold the expert yet, or the least
+// busy rank if all with free slots hold it.
 func (h *rankHeap) popFor(expert int32, p *Placement, used []int) int {
 	var skipped []int
 	defer func() {
--- a/decide/balance/sequence.go
+++ b/decide/balance/sequence.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// layerSearch searches the placements of all sets of layers at once, with a bound on what each
-// rank copies over all of them that is raised step by step.
+// layerSearch searches the placements of all sets of layers together, with a limit on the copies of
+// each rank over all sets that is raised step by step.
 //
-// Load: popularity that changes at once, in a group whose ranks copy one expert after the
-// other, whatever set of layers it belongs to. Harm prevented: a rank that copies one expert
-// for each set while only one set keeps the group waiting.
+// Popularity changes abruptly, and a rank copies one expert after the other, whichever set it
+// belongs to. Without the common limit, a rank would copy one expert per set while only one set
+// delays the group.
 type layerSearch struct {
 	sets   []*search
 	copies copyCounts
 	target float64
 }
 
-// newLayerSearch begins with the placements in use. idle is the expert that fills free slots.
+// newLayerSearch returns a search that starts from the current placements. filler is the expert
+// that occupies free slots.
 func newLayerSearch(from []*Placement, demands []Demand, maxNewExperts int, target float64, filler int32) *layerSearch {
 	q := &layerSearch{target: target, copies: copyCounts{byRank: make([]int, from[0].Ranks)}}
 	for i, p := range from {
@@ -28,11 +29,11 @@
 	return q
 }
 
-// maxStepMoves is the most moves of one step of the search: an exchange takes two.
+// maxStepMoves is the maximum number of moves in one step of the search: an exchange takes two.
 const maxStepMoves = 2
 
-// raiseCopyLimit lets each rank copy one expert more and improves the placements as far as that
-// allows. It returns false when nothing became better.
+// raiseCopyLimit lets each rank copy one more expert and improves the placements as far as that
+// allows. It returns false when nothing improved.
 func (q *layerSearch) raiseCopyLimit() bool {
 	q.copies.maxPerRank++
 	better := false
@@ -54,8 +55,8 @@
 	}
 }
 
-// worstSet returns the set whose passes are longest against the ideal among those whose search
-// has not ended, or -1.
+// worstSet returns the set with the largest stretch above the target among those whose search is
+// not exhausted, or -1.
 func (q *layerSearch) worstSet(exhausted []bool) int {
 	worst, highest := -1, q.target
 	for i, s := range q.sets {
@@ -66,7 +67,7 @@
 	return worst
 }
 
-// stretch is the mean over all sets.
+// stretch returns the mean stretch over all sets.
 func (q *layerSearch) stretch() float64 {
 	sum := 0.0
 	for _, s := range q.sets {
@@ -75,7 +76,7 @@
 	return sum / float64(len(q.sets))
 }
 
-// stretch is the time of a step over that of an ideal placement.
+// stretch returns the time of a step relative to that of an ideal placement.
 func (s *search) stretch() float64 {
 	if s.idealTime == 0 {
 		return 1
@@ -84,16 +85,16 @@
 	return peak / s.idealTime
 }
 
-// candidate is what a sequence comes to with one bound.
+// candidate is the result of a search at one copy limit.
 type candidate struct {
 	placements []*Placement
 	stretch    float64
-	// maxCopies is the most that one rank maxCopies.
+	// maxCopies is the maximum number of experts that one rank copies.
 	maxCopies int
 }
 
-// candidates returns what the sequence comes to as the bound is raised up to most, beginning with
-// the placements in use, until nothing becomes better.
+// candidates returns the results of the search as the copy limit is raised up to maxCopies,
+// starting with the current placements, until nothing improves.
 func (q *layerSearch) candidates(maxCopies int) []candidate {
 	all := []candidate{q.candidate()}
 	for len(all) <= maxCopies && q.raiseCopyLimit() {
@@ -102,6 +103,7 @@
 	return all
 }
 
+// candidate returns the current state of the search.
 func (q *layerSearch) candidate() candidate {
 	c := candidate{stretch: q.stretch(), maxCopies: slices.Max(q.copies.byRank)}
 	for _, s := range q.sets {
@@ -110,18 +112,17 @@
 	return c
 }
 
-// timing is how long changes take, and how long a placement is expected to fit.
+// timing says how long copies and switches take, and how long a placement is expected to fit.
 type timing struct {
 	copyTime, switchTime, horizon time.Duration
 }
 
-// cost is the time that passes take over the horizon, in that of ideal ones, when every
-// change from now on goes as many plans ahead as the first.
+// cost returns the time that passes take over the horizon, relative to ideal passes, when every
+// change from now on advances by stride candidates.
 //
-// Load: popularity that will change again within seconds. Harm prevented: a large change for
-// which the group waits longest at its slowest, where small ones that follow each other
-// relieve it step by step; and small ones where copies take no time and each change costs
-// some passes.
+// Popularity changes again within seconds. In a large change the group stays slow until all copies
+// are done, where several small ones relieve it step by step. If copies are fast, small changes are
+// worse, since each switch costs some passes.
 func (t timing) cost(candidates []candidate, stride int) float64 {
 	cost, left := 0.0, t.horizon.Seconds()
 	current := 0
@@ -136,7 +137,7 @@
 	return cost + candidates[current].stretch*left
 }
 
-// cheapestStride returns how many plans ahead the next change should go; zero for no change.
+// cheapestStride returns how many candidates the next change should advance by; zero for no change.
 func (t timing) cheapestStride(candidates []candidate) int {
 	best, lowest := 0, t.cost(candidates, 0)
 	for stride := 1; stride < len(candidates); stride++ {
--- a/decide/balance/sequence_test.go
+++ b/decide/balance/sequence_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// meanSkewOver follows one group after its popularity has changed at once, and returns the mean
-// skew of its passes over the span. at chooses how many plans ahead each change goes.
+// meanSkewOver plans changes for one group after an abrupt change of popularity and returns the
+// mean skew of its passes over the span. chooseStride returns how many candidates each change
+// advances by.
 func meanSkewOver(t *testing.T, l *LayerPlanner, maps []LayerMap, span time.Duration, chooseStride func(timing, []candidate) int) float64 {
 	t.Helper()
 	sum, left := 0.0, span
@@ -29,10 +30,9 @@
 	return (sum + l.Skew(maps)*left.Seconds()) / span.Seconds()
 }
 
-// Popularity changes at once, on engines whose copies take from a hundredth of a second to
-// over a second, in groups of several shapes. Over the next seconds the group does about as
-// well as with the best fixed size of a change, whatever the engines: neither the smallest
-// change nor the largest is right for all.
+// Guards against changes that are too small or too large for the engines. Popularity changes
+// abruptly, and a copy takes from a hundredth of a second to over a second, in groups of several
+// shapes. Over the next seconds the skew must be close to that of the best fixed size of change.
 func TestSizeOfAChangeFollowsTheCopies(t *testing.T) {
 	shapes := []Shape{
 		{LayerSets: 3, Experts: 96, Ranks: 12, SlotsPerRank: 11, MaxNewExperts: 4},
@@ -65,8 +65,8 @@
 	}
 }
 
-// Of three sets of layers one keeps the group waiting. A rank copies experts of that one
-// only, and the copies of the others' experts do not delay the relief.
+// One of three sets of layers delays the group. Ranks must copy experts of that set only: copies
+// for the others would delay the relief.
 func TestCopiesGoWhereTheGroupWaits(t *testing.T) {
 	shape := Shape{LayerSets: 3, Experts: 48, Ranks: 8, SlotsPerRank: 8, MaxNewExperts: 4}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: 400 * time.Millisecond})
@@ -89,9 +89,9 @@
 	}
 }
 
-// Each change waits for passes that take most of a second, as with one rank many times slower.
-// The first change then copies more than where passes are short, and less of the time goes by
-// between changes.
+// Each change waits for passes that take most of a second, as with one rank that is many times
+// slower. The first change must then copy more than with short passes, so that less time is spent
+// on switching.
 func TestLongPassesMakeLargerChanges(t *testing.T) {
 	shape := Shape{LayerSets: 3, Experts: 96, Ranks: 12, SlotsPerRank: 11, MaxNewExperts: 4}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{CopyTime: 80 * time.Millisecond})
