--- a/cmd/measure/domains.go
+++ b/cmd/measure/domains.go
@@ -32,13 +32,13 @@
 var moves = []move{
 	{
 		name:   "mark",
-		leave:  func(r *loadtest.Run) { r.Mark(loadtest.Domains[0], true) },
-		goBack: func(r *loadtest.Run) { r.Mark(loadtest.Domains[0], false) },
+		leave:  func(r *loadtest.Run) { r.MarkDomain(loadtest.Domains[0], true) },
+		goBack: func(r *loadtest.Run) { r.MarkDomain(loadtest.Domains[0], false) },
 	},
 	{
 		name:   "death",
-		leave:  func(r *loadtest.Run) { r.Kill(loadtest.Domains[0]) },
-		goBack: func(r *loadtest.Run) { r.Revive(loadtest.Domains[0]) },
+		leave:  func(r *loadtest.Run) { r.KillDomain(loadtest.Domains[0]) },
+		goBack: func(r *loadtest.Run) { r.ReviveDomain(loadtest.Domains[0]) },
 	},
 }
 
@@ -57,7 +57,7 @@
 // domains measures service while a failure domain leaves and returns.
 func domains() string {
 	policies := []loadtest.Policy{
-		loadtest.Own(), loadtest.Second(), loadtest.First(), loadtest.FullShare(), loadtest.RoundRobin(), loadtest.LeastConnections(),
+		loadtest.CurrentPolicy(), loadtest.SecondVersionPolicy(), loadtest.FirstVersionPolicy(), loadtest.FullShareOnReturnPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy(),
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "12 backend servers in 3 failure domains, 8 entries, 10 customers; virtual time; sum of %d seeded runs. "+
@@ -81,9 +81,9 @@
 		sum := measureMove(p, l, m)
 		t.add(
 			p.Name, percent(sum.before), percent(sum.out), percent(sum.after),
-			fmt.Sprintf("%d / %d / %d of %d", sum.lost.Refused, sum.lost.Late, sum.lost.Failed, sum.lost.Asked),
-			fmt.Sprint(sum.cost.Unresumed), ms(sum.before), ratio(sum.out, sum.before), ratio(sum.after, sum.before),
-			fmt.Sprint(sum.cost.Overloads), fmt.Sprint(sum.cost.Falls), sum.back,
+			fmt.Sprintf("%d / %d / %d of %d", sum.lost.Refused, sum.lost.Late, sum.lost.Failed, sum.lost.Requests),
+			fmt.Sprint(sum.cost.LostInFlight), ms(sum.before), ratio(sum.out, sum.before), ratio(sum.after, sum.before),
+			fmt.Sprint(sum.cost.Overloads), fmt.Sprint(sum.cost.Crashes), sum.back,
 		)
 	}
 	return t.String()
@@ -117,15 +117,15 @@
 
 // playMove plays one run in which a failure domain leaves and returns.
 func playMove(p loadtest.Policy, l load, m move, seed uint64) *loadtest.Run {
-	setup := loadtest.Today(p, l.part)
+	setup := loadtest.ReferenceSetup(p, l.part)
 	setup.Seed = seed
 	for i := range setup.Customers {
-		setup.Customers[i].Repeatable = 0.5
+		setup.Customers[i].RepeatableFraction = 0.5
 	}
 	r := loadtest.New(setup)
 	r.At(leaveAt, func() { m.leave(r) })
 	r.At(returnAt, func() { m.goBack(r) })
-	r.Until(endAt)
+	r.RunUntil(endAt)
 	return r
 }
 
@@ -155,14 +155,14 @@
 	return (returnAt - leaveAt).Seconds() + 1
 }
 
-func percent(o loadtest.Outcome) string { return fmt.Sprintf("%.2f%%", 100*o.Share()) }
+func percent(o loadtest.Outcome) string { return fmt.Sprintf("%.2f%%", 100*o.FractionInTime()) }
 
 func ms(o loadtest.Outcome) string {
-	return fmt.Sprintf("%d ms", loadtest.Quantile(o.First, 0.95).Milliseconds())
+	return fmt.Sprintf("%d ms", loadtest.Quantile(o.TimeToFirstToken, 0.95).Milliseconds())
 }
 
 func ratio(o, before loadtest.Outcome) string {
-	quiet := loadtest.Quantile(before.First, 0.95)
-	now := loadtest.Quantile(o.First, 0.95)
+	quiet := loadtest.Quantile(before.TimeToFirstToken, 0.95)
+	now := loadtest.Quantile(o.TimeToFirstToken, 0.95)
 	return fmt.Sprintf("%.2f×", float64(now)/float64(max(quiet, 1)))
 }
--- a/cmd/measure/load.go
+++ b/cmd/measure/load.go
@@ -9,7 +9,7 @@
 
 // underLoad measures what callers see in each scenario.
 func underLoad() string {
-	policies := []loadtest.Policy{loadtest.Own(), loadtest.Second(), loadtest.First(), loadtest.RoundRobin(), loadtest.LeastConnections()}
+	policies := []loadtest.Policy{loadtest.CurrentPolicy(), loadtest.SecondVersionPolicy(), loadtest.FirstVersionPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy()}
 	var b strings.Builder
 	b.WriteString("8 entries, 12 backend servers, 10 customers, deadlines of 10 s (30 s for the mix of sizes); virtual time, " +
 		"one seeded run each. \"Others\" are the nine customers beside the one that asks for too much.\n")
@@ -26,24 +26,24 @@
 	}}
 	for _, p := range policies {
 		r := s.Run(p, 1)
-		from, to := s.Settled(), s.Until()
+		from, to := s.MeasureFrom(), s.MeasureUntil()
 		all := r.Outcome("", from, to)
 		others := r.Outcome("", from, to)
-		others.Subtract(r.Outcome(loadtest.Hog, from, to))
+		others.Subtract(r.Outcome(loadtest.GreedyCustomer, from, to))
 		cost := r.Cost()
 		t.add(
 			p.Name, percent(all), percent(others),
-			fmt.Sprintf("%d / %d / %d of %d", all.Refused, all.Late, all.Failed, all.Asked),
+			fmt.Sprintf("%d / %d / %d of %d", all.Refused, all.Late, all.Failed, all.Requests),
 			fmt.Sprintf("%.0f", r.Goodput(from, to)),
 			fmt.Sprintf("%d / %d / %d", quantile(all, 0.5), quantile(all, 0.95), quantile(all, 0.99)),
-			fmt.Sprint(loadtest.Quantile(all.Between, 0.95).Milliseconds()),
-			fmt.Sprint(loadtest.Quantile(all.ToRefusal, 0.95).Milliseconds()),
-			fmt.Sprintf("%.0f", cost.Wasted.Seconds()), fmt.Sprint(cost.Overloads), fmt.Sprint(cost.Falls),
+			fmt.Sprint(loadtest.Quantile(all.TimePerToken, 0.95).Milliseconds()),
+			fmt.Sprint(loadtest.Quantile(all.TimeToRefusal, 0.95).Milliseconds()),
+			fmt.Sprintf("%.0f", cost.WastedTime.Seconds()), fmt.Sprint(cost.Overloads), fmt.Sprint(cost.Crashes),
 		)
 	}
 	return t.String()
 }
 
 func quantile(o loadtest.Outcome, q float64) int64 {
-	return loadtest.Quantile(o.First, q).Milliseconds()
+	return loadtest.Quantile(o.TimeToFirstToken, q).Milliseconds()
 }
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -26,7 +26,7 @@
 		XAxis:      chart.XAxis{Name: "second; the failure domain is out from 80 to 110", ValueFormatter: chart.IntValueFormatter},
 		YAxis:      chart.YAxis{Name: "answers in time a second", ValueFormatter: chart.IntValueFormatter, Range: &chart.ContinuousRange{Min: 0, Max: 160}},
 	}
-	for _, p := range []loadtest.Policy{loadtest.Own(), loadtest.FullShare(), loadtest.RoundRobin(), loadtest.LeastConnections()} {
+	for _, p := range []loadtest.Policy{loadtest.CurrentPolicy(), loadtest.FullShareOnReturnPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy()} {
 		graph.Series = append(graph.Series, goodputSeries(p))
 	}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -21,13 +21,13 @@
 	WorkTime() time.Duration
 }
 
-// pacer is a limiter that takes the times between the parts of a stream too.
-type pacer interface {
+// gapObserver is a limiter that takes the times between the parts of a stream too.
+type gapObserver interface {
 	Gap(now, gap time.Duration, p *cold.Pace)
 }
 
-// faller is a limiter that says when what waits is better handed back.
-type faller interface {
+// queueReturner is a limiter that says when what waits is better handed back.
+type queueReturner interface {
 	Fallen() bool
 }
 
@@ -37,27 +37,27 @@
 	backend *backend
 	limit   limiter
 	queue   *queue.Queue
-	waiting map[uint64]*attempt
-	// shares says that the queue goes by customers' shares.
-	shares bool
-	// out says that operators have marked the VM or its domain; dead, that the VM
+	queued  map[uint64]*attempt
+	// fairQueue says that the queue goes by customers' fairQueue.
+	fairQueue bool
+	// outOfService says that operators have marked the VM or its domain; dead, that the VM
 	// is gone.
-	out, dead bool
+	outOfService, dead bool
 }
 
 // attempt is one request at one agent.
 type attempt struct {
 	*request
-	id    uint64
-	agent *agent
-	entry *entry
-	work  *work
-	began time.Duration
-	over  bool
+	id        uint64
+	agent     *agent
+	entry     *entry
+	work      *work
+	startedAt time.Duration
+	closed    bool
 }
 
-// usualQueue is the default length of an agent's queue.
-const usualQueue = 12
+// defaultQueueLength is the default length of an agent's queue.
+const defaultQueueLength = 12
 
 func newAgent(c *clock, spec Backend, limit limiter, length int) *agent {
 	return &agent{
@@ -65,28 +65,28 @@
 		backend: newBackend(c, spec),
 		limit:   limit,
 		queue:   queue.New(length),
-		waiting: make(map[uint64]*attempt),
+		queued:  make(map[uint64]*attempt),
 	}
 }
 
-// take runs an attempt, lets it wait, or refuses it.
-func (a *agent) take(t *attempt) {
+// handle runs an attempt, lets it wait, or refuses it.
+func (a *agent) handle(t *attempt) {
 	item := queue.Item{ID: t.id, Deadline: t.deadline, Need: a.limit.WorkTime()}
-	if a.shares {
+	if a.fairQueue {
 		item.Share, item.Weight = t.customer, t.weight
 	}
 	switch {
 	case a.dead:
 		// Nothing answers: the entry finds out by silence.
-	case a.out:
-		t.refused(api.ResultCode_OUT_OF_SERVICE)
+	case a.outOfService:
+		t.handleRefusal(api.ResultCode_OUT_OF_SERVICE)
 	case a.queue.Len() == 0 && a.limit.TryStart(a.clock.now):
 		a.start(t)
 	case a.limit.WorkTime() == 0:
 		// Nobody knows yet how long a wait here would be.
-		t.refused(api.ResultCode_COLD)
+		t.handleRefusal(api.ResultCode_COLD)
 	case a.queue.Push(a.clock.now, item):
-		a.waiting[t.id] = t
+		a.queued[t.id] = t
 	default:
 		a.displace(t, item)
 	}
@@ -94,33 +94,33 @@
 
 // displace lets an attempt wait in place of one that is further beyond its share.
 func (a *agent) displace(t *attempt, item queue.Item) {
-	out, ok := a.queue.Displace(a.clock.now, item)
+	displaced, ok := a.queue.Displace(a.clock.now, item)
 	if !ok {
-		t.refused(api.ResultCode_SATURATED)
+		t.handleRefusal(api.ResultCode_SATURATED)
 		return
 	}
-	a.waiting[t.id] = t
-	victim := a.waiting[out.ID]
-	delete(a.waiting, out.ID)
-	victim.refused(api.ResultCode_SATURATED)
+	a.queued[t.id] = t
+	victim := a.queued[displaced.ID]
+	delete(a.queued, displaced.ID)
+	victim.handleRefusal(api.ResultCode_SATURATED)
 }
 
 func (a *agent) start(t *attempt) {
-	t.began = a.clock.now
+	t.startedAt = a.clock.now
 	onFirst := func() {
-		a.limit.Observe(a.clock.now, a.clock.now-t.began)
-		t.firstToken()
+		a.limit.Observe(a.clock.now, a.clock.now-t.startedAt)
+		t.handleFirstToken()
 	}
-	t.work = a.backend.run(t.toFirst, t.toEnd, onFirst, a.onPart(), func(failed bool) {
-		a.limit.Done(a.clock.now, cold.Outcome{Took: a.clock.now - t.began, Failed: failed, Observed: t.work.gotFirst})
-		t.ended(failed)
-		a.next()
+	t.work = a.backend.run(t.timeToFirstToken, t.timeToEnd, onFirst, a.partObserver(), func(failed bool) {
+		a.limit.Done(a.clock.now, cold.Outcome{Took: a.clock.now - t.startedAt, Failed: failed, Observed: t.work.hasFirstToken})
+		t.handleEnd(failed)
+		a.startQueued()
 	})
 }
 
-// onPart tells the limiter the pace of one stream; nil when it does not ask.
-func (a *agent) onPart() func() {
-	p, ok := a.limit.(pacer)
+// partObserver tells the limiter the pace of one stream; nil when it does not ask.
+func (a *agent) partObserver() func() {
+	p, ok := a.limit.(gapObserver)
 	if !ok {
 		return nil
 	}
@@ -135,32 +135,32 @@
 	}
 }
 
-// next starts what waits, once there is room.
-func (a *agent) next() {
+// startQueued starts what waits, once there is room.
+func (a *agent) startQueued() {
 	now := a.clock.now
 	for _, item := range a.queue.Expired(now) {
-		t := a.waiting[item.ID]
-		delete(a.waiting, item.ID)
-		t.refused(api.ResultCode_DEADLINE_UNREACHABLE)
+		t := a.queued[item.ID]
+		delete(a.queued, item.ID)
+		t.handleRefusal(api.ResultCode_DEADLINE_UNREACHABLE)
 	}
-	if f, ok := a.limit.(faller); ok && f.Fallen() {
-		a.giveBack()
+	if f, ok := a.limit.(queueReturner); ok && f.Fallen() {
+		a.returnQueued()
 	}
 	for a.queue.Len() > 0 && a.limit.TryStart(now) {
 		item, _ := a.queue.Pop()
-		t := a.waiting[item.ID]
-		delete(a.waiting, item.ID)
+		t := a.queued[item.ID]
+		delete(a.queued, item.ID)
 		a.start(t)
 	}
 }
 
-// giveBack hands what waits back to the entries: far more runs than its
+// returnQueued hands what waits back to the entries: far more runs than its
 // limit allows.
-func (a *agent) giveBack() {
-	for item, waits := a.queue.Pop(); waits; item, waits = a.queue.Pop() {
-		t := a.waiting[item.ID]
-		delete(a.waiting, item.ID)
-		t.refused(api.ResultCode_COLD)
+func (a *agent) returnQueued() {
+	for item, isQueued := a.queue.Pop(); isQueued; item, isQueued = a.queue.Pop() {
+		t := a.queued[item.ID]
+		delete(a.queued, item.ID)
+		t.handleRefusal(api.ResultCode_COLD)
 	}
 }
 
@@ -169,31 +169,31 @@
 	if a.dead {
 		return
 	}
-	if _, waits := a.queue.Remove(t.id); waits {
-		delete(a.waiting, t.id)
+	if _, isQueued := a.queue.Remove(t.id); isQueued {
+		delete(a.queued, t.id)
 		return
 	}
 	if t.work != nil {
 		a.backend.cancel(t.work)
-		a.limit.Done(a.clock.now, cold.Outcome{Cancelled: true, Observed: t.work.gotFirst})
-		a.next()
+		a.limit.Done(a.clock.now, cold.Outcome{Cancelled: true, Observed: t.work.hasFirstToken})
+		a.startQueued()
 	}
 }
 
-func (a *agent) report(full int) place.Report {
+func (a *agent) report(fullLimit int) place.Report {
 	return place.Report{
-		Limit: a.limit.Limit(), FullLimit: full, Running: a.limit.Running(),
-		Queued: a.queue.Len(), WorkTime: a.limit.WorkTime(), Refusing: a.out,
+		Limit: a.limit.Limit(), FullLimit: fullLimit, Running: a.limit.Running(),
+		Queued: a.queue.Len(), WorkTime: a.limit.WorkTime(), Refusing: a.outOfService,
 	}
 }
 
-// fixedLimit is the baseline limiter: always the full limit.
-type fixedLimit struct {
+// fixedLimiter is the baseline limiter: always the full limit.
+type fixedLimiter struct {
 	full, running int
-	work          time.Duration
+	workTime      time.Duration
 }
 
-func (f *fixedLimit) TryStart(time.Duration) bool {
+func (f *fixedLimiter) TryStart(time.Duration) bool {
 	if f.running >= f.full {
 		return false
 	}
@@ -201,17 +201,17 @@
 	return true
 }
 
-func (f *fixedLimit) Observe(_, _ time.Duration) {}
+func (f *fixedLimiter) Observe(_, _ time.Duration) {}
 
-func (f *fixedLimit) Done(_ time.Duration, o cold.Outcome) {
+func (f *fixedLimiter) Done(_ time.Duration, o cold.Outcome) {
 	f.running--
 	if o.Took > 0 {
-		f.work = o.Took
+		f.workTime = o.Took
 	}
 }
 
-func (f *fixedLimit) Tick(time.Duration)      {}
-func (f *fixedLimit) AssumeCold()             {}
-func (f *fixedLimit) Limit() int              { return f.full }
-func (f *fixedLimit) Running() int            { return f.running }
-func (f *fixedLimit) WorkTime() time.Duration { return f.work }
+func (f *fixedLimiter) Tick(time.Duration)      {}
+func (f *fixedLimiter) AssumeCold()             {}
+func (f *fixedLimiter) Limit() int              { return f.full }
+func (f *fixedLimiter) Running() int            { return f.running }
+func (f *fixedLimiter) WorkTime() time.Duration { return f.workTime }
--- a/decide/loadtest/backend.go
+++ b/decide/loadtest/backend.go
@@ -5,115 +5,115 @@
 // Backend describes one fake backend server.
 type Backend struct {
 	VM, Domain string
-	// Full is the number of requests it bears at once when warm, Cold in cold start.
-	Full, Cold int
-	// WarmAfter is the number of completions after which it is warm.
-	WarmAfter int
-	// Slow divides its speed; 0 means 1.
-	Slow float64
-	// Step says that it warms up in one step after WarmAfter completions, and not
+	// WarmCapacity is the number of requests it bears at once when warm, ColdCapacity in cold start.
+	WarmCapacity, ColdCapacity int
+	// WarmAfterCompletions is the number of completions after which it is warm.
+	WarmAfterCompletions int
+	// Slowdown divides its speed; 0 means 1.
+	Slowdown float64
+	// WarmsInOneStep says that it warms up in one step after WarmAfter completions, and not
 	// a little with each.
-	Step bool
+	WarmsInOneStep bool
 	// StartsWarm says that it is warm at the start of the run.
 	StartsWarm bool
 }
 
 // Limits of the fake. They are assumptions, not measurements of an engine.
 const (
-	// batchCost is how much of its time each request loses to a full batch.
-	batchCost = 0.5
+	// batchOverhead is how much of its time each request loses to a full batch.
+	batchOverhead = 0.5
 	// coldSpeed is the speed at the first request of cold start.
 	coldSpeed = 0.2
-	// fallAfter is the number of requests that a cold backend server takes beyond
+	// overloadsUntilCrash is the number of requests that a cold backend server takes beyond
 	// what it bears before it falls over.
-	fallAfter = 8
-	// downFor is the time that a restart after falling over takes.
-	downFor = 5 * time.Second
+	overloadsUntilCrash = 8
+	// restartTime is the time that a restart after falling over takes.
+	restartTime = 5 * time.Second
 	// partTime is the service time between two parts of a stream, one token.
-	partTime = usualEnd / tokens
+	partTime = defaultTimeToEnd / tokensPerAnswer
 )
 
 // backend runs work at one speed for all it holds, as continuous batching does.
 type backend struct {
 	Backend
-	clock   *clock
-	works   []*work
-	done    int
-	down    bool
-	deadBox bool
-	// strain counts requests beyond what it bears, since it last bore its load.
-	strain int
+	clock       *clock
+	running     []*work
+	completions int
+	down        bool
+	vmDead      bool
+	// consecutiveOverloads counts requests beyond what it bears, since it last bore its load.
+	consecutiveOverloads int
 	// progress is the virtual service time given to each work so far.
-	progress  time.Duration
-	updated   time.Duration
-	rate      float64
-	wake      uint64
-	overloads int
-	falls     int
-	wasted    time.Duration
+	progress       time.Duration
+	updatedAt      time.Duration
+	rate           float64
+	wakeGeneration uint64
+	overloads      int
+	crashes        int
+	wastedTime     time.Duration
 }
 
 // work is one request at a backend server.
 type work struct {
-	start, first, finish time.Duration
-	gotFirst             bool
-	onFirst              func()
+	startedAt, firstTokenAt, finishAt time.Duration
+	hasFirstToken                     bool
+	onFirstToken                      func()
 	// onPart tells of each part of the stream after the first token; nil for nobody.
-	onPart func()
-	part   time.Duration
-	onDone func(failed bool)
+	onPart     func()
+	nextPartAt time.Duration
+	onDone     func(failed bool)
 }
 
 func newBackend(c *clock, spec Backend) *backend {
-	if spec.Slow == 0 {
-		spec.Slow = 1
+	if spec.Slowdown == 0 {
+		spec.Slowdown = 1
 	}
 	b := &backend{Backend: spec, clock: c}
 	if spec.StartsWarm {
-		b.done = spec.WarmAfter
+		b.completions = spec.WarmAfterCompletions
 	}
 	return b
 }
 
 func (b *backend) warmth() float64 {
-	if b.Step && b.done < b.WarmAfter {
+	if b.WarmsInOneStep && b.completions < b.WarmAfterCompletions {
 		return 0
 	}
-	return min(float64(b.done)/float64(max(b.WarmAfter, 1)), 1)
+	return min(float64(b.completions)/float64(max(b.WarmAfterCompletions, 1)), 1)
 }
 
-// bears is the number of requests it bears at once now.
-func (b *backend) bears() int {
-	return b.Cold + int(float64(b.Full-b.Cold)*b.warmth())
+// capacity is the number of requests it capacity at once now.
+func (b *backend) capacity() int {
+	return b.ColdCapacity + int(float64(b.WarmCapacity-b.ColdCapacity)*b.warmth())
 }
 
 func (b *backend) speed() float64 {
-	running := float64(len(b.works))
+	runningCount := float64(len(b.running))
 	warm := coldSpeed + (1-coldSpeed)*b.warmth()
-	batch := 1 + batchCost*running/float64(b.Full)
-	crowd := max(running/float64(b.bears()), 1)
-	return warm / batch / crowd / b.Slow
+	batch := 1 + batchOverhead*runningCount/float64(b.WarmCapacity)
+	overload := max(runningCount/float64(b.capacity()), 1)
+	return warm / batch / overload / b.Slowdown
 }
 
 // run begins a piece of work that needs so much time, alone, to its first token
 // and from there to its end.
-func (b *backend) run(toFirst, toEnd time.Duration, onFirst, onPart func(), onDone func(failed bool)) *work {
+func (b *backend) run(timeToFirstToken, timeToEnd time.Duration, onFirstToken, onPart func(), onDone func(failed bool)) *work {
 	b.advance()
-	w := &work{start: b.progress, first: b.progress + toFirst, finish: b.progress + toFirst + toEnd, onFirst: onFirst, onPart: onPart, onDone: onDone}
-	w.part = w.first + partTime
-	if b.down || b.deadBox {
+	w := &work{startedAt: b.progress, firstTokenAt: b.progress + timeToFirstToken, finishAt: b.progress + timeToFirstToken + timeToEnd, onFirstToken: onFirstToken, onPart: onPart, onDone: onDone}
+	w.nextPartAt = w.firstTokenAt + partTime
+	if b.down || b.vmDead {
 		b.clock.after(time.Millisecond, func() { onDone(true) })
 		return w
 	}
-	if len(b.works) >= b.bears() && b.warmth() < 1 {
+	if len(b.running) >= b.capacity() && b.warmth() < 1 {
 		b.overloads++
-		b.strain++
+		b.consecutiveOverloads++
 	} else {
-		b.strain = 0
+		b.consecutiveOverloads = 0
 	}
-	b.works = append(b.works, w)
-	if b.strain > fallAfter {
-		b.fallOver()
+	b.running = append(b.running, w)
+	if b.consecutiveOverloads > overloadsUntilCrash {
+		b.crash()
 		return w
 	}
 	b.schedule()
@@ -122,10 +122,10 @@
 
 func (b *backend) cancel(w *work) {
 	b.advance()
-	for i, other := range b.works {
+	for i, other := range b.running {
 		if other == w {
-			b.wasted += b.progress - w.start
-			b.works = append(b.works[:i], b.works[i+1:]...)
+			b.wastedTime += b.progress - w.startedAt
+			b.running = append(b.running[:i], b.running[i+1:]...)
 			break
 		}
 	}
@@ -135,112 +135,112 @@
 // turnCold makes a warm backend server cold without telling anybody.
 func (b *backend) turnCold() {
 	b.advance()
-	b.done = 0
-	b.strain = 0
+	b.completions = 0
+	b.consecutiveOverloads = 0
 	b.schedule()
 }
 
 // slowDown divides the speed from now on.
-func (b *backend) slowDown(by float64) {
+func (b *backend) slowDown(factor float64) {
 	b.advance()
-	b.Slow = by
+	b.Slowdown = factor
 	b.schedule()
 }
 
 // die ends the VM: what it held gets no answer at all.
 func (b *backend) die() {
 	b.advance()
-	b.loseAll(nil)
-	b.deadBox = true
+	b.dropAll(nil)
+	b.vmDead = true
 }
 
 // revive brings a dead VM back, in cold start.
 func (b *backend) revive() {
-	b.deadBox, b.down, b.done, b.strain = false, false, 0, 0
+	b.vmDead, b.down, b.completions, b.consecutiveOverloads = false, false, 0, 0
 }
 
-func (b *backend) fallOver() {
-	b.falls++
+func (b *backend) crash() {
+	b.crashes++
 	b.down = true
-	b.done = 0
-	b.strain = 0
-	b.loseAll(func(w *work) { w.onDone(true) })
-	b.clock.after(downFor, func() { b.down = false })
+	b.completions = 0
+	b.consecutiveOverloads = 0
+	b.dropAll(func(w *work) { w.onDone(true) })
+	b.clock.after(restartTime, func() { b.down = false })
 }
 
-func (b *backend) loseAll(tell func(w *work)) {
-	lost := b.works
-	b.works = nil
-	b.wake++
+func (b *backend) dropAll(notify func(w *work)) {
+	lost := b.running
+	b.running = nil
+	b.wakeGeneration++
 	for _, w := range lost {
-		b.wasted += b.progress - w.start
-		if tell != nil {
-			b.clock.after(time.Millisecond, func() { tell(w) })
+		b.wastedTime += b.progress - w.startedAt
+		if notify != nil {
+			b.clock.after(time.Millisecond, func() { notify(w) })
 		}
 	}
 }
 
 // advance brings progress up to now at the speed that held since the last change.
 func (b *backend) advance() {
-	b.progress += time.Duration(b.rate * float64(b.clock.now-b.updated))
-	b.updated = b.clock.now
+	b.progress += time.Duration(b.rate * float64(b.clock.now-b.updatedAt))
+	b.updatedAt = b.clock.now
 }
 
 // schedule sets the speed anew and waits for the next token or end.
 func (b *backend) schedule() {
-	b.wake++
-	if len(b.works) == 0 {
+	b.wakeGeneration++
+	if len(b.running) == 0 {
 		b.rate = 0
 		return
 	}
 	b.rate = b.speed()
-	next := b.works[0].next()
-	for _, w := range b.works[1:] {
-		next = min(next, w.next())
+	next := b.running[0].nextEvent()
+	for _, w := range b.running[1:] {
+		next = min(next, w.nextEvent())
 	}
-	wake := b.wake
+	generation := b.wakeGeneration
 	b.clock.after(time.Duration(float64(next-b.progress)/b.rate)+1, func() {
-		if wake == b.wake {
-			b.step()
+		if generation == b.wakeGeneration {
+			b.deliverDue()
 		}
 	})
 }
 
-func (w *work) next() time.Duration {
+func (w *work) nextEvent() time.Duration {
 	switch {
-	case !w.gotFirst:
-		return w.first
+	case !w.hasFirstToken:
+		return w.firstTokenAt
 	case w.onPart != nil:
-		return min(w.part, w.finish)
+		return min(w.nextPartAt, w.finishAt)
 	default:
-		return w.finish
+		return w.finishAt
 	}
 }
 
-// step tells of the first tokens, parts and ends that have come.
-func (b *backend) step() {
+// deliverDue tells of the first tokens, parts and ends that have come.
+func (b *backend) deliverDue() {
 	b.advance()
-	var first, parts, ended, left []*work
-	for _, w := range b.works {
-		if !w.gotFirst && b.progress >= w.first {
-			w.gotFirst = true
+	var first, parts, ended, remaining []*work
+	for _, w := range b.running {
+		if !w.hasFirstToken && b.progress >= w.firstTokenAt {
+			w.hasFirstToken = true
 			first = append(first, w)
 		}
-		if w.gotFirst && w.onPart != nil && b.progress >= w.part && b.progress < w.finish {
-			w.part += partTime
+		if w.hasFirstToken && w.onPart != nil && b.progress >= w.nextPartAt && b.progress < w.finishAt {
+			w.nextPartAt += partTime
 			parts = append(parts, w)
 		}
-		if b.progress >= w.finish {
+		if b.progress >= w.finishAt {
 			ended = append(ended, w)
 		} else {
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
 	}
-	b.works = left
-	b.done += len(ended)
+	b.running = remaining
+	b.completions += len(ended)
 	b.schedule()
 	for _, w := range first {
-		w.onFirst()
+		w.onFirstToken()
 	}
 	for _, w := range parts {
 		w.onPart()
--- a/decide/loadtest/baseline.go
+++ b/decide/loadtest/baseline.go
@@ -20,25 +20,25 @@
 	Spare(offer string, now time.Duration) (free, capacity int)
 }
 
-// plain is what the baselines share: they know who is up and nothing of load.
-type plain struct {
-	vms     []string
-	domains map[string]string
-	weights map[string]float64
-	suspect map[string]bool
-	own     map[string]int
-	least   bool
-	at      int
+// baselinePicker is what the baselines share: they know who is up and nothing of load.
+type baselinePicker struct {
+	vms              []string
+	domains          map[string]string
+	weights          map[string]float64
+	suspect          map[string]bool
+	inFlight         map[string]int
+	leastConnections bool
+	nextIndex        int
 }
 
-func newPlain(least bool) *plain {
-	return &plain{
+func newBaselinePicker(leastConnections bool) *baselinePicker {
+	return &baselinePicker{
 		domains: map[string]string{}, weights: map[string]float64{},
-		suspect: map[string]bool{}, own: map[string]int{}, least: least,
+		suspect: map[string]bool{}, inFlight: map[string]int{}, leastConnections: leastConnections,
 	}
 }
 
-func (p *plain) Set(servers []place.Server) {
+func (p *baselinePicker) Set(servers []place.Server) {
 	for _, s := range servers {
 		p.vms = append(p.vms, s.VM)
 		p.domains[s.VM] = s.Domain
@@ -46,32 +46,32 @@
 	}
 }
 
-func (p *plain) SetDomainWeight(domain string, weight float64)     { p.weights[domain] = weight }
-func (p *plain) Report(string, time.Duration, place.Report)        {}
-func (p *plain) Suspect(vm string, suspect bool)                   { p.suspect[vm] = suspect }
-func (p *plain) Started(vm string, _ time.Duration)                { p.own[vm]++ }
-func (p *plain) Ended(vm string, _ time.Duration, _ place.Outcome) { p.own[vm]-- }
-func (p *plain) Spare(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
+func (p *baselinePicker) SetDomainWeight(domain string, weight float64)     { p.weights[domain] = weight }
+func (p *baselinePicker) Report(string, time.Duration, place.Report)        {}
+func (p *baselinePicker) Suspect(vm string, suspect bool)                   { p.suspect[vm] = suspect }
+func (p *baselinePicker) Started(vm string, _ time.Duration)                { p.inFlight[vm]++ }
+func (p *baselinePicker) Ended(vm string, _ time.Duration, _ place.Outcome) { p.inFlight[vm]-- }
+func (p *baselinePicker) Spare(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
 
 // Pick is round robin, or least connections with round robin between equals.
-func (p *plain) Pick(_ time.Duration, req place.Request) (string, api.ResultCode) {
+func (p *baselinePicker) Pick(_ time.Duration, req place.Request) (string, api.ResultCode) {
 	best := ""
 	for range p.vms {
-		vm := p.vms[p.at%len(p.vms)]
-		p.at++
+		vm := p.vms[p.nextIndex%len(p.vms)]
+		p.nextIndex++
 		if p.suspect[vm] || p.weights[p.domains[vm]] < 1 || slices.Contains(req.Avoid, vm) {
 			continue
 		}
-		if !p.least {
+		if !p.leastConnections {
 			return vm, api.ResultCode_OK
 		}
-		if best == "" || p.own[vm] < p.own[best] {
+		if best == "" || p.inFlight[vm] < p.inFlight[best] {
 			best = vm
 		}
 	}
 	if best == "" {
 		return "", api.ResultCode_NO_BACKEND
 	}
-	p.at++
+	p.nextIndex++
 	return best, api.ResultCode_OK
 }
--- a/decide/loadtest/clock.go
+++ b/decide/loadtest/clock.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// until runs all events up to a time.
-func (c *clock) until(end time.Duration) {
+// runUntil runs all events up to a time.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
--- a/decide/loadtest/first.go
+++ b/decide/loadtest/first.go
@@ -6,87 +6,89 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// firstLimit is the first version of package cold, kept as a baseline: it doubled
+// firstVersionLimiter is the first version of package cold, kept as a baseline: it doubled
 // the limit once the whole of it had completed twice at good latency, and judged
 // each latency by itself.
-type firstLimit struct {
-	coldLimit, full       int
-	limit, running        int
-	usual, work, progress time.Duration
-	slowRun, goodRun      int
+type firstVersionLimiter struct {
+	coldLimit, fullLimit                          int
+	limit, running                                int
+	averageLatency, averageWorkTime, lastProgress time.Duration
+	consecutiveSlow, consecutiveGood              int
 }
 
 const (
-	firstSlowFactor = 3
-	firstSlowRun    = 3
-	firstRounds     = 2
-	firstStall      = 2 * time.Second
+	firstSlowFactor         = 3
+	firstMaxConsecutiveSlow = 3
+	firstGoodRounds         = 2
+	firstStallTimeout       = 2 * time.Second
 )
 
-func newFirstLimit(c cold.Config) *firstLimit {
-	return &firstLimit{coldLimit: c.Cold, full: c.Full, limit: c.Cold}
+func newFirstVersionLimiter(c cold.Config) *firstVersionLimiter {
+	return &firstVersionLimiter{coldLimit: c.Cold, fullLimit: c.Full, limit: c.Cold}
 }
 
-func (f *firstLimit) TryStart(now time.Duration) bool {
+func (f *firstVersionLimiter) TryStart(now time.Duration) bool {
 	f.Tick(now)
 	if f.running >= f.limit {
 		return false
 	}
 	if f.running == 0 {
-		f.progress = now
+		f.lastProgress = now
 	}
 	f.running++
 	return true
 }
 
-func (f *firstLimit) Observe(now, latency time.Duration) {
-	f.progress = now
-	if f.usual > 0 && latency > firstSlowFactor*f.usual {
-		f.bad()
+func (f *firstVersionLimiter) Observe(now, latency time.Duration) {
+	f.lastProgress = now
+	if f.averageLatency > 0 && latency > firstSlowFactor*f.averageLatency {
+		f.recordSlow()
 		return
 	}
-	f.usual = mix(f.usual, latency)
-	f.slowRun = 0
-	f.goodRun++
-	if f.limit < f.full && f.goodRun >= firstRounds*f.limit {
-		f.goodRun = 0
-		f.limit = min(2*f.limit, f.full)
+	f.averageLatency = movingAverage(f.averageLatency, latency)
+	f.consecutiveSlow = 0
+	f.consecutiveGood++
+	if f.limit < f.fullLimit && f.consecutiveGood >= firstGoodRounds*f.limit {
+		f.consecutiveGood = 0
+		f.limit = min(2*f.limit, f.fullLimit)
 	}
 }
 
-func (f *firstLimit) Done(now time.Duration, o cold.Outcome) {
+func (f *firstVersionLimiter) Done(now time.Duration, o cold.Outcome) {
 	f.running--
 	switch {
 	case o.Cancelled:
 	case o.Failed:
-		f.bad()
+		f.recordSlow()
 	default:
-		f.progress = now
-		f.work = mix(f.work, o.Took)
+		f.lastProgress = now
+		f.averageWorkTime = movingAverage(f.averageWorkTime, o.Took)
 	}
 }
 
-func (f *firstLimit) Tick(now time.Duration) {
-	if f.running > 0 && now-f.progress > max(firstStall, 4*f.work) {
+func (f *firstVersionLimiter) Tick(now time.Duration) {
+	if f.running > 0 && now-f.lastProgress > max(firstStallTimeout, 4*f.averageWorkTime) {
 		f.AssumeCold()
-		f.progress = now
+		f.lastProgress = now
 	}
 }
 
-func (f *firstLimit) bad() {
-	f.goodRun = 0
-	f.slowRun++
-	if f.slowRun >= firstSlowRun {
+func (f *firstVersionLimiter) recordSlow() {
+	f.consecutiveGood = 0
+	f.consecutiveSlow++
+	if f.consecutiveSlow >= firstMaxConsecutiveSlow {
 		f.AssumeCold()
 	}
 }
 
-func (f *firstLimit) AssumeCold()             { f.limit, f.slowRun, f.goodRun = f.coldLimit, 0, 0 }
-func (f *firstLimit) Limit() int              { return f.limit }
-func (f *firstLimit) Running() int            { return f.running }
-func (f *firstLimit) WorkTime() time.Duration { return f.work }
+func (f *firstVersionLimiter) AssumeCold() {
+	f.limit, f.consecutiveSlow, f.consecutiveGood = f.coldLimit, 0, 0
+}
+func (f *firstVersionLimiter) Limit() int              { return f.limit }
+func (f *firstVersionLimiter) Running() int            { return f.running }
+func (f *firstVersionLimiter) WorkTime() time.Duration { return f.averageWorkTime }
 
-func mix(average, value time.Duration) time.Duration {
+func movingAverage(average, value time.Duration) time.Duration {
 	if average == 0 {
 		return value
 	}
--- a/decide/loadtest/outcome.go
+++ b/decide/loadtest/outcome.go
@@ -7,58 +7,58 @@
 
 // Outcome is what callers saw of the requests that arrived in some time.
 type Outcome struct {
-	Asked, InTime, Late, Refused, Failed int
-	// Asks counts requests with those asked again after a refusal.
-	Asks int
-	// First, Between and ToRefusal are sorted times to the first token, between
+	Requests, InTime, Late, Refused, Failed int
+	// Submissions counts requests with those asked again after a refusal.
+	Submissions int
+	// TimeToFirstToken, TimePerToken and TimeToRefusal are sorted times to the first token, between
 	// tokens, and to refusals.
-	First, Between, ToRefusal []time.Duration
-	// Codes counts refusals by code.
-	Codes map[string]int
+	TimeToFirstToken, TimePerToken, TimeToRefusal []time.Duration
+	// RefusalsByCode counts refusals by code.
+	RefusalsByCode map[string]int
 }
 
 // Outcome sums up one customer's requests, or all for an empty name, that arrived
 // in [from, to).
 func (r *Run) Outcome(customer string, from, to time.Duration) Outcome {
-	out := Outcome{Codes: map[string]int{}}
+	out := Outcome{RefusalsByCode: map[string]int{}}
 	for _, q := range r.requests {
-		if q.arrived < from || q.arrived >= to || customer != "" && q.customer != customer {
+		if q.arrivedAt < from || q.arrivedAt >= to || customer != "" && q.customer != customer {
 			continue
 		}
 		out.add(q)
 	}
-	slices.Sort(out.First)
-	slices.Sort(out.Between)
-	slices.Sort(out.ToRefusal)
+	slices.Sort(out.TimeToFirstToken)
+	slices.Sort(out.TimePerToken)
+	slices.Sort(out.TimeToRefusal)
 	return out
 }
 
 func (o *Outcome) add(q *request) {
-	o.Asked++
-	o.Asks += q.asked
+	o.Requests++
+	o.Submissions += q.submissions
 	switch q.result {
 	case inTime:
 		o.InTime++
-		o.First = append(o.First, q.first-q.arrived)
-		o.Between = append(o.Between, (q.end-q.first)/tokens)
+		o.TimeToFirstToken = append(o.TimeToFirstToken, q.firstTokenAt-q.arrivedAt)
+		o.TimePerToken = append(o.TimePerToken, (q.endedAt-q.firstTokenAt)/tokensPerAnswer)
 	case refused:
 		o.Refused++
-		o.ToRefusal = append(o.ToRefusal, q.end-q.arrived)
-		o.Codes[q.code.String()]++
+		o.TimeToRefusal = append(o.TimeToRefusal, q.endedAt-q.arrivedAt)
+		o.RefusalsByCode[q.code.String()]++
 	case failed:
 		o.Failed++
 	case late:
 		o.Late++
-	case open:
+	case unfinished:
 	}
 }
 
-// Share is the part of the requests that were answered whole and in time.
-func (o Outcome) Share() float64 {
-	if o.Asked == 0 {
+// FractionInTime is the part of the requests that were answered whole and in time.
+func (o Outcome) FractionInTime() float64 {
+	if o.Requests == 0 {
 		return 1
 	}
-	return float64(o.InTime) / float64(o.Asked)
+	return float64(o.InTime) / float64(o.Requests)
 }
 
 // Quantile returns the value below which a part q of sorted times lie.
@@ -73,7 +73,7 @@
 func (r *Run) Goodput(from, to time.Duration) float64 {
 	count := 0
 	for _, q := range r.requests {
-		if q.result == inTime && q.end >= from && q.end < to {
+		if q.result == inTime && q.endedAt >= from && q.endedAt < to {
 			count++
 		}
 	}
@@ -83,39 +83,39 @@
 // Cost is what the run cost the backend servers.
 type Cost struct {
 	// Overloads counts requests given to a cold backend server beyond what it
-	// bears; Falls, how often one fell over.
-	Overloads, Falls int
-	// Wasted is service time, alone, of work that gave no answer.
-	Wasted time.Duration
-	// Unresumed counts requests in flight at a VM that died that may not repeat.
-	Unresumed int
+	// bears; Crashes, how often one fell over.
+	Overloads, Crashes int
+	// WastedTime is service time, alone, of work that gave no answer.
+	WastedTime time.Duration
+	// LostInFlight counts requests in flight at a VM that died that may not repeat.
+	LostInFlight int
 }
 
 // Cost sums up all backend servers.
 func (r *Run) Cost() Cost {
-	c := Cost{Unresumed: r.unresumed}
+	c := Cost{LostInFlight: r.lostInFlight}
 	for _, a := range r.agents {
 		c.Overloads += a.backend.overloads
-		c.Falls += a.backend.falls
-		c.Wasted += a.backend.wasted
+		c.Crashes += a.backend.crashes
+		c.WastedTime += a.backend.wastedTime
 	}
 	return c
 }
 
 // Merge adds the outcome of another run.
 func (o *Outcome) Merge(other Outcome) {
-	o.Asked += other.Asked
+	o.Requests += other.Requests
 	o.InTime += other.InTime
 	o.Late += other.Late
 	o.Refused += other.Refused
 	o.Failed += other.Failed
-	o.Asks += other.Asks
-	o.First = merge(o.First, other.First)
-	o.Between = merge(o.Between, other.Between)
-	o.ToRefusal = merge(o.ToRefusal, other.ToRefusal)
+	o.Submissions += other.Submissions
+	o.TimeToFirstToken = mergeSorted(o.TimeToFirstToken, other.TimeToFirstToken)
+	o.TimePerToken = mergeSorted(o.TimePerToken, other.TimePerToken)
+	o.TimeToRefusal = mergeSorted(o.TimeToRefusal, other.TimeToRefusal)
 }
 
-func merge(a, b []time.Duration) []time.Duration {
+func mergeSorted(a, b []time.Duration) []time.Duration {
 	all := append(a, b...)
 	slices.Sort(all)
 	return all
@@ -124,14 +124,14 @@
 // Merge adds the cost of another run.
 func (c *Cost) Merge(other Cost) {
 	c.Overloads += other.Overloads
-	c.Falls += other.Falls
-	c.Wasted += other.Wasted
-	c.Unresumed += other.Unresumed
+	c.Crashes += other.Crashes
+	c.WastedTime += other.WastedTime
+	c.LostInFlight += other.LostInFlight
 }
 
 // Subtract takes the counts of a part away; the times stay.
 func (o *Outcome) Subtract(part Outcome) {
-	o.Asked -= part.Asked
+	o.Requests -= part.Requests
 	o.InTime -= part.InTime
 	o.Late -= part.Late
 	o.Refused -= part.Refused
--- a/decide/loadtest/outcome_test.go
+++ b/decide/loadtest/outcome_test.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// want is what callers must see in a scenario. Zero values are not checked.
-type want struct {
+// expectation is what callers must see in a scenario. Zero values are not checked.
+type expectation struct {
 	scenario string
-	// others is the least part of the requests answered in time of every customer
-	// but the hog; all the same of every customer.
-	others, all float64
-	// goodput is the least part of the capacity that ends in answers in time.
-	goodput float64
-	// first and refusal bound the 95th percentiles of the times to the first token
-	// and to a refusal.
-	first, refusal time.Duration
-	// late and overloads are the most allowed.
-	late, overloads int
+	// othersInTime is the least part of the requests answered in time of every customer
+	// but the hog; allInTime the same of every customer.
+	othersInTime, allInTime float64
+	// minGoodput is the least part of the capacity that ends in answers in time.
+	minGoodput float64
+	// firstTokenP95 and refusalP95 bound the 95th percentiles of the times to the firstTokenP95 token
+	// and to a refusalP95.
+	firstTokenP95, refusalP95 time.Duration
+	// maxLate and maxOverloads are the most allowed.
+	maxLate, maxOverloads int
 }
 
-// atOnce is a refusal without a wait: the time of a round trip to an agent.
-const atOnce = 10 * time.Millisecond
+// withoutWait is a refusal without a wait: the time of a round trip to an agent.
+const withoutWait = 10 * time.Millisecond
 
-var wants = []want{
-	{scenario: "steady, 70%", all: 1, first: 400 * time.Millisecond},
-	{scenario: "burst: one customer, 4 times the capacity for 2 s", others: 1, refusal: atOnce},
-	{scenario: "skew: one customer at 50 times its share", others: 1, goodput: 0.97, refusal: atOnce},
-	{scenario: "one backend server 10 times slower", all: 0.998, first: 450 * time.Millisecond, late: 3},
-	{scenario: "1 request in 20 is 8 times as long", all: 1},
-	{scenario: "reports 2 s old, 80%", all: 1, first: 370 * time.Millisecond},
-	{scenario: "saturation, 100%", first: 1500 * time.Millisecond, all: 0.95, goodput: 0.97, refusal: atOnce, late: 10},
-	{scenario: "saturation, 150%", first: 2200 * time.Millisecond, goodput: 0.97, refusal: atOnce, late: 50},
-	{scenario: "saturation, 200%", first: 2400 * time.Millisecond, goodput: 0.97, refusal: atOnce, late: 50},
-	{scenario: "saturation, 400%", first: 3 * time.Second, goodput: 0.97, refusal: atOnce, late: 50},
-	{scenario: "retry storm at 150%", goodput: 0.97, late: 150},
+var expectations = []expectation{
+	{scenario: "steady, 70%", allInTime: 1, firstTokenP95: 400 * time.Millisecond},
+	{scenario: "burst: one customer, 4 times the capacity for 2 s", othersInTime: 1, refusalP95: withoutWait},
+	{scenario: "skew: one customer at 50 times its share", othersInTime: 1, minGoodput: 0.97, refusalP95: withoutWait},
+	{scenario: "one backend server 10 times slower", allInTime: 0.998, firstTokenP95: 450 * time.Millisecond, maxLate: 3},
+	{scenario: "1 request in 20 is 8 times as long", allInTime: 1},
+	{scenario: "reports 2 s old, 80%", allInTime: 1, firstTokenP95: 370 * time.Millisecond},
+	{scenario: "saturation, 100%", firstTokenP95: 1500 * time.Millisecond, allInTime: 0.95, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 10},
+	{scenario: "saturation, 150%", firstTokenP95: 2200 * time.Millisecond, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
+	{scenario: "saturation, 200%", firstTokenP95: 2400 * time.Millisecond, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
+	{scenario: "saturation, 400%", firstTokenP95: 3 * time.Second, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
+	{scenario: "retry storm at 150%", minGoodput: 0.97, maxLate: 150},
 	// An engine that answers at a level pace until it is warm gives no sign by which
 	// to know when. The first probes cost some overloads; they must not repeat.
-	{scenario: "all new and cold, warm in one step, 30%", all: 0.6, late: 30, overloads: 12},
+	{scenario: "all new and cold, warm in one step, 30%", allInTime: 0.6, maxLate: 30, maxOverloads: 12},
 	// Between the moment that a warm backend server turns cold and the first sign
 	// of it no limit can know; 12 of them get some 6 requests each in that time.
-	{scenario: "all backend servers turn cold, 50%", all: 0.65, late: 100, overloads: 80},
+	{scenario: "all backend servers turn cold, 50%", allInTime: 0.65, maxLate: 100, maxOverloads: 80},
 }
 
 func TestOutcomesUnderLoad(t *testing.T) {
@@ -48,46 +48,46 @@
 	for _, s := range Scenarios {
 		byName[s.Name] = s
 	}
-	if len(wants) != len(byName) {
-		t.Fatalf("%d scenarios are checked of %d", len(wants), len(byName))
+	if len(expectations) != len(byName) {
+		t.Fatalf("%d scenarios are checked of %d", len(expectations), len(byName))
 	}
-	for _, w := range wants {
+	for _, w := range expectations {
 		for _, seed := range []uint64{1, 2} {
 			t.Run(w.scenario, func(t *testing.T) {
 				t.Parallel()
 				s := byName[w.scenario]
-				w.check(t, s, s.Run(Own(), seed))
+				w.check(t, s, s.Run(CurrentPolicy(), seed))
 			})
 		}
 	}
 }
 
-func (w want) check(t *testing.T, s Scenario, r *Run) {
+func (w expectation) check(t *testing.T, s Scenario, r *Run) {
 	t.Helper()
-	from, to := s.Settled(), s.Until()
+	from, to := s.MeasureFrom(), s.MeasureUntil()
 	all := r.Outcome("", from, to)
-	if all.Share() < w.all {
-		t.Errorf("%.4f of all in time, want %.4f: %+v", all.Share(), w.all, all.Codes)
+	if all.FractionInTime() < w.allInTime {
+		t.Errorf("%.4f of all in time, want %.4f: %+v", all.FractionInTime(), w.allInTime, all.RefusalsByCode)
 	}
 	for _, c := range r.setup.Customers {
-		if o := r.Outcome(c.Name, from, to); c.Name != Hog && o.Share() < w.others {
-			t.Errorf("%s: %.4f in time, want %.4f: %+v", c.Name, o.Share(), w.others, o.Codes)
+		if o := r.Outcome(c.Name, from, to); c.Name != GreedyCustomer && o.FractionInTime() < w.othersInTime {
+			t.Errorf("%s: %.4f in time, want %.4f: %+v", c.Name, o.FractionInTime(), w.othersInTime, o.RefusalsByCode)
 		}
 	}
-	if part := r.Goodput(from, to) / Capacity(r.setup.Backends); part < w.goodput {
-		t.Errorf("goodput is %.3f of the capacity, want %.3f", part, w.goodput)
+	if part := r.Goodput(from, to) / Capacity(r.setup.Backends); part < w.minGoodput {
+		t.Errorf("goodput is %.3f of the capacity, want %.3f", part, w.minGoodput)
 	}
-	if first := Quantile(all.First, 0.95); w.first > 0 && first > w.first {
-		t.Errorf("first token p95 %v, want %v", first, w.first)
+	if first := Quantile(all.TimeToFirstToken, 0.95); w.firstTokenP95 > 0 && first > w.firstTokenP95 {
+		t.Errorf("first token p95 %v, want %v", first, w.firstTokenP95)
 	}
-	if refusal := Quantile(all.ToRefusal, 0.95); w.refusal > 0 && refusal > w.refusal {
-		t.Errorf("time to refusal p95 %v, want %v", refusal, w.refusal)
+	if refusal := Quantile(all.TimeToRefusal, 0.95); w.refusalP95 > 0 && refusal > w.refusalP95 {
+		t.Errorf("time to refusal p95 %v, want %v", refusal, w.refusalP95)
 	}
-	if all.Late > w.late {
-		t.Errorf("%d late, want %d at most", all.Late, w.late)
+	if all.Late > w.maxLate {
+		t.Errorf("%d late, want %d at most", all.Late, w.maxLate)
 	}
-	if cost := r.Cost(); cost.Overloads > w.overloads {
-		t.Errorf("%d overloads of cold backend servers, want %d at most", cost.Overloads, w.overloads)
+	if cost := r.Cost(); cost.Overloads > w.maxOverloads {
+		t.Errorf("%d overloads of cold backend servers, want %d at most", cost.Overloads, w.maxOverloads)
 	}
 }
 
@@ -97,23 +97,23 @@
 func TestAllColdRecovers(t *testing.T) {
 	t.Parallel()
 	s := Scenarios[len(Scenarios)-1]
-	for _, p := range []Policy{Own(), RoundRobin()} {
+	for _, p := range []Policy{CurrentPolicy(), RoundRobinPolicy()} {
 		r := s.Run(p, 1)
-		back := r.Outcome("", s.Until()-20*time.Second, s.Until())
-		own := p.Name == Own().Name
-		if own && back.Share() < 0.999 {
-			t.Errorf("%s: %.4f in time at the end", p.Name, back.Share())
+		back := r.Outcome("", s.MeasureUntil()-20*time.Second, s.MeasureUntil())
+		own := p.Name == CurrentPolicy().Name
+		if own && back.FractionInTime() < 0.999 {
+			t.Errorf("%s: %.4f in time at the end", p.Name, back.FractionInTime())
 		}
-		if !own && back.Share() > 0.1 {
-			t.Errorf("%s: %.4f in time: the fake is too kind to show anything", p.Name, back.Share())
+		if !own && back.FractionInTime() > 0.1 {
+			t.Errorf("%s: %.4f in time: the fake is too kind to show anything", p.Name, back.FractionInTime())
 		}
 	}
 }
 
 const (
-	leave = 50 * time.Second
-	back  = 70 * time.Second
-	end   = 110 * time.Second
+	domainOutAt  = 50 * time.Second
+	domainBackAt = 70 * time.Second
+	runEnd       = 110 * time.Second
 )
 
 // Operators mark a failure domain out at 70% of what the others bear, and bring it
@@ -121,15 +121,15 @@
 // backend server gets more than it bears, and first tokens come about as soon.
 func TestMarkedDomainCostsNothing(t *testing.T) {
 	t.Parallel()
-	r := moveDomain(func(r *Run) { r.Mark("a", true) }, func(r *Run) { r.Mark("a", false) })
-	quiet, moved := r.Outcome("", settled, leave), r.Outcome("", leave, end)
-	if moved.InTime != moved.Asked {
-		t.Errorf("lost: %+v %+v", moved.Asked-moved.InTime, moved.Codes)
+	r := moveDomain(func(r *Run) { r.MarkDomain("a", true) }, func(r *Run) { r.MarkDomain("a", false) })
+	quiet, moved := r.Outcome("", warmUpTime, domainOutAt), r.Outcome("", domainOutAt, runEnd)
+	if moved.InTime != moved.Requests {
+		t.Errorf("lost: %+v %+v", moved.Requests-moved.InTime, moved.RefusalsByCode)
 	}
-	if cost := r.Cost(); cost.Overloads != 0 || cost.Falls != 0 {
-		t.Errorf("overloads %d, falls %d", cost.Overloads, cost.Falls)
+	if cost := r.Cost(); cost.Overloads != 0 || cost.Crashes != 0 {
+		t.Errorf("overloads %d, falls %d", cost.Overloads, cost.Crashes)
 	}
-	before, after := Quantile(quiet.First, 0.95), Quantile(moved.First, 0.95)
+	before, after := Quantile(quiet.TimeToFirstToken, 0.95), Quantile(moved.TimeToFirstToken, 0.95)
 	if float64(after) > 1.3*float64(before) {
 		t.Errorf("first token p95 %v, quiet %v", after, before)
 	}
@@ -137,21 +137,21 @@
 
 // A failure domain dies at the same load. Callers lose only what was in flight
 // there and may not be repeated; the rest is sent again once the silence shows.
-func TestDeadDomainCostsOnlyWhatMayNotRepeat(t *testing.T) {
+func TestDeadDomainLosesOnlyNonRepeatableRequests(t *testing.T) {
 	t.Parallel()
-	r := moveDomain(func(r *Run) { r.Kill("a") }, func(r *Run) { r.Revive("a") })
-	o, cost := r.Outcome("", settled, end), r.Cost()
-	if cost.Unresumed == 0 {
+	r := moveDomain(func(r *Run) { r.KillDomain("a") }, func(r *Run) { r.ReviveDomain("a") })
+	o, cost := r.Outcome("", warmUpTime, runEnd), r.Cost()
+	if cost.LostInFlight == 0 {
 		t.Fatal("nothing was in flight: the test shows nothing")
 	}
-	if o.Failed != cost.Unresumed || o.Late+o.Refused != 0 {
-		t.Errorf("failed %d, late %d, refused %d; %d were in flight and may not repeat", o.Failed, o.Late, o.Refused, cost.Unresumed)
+	if o.Failed != cost.LostInFlight || o.Late+o.Refused != 0 {
+		t.Errorf("failed %d, late %d, refused %d; %d were in flight and may not repeat", o.Failed, o.Late, o.Refused, cost.LostInFlight)
 	}
 	asked := 0.0
 	for _, c := range r.setup.Customers {
 		asked += c.Rate
 	}
-	if got := r.Goodput(leave+2*time.Second, leave+4*time.Second); got < 0.9*asked {
+	if got := r.Goodput(domainOutAt+2*time.Second, domainOutAt+4*time.Second); got < 0.9*asked {
 		t.Errorf("goodput %.0f/s two seconds after, %.0f/s asked", got, asked)
 	}
 	if cost.Overloads != 0 {
@@ -160,15 +160,15 @@
 }
 
 func moveDomain(out, in func(*Run)) *Run {
-	setup := Today(Own(), 0.7*2/3)
-	setup.Stop = end
+	setup := ReferenceSetup(CurrentPolicy(), 0.7*2/3)
+	setup.StopArrivalsAt = runEnd
 	for i := range setup.Customers {
-		setup.Customers[i].Repeatable = 0.5
+		setup.Customers[i].RepeatableFraction = 0.5
 	}
 	r := New(setup)
-	r.At(leave, func() { out(r) })
-	r.At(back, func() { in(r) })
-	r.Until(end + 10*time.Second)
+	r.At(domainOutAt, func() { out(r) })
+	r.At(domainBackAt, func() { in(r) })
+	r.RunUntil(runEnd + 10*time.Second)
 	return r
 }
 
@@ -177,29 +177,29 @@
 // times are spread at the pace at which places free up.
 func TestTimeToComeBackIsTrue(t *testing.T) {
 	t.Parallel()
-	setup := Today(Own(), 0.5)
+	setup := ReferenceSetup(CurrentPolicy(), 0.5)
 	burst(&setup)
-	hog := &setup.Customers[len(setup.Customers)-1]
-	hog.Honour = true
-	hog.To = hog.From + time.Second
-	setup.Stop = 70 * time.Second
+	greedy := &setup.Customers[len(setup.Customers)-1]
+	greedy.HonorsRetryAfter = true
+	greedy.To = greedy.From + time.Second
+	setup.StopArrivalsAt = 70 * time.Second
 	r := New(setup)
-	r.Until(100 * time.Second)
-	again, served := 0, 0
+	r.RunUntil(100 * time.Second)
+	retried, served := 0, 0
 	for _, q := range r.requests {
-		if q.asked < 2 {
+		if q.submissions < 2 {
 			continue
 		}
-		again++
+		retried++
 		if q.result == inTime {
 			served++
 		}
 	}
-	if again < 200 {
-		t.Fatalf("%d came back: the test shows nothing", again)
+	if retried < 200 {
+		t.Fatalf("%d came back: the test shows nothing", retried)
 	}
-	if served < again*9/10 {
-		t.Errorf("%d of %d who came back when told were served", served, again)
+	if served < retried*9/10 {
+		t.Errorf("%d of %d who came back when told were served", served, retried)
 	}
 }
 
@@ -208,16 +208,16 @@
 // each time, the backend server would be at its cold limit for seconds.
 func TestMixedSizesAreNotTakenForCold(t *testing.T) {
 	t.Parallel()
-	setup := Today(Own(), 0.5)
-	mixed(&setup)
-	setup.Stop = 120 * time.Second
+	setup := ReferenceSetup(CurrentPolicy(), 0.5)
+	mixedSizes(&setup)
+	setup.StopArrivalsAt = 120 * time.Second
 	r := New(setup)
 	falls, last := 0, map[string]int{}
-	for at := 70 * time.Second; at < setup.Stop; at += 100 * time.Millisecond {
-		r.Until(at)
+	for at := 70 * time.Second; at < setup.StopArrivalsAt; at += 100 * time.Millisecond {
+		r.RunUntil(at)
 		for _, vm := range r.vms {
 			limit := r.agents[vm].limit.Limit()
-			if limit == r.agents[vm].backend.Cold && last[vm] > limit {
+			if limit == r.agents[vm].backend.ColdCapacity && last[vm] > limit {
 				falls++
 			}
 			last[vm] = limit
@@ -234,15 +234,15 @@
 func TestReturnedDomainWarmsUpUnderLoad(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
-		setup := Today(Own(), 0.7)
-		setup.Seed, setup.Stop = seed, end
+		setup := ReferenceSetup(CurrentPolicy(), 0.7)
+		setup.Seed, setup.StopArrivalsAt = seed, runEnd
 		r := New(setup)
-		r.At(leave, func() { r.Mark("a", true) })
-		r.At(back, func() { r.Mark("a", false) })
-		r.Until(end + 10*time.Second)
-		o := r.Outcome("", back+28*time.Second, end)
-		if o.Share() < 0.999 {
-			t.Errorf("seed %d: %d of %d not answered, %+v", seed, o.Asked-o.InTime, o.Asked, o.Codes)
+		r.At(domainOutAt, func() { r.MarkDomain("a", true) })
+		r.At(domainBackAt, func() { r.MarkDomain("a", false) })
+		r.RunUntil(runEnd + 10*time.Second)
+		o := r.Outcome("", domainBackAt+28*time.Second, runEnd)
+		if o.FractionInTime() < 0.999 {
+			t.Errorf("seed %d: %d of %d not answered, %+v", seed, o.Requests-o.InTime, o.Requests, o.RefusalsByCode)
 		}
 		if cost := r.Cost(); cost.Overloads != 0 {
 			t.Errorf("seed %d: %d overloads", seed, cost.Overloads)
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -18,67 +18,67 @@
 	Picker func(rng *rand.Rand) picker
 	// Limiter makes an agent's limiter; nil means always the full limit.
 	Limiter func(c cold.Config, now time.Duration) limiter
-	// Admit and Shift use the packages of those names; false means no admission and
+	// UseAdmission and UseShift use the packages of those names; false means no admission and
 	// no shares in the agents' queues, and whole weight at once.
-	Admit, Shift bool
-	// Admission and Placement are the limits of those packages.
-	Admission admit.Config
-	Placement place.Config
-	// Queue is the length of an agent's queue. Default 12.
-	Queue int
+	UseAdmission, UseShift bool
+	// AdmissionConfig and Placement are the limits of those packages.
+	AdmissionConfig admit.Config
+	PlacementConfig place.Config
+	// QueueLength is the length of an agent's queue. Default 12.
+	QueueLength int
 }
 
-// Own is the policy of this project.
-func Own() Policy {
-	return Policy{Name: "own", Admit: true, Shift: true, Limiter: ownLimiter}
+// CurrentPolicy is the policy of this project.
+func CurrentPolicy() Policy {
+	return Policy{Name: "own", UseAdmission: true, UseShift: true, Limiter: currentLimiter}
 }
 
-func ownLimiter(c cold.Config, now time.Duration) limiter { return cold.New(c, now) }
+func currentLimiter(c cold.Config, now time.Duration) limiter { return cold.New(c, now) }
 
-// Second is the second version of the own policy: its agents see no pace of streams, its
+// SecondVersionPolicy is the second version of the own policy: its agents see no pace of streams, its
 // queues are as long in standing overload as in a burst, it takes late reports at their
 // word, and what waits at an agent stays there when the limit falls.
-func Second() Policy {
-	p := Own()
+func SecondVersionPolicy() Policy {
+	p := CurrentPolicy()
 	p.Name = "own, second version"
-	p.Limiter = func(c cold.Config, now time.Duration) limiter { return paceless{ownLimiter(c, now)} }
-	p.Admission.LastingWait = time.Hour
-	p.Placement.FullTrust = true
-	p.Queue = secondQueue
+	p.Limiter = func(c cold.Config, now time.Duration) limiter { return limiterWithoutGaps{currentLimiter(c, now)} }
+	p.AdmissionConfig.LastingWait = time.Hour
+	p.PlacementConfig.FullTrust = true
+	p.QueueLength = secondVersionQueueLength
 	return p
 }
 
-// secondQueue is the length of an agent's queue in the first two versions.
-const secondQueue = 16
+// secondVersionQueueLength is the length of an agent's queue in the first two versions.
+const secondVersionQueueLength = 16
 
-// paceless hides the pace of streams from a limiter.
-type paceless struct{ limiter }
+// limiterWithoutGaps hides the pace of streams from a limiter.
+type limiterWithoutGaps struct{ limiter }
 
-// First is the first version of the own policy.
-func First() Policy {
-	p := Second()
+// FirstVersionPolicy is the first version of the own policy.
+func FirstVersionPolicy() Policy {
+	p := SecondVersionPolicy()
 	p.Name = "own, first version"
-	p.Limiter = func(c cold.Config, _ time.Duration) limiter { return newFirstLimit(c) }
+	p.Limiter = func(c cold.Config, _ time.Duration) limiter { return newFirstVersionLimiter(c) }
 	return p
 }
 
-// FullShare is the own policy, but a returned domain restarts at its full share
+// FullShareOnReturnPolicy is the own policy, but a returned domain restarts at its full share
 // and its backend servers at their full limit.
-func FullShare() Policy {
-	p := Own()
+func FullShareOnReturnPolicy() Policy {
+	p := CurrentPolicy()
 	p.Name = "own, return at full share"
-	p.Shift, p.Limiter = false, nil
+	p.UseShift, p.Limiter = false, nil
 	return p
 }
 
-// RoundRobin and LeastConnections are the plain policies to compare with.
-func RoundRobin() Policy {
-	return Policy{Name: "round robin", Picker: func(*rand.Rand) picker { return newPlain(false) }}
+// RoundRobinPolicy and LeastConnections are the plain policies to compare with.
+func RoundRobinPolicy() Policy {
+	return Policy{Name: "round robin", Picker: func(*rand.Rand) picker { return newBaselinePicker(false) }}
 }
 
-// LeastConnections sends to where the entry has the least in flight.
-func LeastConnections() Policy {
-	return Policy{Name: "least connections", Picker: func(*rand.Rand) picker { return newPlain(true) }}
+// LeastConnectionsPolicy sends to where the entry has the least in flight.
+func LeastConnectionsPolicy() Policy {
+	return Policy{Name: "least connections", Picker: func(*rand.Rand) picker { return newBaselinePicker(true) }}
 }
 
 // Setup describes a run. Zero times take their defaults.
@@ -89,20 +89,20 @@
 	Backends  []Backend
 	Plans     []admit.PlanShare
 	Customers []Customer
-	// Link is the time one way between VMs, default 1.5 ms.
-	Link time.Duration
-	// ReportEvery and ReportLag are the period and the age on arrival of load
+	// LinkDelay is the time one way between VMs, default 1.5 ms.
+	LinkDelay time.Duration
+	// ReportInterval and ReportDelay are the period and the age on arrival of load
 	// reports, default 200 ms and the link's time.
-	ReportEvery, ReportLag time.Duration
-	// Stop is when callers stop asking; 0 means never.
-	Stop time.Duration
-	// Suspect is the silence after which a VM counts as gone, default 600 ms.
-	Suspect time.Duration
-	// Subset is the number of backend servers that each entry is linked to; 0 for all.
-	Subset int
-	// Favoured is the part of the callers that keep to the first entry; 0 for an even
+	ReportInterval, ReportDelay time.Duration
+	// StopArrivalsAt is when callers stop asking; 0 means never.
+	StopArrivalsAt time.Duration
+	// SuspectAfter is the silence after which a VM counts as gone, default 600 ms.
+	SuspectAfter time.Duration
+	// SubsetSize is the number of backend servers that each entry is linked to; 0 for all.
+	SubsetSize int
+	// FirstEntryFraction is the part of the callers that keep to the first entry; 0 for an even
 	// spread.
-	Favoured float64
+	FirstEntryFraction float64
 }
 
 // Run is one run in virtual time.
@@ -116,29 +116,29 @@
 	domains  []string
 	attempts uint64
 	requests []*request
-	// weights are the customers' shares of the capacity.
-	weights map[string]float64
-	// unresumed counts requests that were in flight at a VM that died, and that
+	// customerWeights are the customers' shares of the capacity.
+	customerWeights map[string]float64
+	// lostInFlight counts requests that were in flight at a VM that died, and that
 	// may not be repeated.
-	unresumed int
-	// entriesOf counts the entries of each backend server when they have subsets.
-	entriesOf map[string]int
+	lostInFlight int
+	// entriesPerServer counts the entries of each backend server when they have subsets.
+	entriesPerServer map[string]int
 }
 
 // New builds a run.
 func New(s Setup) *Run {
-	if s.Link == 0 {
-		s.Link = 1500 * time.Microsecond
+	if s.LinkDelay == 0 {
+		s.LinkDelay = 1500 * time.Microsecond
 	}
-	if s.ReportEvery == 0 {
-		s.ReportEvery = 200 * time.Millisecond
+	if s.ReportInterval == 0 {
+		s.ReportInterval = 200 * time.Millisecond
 	}
-	if s.Suspect == 0 {
-		s.Suspect = 600 * time.Millisecond
+	if s.SuspectAfter == 0 {
+		s.SuspectAfter = 600 * time.Millisecond
 	}
-	s.ReportLag = max(s.ReportLag, s.Link)
+	s.ReportDelay = max(s.ReportDelay, s.LinkDelay)
 	r := &Run{setup: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), agents: make(map[string]*agent)}
-	r.weights = admit.Shares(s.Plans, s.customerShares())
+	r.customerWeights = admit.Shares(s.Plans, s.customerShares())
 	r.addAgents()
 	for i := range s.Entries {
 		r.addEntry(i)
@@ -162,32 +162,32 @@
 	seen := map[string]bool{}
 	for i, spec := range r.setup.Backends {
 		a := r.newAgent(spec)
-		a.shares = r.setup.Policy.Admit
+		a.fairQueue = r.setup.Policy.UseAdmission
 		r.agents[spec.VM] = a
 		r.vms = append(r.vms, spec.VM)
 		if !seen[spec.Domain] {
 			seen[spec.Domain] = true
 			r.domains = append(r.domains, spec.Domain)
 		}
-		stagger := r.setup.ReportEvery * time.Duration(i) / time.Duration(len(r.setup.Backends))
-		r.clock.every(stagger, r.setup.ReportEvery, func() { r.report(a) })
+		stagger := r.setup.ReportInterval * time.Duration(i) / time.Duration(len(r.setup.Backends))
+		r.clock.every(stagger, r.setup.ReportInterval, func() { r.report(a) })
 	}
 	sort.Strings(r.domains)
 }
 
 func (r *Run) newAgent(spec Backend) *agent {
-	length := r.setup.Policy.Queue
+	length := r.setup.Policy.QueueLength
 	if length == 0 {
-		length = usualQueue
+		length = defaultQueueLength
 	}
 	return newAgent(&r.clock, spec, r.limiter(spec), length)
 }
 
 func (r *Run) limiter(spec Backend) limiter {
 	if r.setup.Policy.Limiter == nil {
-		return &fixedLimit{full: spec.Full}
+		return &fixedLimiter{full: spec.WarmCapacity}
 	}
-	return r.setup.Policy.Limiter(cold.Config{Cold: spec.Cold, Full: spec.Full}, r.clock.now)
+	return r.setup.Policy.Limiter(cold.Config{Cold: spec.ColdCapacity, Full: spec.WarmCapacity}, r.clock.now)
 }
 
 func (r *Run) report(a *agent) {
@@ -195,10 +195,10 @@
 		return
 	}
 	a.limit.Tick(r.clock.now)
-	a.next()
-	report := a.report(a.backend.Full)
-	report.Age = r.setup.ReportLag
-	r.clock.after(r.setup.ReportLag, func() {
+	a.startQueued()
+	report := a.report(a.backend.WarmCapacity)
+	report.Age = r.setup.ReportDelay
+	r.clock.after(r.setup.ReportDelay, func() {
 		for _, e := range r.entries {
 			e.table.Report(a.backend.VM, r.clock.now, report)
 		}
@@ -207,26 +207,26 @@
 
 func (r *Run) addEntry(i int) {
 	rng := rand.New(rand.NewPCG(r.setup.Seed, uint64(100+i)))
-	e := &entry{run: r, open: make(map[uint64]*attempt), pending: make(map[uint64]*request)}
+	e := &entry{run: r, inFlight: make(map[uint64]*attempt), pending: make(map[uint64]*request)}
 	p := r.setup.Policy
 	if p.Picker != nil {
 		e.table = p.Picker(rng)
 	} else {
-		cfg := p.Placement
-		cfg.FullTrust = cfg.FullTrust || r.setup.Subset > 0
+		cfg := p.PlacementConfig
+		cfg.FullTrust = cfg.FullTrust || r.setup.SubsetSize > 0
 		e.table = place.NewTable(rng, cfg)
 	}
 	var servers []place.Server
-	for _, b := range r.setup.linked(i) {
+	for _, b := range r.setup.linkedBackends(i) {
 		servers = append(servers, place.Server{VM: b.VM, Domain: b.Domain, Offers: []string{offerKey}, Weight: 1})
 	}
 	e.table.Set(servers)
-	if p.Admit {
-		e.admit = admit.New(p.Admission)
-		e.admit.SetPlans(r.setup.Plans, r.setup.customerShares())
+	if p.UseAdmission {
+		e.admitter = admit.New(p.AdmissionConfig)
+		e.admitter.SetPlans(r.setup.Plans, r.setup.customerShares())
 	}
-	if p.Shift {
-		e.shift = shift.New(shift.Config{})
+	if p.UseShift {
+		e.shifter = shift.New(shift.Config{})
 	}
 	r.entries = append(r.entries, e)
 	r.clock.every(time.Duration(i)*time.Millisecond, 50*time.Millisecond, e.tick)
@@ -236,51 +236,51 @@
 func (r *Run) Setup() Setup { return r.setup }
 
 // At lets something happen at a time of the run.
-func (r *Run) At(at time.Duration, what func()) { r.clock.after(at-r.clock.now, what) }
+func (r *Run) At(at time.Duration, event func()) { r.clock.after(at-r.clock.now, event) }
 
-// Until runs up to a time.
-func (r *Run) Until(end time.Duration) { r.clock.until(end) }
+// RunUntil runs up to a time.
+func (r *Run) RunUntil(end time.Duration) { r.clock.runUntil(end) }
 
-// Mark takes a failure domain out of service, or brings it back in cold start.
-func (r *Run) Mark(domain string, out bool) {
+// MarkDomain takes a failure domain out of service, or brings it back in cold start.
+func (r *Run) MarkDomain(domain string, out bool) {
 	for _, a := range r.agents {
 		if a.backend.Domain != domain {
 			continue
 		}
-		a.out = out
+		a.outOfService = out
 		if !out {
 			a.backend.turnCold()
 			a.limit.AssumeCold()
 		}
 	}
 	for _, e := range r.entries {
-		e.mark(domain, out)
+		e.markDomain(domain, out)
 	}
 }
 
-func (e *entry) mark(domain string, out bool) {
+func (e *entry) markDomain(domain string, out bool) {
 	now := e.run.clock.now
 	switch {
-	case e.shift == nil && out:
+	case e.shifter == nil && out:
 		e.table.SetDomainWeight(domain, 0)
-	case e.shift == nil:
+	case e.shifter == nil:
 		e.table.SetDomainWeight(domain, 1)
 	case out:
-		e.shift.Leave(now, domain)
+		e.shifter.Leave(now, domain)
 	default:
-		e.shift.Return(now, domain)
+		e.shifter.Return(now, domain)
 	}
 }
 
-// Kill ends a failure domain without a word. Entries learn it by silence.
-func (r *Run) Kill(domain string) {
+// KillDomain ends a failure domain without a word. Entries learn it by silence.
+func (r *Run) KillDomain(domain string) {
 	for _, vm := range r.vms {
 		if a := r.agents[vm]; a.backend.Domain == domain {
 			a.dead = true
 			a.backend.die()
 		}
 	}
-	r.clock.after(r.setup.Suspect, func() {
+	r.clock.after(r.setup.SuspectAfter, func() {
 		for _, e := range r.entries {
 			e.loseDomain(domain)
 		}
@@ -288,11 +288,11 @@
 }
 
 func (e *entry) loseDomain(domain string) {
-	if e.shift != nil {
-		e.shift.Lose(e.run.clock.now, domain)
+	if e.shifter != nil {
+		e.shifter.Lose(e.run.clock.now, domain)
 	}
 	var lost []*attempt
-	for _, t := range e.open {
+	for _, t := range e.inFlight {
 		if t.agent.backend.Domain == domain {
 			lost = append(lost, t)
 		}
@@ -305,15 +305,15 @@
 	}
 	for _, t := range lost {
 		if !t.repeatable {
-			e.run.unresumed++
+			e.run.lostInFlight++
 		}
-		e.lost(t)
+		e.handleLoss(t)
 	}
 	e.tick()
 }
 
-// Revive brings a dead failure domain back, in cold start and with new agents.
-func (r *Run) Revive(domain string) {
+// ReviveDomain brings a dead failure domain back, in cold start and with new agents.
+func (r *Run) ReviveDomain(domain string) {
 	for _, vm := range r.vms {
 		a := r.agents[vm]
 		if a.backend.Domain != domain {
@@ -321,12 +321,12 @@
 		}
 		a.dead = false
 		a.backend.revive()
-		fresh := r.newAgent(a.backend.Backend)
-		a.limit, a.queue, a.waiting = fresh.limit, fresh.queue, fresh.waiting
+		restarted := r.newAgent(a.backend.Backend)
+		a.limit, a.queue, a.queued = restarted.limit, restarted.queue, restarted.queued
 	}
 	for _, e := range r.entries {
-		if e.shift != nil {
-			e.shift.Return(r.clock.now, domain)
+		if e.shifter != nil {
+			e.shifter.Return(r.clock.now, domain)
 		}
 		for _, vm := range r.vms {
 			if r.agents[vm].backend.Domain == domain {
--- a/decide/loadtest/setup.go
+++ b/decide/loadtest/setup.go
@@ -8,16 +8,16 @@
 	"github.com/apricothub/apricothub/decide/admit"
 )
 
-// spread is the standard deviation of the logarithm of requests' sizes.
-const spread = 0.3
+// sizeLogStdDev is the standard deviation of the logarithm of requests' sizes.
+const sizeLogStdDev = 0.3
 
 // Domains are the failure domains of Today.
 var Domains = []string{"a", "b", "c"}
 
-// Today is the size of today's users: 8 entries, 12 model workers in 3 failure
+// ReferenceSetup is the size of today's users: 8 entries, 12 model workers in 3 failure
 // domains and 10 customers, 3 of them large with 70% of the load. The load is a
 // part of the capacity of all backend servers, warm.
-func Today(policy Policy, load float64) Setup {
+func ReferenceSetup(policy Policy, load float64) Setup {
 	s := Setup{
 		Seed: 1, Policy: policy, Entries: 8,
 		Plans: []admit.PlanShare{{Name: "gold", Share: 3}, {Name: "basic", Share: 1}},
@@ -25,7 +25,7 @@
 	for i := range 12 {
 		s.Backends = append(s.Backends, Backend{
 			VM: fmt.Sprintf("vm-%02d", i), Domain: Domains[i%len(Domains)],
-			Full: 32, Cold: 2, WarmAfter: 60, StartsWarm: true,
+			WarmCapacity: 32, ColdCapacity: 2, WarmAfterCompletions: 60, StartsWarm: true,
 		})
 	}
 	rate := load * Capacity(s.Backends)
@@ -43,16 +43,16 @@
 // Capacity is the number of requests of the usual size that backend servers end
 // in a second when warm and full.
 func Capacity(backends []Backend) float64 {
-	size := (usualFirst + usualEnd).Seconds() * math.Exp(spread*spread/2)
+	size := (defaultTimeToFirstToken + defaultTimeToEnd).Seconds() * math.Exp(sizeLogStdDev*sizeLogStdDev/2)
 	total := 0.0
 	for _, b := range backends {
-		total += float64(b.Full) / (size * (1 + batchCost) * max(b.Slow, 1))
+		total += float64(b.WarmCapacity) / (size * (1 + batchOverhead) * max(b.Slowdown, 1))
 	}
 	return total
 }
 
 // Usual service times of a request, alone at a warm backend server.
 const (
-	usualFirst = 150 * time.Millisecond
-	usualEnd   = 800 * time.Millisecond
+	defaultTimeToFirstToken = 150 * time.Millisecond
+	defaultTimeToEnd        = 800 * time.Millisecond
 )
--- a/decide/loadtest/subset_test.go
+++ b/decide/loadtest/subset_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// perEntry is the number of backend servers of each entry: 4 of 12.
-const perEntry = 4
+// serversPerEntry is the number of backend servers of each entry: 4 of 12.
+const serversPerEntry = 4
 
-// halfToOne lets half of all callers keep to one entry, which is linked to a third of the
+// halfAtFirstEntry lets half of all callers keep to one entry, which is linked to a third of the
 // backend servers.
-func halfToOne(s *Setup) { s.Favoured = 0.5 }
+func halfAtFirstEntry(s *Setup) { s.FirstEntryFraction = 0.5 }
 
-// subsetWants are what callers must see when each entry is linked to 4 of 12 backend
+// subsetExpectations are what callers must see when each entry is linked to 4 of 12 backend
 // servers: nearly what they see when it is linked to all.
-var subsetWants = []want{
-	{scenario: "steady, 70%", all: 1, first: 400 * time.Millisecond},
-	{scenario: "burst: one customer, 4 times the capacity for 2 s", others: 1, refusal: atOnce},
-	{scenario: "skew: one customer at 50 times its share", others: 1, goodput: 0.95, refusal: atOnce},
-	{scenario: "half of the callers at one entry, 40%", all: 1, first: 400 * time.Millisecond},
-	{scenario: "half of the callers at one entry, 50%", all: 1, first: 600 * time.Millisecond},
-	{scenario: "one backend server 10 times slower", all: 0.98, first: 450 * time.Millisecond, late: 30},
-	{scenario: "reports 2 s old, 80%", all: 1},
-	{scenario: "saturation, 100%", all: 0.93, goodput: 0.94, late: 10},
-	{scenario: "saturation, 200%", goodput: 0.97, refusal: atOnce, late: 50},
-	{scenario: "retry storm at 150%", goodput: 0.97, late: 150},
-	{scenario: "all backend servers turn cold, 50%", all: 0.5, late: 200, overloads: 100},
+var subsetExpectations = []expectation{
+	{scenario: "steady, 70%", allInTime: 1, firstTokenP95: 400 * time.Millisecond},
+	{scenario: "burst: one customer, 4 times the capacity for 2 s", othersInTime: 1, refusalP95: withoutWait},
+	{scenario: "skew: one customer at 50 times its share", othersInTime: 1, minGoodput: 0.95, refusalP95: withoutWait},
+	{scenario: "half of the callers at one entry, 40%", allInTime: 1, firstTokenP95: 400 * time.Millisecond},
+	{scenario: "half of the callers at one entry, 50%", allInTime: 1, firstTokenP95: 600 * time.Millisecond},
+	{scenario: "one backend server 10 times slower", allInTime: 0.98, firstTokenP95: 450 * time.Millisecond, maxLate: 30},
+	{scenario: "reports 2 s old, 80%", allInTime: 1},
+	{scenario: "saturation, 100%", allInTime: 0.93, minGoodput: 0.94, maxLate: 10},
+	{scenario: "saturation, 200%", minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
+	{scenario: "retry storm at 150%", minGoodput: 0.97, maxLate: 150},
+	{scenario: "all backend servers turn cold, 50%", allInTime: 0.5, maxLate: 200, maxOverloads: 100},
 }
 
 func subsetScenarios() map[string]Scenario {
@@ -35,58 +35,58 @@
 		byName[s.Name] = s
 	}
 	for name, load := range map[string]float64{"half of the callers at one entry, 40%": 0.4, "half of the callers at one entry, 50%": 0.5} {
-		byName[name] = Scenario{Name: name, Load: load, Change: halfToOne}
+		byName[name] = Scenario{Name: name, Load: load, ModifySetup: halfAtFirstEntry}
 	}
 	return byName
 }
 
 // runSubset plays a scenario with subsets of some size; 0 links all.
 func runSubset(s Scenario, size int, seed uint64) *Run {
-	change := s.Change
-	s.Change = func(setup *Setup) {
+	change := s.ModifySetup
+	s.ModifySetup = func(setup *Setup) {
 		if change != nil {
 			change(setup)
 		}
-		setup.Subset = size
+		setup.SubsetSize = size
 	}
-	return s.Run(Own(), seed)
+	return s.Run(CurrentPolicy(), seed)
 }
 
 func TestOutcomesWithSubsets(t *testing.T) {
 	scenarios := subsetScenarios()
-	for _, w := range subsetWants {
+	for _, w := range subsetExpectations {
 		for _, seed := range []uint64{1, 2} {
 			t.Run(w.scenario, func(t *testing.T) {
 				t.Parallel()
 				s := scenarios[w.scenario]
-				r := runSubset(s, perEntry, seed)
+				r := runSubset(s, serversPerEntry, seed)
 				w.check(t, s, r)
-				compare(t, s, r, seed)
+				logBesideAllLinks(t, s, r, seed)
 			})
 		}
 	}
 }
 
-// compare logs what the tables of docs/design/subsetting.md are made from, beside the same
+// logBesideAllLinks logs what the tables of docs/design/subsetting.md are made from, beside the same
 // run with all links.
-func compare(t *testing.T, s Scenario, r *Run, seed uint64) {
+func logBesideAllLinks(t *testing.T, s Scenario, r *Run, seed uint64) {
 	if !testing.Verbose() {
 		return
 	}
-	tell(t, s, r, "subsets")
-	tell(t, s, runSubset(s, 0, seed), "all")
+	logOutcome(t, s, r, "subsets")
+	logOutcome(t, s, runSubset(s, 0, seed), "all")
 }
 
-func tell(t *testing.T, s Scenario, r *Run, links string) {
-	all := r.Outcome("", s.Settled(), s.Until())
+func logOutcome(t *testing.T, s Scenario, r *Run, links string) {
+	all := r.Outcome("", s.MeasureFrom(), s.MeasureUntil())
 	t.Logf("%-7s in time %.4f, refused %d, late %d, goodput %.3f of the capacity, first token p95 %v, %d attempts for %d requests, overloads %d",
-		links, all.Share(), all.Refused, all.Late, r.Goodput(s.Settled(), s.Until())/Capacity(r.setup.Backends),
-		Quantile(all.First, 0.95).Round(time.Millisecond), r.attempts, len(r.requests), r.Cost().Overloads)
+		links, all.FractionInTime(), all.Refused, all.Late, r.Goodput(s.MeasureFrom(), s.MeasureUntil())/Capacity(r.setup.Backends),
+		Quantile(all.TimeToFirstToken, 0.95).Round(time.Millisecond), r.attempts, len(r.requests), r.Cost().Overloads)
 }
 
-// region makes the run as large as a model in a region of the size to design for: 98
+// regionSize makes the run as large as a model in a regionSize of the size to design for: 98
 // entries before 62 backend servers in 3 failure domains, 4 of them for each entry.
-func region(s *Setup) {
+func regionSize(s *Setup) {
 	before := Capacity(s.Backends)
 	one := s.Backends[0]
 	s.Entries, s.Backends = 98, nil
@@ -100,14 +100,14 @@
 	}
 }
 
-// oneEntryBursts lets the callers of one customer, who all keep to one entry, ask for half
+// burstAtOneEntry lets the callers of one customer, who all keep to one entry, ask for half
 // of what that entry's backend servers can do, for five seconds.
-func oneEntryBursts(s *Setup) {
-	region(s)
+func burstAtOneEntry(s *Setup) {
+	regionSize(s)
 	extra := s.Customers[0]
 	extra.Clients = 1
-	extra.Rate = Capacity(s.Backends[:perEntry]) / 2
-	extra.From, extra.To = settled+5*time.Second, settled+10*time.Second
+	extra.Rate = Capacity(s.Backends[:serversPerEntry]) / 2
+	extra.From, extra.To = warmUpTime+5*time.Second, warmUpTime+10*time.Second
 	extra.Deadline = 3 * time.Second
 	s.Customers = append(s.Customers, extra)
 }
@@ -117,20 +117,20 @@
 // entry.
 func TestSubsetsInARegion(t *testing.T) {
 	for _, c := range []struct {
-		want
+		expectation
 		load   float64
 		change func(*Setup)
 	}{
-		{want{scenario: "steady", all: 0.999, first: 500 * time.Millisecond}, 0.8, region},
-		{want{scenario: "burst at one entry", all: 0.999, first: 400 * time.Millisecond}, 0.4, oneEntryBursts},
-		{want{scenario: "saturation", all: 0.98, goodput: 0.97, late: 10}, 1, region},
+		{expectation{scenario: "steady", allInTime: 0.999, firstTokenP95: 500 * time.Millisecond}, 0.8, regionSize},
+		{expectation{scenario: "burst at one entry", allInTime: 0.999, firstTokenP95: 400 * time.Millisecond}, 0.4, burstAtOneEntry},
+		{expectation{scenario: "saturation", allInTime: 0.98, minGoodput: 0.97, maxLate: 10}, 1, regionSize},
 	} {
 		t.Run(c.scenario, func(t *testing.T) {
 			t.Parallel()
-			s := Scenario{Name: c.scenario, Load: c.load, Change: c.change}
-			r := runSubset(s, perEntry, 1)
+			s := Scenario{Name: c.scenario, Load: c.load, ModifySetup: c.change}
+			r := runSubset(s, serversPerEntry, 1)
 			c.check(t, s, r)
-			compare(t, s, r, 1)
+			logBesideAllLinks(t, s, r, 1)
 		})
 	}
 }
