--- a/decide/balance/layers_test.go
+++ b/decide/balance/layers_test.go
@@ -110,7 +110,7 @@
 	}
 	l.Observe(20, [][]float64{even})
 	if change := l.Plan(roundRobinMaps(shape), true); change != nil {
-		t.Errorf("a change from %.3f to %.3f", change.SkewBefore, change.SkewAfter)
+		t.Errorf("changed almost even maps: skew %.3f to %.3f", change.SkewBefore, change.SkewAfter)
 	}
 }
 
@@ -149,7 +149,7 @@
 	counts[0] = 230
 	l.Observe(20, [][]float64{counts})
 	if l.Plan(roundRobinMaps(shape), false) != nil || l.Plan(roundRobinMaps(shape), true) == nil {
-		t.Errorf("skew %.2f: a change without pressure, or none with it", l.Skew(roundRobinMaps(shape)))
+		t.Errorf("skew %.2f: a change with short passes, or none with long ones", l.Skew(roundRobinMaps(shape)))
 	}
 }
 
@@ -194,7 +194,7 @@
 	l.Observe(20, [][]float64{zipf(rand.New(rand.NewPCG(1, 1)), 24, 1.3)})
 	for _, maps := range [][]LayerMap{nil, {}, {{{0}, {1}}}, {{{99}, {0}, {0}, {0}, {0}, {0}}}} {
 		if l.Plan(maps, true) != nil {
-			t.Errorf("%v was planned from", maps)
+			t.Errorf("planned a change from invalid maps %v", maps)
 		}
 	}
 }
--- a/decide/balance/popularity_test.go
+++ b/decide/balance/popularity_test.go
@@ -42,7 +42,7 @@
 			passes := 1 + rng.IntN(4)
 			p.observe(int64(passes), drawTokens(rng, truth, passes, choicesPerPass))
 			if p.passes < 1 {
-				t.Fatal("the average stands for nothing")
+				t.Fatal("the average represents less than one pass")
 			}
 		}
 		if p.passes < maxAveragedPasses {
--- a/decide/balance/sequence_test.go
+++ b/decide/balance/sequence_test.go
@@ -78,7 +78,7 @@
 	l.Observe(20, [][]float64{even, skewed, even})
 	change := l.Plan(roundRobinMaps(shape), true)
 	if change == nil || change.MaxCopies != 1 {
-		t.Fatalf("not a change of one copy each: %+v", change)
+		t.Fatalf("want a change of one copy per rank: %+v", change)
 	}
 	for _, set := range []int{0, 2} {
 		for rank, experts := range change.Maps[set] {
