--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/decide/queue"
 )
 
-// limiter is what an agent asks before it gives work to its backend server.
+// limiter decides whether an agent may give another request to its backend server.
 type limiter interface {
 	TryStart(now time.Duration) bool
 	Observe(now, latency time.Duration)
@@ -21,31 +21,31 @@
 	WorkTime() time.Duration
 }
 
-// gapObserver is a limiter that takes the times between the parts of a stream too.
+// gapObserver is a limiter that also observes the gaps between the parts of a stream.
 type gapObserver interface {
 	Gap(now, gap time.Duration, p *cold.Pace)
 }
 
-// queueReturner is a limiter that says when what waits is better handed back.
+// queueReturner is a limiter that reports when queued requests should be returned to the entries.
 type queueReturner interface {
 	Fallen() bool
 }
 
-// agent stands before one backend server.
+// agent fronts one backend server.
 type agent struct {
 	clock   *clock
 	backend *backend
 	limit   limiter
 	queue   *queue.Queue
 	queued  map[uint64]*attempt
-	// fairQueue says that the queue goes by customers' fairQueue.
+	// fairQueue says that the queue is ordered by the customers' shares.
 	fairQueue bool
-	// outOfService says that operators have marked the VM or its domain; dead, that the VM
-	// is gone.
+	// outOfService says that operators have marked the VM or its failure domain; dead says that the
+	// VM is gone.
 	outOfService, dead bool
 }
 
-// attempt is one request at one agent.
+// attempt is one attempt of a request at one agent.
 type attempt struct {
 	*request
 	id        uint64
@@ -69,7 +69,7 @@
 	}
 }
 
-// handle runs an attempt, lets it wait, or refuses it.
+// handle runs an attempt, queues it, or refuses it.
 func (a *agent) handle(t *attempt) {
 	item := queue.Item{ID: t.id, Deadline: t.deadline, Need: a.limit.WorkTime()}
 	if a.fairQueue {
@@ -77,13 +77,13 @@
 	}
 	switch {
 	case a.dead:
-		// Nothing answers: the entry finds out by silence.
+		// A dead VM does not answer; the entry detects it by its silence.
 	case a.outOfService:
 		t.handleRefusal(api.ResultCode_OUT_OF_SERVICE)
 	case a.queue.Len() == 0 && a.limit.TryStart(a.clock.now):
 		a.start(t)
 	case a.limit.WorkTime() == 0:
-		// Nobody knows yet how long a wait here would be.
+		// The queueing time cannot be estimated yet.
 		t.handleRefusal(api.ResultCode_COLD)
 	case a.queue.Push(a.clock.now, item):
 		a.queued[t.id] = t
@@ -92,7 +92,7 @@
 	}
 }
 
-// displace lets an attempt wait in place of one that is further beyond its share.
+// displace queues an attempt in place of a queued one that is further above its share.
 func (a *agent) displace(t *attempt, item queue.Item) {
 	displaced, ok := a.queue.Displace(a.clock.now, item)
 	if !ok {
@@ -118,7 +118,8 @@
 	})
 }
 
-// partObserver tells the limiter the pace of one stream; nil when it does not ask.
+// partObserver returns a function that passes the gaps of one stream to the limiter, or nil if the
+// limiter does not observe gaps.
 func (a *agent) partObserver() func() {
 	p, ok := a.limit.(gapObserver)
 	if !ok {
@@ -135,7 +136,8 @@
 	}
 }
 
-// startQueued starts what waits, once there is room.
+// startQueued starts queued attempts as slots become free, and refuses those that are past their
+// deadline.
 func (a *agent) startQueued() {
 	now := a.clock.now
 	for _, item := range a.queue.Expired(now) {
@@ -154,8 +156,8 @@
 	}
 }
 
-// returnQueued hands what waits back to the entries: far more runs than its
-// limit allows.
+// returnQueued refuses all queued attempts, so that their entries can retry them elsewhere. Far
+// more requests are running than the limit allows, and the queue would not drain soon.
 func (a *agent) returnQueued() {
 	for item, isQueued := a.queue.Pop(); isQueued; item, isQueued = a.queue.Pop() {
 		t := a.queued[item.ID]
@@ -187,7 +189,7 @@
 	}
 }
 
-// fixedLimiter is the baseline limiter: always the full limit.
+// fixedLimiter is the baseline limiter: it always allows the full limit.
 type fixedLimiter struct {
 	full, running int
 	workTime      time.Duration
--- a/decide/loadtest/backend.go
+++ b/decide/loadtest/backend.go
@@ -5,35 +5,36 @@
 // Backend describes one fake backend server.
 type Backend struct {
 	VM, Domain string
-	// WarmCapacity is the number of requests it bears at once when warm, ColdCapacity in cold start.
+	// WarmCapacity is the number of requests that it handles concurrently when warm, ColdCapacity
+	// during cold start.
 	WarmCapacity, ColdCapacity int
 	// WarmAfterCompletions is the number of completions after which it is warm.
 	WarmAfterCompletions int
 	// Slowdown divides its speed; 0 means 1.
 	Slowdown float64
-	// WarmsInOneStep says that it warms up in one step after WarmAfter completions, and not
-	// a little with each.
+	// WarmsInOneStep says that it becomes warm in one step after WarmAfterCompletions completions,
+	// not gradually with each.
 	WarmsInOneStep bool
 	// StartsWarm says that it is warm at the start of the run.
 	StartsWarm bool
 }
 
-// Limits of the fake. They are assumptions, not measurements of an engine.
+// Parameters of the fake. They are assumptions and not taken from a real engine.
 const (
-	// batchOverhead is how much of its time each request loses to a full batch.
+	// batchOverhead is the fraction by which a full batch prolongs each request.
 	batchOverhead = 0.5
-	// coldSpeed is the speed at the first request of cold start.
+	// coldSpeed is the relative speed at the first request of a cold start.
 	coldSpeed = 0.2
-	// overloadsUntilCrash is the number of requests that a cold backend server takes beyond
-	// what it bears before it falls over.
+	// overloadsUntilCrash is the number of requests above its capacity that a cold backend server
+	// accepts before it crashes.
 	overloadsUntilCrash = 8
-	// restartTime is the time that a restart after falling over takes.
+	// restartTime is the time that a restart after a crash takes.
 	restartTime = 5 * time.Second
 	// partTime is the service time between two parts of a stream, one token.
 	partTime = defaultTimeToEnd / tokensPerAnswer
 )
 
-// backend runs work at one speed for all it holds, as continuous batching does.
+// backend processes all its requests at one common speed, as continuous batching does.
 type backend struct {
 	Backend
 	clock       *clock
@@ -41,9 +42,10 @@
 	completions int
 	down        bool
 	vmDead      bool
-	// consecutiveOverloads counts requests beyond what it bears, since it last bore its load.
+	// consecutiveOverloads counts the requests started above its capacity since the last one within
+	// it.
 	consecutiveOverloads int
-	// progress is the virtual service time given to each work so far.
+	// progress is the virtual service time given to each request so far.
 	progress       time.Duration
 	updatedAt      time.Duration
 	rate           float64
@@ -53,12 +55,12 @@
 	wastedTime     time.Duration
 }
 
-// work is one request at a backend server.
+// work is one request at a backend server. Its times are on the scale of the backend's progress.
 type work struct {
 	startedAt, firstTokenAt, finishAt time.Duration
 	hasFirstToken                     bool
 	onFirstToken                      func()
-	// onPart tells of each part of the stream after the first token; nil for nobody.
+	// onPart is called for each part of the stream after the first token; nil for no callback.
 	onPart     func()
 	nextPartAt time.Duration
 	onDone     func(failed bool)
@@ -75,6 +77,7 @@
 	return b
 }
 
+// warmth returns how far the cold start has progressed, from 0 to 1.
 func (b *backend) warmth() float64 {
 	if b.WarmsInOneStep && b.completions < b.WarmAfterCompletions {
 		return 0
@@ -82,11 +85,12 @@
 	return min(float64(b.completions)/float64(max(b.WarmAfterCompletions, 1)), 1)
 }
 
-// capacity is the number of requests it capacity at once now.
+// capacity returns the number of requests that it can handle concurrently now.
 func (b *backend) capacity() int {
 	return b.ColdCapacity + int(float64(b.WarmCapacity-b.ColdCapacity)*b.warmth())
 }
 
+// speed returns the current speed relative to a warm backend server with a single request.
 func (b *backend) speed() float64 {
 	runningCount := float64(len(b.running))
 	warm := coldSpeed + (1-coldSpeed)*b.warmth()
@@ -95,8 +99,8 @@
 	return warm / batch / overload / b.Slowdown
 }
 
-// run begins a piece of work that needs so much time, alone, to its first token
-// and from there to its end.
+// run starts a request that takes timeToFirstToken until its first token and timeToEnd from there
+// to its end, when it is alone at a warm backend server.
 func (b *backend) run(timeToFirstToken, timeToEnd time.Duration, onFirstToken, onPart func(), onDone func(failed bool)) *work {
 	b.advance()
 	w := &work{startedAt: b.progress, firstTokenAt: b.progress + timeToFirstToken, finishAt: b.progress + timeToFirstToken + timeToEnd, onFirstToken: onFirstToken, onPart: onPart, onDone: onDone}
@@ -132,7 +136,7 @@
 	b.schedule()
 }
 
-// turnCold makes a warm backend server cold without telling anybody.
+// turnCold makes a warm backend server cold without any notification.
 func (b *backend) turnCold() {
 	b.advance()
 	b.completions = 0
@@ -140,25 +144,26 @@
 	b.schedule()
 }
 
-// slowDown divides the speed from now on.
+// slowDown divides the speed by factor from now on.
 func (b *backend) slowDown(factor float64) {
 	b.advance()
 	b.Slowdown = factor
 	b.schedule()
 }
 
-// die ends the VM: what it held gets no answer at all.
+// die ends the VM. The requests that it was serving get no answer.
 func (b *backend) die() {
 	b.advance()
 	b.dropAll(nil)
 	b.vmDead = true
 }
 
-// revive brings a dead VM back, in cold start.
+// revive restarts a dead VM, in cold start.
 func (b *backend) revive() {
 	b.vmDead, b.down, b.completions, b.consecutiveOverloads = false, false, 0, 0
 }
 
+// crash fails all running requests; the backend server restarts cold after restartTime.
 func (b *backend) crash() {
 	b.crashes++
 	b.down = true
@@ -168,6 +173,7 @@
 	b.clock.after(restartTime, func() { b.down = false })
 }
 
+// dropAll drops the running requests and calls notify, if set, for each.
 func (b *backend) dropAll(notify func(w *work)) {
 	lost := b.running
 	b.running = nil
@@ -180,13 +186,13 @@
 	}
 }
 
-// advance brings progress up to now at the speed that held since the last change.
+// advance brings progress up to now at the speed that applied since the last change.
 func (b *backend) advance() {
 	b.progress += time.Duration(b.rate * float64(b.clock.now-b.updatedAt))
 	b.updatedAt = b.clock.now
 }
 
-// schedule sets the speed anew and waits for the next token or end.
+// schedule recomputes the speed and schedules the next token or end.
 func (b *backend) schedule() {
 	b.wakeGeneration++
 	if len(b.running) == 0 {
@@ -206,6 +212,7 @@
 	})
 }
 
+// nextEvent returns the progress at which the next token or the end is due.
 func (w *work) nextEvent() time.Duration {
 	switch {
 	case !w.hasFirstToken:
@@ -217,7 +224,7 @@
 	}
 }
 
-// deliverDue tells of the first tokens, parts and ends that have come.
+// deliverDue reports the first tokens, parts and ends that are due.
 func (b *backend) deliverDue() {
 	b.advance()
 	var first, parts, ended, remaining []*work
--- a/decide/loadtest/baseline.go
+++ b/decide/loadtest/baseline.go
@@ -8,7 +8,7 @@
 	"github.com/apricothub/apricothub/decide/place"
 )
 
-// picker is what an entry asks where to send a request.
+// picker chooses the backend server for a request at an entry.
 type picker interface {
 	Set(servers []place.Server)
 	SetDomainWeight(domain string, weight float64)
@@ -20,7 +20,8 @@
 	Spare(offer string, now time.Duration) (free, capacity int)
 }
 
-// baselinePicker is what the baselines share: they know who is up and nothing of load.
+// baselinePicker implements the baseline policies. It knows which backend servers are up, but not
+// their load.
 type baselinePicker struct {
 	vms              []string
 	domains          map[string]string
@@ -53,7 +54,7 @@
 func (p *baselinePicker) Ended(vm string, _ time.Duration, _ place.Outcome) { p.inFlight[vm]-- }
 func (p *baselinePicker) Spare(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
 
-// Pick is round robin, or least connections with round robin between equals.
+// Pick chooses by round robin, or by least connections with round robin among equals.
 func (p *baselinePicker) Pick(_ time.Duration, req place.Request) (string, api.ResultCode) {
 	best := ""
 	for range p.vms {
--- a/decide/loadtest/clock.go
+++ b/decide/loadtest/clock.go
@@ -1,7 +1,7 @@
-// Package loadtest plays backend servers, agents, entries and callers in virtual
-// time, so that the decisions under load can be tested by what callers see. It is
-// a small fake for tests and measurements: it has no network, no faults of
-// messages and no configuration, and no product code uses it.
+// Package loadtest simulates backend servers, agents, entries and callers in virtual time, so that
+// the decisions under load can be tested by what callers see. It is a small fake for tests and
+// measurements: it has no network, no message faults and no configuration, and no product code uses
+// it.
 package loadtest
 
 import (
@@ -41,13 +41,13 @@
 	return x
 }
 
-// after runs an event once some time has passed.
+// after runs an event once the duration has passed.
 func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now + max(d, 0), seq: c.seq, run: run})
 }
 
-// every runs an event again and again.
+// every runs an event periodically.
 func (c *clock) every(first, period time.Duration, run func()) {
 	c.after(first, func() {
 		run()
--- a/decide/loadtest/entry.go
+++ b/decide/loadtest/entry.go
@@ -9,23 +9,23 @@
 	"github.com/apricothub/apricothub/decide/shift"
 )
 
-// offerKey is the one kind of work that the fake knows.
+// offerKey is the only kind of work in the simulation.
 const offerKey = "model:m"
 
-// entry takes callers' requests.
+// entry accepts callers' requests.
 type entry struct {
 	run         *Run
 	table       picker
 	admitter    *admit.Admitter
 	shifter     *shift.Shifter
 	retryBudget place.RetryBudget
-	// inFlight are the attempts in flight, for what a dead VM takes with it.
+	// inFlight holds the attempts in flight, to find those lost with a dead VM.
 	inFlight map[uint64]*attempt
 	pending  map[uint64]*request
 	running  int
 }
 
-// submit takes one request from a caller.
+// submit accepts one request from a caller.
 func (e *entry) submit(r *request) {
 	e.retryBudget.First()
 	e.pending[r.id] = r
@@ -45,7 +45,7 @@
 	}
 }
 
-// dispatch sends a request that may run to an agent, or lets it wait again.
+// dispatch sends an admitted request to an agent, or returns it to the queue.
 func (e *entry) dispatch(r *request) {
 	now := e.run.clock.now
 	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, Left: r.deadline - now, Size: r.size, Guaranteed: r.guaranteed})
@@ -77,7 +77,7 @@
 	r.refused(code, retryAfter)
 }
 
-// closeAttempt ends an attempt at the entry.
+// closeAttempt ends an attempt at the entry. It returns false if the attempt has ended already.
 func (e *entry) closeAttempt(t *attempt, o place.Outcome) bool {
 	if t.closed {
 		return false
@@ -89,7 +89,7 @@
 	return true
 }
 
-// handleRefusal is the agent's answer that it did not take an attempt.
+// handleRefusal handles the agent's answer that it did not accept an attempt.
 func (t *attempt) handleRefusal(code api.ResultCode) {
 	e := t.entry
 	e.run.clock.after(e.run.setup.LinkDelay, func() {
@@ -110,6 +110,7 @@
 	})
 }
 
+// handleFirstToken records the time of the first token.
 func (t *attempt) handleFirstToken() {
 	t.entry.run.clock.after(t.entry.run.setup.LinkDelay, func() {
 		if !t.closed {
@@ -118,7 +119,7 @@
 	})
 }
 
-// handleEnd is the end of the work at the backend server.
+// handleEnd handles the end of the work at the backend server.
 func (t *attempt) handleEnd(failed bool) {
 	e := t.entry
 	e.run.clock.after(e.run.setup.LinkDelay, func() {
@@ -135,9 +136,9 @@
 	})
 }
 
-// handleLoss is the end of an attempt at a VM that has gone silent. One that may be
-// repeated is sent elsewhere; that is no retry of a refusal, and happens once for
-// each loss, so that the budget does not count it.
+// handleLoss ends an attempt at an unresponsive VM. A repeatable request is sent elsewhere. Since
+// that is not a retry of a refusal, and happens once per loss, it does not count against the retry
+// budget.
 func (e *entry) handleLoss(t *attempt) {
 	if !e.closeAttempt(t, place.Outcome{Failed: true}) {
 		return
@@ -170,7 +171,7 @@
 	e.admitQueued()
 }
 
-// admitQueued runs or refuses what waits.
+// admitQueued starts or refuses queued requests.
 func (e *entry) admitQueued() {
 	if e.admitter == nil {
 		return
@@ -187,7 +188,7 @@
 	}
 }
 
-// tick takes in what has changed without an event: weights, capacity, time.
+// tick applies changes that come without an event: weights, capacity and the passage of time.
 func (e *entry) tick() {
 	now := e.run.clock.now
 	if e.shifter != nil {
--- a/decide/loadtest/first.go
+++ b/decide/loadtest/first.go
@@ -6,9 +6,9 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// firstVersionLimiter is the first version of package cold, kept as a baseline: it doubled
-// the limit once the whole of it had completed twice at good latency, and judged
-// each latency by itself.
+// firstVersionLimiter is the first version of package cold, kept as a baseline. It doubles the
+// limit after twice as many completions at good latency as the limit, and judges each latency on
+// its own.
 type firstVersionLimiter struct {
 	coldLimit, fullLimit                          int
 	limit, running                                int
@@ -73,6 +73,7 @@
 	}
 }
 
+// recordSlow counts a slow or failed request and returns to the cold limit after too many in a row.
 func (f *firstVersionLimiter) recordSlow() {
 	f.consecutiveGood = 0
 	f.consecutiveSlow++
@@ -88,6 +89,7 @@
 func (f *firstVersionLimiter) Running() int            { return f.running }
 func (f *firstVersionLimiter) WorkTime() time.Duration { return f.averageWorkTime }
 
+// movingAverage returns the average updated with a value; a zero average takes the value.
 func movingAverage(average, value time.Duration) time.Duration {
 	if average == 0 {
 		return value
--- a/decide/loadtest/load.go
+++ b/decide/loadtest/load.go
@@ -7,42 +7,42 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Customer describes one customer's callers.
+// Customer describes the callers of one customer.
 type Customer struct {
 	Name, Plan string
 	Weight     float64
-	// Rate is the number of requests a second, at random times.
+	// Rate is the number of requests per second; they arrive at random times.
 	Rate float64
-	// From and To bound the time in which it asks; To of 0 means for ever.
+	// From and To limit the time in which its callers send requests; a To of 0 means no end.
 	From, To time.Duration
-	// Deadline is the time that callers give a request, default 10 s.
+	// Deadline is the time that callers give a request. Default 10 s.
 	Deadline time.Duration
-	// TimeToFirstToken and TimeToEnd are the service times of its requests, alone at a warm
-	// backend server: default 150 ms and 800 ms, 40 tokens.
+	// TimeToFirstToken and TimeToEnd are the service times of its requests, alone at a warm backend
+	// server. Default 150 ms and 800 ms, for 40 tokens.
 	TimeToFirstToken, TimeToEnd time.Duration
-	// LongFraction is the part of its requests that take LongFactor times as long.
+	// LongFraction is the fraction of its requests that take LongFactor times as long.
 	LongFraction, LongFactor float64
-	// Clients is the number of its callers, each of which keeps to one entry for
-	// 5 s. Default 4.
+	// Clients is the number of its callers, each of which stays with one entry for 5 s. Default 4.
 	Clients int
-	// IgnoresRetryAfter callers ask again after stormPause, whatever they were told.
+	// IgnoresRetryAfter says that callers retry after stormRetryDelay, whatever Retry-After says.
 	IgnoresRetryAfter bool
-	// HonorsRetryAfter callers come back once when Retry-After says, with a new deadline.
+	// HonorsRetryAfter says that callers retry once, after the time in Retry-After, with a new
+	// deadline.
 	HonorsRetryAfter bool
-	// RepeatableFraction is the part of its requests that may be sent again. Default 1.
+	// RepeatableFraction is the fraction of its requests that may be sent again. Default 1.
 	RepeatableFraction float64
 }
 
-// tokensPerAnswer is the number of tokensPerAnswer of an answer.
+// tokensPerAnswer is the number of tokens of an answer.
 const tokensPerAnswer = 40
 
-// stormRetryDelay is the time after which callers in a retry storm ask again.
+// stormRetryDelay is the time after which callers in a retry storm retry.
 const stormRetryDelay = 200 * time.Millisecond
 
-// entryAffinity is the time that a caller keeps to one entry.
+// entryAffinity is the time that a caller stays with one entry.
 const entryAffinity = 5 * time.Second
 
-// result is what a caller got in the end.
+// result is how a request ended for its caller.
 type result int
 
 const (
@@ -105,10 +105,12 @@
 	r.clock.after(c.From+r.nextArrivalDelay(c.Rate), func() { r.addRequest(&c, clients) })
 }
 
+// nextArrivalDelay draws the time to the next arrival of a Poisson process.
 func (r *Run) nextArrivalDelay(rate float64) time.Duration {
 	return time.Duration(r.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
+// addRequest creates a request of a customer, sends it to an entry and schedules the next one.
 func (r *Run) addRequest(c *Customer, clients []*entry) {
 	now := r.clock.now
 	if c.To > 0 && now >= c.To || r.setup.StopArrivalsAt > 0 && now >= r.setup.StopArrivalsAt {
@@ -155,6 +157,7 @@
 
 func (q *request) late() { q.finish(late) }
 
+// refused ends the request, unless its caller retries.
 func (q *request) refused(code api.ResultCode, retryAfter time.Duration) {
 	if q.spec.IgnoresRetryAfter && q.run.clock.now+stormRetryDelay < q.deadline {
 		q.tried = nil
--- a/decide/loadtest/outcome.go
+++ b/decide/loadtest/outcome.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Outcome is what callers saw of the requests that arrived in some time.
+// Outcome summarizes how the requests that arrived in some period ended for their callers.
 type Outcome struct {
 	Requests, InTime, Late, Refused, Failed int
-	// Submissions counts requests with those asked again after a refusal.
+	// Submissions counts the requests including retries by their callers after a refusal.
 	Submissions int
-	// TimeToFirstToken, TimePerToken and TimeToRefusal are sorted times to the first token, between
-	// tokens, and to refusals.
+	// TimeToFirstToken, TimePerToken and TimeToRefusal hold sorted times: to the first token,
+	// between tokens, and to refusals.
 	TimeToFirstToken, TimePerToken, TimeToRefusal []time.Duration
-	// RefusalsByCode counts refusals by code.
+	// RefusalsByCode counts refusals by result code.
 	RefusalsByCode map[string]int
 }
 
-// Outcome sums up one customer's requests, or all for an empty name, that arrived
-// in [from, to).
+// Outcome summarizes the requests that arrived in [from, to): those of one customer, or all for an
+// empty name.
 func (r *Run) Outcome(customer string, from, to time.Duration) Outcome {
 	out := Outcome{RefusalsByCode: map[string]int{}}
 	for _, q := range r.requests {
@@ -53,7 +53,7 @@
 	}
 }
 
-// FractionInTime is the part of the requests that were answered whole and in time.
+// FractionInTime returns the fraction of the requests that were answered completely and in time.
 func (o Outcome) FractionInTime() float64 {
 	if o.Requests == 0 {
 		return 1
@@ -61,7 +61,7 @@
 	return float64(o.InTime) / float64(o.Requests)
 }
 
-// Quantile returns the value below which a part q of sorted times lie.
+// Quantile returns the value below which a fraction q of the sorted times lies.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -69,7 +69,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Goodput is the number of answers in time that ended a second in [from, to).
+// Goodput returns the number of answers in time per second that ended in [from, to).
 func (r *Run) Goodput(from, to time.Duration) float64 {
 	count := 0
 	for _, q := range r.requests {
@@ -80,18 +80,18 @@
 	return float64(count) / (to - from).Seconds()
 }
 
-// Cost is what the run cost the backend servers.
+// Cost is what a run cost the backend servers.
 type Cost struct {
-	// Overloads counts requests given to a cold backend server beyond what it
-	// bears; Crashes, how often one fell over.
+	// Overloads counts requests given to a cold backend server above its capacity; Crashes, how
+	// often one crashed.
 	Overloads, Crashes int
-	// WastedTime is service time, alone, of work that gave no answer.
+	// WastedTime is the service time of work that gave no answer, in the time that it takes alone.
 	WastedTime time.Duration
-	// LostInFlight counts requests in flight at a VM that died that may not repeat.
+	// LostInFlight counts non-repeatable requests that were in flight at a VM when it died.
 	LostInFlight int
 }
 
-// Cost sums up all backend servers.
+// Cost returns the sum over all backend servers.
 func (r *Run) Cost() Cost {
 	c := Cost{LostInFlight: r.lostInFlight}
 	for _, a := range r.agents {
@@ -129,7 +129,7 @@
 	c.LostInFlight += other.LostInFlight
 }
 
-// Subtract takes the counts of a part away; the times stay.
+// Subtract removes the counts of a part of the requests; the times stay.
 func (o *Outcome) Subtract(part Outcome) {
 	o.Requests -= part.Requests
 	o.InTime -= part.InTime
--- a/decide/loadtest/outcome_test.go
+++ b/decide/loadtest/outcome_test.go
@@ -8,19 +8,19 @@
 // expectation is what callers must see in a scenario. Zero values are not checked.
 type expectation struct {
 	scenario string
-	// othersInTime is the least part of the requests answered in time of every customer
-	// but the hog; allInTime the same of every customer.
+	// othersInTime is the minimum fraction of the requests answered in time, for every customer
+	// except the greedy one; allInTime is that of all requests.
 	othersInTime, allInTime float64
-	// minGoodput is the least part of the capacity that ends in answers in time.
+	// minGoodput is the minimum goodput as a fraction of the capacity.
 	minGoodput float64
-	// firstTokenP95 and refusalP95 bound the 95th percentiles of the times to the firstTokenP95 token
-	// and to a refusalP95.
+	// firstTokenP95 and refusalP95 limit the 95th percentiles of the times to the first token and
+	// to a refusal.
 	firstTokenP95, refusalP95 time.Duration
-	// maxLate and maxOverloads are the most allowed.
+	// maxLate and maxOverloads limit the late requests and the overloads of cold backend servers.
 	maxLate, maxOverloads int
 }
 
-// withoutWait is a refusal without a wait: the time of a round trip to an agent.
+// withoutWait is the maximum time of a refusal without queueing: a round trip to an agent.
 const withoutWait = 10 * time.Millisecond
 
 var expectations = []expectation{
@@ -35,11 +35,11 @@
 	{scenario: "saturation, 200%", firstTokenP95: 2400 * time.Millisecond, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
 	{scenario: "saturation, 400%", firstTokenP95: 3 * time.Second, minGoodput: 0.97, refusalP95: withoutWait, maxLate: 50},
 	{scenario: "retry storm at 150%", minGoodput: 0.97, maxLate: 150},
-	// An engine that answers at a level pace until it is warm gives no sign by which
-	// to know when. The first probes cost some overloads; they must not repeat.
+	// An engine that answers at constant speed until it is warm gives no sign of when that is. The
+	// first probes cause some overloads; they must not recur.
 	{scenario: "all new and cold, warm in one step, 30%", allInTime: 0.6, maxLate: 30, maxOverloads: 12},
-	// Between the moment that a warm backend server turns cold and the first sign
-	// of it no limit can know; 12 of them get some 6 requests each in that time.
+	// No limiter can know that a warm backend server has turned cold before the first sign of it;
+	// each of the 12 gets some 6 requests in that time.
 	{scenario: "all backend servers turn cold, 50%", allInTime: 0.65, maxLate: 100, maxOverloads: 80},
 }
 
@@ -91,9 +91,9 @@
 	}
 }
 
-// All backend servers turn cold at once, at half load, and nobody is told. Callers
-// see refusals while there is no capacity, and then everything in time again.
-// Without the limiter each one falls over under the load as often as it restarts.
+// All backend servers turn cold at once at half load, without any notification. Callers must see
+// refusals while there is no capacity, and then only answers in time. Without the limiter, the load
+// crashes each backend server as often as it restarts.
 func TestAllColdRecovers(t *testing.T) {
 	t.Parallel()
 	s := Scenarios[len(Scenarios)-1]
@@ -105,7 +105,7 @@
 			t.Errorf("%s: %.4f in time at the end", p.Name, back.FractionInTime())
 		}
 		if !own && back.FractionInTime() > 0.1 {
-			t.Errorf("%s: %.4f in time: the fake is too kind to show anything", p.Name, back.FractionInTime())
+			t.Errorf("%s: %.4f in time: the load does not overload the baseline", p.Name, back.FractionInTime())
 		}
 	}
 }
@@ -116,15 +116,15 @@
 	runEnd       = 110 * time.Second
 )
 
-// Operators mark a failure domain out at 70% of what the others bear, and bring it
-// back in cold start. No caller notices: no request is lost or late, no cold
-// backend server gets more than it bears, and first tokens come about as soon.
+// Operators mark a failure domain out of service, at 70% of the capacity of the others, and bring
+// it back in cold start. Callers must not notice: no request may be lost or late, no cold backend
+// server may get more than it can handle, and first tokens must not take much longer.
 func TestMarkedDomainCostsNothing(t *testing.T) {
 	t.Parallel()
 	r := moveDomain(func(r *Run) { r.MarkDomain("a", true) }, func(r *Run) { r.MarkDomain("a", false) })
 	quiet, moved := r.Outcome("", warmUpTime, domainOutAt), r.Outcome("", domainOutAt, runEnd)
 	if moved.InTime != moved.Requests {
-		t.Errorf("lost: %+v %+v", moved.Requests-moved.InTime, moved.RefusalsByCode)
+		t.Errorf("lost or refused: %+v %+v", moved.Requests-moved.InTime, moved.RefusalsByCode)
 	}
 	if cost := r.Cost(); cost.Overloads != 0 || cost.Crashes != 0 {
 		t.Errorf("overloads %d, falls %d", cost.Overloads, cost.Crashes)
@@ -135,14 +135,14 @@
 	}
 }
 
-// A failure domain dies at the same load. Callers lose only what was in flight
-// there and may not be repeated; the rest is sent again once the silence shows.
+// A failure domain dies at the same load. Only non-repeatable requests that were in flight there
+// may be lost; the others must be sent elsewhere once the silence is detected.
 func TestDeadDomainLosesOnlyNonRepeatableRequests(t *testing.T) {
 	t.Parallel()
 	r := moveDomain(func(r *Run) { r.KillDomain("a") }, func(r *Run) { r.ReviveDomain("a") })
 	o, cost := r.Outcome("", warmUpTime, runEnd), r.Cost()
 	if cost.LostInFlight == 0 {
-		t.Fatal("nothing was in flight: the test shows nothing")
+		t.Fatal("nothing was in flight: the test proves nothing")
 	}
 	if o.Failed != cost.LostInFlight || o.Late+o.Refused != 0 {
 		t.Errorf("failed %d, late %d, refused %d; %d were in flight and may not repeat", o.Failed, o.Late, o.Refused, cost.LostInFlight)
@@ -172,9 +172,9 @@
 	return r
 }
 
-// One customer asks for 4 times the capacity for a second. Most of it is refused at
-// once, with a time to come back. Callers who come back then, once, are served: the
-// times are spread at the pace at which places free up.
+// One customer sends 4 times the capacity for a second, and most of it is refused at once with a
+// Retry-After. Callers that retry once at that time must be served: the times have to be spread at
+// the rate at which slots become free.
 func TestTimeToComeBackIsTrue(t *testing.T) {
 	t.Parallel()
 	setup := ReferenceSetup(CurrentPolicy(), 0.5)
@@ -196,16 +196,16 @@
 		}
 	}
 	if retried < 200 {
-		t.Fatalf("%d came back: the test shows nothing", retried)
+		t.Fatalf("only %d callers retried: the test proves nothing", retried)
 	}
 	if served < retried*9/10 {
-		t.Errorf("%d of %d who came back when told were served", served, retried)
+		t.Errorf("%d of %d callers that retried after Retry-After were served", served, retried)
 	}
 }
 
-// One prompt in 20 is 8 times as long, and some come together at one warm backend
-// server. Its first tokens are late for a moment. That must not be taken for cold:
-// each time, the backend server would be at its cold limit for seconds.
+// Guards against long requests that are taken for a cold backend server. One prompt in 20 is 8
+// times as long; when some meet at one warm backend server, its first tokens are late for a moment.
+// A fall to the cold limit would last for seconds each time.
 func TestMixedSizesAreNotTakenForCold(t *testing.T) {
 	t.Parallel()
 	setup := ReferenceSetup(CurrentPolicy(), 0.5)
@@ -224,13 +224,13 @@
 		}
 	}
 	if falls > 3 {
-		t.Errorf("%d falls of 12 warm backend servers in 50 s", falls)
+		t.Errorf("%d falls to the cold limit of 12 warm backend servers in 50 s", falls)
 	}
 }
 
-// Operators take a failure domain out and bring it back while the others get 5% more
-// than they can do. Callers are refused until the returned one has warmed up, which it
-// does by the little work it bears: half a minute after, callers are answered again.
+// Operators take a failure domain out of service and bring it back while the load is 5% above the
+// capacity of the others. Callers are refused until the returned domain has warmed up, which it
+// does with the little work that it can handle. Half a minute later all callers must be answered.
 func TestReturnedDomainWarmsUpUnderLoad(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -11,33 +11,34 @@
 	"github.com/apricothub/apricothub/decide/shift"
 )
 
-// Policy says which decisions a run uses.
+// Policy selects the decisions that a run uses.
 type Policy struct {
 	Name string
-	// Picker makes an entry's placement; nil means package place.
+	// Picker creates an entry's picker; nil means package place.
 	Picker func(rng *rand.Rand) picker
-	// Limiter makes an agent's limiter; nil means always the full limit.
+	// Limiter creates an agent's limiter; nil means always the full limit.
 	Limiter func(c cold.Config, now time.Duration) limiter
-	// UseAdmission and UseShift use the packages of those names; false means no admission and
-	// no shares in the agents' queues, and whole weight at once.
+	// UseAdmission and UseShift enable packages admit and shift. Without them there is no
+	// admission, the agents' queues ignore customers' shares, and a returned domain gets its full
+	// weight at once.
 	UseAdmission, UseShift bool
-	// AdmissionConfig and Placement are the limits of those packages.
+	// AdmissionConfig and PlacementConfig configure packages admit and place.
 	AdmissionConfig admit.Config
 	PlacementConfig place.Config
 	// QueueLength is the length of an agent's queue. Default 12.
 	QueueLength int
 }
 
-// CurrentPolicy is the policy of this project.
+// CurrentPolicy returns the policy that the product uses.
 func CurrentPolicy() Policy {
 	return Policy{Name: "own", UseAdmission: true, UseShift: true, Limiter: currentLimiter}
 }
 
 func currentLimiter(c cold.Config, now time.Duration) limiter { return cold.New(c, now) }
 
-// SecondVersionPolicy is the second version of the own policy: its agents see no pace of streams, its
-// queues are as long in standing overload as in a burst, it takes late reports at their
-// word, and what waits at an agent stays there when the limit falls.
+// SecondVersionPolicy returns the second version of the product's policy. Its agents do not observe
+// the gaps in streams, its queues are as long in lasting overload as in a burst, it trusts stale
+// reports fully, and attempts stay queued at an agent when the limit falls.
 func SecondVersionPolicy() Policy {
 	p := CurrentPolicy()
 	p.Name = "own, second version"
@@ -51,10 +52,10 @@
 // secondVersionQueueLength is the length of an agent's queue in the first two versions.
 const secondVersionQueueLength = 16
 
-// limiterWithoutGaps hides the pace of streams from a limiter.
+// limiterWithoutGaps hides the gapObserver of a limiter.
 type limiterWithoutGaps struct{ limiter }
 
-// FirstVersionPolicy is the first version of the own policy.
+// FirstVersionPolicy returns the first version of the product's policy.
 func FirstVersionPolicy() Policy {
 	p := SecondVersionPolicy()
 	p.Name = "own, first version"
@@ -62,8 +63,8 @@
 	return p
 }
 
-// FullShareOnReturnPolicy is the own policy, but a returned domain restarts at its full share
-// and its backend servers at their full limit.
+// FullShareOnReturnPolicy returns the current policy, except that a returned domain restarts at its
+// full share and its backend servers at their full limit.
 func FullShareOnReturnPolicy() Policy {
 	p := CurrentPolicy()
 	p.Name = "own, return at full share"
@@ -71,12 +72,13 @@
 	return p
 }
 
-// RoundRobinPolicy and LeastConnections are the plain policies to compare with.
+// RoundRobinPolicy returns a baseline that sends to all backend servers in turn.
 func RoundRobinPolicy() Policy {
 	return Policy{Name: "round robin", Picker: func(*rand.Rand) picker { return newBaselinePicker(false) }}
 }
 
-// LeastConnectionsPolicy sends to where the entry has the least in flight.
+// LeastConnectionsPolicy returns a baseline that sends to the backend server with the fewest
+// requests in flight from the entry.
 func LeastConnectionsPolicy() Policy {
 	return Policy{Name: "least connections", Picker: func(*rand.Rand) picker { return newBaselinePicker(true) }}
 }
@@ -89,19 +91,19 @@
 	Backends  []Backend
 	Plans     []admit.PlanShare
 	Customers []Customer
-	// LinkDelay is the time one way between VMs, default 1.5 ms.
+	// LinkDelay is the one-way delay between VMs. Default 1.5 ms.
 	LinkDelay time.Duration
-	// ReportInterval and ReportDelay are the period and the age on arrival of load
-	// reports, default 200 ms and the link's time.
+	// ReportInterval is the interval between load reports, ReportDelay their age on arrival.
+	// Default 200 ms and LinkDelay.
 	ReportInterval, ReportDelay time.Duration
-	// StopArrivalsAt is when callers stop asking; 0 means never.
+	// StopArrivalsAt is when callers stop sending requests; 0 means never.
 	StopArrivalsAt time.Duration
-	// SuspectAfter is the silence after which a VM counts as gone, default 600 ms.
+	// SuspectAfter is the time of silence after which a VM counts as gone. Default 600 ms.
 	SuspectAfter time.Duration
-	// SubsetSize is the number of backend servers that each entry is linked to; 0 for all.
+	// SubsetSize is the number of backend servers that each entry is linked to; 0 means all.
 	SubsetSize int
-	// FirstEntryFraction is the part of the callers that keep to the first entry; 0 for an even
-	// spread.
+	// FirstEntryFraction is the fraction of the callers that stay with the first entry; 0 means an
+	// even spread.
 	FirstEntryFraction float64
 }
 
@@ -116,16 +118,16 @@
 	domains  []string
 	attempts uint64
 	requests []*request
-	// customerWeights are the customers' shares of the capacity.
+	// customerWeights holds the customers' shares of the capacity.
 	customerWeights map[string]float64
-	// lostInFlight counts requests that were in flight at a VM that died, and that
-	// may not be repeated.
+	// lostInFlight counts non-repeatable requests that were in flight at a VM when it died.
 	lostInFlight int
-	// entriesPerServer counts the entries of each backend server when they have subsets.
+	// entriesPerServer counts the entries of each backend server when entries are linked to
+	// subsets.
 	entriesPerServer map[string]int
 }
 
-// New builds a run.
+// New returns a run of a setup.
 func New(s Setup) *Run {
 	if s.LinkDelay == 0 {
 		s.LinkDelay = 1500 * time.Microsecond
@@ -149,7 +151,7 @@
 	return r
 }
 
-// customerShares are the customers as admission takes them.
+// customerShares returns the customers in the form that admission takes.
 func (s Setup) customerShares() []admit.CustomerShare {
 	var shares []admit.CustomerShare
 	for _, c := range s.Customers {
@@ -232,16 +234,16 @@
 	r.clock.every(time.Duration(i)*time.Millisecond, 50*time.Millisecond, e.tick)
 }
 
-// Setup is what the run was built from.
+// Setup returns the setup of the run, with its defaults.
 func (r *Run) Setup() Setup { return r.setup }
 
-// At lets something happen at a time of the run.
+// At schedules an event at a time of the run.
 func (r *Run) At(at time.Duration, event func()) { r.clock.after(at-r.clock.now, event) }
 
 // RunUntil runs up to a time.
 func (r *Run) RunUntil(end time.Duration) { r.clock.runUntil(end) }
 
-// MarkDomain takes a failure domain out of service, or brings it back in cold start.
+// MarkDomain takes a failure domain out of service, or returns it in cold start.
 func (r *Run) MarkDomain(domain string, out bool) {
 	for _, a := range r.agents {
 		if a.backend.Domain != domain {
@@ -272,7 +274,7 @@
 	}
 }
 
-// KillDomain ends a failure domain without a word. Entries learn it by silence.
+// KillDomain ends a failure domain without notification. Entries detect it by its silence.
 func (r *Run) KillDomain(domain string) {
 	for _, vm := range r.vms {
 		if a := r.agents[vm]; a.backend.Domain == domain {
@@ -312,7 +314,7 @@
 	e.tick()
 }
 
-// ReviveDomain brings a dead failure domain back, in cold start and with new agents.
+// ReviveDomain restarts a dead failure domain, in cold start and with new agents.
 func (r *Run) ReviveDomain(domain string) {
 	for _, vm := range r.vms {
 		a := r.agents[vm]
--- a/decide/loadtest/scenario.go
+++ b/decide/loadtest/scenario.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Scenario is one situation that the decisions are tested in.
+// Scenario is one situation in which the decisions are tested.
 type Scenario struct {
 	Name string
-	// Load is the part of the capacity that customers ask for.
+	// Load is the load that customers offer, as a fraction of the capacity.
 	Load float64
-	// ModifySetup alters the setup, Happen what goes on in the run; nil for neither.
+	// ModifySetup changes the setup, ScheduleEvents schedules events of the run; either may be nil.
 	ModifySetup    func(s *Setup)
 	ScheduleEvents func(r *Run)
-	// From and To bound the arrivals that count. The limiters begin cold, so that
-	// the first minute does not.
+	// From and To limit the arrivals that count. The limiters start cold, so the first minute does
+	// not count.
 	From, To time.Duration
 }
 
-// GreedyCustomer is the customer that asks for too much in Skew and Burst.
+// GreedyCustomer is the customer that sends too many requests in the skew and burst scenarios.
 const GreedyCustomer = "customer-9"
 
 // warmUpTime is when every limiter has left its cold start.
 const warmUpTime = 40 * time.Second
 
-// Scenarios are the situations, each seeded.
+// Scenarios are the scenarios that are tested and measured.
 var Scenarios = []Scenario{
 	{Name: "steady, 70%", Load: 0.7},
 	{Name: "burst: one customer, 4 times the capacity for 2 s", Load: 0.5, ModifySetup: burst},
@@ -38,7 +38,7 @@
 	{Name: "all backend servers turn cold, 50%", Load: 0.5, ScheduleEvents: allTurnCold, To: warmUpTime + 120*time.Second},
 }
 
-// Run plays a scenario.
+// Run runs the scenario under a policy.
 func (s Scenario) Run(p Policy, seed uint64) *Run {
 	setup := ReferenceSetup(p, s.Load)
 	setup.Seed = seed
@@ -54,10 +54,10 @@
 	return r
 }
 
-// MeasureUntil is the end of the arrivals that count.
+// MeasureUntil returns the end of the arrivals that count.
 func (s Scenario) MeasureUntil() time.Duration { return max(s.To, warmUpTime+20*time.Second) }
 
-// MeasureFrom is the beginning of the arrivals that count.
+// MeasureFrom returns the beginning of the arrivals that count.
 func (s Scenario) MeasureFrom() time.Duration { return warmUpTime }
 
 func burst(s *Setup) {
@@ -67,8 +67,8 @@
 	s.Customers = append(s.Customers, extra)
 }
 
-// skew lets a small customer ask for 50 times its share: the basic plan has a
-// quarter of the capacity, for seven customers.
+// skew lets a small customer send 50 times its share: the basic plan has a quarter of the capacity,
+// for seven customers.
 func skew(s *Setup) {
 	s.Customers[9].Rate = 50 * Capacity(s.Backends) / 4 / 7
 }
--- a/decide/loadtest/setup.go
+++ b/decide/loadtest/setup.go
@@ -8,15 +8,15 @@
 	"github.com/apricothub/apricothub/decide/admit"
 )
 
-// sizeLogStdDev is the standard deviation of the logarithm of requests' sizes.
+// sizeLogStdDev is the standard deviation of the logarithm of the requests' sizes.
 const sizeLogStdDev = 0.3
 
-// Domains are the failure domains of Today.
+// Domains are the failure domains of ReferenceSetup.
 var Domains = []string{"a", "b", "c"}
 
-// ReferenceSetup is the size of today's users: 8 entries, 12 model workers in 3 failure
-// domains and 10 customers, 3 of them large with 70% of the load. The load is a
-// part of the capacity of all backend servers, warm.
+// ReferenceSetup returns a setup of the size of current deployments: 8 entries, 12 model workers in
+// 3 failure domains and 10 customers, 3 of them large with 70% of the load. The load is a fraction
+// of the capacity of all backend servers when warm.
 func ReferenceSetup(policy Policy, load float64) Setup {
 	s := Setup{
 		Seed: 1, Policy: policy, Entries: 8,
@@ -40,8 +40,8 @@
 	return s
 }
 
-// Capacity is the number of requests of the usual size that backend servers end
-// in a second when warm and full.
+// Capacity returns the number of requests of average size that the backend servers complete per
+// second when warm and fully loaded.
 func Capacity(backends []Backend) float64 {
 	size := (defaultTimeToFirstToken + defaultTimeToEnd).Seconds() * math.Exp(sizeLogStdDev*sizeLogStdDev/2)
 	total := 0.0
@@ -51,7 +51,7 @@
 	return total
 }
 
-// Usual service times of a request, alone at a warm backend server.
+// Default service times of a request, alone at a warm backend server.
 const (
 	defaultTimeToFirstToken = 150 * time.Millisecond
 	defaultTimeToEnd        = 800 * time.Millisecond
--- a/decide/loadtest/subset.go
+++ b/decide/loadtest/subset.go
@@ -24,7 +24,7 @@
 
 func entryName(i int) string { return fmt.Sprintf("entry-%02d", i) }
 
-// linkedBackends returns the backend servers that one entry is linkedBackends to.
+// linkedBackends returns the backend servers that one entry is linked to.
 func (s Setup) linkedBackends(i int) []Backend {
 	if s.SubsetSize == 0 {
 		return s.Backends
@@ -50,7 +50,7 @@
 	return count
 }
 
-// chooseEntry is the entry that a caller keeps to next.
+// chooseEntry returns the entry that a caller stays with next.
 func (r *Run) chooseEntry() *entry {
 	if r.setup.FirstEntryFraction > 0 && r.rng.Float64() < r.setup.FirstEntryFraction {
 		return r.entries[0]
@@ -58,7 +58,7 @@
 	return r.entries[r.rng.IntN(len(r.entries))]
 }
 
-// capacityShare is what the entry may do with the room that it sees.
+// capacityShare returns the entry's share of the slots that it sees.
 func (e *entry) capacityShare(now time.Duration) admit.Parts {
 	table, ok := e.table.(*place.Table)
 	if e.run.setup.SubsetSize == 0 || !ok {
--- a/decide/loadtest/subset_test.go
+++ b/decide/loadtest/subset_test.go
@@ -9,12 +9,12 @@
 // serversPerEntry is the number of backend servers of each entry: 4 of 12.
 const serversPerEntry = 4
 
-// halfAtFirstEntry lets half of all callers keep to one entry, which is linked to a third of the
+// halfAtFirstEntry lets half of all callers stay with one entry, which is linked to a third of the
 // backend servers.
 func halfAtFirstEntry(s *Setup) { s.FirstEntryFraction = 0.5 }
 
 // subsetExpectations are what callers must see when each entry is linked to 4 of 12 backend
-// servers: nearly what they see when it is linked to all.
+// servers: nearly what they see when each is linked to all.
 var subsetExpectations = []expectation{
 	{scenario: "steady, 70%", allInTime: 1, firstTokenP95: 400 * time.Millisecond},
 	{scenario: "burst: one customer, 4 times the capacity for 2 s", othersInTime: 1, refusalP95: withoutWait},
@@ -40,7 +40,7 @@
 	return byName
 }
 
-// runSubset plays a scenario with subsets of some size; 0 links all.
+// runSubset runs a scenario with subsets of the given size; 0 links all.
 func runSubset(s Scenario, size int, seed uint64) *Run {
 	change := s.ModifySetup
 	s.ModifySetup = func(setup *Setup) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// logBesideAllLinks logs what the tables of docs/design/subsetting.md are made from, beside the same
+// logBesideAllLinks logs the figures for the tables of docs/design/subsetting.md, beside the same
 // run with all links.
 func logBesideAllLinks(t *testing.T, s Scenario, r *Run, seed uint64) {
 	if !testing.Verbose() {
@@ -84,8 +84,8 @@
 		Quantile(all.TimeToFirstToken, 0.95).Round(time.Millisecond), r.attempts, len(r.requests), r.Cost().Overloads)
 }
 
-// regionSize makes the run as large as a model in a regionSize of the size to design for: 98
-// entries before 62 backend servers in 3 failure domains, 4 of them for each entry.
+// regionSize makes the run as large as a model in one region of the target size: 98 entries in
+// front of 62 backend servers in 3 failure domains, 4 of them for each entry.
 func regionSize(s *Setup) {
 	before := Capacity(s.Backends)
 	one := s.Backends[0]
@@ -100,8 +100,8 @@
 	}
 }
 
-// burstAtOneEntry lets the callers of one customer, who all keep to one entry, ask for half
-// of what that entry's backend servers can do, for five seconds.
+// burstAtOneEntry lets the callers of one customer, all at one entry, send half of the capacity of
+// that entry's backend servers for five seconds.
 func burstAtOneEntry(s *Setup) {
 	regionSize(s)
 	extra := s.Customers[0]
@@ -112,9 +112,9 @@
 	s.Customers = append(s.Customers, extra)
 }
 
-// At the size of a region each entry sees 4 of 62 backend servers, and each of those has 6
-// or 7 of 98 entries. Callers hardly notice, nor those of a customer that bursts at one
-// entry.
+// Guards against subsets that are noticed by callers at the size of a region, where each entry sees
+// 4 of 62 backend servers and each of those has 6 or 7 of 98 entries, also for a customer that
+// bursts at one entry.
 func TestSubsetsInARegion(t *testing.T) {
 	for _, c := range []struct {
 		expectation
