--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -71,7 +71,7 @@
 
 // handle runs an attempt, queues it, or refuses it.
 func (a *agent) handle(t *attempt) {
-	item := queue.Item{ID: t.id, Deadline: t.deadline, Need: a.limit.WorkTime()}
+	item := queue.Item{ID: t.id, Deadline: t.deadline, WorkTime: a.limit.WorkTime()}
 	if a.fairQueue {
 		item.Share, item.Weight = t.customer, t.weight
 	}
@@ -140,7 +140,7 @@
 // deadline.
 func (a *agent) startQueued() {
 	now := a.clock.now
-	for _, item := range a.queue.Expired(now) {
+	for _, item := range a.queue.RemoveExpired(now) {
 		t := a.queued[item.ID]
 		delete(a.queued, item.ID)
 		t.handleRefusal(api.ResultCode_DEADLINE_UNREACHABLE)
--- a/decide/loadtest/baseline.go
+++ b/decide/loadtest/baseline.go
@@ -10,14 +10,14 @@
 
 // picker chooses the backend server for a request at an entry.
 type picker interface {
-	Set(servers []place.Server)
+	SetServers(servers []place.Server)
 	SetDomainWeight(domain string, weight float64)
 	Report(vm string, now time.Duration, r place.Report)
-	Suspect(vm string, suspect bool)
+	SetSuspect(vm string, suspect bool)
 	Started(vm string, now time.Duration)
 	Ended(vm string, now time.Duration, o place.Outcome)
 	Pick(now time.Duration, req place.Request) (string, api.ResultCode)
-	Spare(offer string, now time.Duration) (free, capacity int)
+	Slots(offer string, now time.Duration) (free, capacity int)
 }
 
 // baselinePicker implements the baseline policies. It knows which backend servers are up, but not
@@ -39,7 +39,7 @@
 	}
 }
 
-func (p *baselinePicker) Set(servers []place.Server) {
+func (p *baselinePicker) SetServers(servers []place.Server) {
 	for _, s := range servers {
 		p.vms = append(p.vms, s.VM)
 		p.domains[s.VM] = s.Domain
@@ -49,10 +49,10 @@
 
 func (p *baselinePicker) SetDomainWeight(domain string, weight float64)     { p.weights[domain] = weight }
 func (p *baselinePicker) Report(string, time.Duration, place.Report)        {}
-func (p *baselinePicker) Suspect(vm string, suspect bool)                   { p.suspect[vm] = suspect }
+func (p *baselinePicker) SetSuspect(vm string, suspect bool)                { p.suspect[vm] = suspect }
 func (p *baselinePicker) Started(vm string, _ time.Duration)                { p.inFlight[vm]++ }
 func (p *baselinePicker) Ended(vm string, _ time.Duration, _ place.Outcome) { p.inFlight[vm]-- }
-func (p *baselinePicker) Spare(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
+func (p *baselinePicker) Slots(string, time.Duration) (int, int)            { return 1 << 20, 1 << 20 }
 
 // Pick chooses by round robin, or by least connections with round robin among equals.
 func (p *baselinePicker) Pick(_ time.Duration, req place.Request) (string, api.ResultCode) {
--- a/decide/loadtest/entry.go
+++ b/decide/loadtest/entry.go
@@ -27,7 +27,7 @@
 
 // submit accepts one request from a caller.
 func (e *entry) submit(r *request) {
-	e.retryBudget.First()
+	e.retryBudget.CountRequest()
 	e.pending[r.id] = r
 	r.entry = e
 	if e.admitter == nil {
@@ -48,7 +48,7 @@
 // dispatch sends an admitted request to an agent, or returns it to the queue.
 func (e *entry) dispatch(r *request) {
 	now := e.run.clock.now
-	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, Left: r.deadline - now, Size: r.size, Guaranteed: r.guaranteed})
+	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, TimeLeft: r.deadline - now, RelativeSize: r.size, WithinShare: r.guaranteed})
 	if code != api.ResultCode_OK {
 		if e.admitter == nil || !e.admitter.Postpone(now, r.id) {
 			e.refuse(r, code, 0)
@@ -97,7 +97,7 @@
 			return
 		}
 		t.tried = append(t.tried, t.agent.backend.VM)
-		if code != api.ResultCode_DEADLINE_UNREACHABLE && e.retryBudget.Retry() {
+		if code != api.ResultCode_DEADLINE_UNREACHABLE && e.retryBudget.SpendRetry() {
 			e.dispatch(t.request)
 			return
 		}
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -44,7 +44,7 @@
 	p.Name = "own, second version"
 	p.Limiter = func(c cold.Config, now time.Duration) limiter { return limiterWithoutGaps{currentLimiter(c, now)} }
 	p.AdmissionConfig.LastingWait = time.Hour
-	p.PlacementConfig.FullTrust = true
+	p.PlacementConfig.TrustStaleReports = true
 	p.QueueLength = secondVersionQueueLength
 	return p
 }
@@ -215,14 +215,14 @@
 		e.table = p.Picker(rng)
 	} else {
 		cfg := p.PlacementConfig
-		cfg.FullTrust = cfg.FullTrust || r.setup.SubsetSize > 0
+		cfg.TrustStaleReports = cfg.TrustStaleReports || r.setup.SubsetSize > 0
 		e.table = place.NewTable(rng, cfg)
 	}
 	var servers []place.Server
 	for _, b := range r.setup.linkedBackends(i) {
 		servers = append(servers, place.Server{VM: b.VM, Domain: b.Domain, Offers: []string{offerKey}, Weight: 1})
 	}
-	e.table.Set(servers)
+	e.table.SetServers(servers)
 	if p.UseAdmission {
 		e.admitter = admit.New(p.AdmissionConfig)
 		e.admitter.SetPlans(r.setup.Plans, r.setup.customerShares())
@@ -291,7 +291,7 @@
 
 func (e *entry) loseDomain(domain string) {
 	if e.shifter != nil {
-		e.shifter.Lose(e.run.clock.now, domain)
+		e.shifter.Drop(e.run.clock.now, domain)
 	}
 	var lost []*attempt
 	for _, t := range e.inFlight {
@@ -302,7 +302,7 @@
 	sort.Slice(lost, func(i, j int) bool { return lost[i].id < lost[j].id })
 	for _, vm := range e.run.vms {
 		if e.run.agents[vm].backend.Domain == domain {
-			e.table.Suspect(vm, true)
+			e.table.SetSuspect(vm, true)
 		}
 	}
 	for _, t := range lost {
@@ -332,7 +332,7 @@
 		}
 		for _, vm := range r.vms {
 			if r.agents[vm].backend.Domain == domain {
-				e.table.Suspect(vm, false)
+				e.table.SetSuspect(vm, false)
 			}
 		}
 	}
--- a/decide/loadtest/subset.go
+++ b/decide/loadtest/subset.go
@@ -63,14 +63,14 @@
 	table, ok := e.table.(*place.Table)
 	if e.run.setup.SubsetSize == 0 || !ok {
 		entries := len(e.run.entries)
-		free, capacity := e.table.Spare(offerKey, now)
+		free, capacity := e.table.Slots(offerKey, now)
 		return admit.Parts{Slots: admit.Part(e.running, free, capacity, entries), Total: capacity, Entries: entries}
 	}
 	if e.run.entriesPerServer == nil {
 		e.run.entriesPerServer = e.run.setup.countEntriesPerServer()
 	}
 	var servers []admit.Room
-	for _, r := range table.Rooms(offerKey, now) {
+	for _, r := range table.SlotsByServer(offerKey, now) {
 		servers = append(servers, admit.Room{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesPerServer[r.VM]})
 	}
 	return admit.PartOf(e.running, servers, float64(len(e.run.vms))/float64(e.run.setup.SubsetSize))
--- a/decide/place/rooms.go
+++ b/decide/place/rooms.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Room is what one backend server can hold, as this entry sees it.
-type Room struct {
+// ServerSlots counts the slots of one backend server, as this entry sees them.
+type ServerSlots struct {
 	VM string
-	// Limit is the number of requests that it may hold, Free how many more it can take;
-	// both are 0 of one that gets no work now.
+	// Limit is the number of requests that it may have, Free how many more it can take; both are 0
+	// for a server that gets no requests now.
 	Limit, Free int
 }
 
-// Rooms returns the room of each backend server for an offer; their sums are those of
-// Spare.
-func (t *Table) Rooms(key string, now time.Duration) []Room {
-	t.reopen(now)
+// SlotsByServer returns the slots of each backend server for an offer; their sums are those that
+// Slots returns.
+func (t *Table) SlotsByServer(key string, now time.Duration) []ServerSlots {
+	t.endBackoffs(now)
 	o, ok := t.offers[key]
 	if !ok {
 		return nil
 	}
-	var rooms []Room
+	var slots []ServerSlots
 	for _, s := range t.servers {
-		for _, place := range s.places {
-			if place.offer == o {
-				rooms = append(rooms, Room{VM: s.VM, Limit: s.counted.limit, Free: s.counted.free})
+		for _, m := range s.memberships {
+			if m.offer == o {
+				slots = append(slots, ServerSlots{VM: s.VM, Limit: s.contribution.limit, Free: s.contribution.free})
 			}
 		}
 	}
-	return rooms
+	return slots
 }
