--- a/decide/balance/full.go
+++ b/decide/balance/scratch.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Full returns the best placement for a demand regardless of where anything stands
-// now. It is the yardstick for skew, and the first placement of a group that knows its
-// popularity; as a way to follow drift it moves nearly everything each time.
+// PlaceFromScratch returns the best placement for a demand, regardless of the current one. It is
+// the reference for skew, and the first placement of a group whose popularity is known. It is not
+// suited to follow drift, since it moves nearly every expert each time.
 //
-// Replicas go one by one to the expert whose replicas are busiest; then the busiest
-// replicas are stood first, each on the least busy rank that has room.
-func Full(d Demand, ranks, slotsPerRank int) (*Placement, error) {
-	popularity, pace := d.Popularity, d.paces(ranks)
+// Replicas are assigned one by one to the expert whose replicas are busiest. The replicas are then
+// placed, busiest first, each on the least busy rank with a free slot.
+func PlaceFromScratch(d Demand, ranks, slotsPerRank int) (*Placement, error) {
+	popularity, slowdowns := d.Popularity, d.slowdownsOf(ranks)
 	p, err := NewPlacement(len(popularity), ranks, slotsPerRank)
 	if err != nil {
 		return nil, err
 	}
-	replicas := apportion(popularity, len(p.Slots), ranks)
+	replicas := apportionReplicas(popularity, len(p.Slots), ranks)
 	type replica struct {
 		expert int32
 		load   float64
@@ -40,38 +40,38 @@
 	queue := newRankHeap(ranks)
 	used := make([]int, ranks)
 	for _, r := range all {
-		rank := queue.place(r.expert, p, used)
+		rank := queue.popFor(r.expert, p, used)
 		p.Slots[rank*slotsPerRank+used[rank]] = r.expert
 		used[rank]++
-		queue.add(rank, pace[rank]*r.load, used[rank] < slotsPerRank)
+		queue.add(rank, slowdowns[rank]*r.load, used[rank] < slotsPerRank)
 	}
 	return Improve(p, d, 1, len(p.Slots)), nil
 }
 
-// apportion gives each expert one replica and the rest to the busiest; no expert gets
-// more than one for each rank, while others can take one.
-func apportion(popularity []float64, slots, ranks int) []int32 {
+// apportionReplicas gives each expert one replica and the remaining ones to the busiest experts. No
+// expert gets more than one replica per rank as long as others can take one.
+func apportionReplicas(popularity []float64, slots, ranks int) []int32 {
 	h := &expertHeap{popularity: popularity, replicas: make([]int32, len(popularity))}
 	for expert := range popularity {
 		h.replicas[expert] = 1
 		h.order = append(h.order, int32(expert))
 	}
 	heap.Init(h)
-	for left := slots - len(popularity); left > 0; {
+	for remaining := slots - len(popularity); remaining > 0; {
 		if h.Len() == 0 {
-			// Every rank has every expert; the slots left over must hold something.
-			h.replicas[left%len(popularity)]++
-			left--
+			// Every rank has every expert; the remaining slots still have to hold something.
+			h.replicas[remaining%len(popularity)]++
+			remaining--
 			continue
 		}
 		top := h.order[0]
 		if int(h.replicas[top]) >= ranks {
-			// Every rank has it. Nothing is gained by a second on one rank.
+			// Every rank has it; a second replica on one rank gains nothing.
 			heap.Pop(h)
 			continue
 		}
 		h.replicas[top]++
-		left--
+		remaining--
 		heap.Fix(h, 0)
 	}
 	return h.replicas
@@ -101,7 +101,7 @@
 	return last
 }
 
-// rankHeap orders ranks that have room by load, least busy first.
+// rankHeap orders the ranks with free slots by load, least busy first.
 type rankHeap struct {
 	loads []float64
 	order []int
@@ -127,12 +127,12 @@
 	return last
 }
 
-// place takes out the least busy rank that does not hold the expert yet, or the least
-// busy one if all that have room do.
-func (h *rankHeap) place(expert int32, p *Placement, used []int) int {
-	var passed []int
+// popFor removes and returns the least busy rank that does not hold the expert yet, or the least
+// busy rank if all with free slots hold it.
+func (h *rankHeap) popFor(expert int32, p *Placement, used []int) int {
+	var skipped []int
 	defer func() {
-		for _, rank := range passed {
+		for _, rank := range skipped {
 			heap.Push(h, rank)
 		}
 	}()
@@ -142,16 +142,16 @@
 		if !slices.Contains(held, expert) {
 			return rank
 		}
-		passed = append(passed, rank)
+		skipped = append(skipped, rank)
 	}
-	rank := passed[0]
-	passed = passed[1:]
+	rank := skipped[0]
+	skipped = skipped[1:]
 	return rank
 }
 
-func (h *rankHeap) add(rank int, load float64, room bool) {
+func (h *rankHeap) add(rank int, load float64, hasFreeSlot bool) {
 	h.loads[rank] += load
-	if room {
+	if hasFreeSlot {
 		heap.Push(h, rank)
 	}
 }
