--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -22,12 +22,12 @@
 
 // A streamed answer breaks in the middle. The caller gets the failure as an event and no
 // mark of the end; the dump must tell the same failure, not a fault of the entry.
-func TestABrokenStreamIsToldAsWhatItIs(t *testing.T) {
+func TestBrokenStreamIsRecordedAsAnswerBroken(t *testing.T) {
 	agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/event-stream"), partOf(1, "data: one\n\n"), partOf(3, "data: three\n\n"))
 	})
 	e, url := startEntry(t, agent)
-	got := ask(t, url, completions)
+	got := sendRequest(t, url, completions)
 	if !got.cut || !strings.Contains(got.body, "data: one") || !strings.Contains(got.body, "ANSWER_BROKEN") ||
 		strings.Contains(got.body, "three") || strings.Contains(got.body, "[DONE]") {
 		t.Errorf("got %+v", got)
@@ -55,7 +55,7 @@
 	agents[0] = newFakeAgent(t, "b1", script(1))
 	agents[1] = newFakeAgent(t, "b2", script(0))
 	_, url := startEntry(t, agents[0], agents[1])
-	got := ask(t, url, completions)
+	got := sendRequest(t, url, completions)
 	if got.result != "202 DEADLINE_UNREACHABLE" || got.ran != "unknown" {
 		t.Errorf("got %+v", got)
 	}
@@ -79,19 +79,19 @@
 	} {
 		agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { send(stream, events...) })
 		e, url := startEntry(t, agent)
-		got := ask(t, url, completions, "Apricothub-Deadline-Ms", "300")
+		got := sendRequest(t, url, completions, "Apricothub-Deadline-Ms", "300")
 		if got.cut || got.status < 500 || got.result == "" {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if flying := e.directory.dump().InFlight; flying["model:m"] != 0 {
-			t.Errorf("%s: %v in flight", name, flying)
+		if inFlight := e.directory.dump().InFlight; inFlight["model:m"] != 0 {
+			t.Errorf("%s: %v in flight", name, inFlight)
 		}
 	}
 }
 
 // Attempts move only while the caller has had nothing, and for a call that runs at most
 // once only after a refusal that says "not run".
-func TestAttemptsMove(t *testing.T) {
+func TestRetryOnlyWhileTheCallerHasNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
 		first  func(stream *link.Stream)
@@ -120,7 +120,7 @@
 					c.first(stream)
 					return
 				}
-				whole("the answer")(work, stream)
+				wholeAnswer("the answer")(work, stream)
 			}
 		}
 		for i := range agents {
@@ -130,7 +130,7 @@
 			}
 		}
 		_, url := startEntry(t, agents[0], agents[1])
-		got := ask(t, url, c.path)
+		got := sendRequest(t, url, c.path)
 		if works := agents[0].works.Load() + agents[1].works.Load(); got.result != c.result || works != c.works {
 			t.Errorf("%s: %+v after %d attempts", name, got, works)
 		}
@@ -157,7 +157,7 @@
 		send(stream, headOf(200, "text/plain"), partOf(1, "late"), partOf(2, "second"), endOf(2, 12))
 	}
 	_, url := startEntry(t, agent)
-	if got := ask(t, url, completions); got.body != "first second" || got.status != 200 {
+	if got := sendRequest(t, url, completions); got.body != "first second" || got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -197,7 +197,7 @@
 // as if somebody might come back for it, until its memory for answers is full and it
 // refuses work, and a planned stop waits ten seconds for nobody.
 func TestDeliveredIsSaidOfACallerThatHangsUp(t *testing.T) {
-	const callers, each = 16, 25
+	const callers, callsEach = 16, 25
 	var delivered atomic.Int32
 	agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/event-stream"), partOf(1, "data: x\n\n"), endOf(1, 9))
@@ -211,7 +211,7 @@
 	var calls sync.WaitGroup
 	for range callers {
 		calls.Go(func() {
-			for range each {
+			for range callsEach {
 				hangUpAtDone(t, url)
 			}
 		})
@@ -242,23 +242,23 @@
 	t.Error("the stream ended without its mark")
 }
 
-// writes counts the writes to all connections of a listener.
-type writes struct {
+// writeCountingListener counts the writeCountingListener to all connections of a listener.
+type writeCountingListener struct {
 	net.Listener
 	count atomic.Int64
 }
 
-func (l *writes) Accept() (net.Conn, error) {
+func (l *writeCountingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return &countedWrites{conn, &l.count}, err
+	return &writeCountingConn{conn, &l.count}, err
 }
 
-type countedWrites struct {
+type writeCountingConn struct {
 	net.Conn
 	count *atomic.Int64
 }
 
-func (c *countedWrites) Write(p []byte) (int, error) {
+func (c *writeCountingConn) Write(p []byte) (int, error) {
 	c.count.Add(1)
 	return c.Conn.Write(p)
 }
@@ -268,28 +268,28 @@
 // kept: a new one would cost it twice the way to the entry. The agent is told after that.
 func TestStreamEndsByOneWrite(t *testing.T) {
 	event := "data: x\n\n"
-	told := make(chan bool, 1)
+	doneReceived := make(chan bool, 1)
 	agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/event-stream"), partOf(1, event))
 		time.Sleep(50 * time.Millisecond)
 		send(stream, endOf(1, uint64(len(event))))
 		signal := &api.WorkSignal{}
-		told <- stream.Receive(signal) == nil && signal.GetDone()
+		doneReceived <- stream.Receive(signal) == nil && signal.GetDone()
 	})
 	e, _ := startEntry(t, agent)
 	public := httptest.NewUnstartedServer(nil)
-	count := &writes{Listener: public.Listener}
+	count := &writeCountingListener{Listener: public.Listener}
 	public.Config = httpguard.NewServer(e.settings.GetLimits(), e.handler(), log.NewNopLogger())
 	public.Listener = httpguard.Listener(count, 10)
 	public.Start()
 	defer public.Close()
 	for range 3 {
 		count.count.Store(0)
-		if got := ask(t, public.URL, completions); !strings.Contains(got.body, event) {
+		if got := sendRequest(t, public.URL, completions); !strings.Contains(got.body, event) {
 			t.Errorf("the answer is %+v", got)
 		}
 		select {
-		case done := <-told:
+		case done := <-doneReceived:
 			if !done {
 				t.Error("the agent was not told that the answer is delivered")
 			}
--- a/internal/entry/usuals_test.go
+++ b/internal/entry/baselines_test.go
@@ -10,15 +10,15 @@
 
 // What one agent knew is given to the next agent of the same VM, once, while it offers the
 // same; another model's usual would be wrong for it.
-func TestUsualIsGivenToTheNextAgent(t *testing.T) {
+func TestBaselineIsGivenToTheNextAgent(t *testing.T) {
 	known := &api.BackendStatus{Model: "m", ModelVersion: "1", Usual: &api.Usual{LatencyUs: 7}}
 	fresh := &api.BackendStatus{Model: "m", ModelVersion: "1"}
 	other := &api.BackendStatus{Model: "m", ModelVersion: "2"}
 	agent := func(vm, incarnation string) *member.Peer {
 		return &member.Peer{Hello: &api.Hello{Vm: vm, Incarnation: incarnation}}
 	}
-	u := newUsuals()
-	u.note(0, agent("a", "1"), known)
+	u := newBaselineCache()
+	u.exchange(0, agent("a", "1"), known)
 	cases := []struct {
 		name   string
 		peer   *member.Peer
@@ -34,12 +34,12 @@
 		{"the one after", agent("a", "3"), fresh, true},
 	}
 	for _, c := range cases {
-		if given := u.note(time.Second, c.peer, c.status) != nil; given != c.given {
+		if given := u.exchange(time.Second, c.peer, c.status) != nil; given != c.given {
 			t.Errorf("%s: given %v, want %v", c.name, given, c.given)
 		}
 	}
-	u.prune(2 * usualKeep)
-	if u.note(2*usualKeep, agent("a", "4"), fresh) != nil {
+	u.removeExpired(2 * baselineTTL)
+	if u.exchange(2*baselineTTL, agent("a", "4"), fresh) != nil {
 		t.Error("given although it is too old")
 	}
 }
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -19,48 +19,48 @@
 // A customer invents versions and tickets. Nothing may be kept of them when their
 // requests are over.
 func TestInventedNamesAreForgotten(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
 	for i := range 20 {
 		invented := ticket.Encode(&api.Ticket{AgentVm: "b1", Incarnation: "1", Seq: uint32(i), Mac: []byte("no")})
-		ask(t, url, completions, "Apricothub-Version", "v"+strconv.Itoa(i), "Idempotency-Key", invented)
+		sendRequest(t, url, completions, "Apricothub-Version", "v"+strconv.Itoa(i), "Idempotency-Key", invented)
 	}
-	ask(t, url, completions)
+	sendRequest(t, url, completions)
 	eventually(t, "nothing in flight", func() bool { return len(e.directory.dump().InFlight) == 0 })
-	if len(e.sizes.usual) != 1 {
-		t.Errorf("%d sizes are kept", len(e.sizes.usual))
+	if len(e.sizes.averages) != 1 {
+		t.Errorf("%d sizes are kept", len(e.sizes.averages))
 	}
 }
 
 // An agent's process is replaced while its old link still stands, as after a pause. What
 // the old one reports and grants must not pass for the new one's.
-func TestAnOldIncarnationIsNotHeard(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+func TestReportsOfAReplacedProcessAreIgnored(t *testing.T) {
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, _ := startEntry(t, agent)
-	now := e.node.State().Peers["b1"]
-	old := &member.Peer{Hello: &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "0"}, Session: now.Session}
-	e.directory.message(old, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", Limit: 99}}})
+	current := e.node.State().Peers["b1"]
+	old := &member.Peer{Hello: &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "0"}, Session: current.Session}
+	e.directory.handleMessage(old, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", Limit: 99}}})
 	foreign := &api.TicketBlock{AgentVm: "b2", Incarnation: "1", Count: 10, Key: []byte("k"), LifetimeMs: 1000, ExpiryMs: 1000}
-	e.directory.message(now, &api.Control{Body: &api.Control_Block{Block: foreign}})
+	e.directory.handleMessage(current, &api.Control{Body: &api.Control_Block{Block: foreign}})
 	if limit := e.directory.backends()[0].Limit; limit != 8 {
 		t.Errorf("limit %d", limit)
 	}
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
-	if _, ok := e.directory.lifetimes["b2"]; ok {
+	if _, ok := e.directory.ticketLifetimes["b2"]; ok {
 		t.Error("an agent granted tickets of another")
 	}
 }
 
 // Agents come and go for months; nothing of those that are gone may stay.
 func TestGoneAgentsAreForgotten(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
-	ask(t, url, "/v1/tickets")
+	sendRequest(t, url, "/v1/tickets")
 	e.directory.setPeers(&member.State{})
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
-	if left := len(e.directory.heard) + len(e.directory.lifetimes) + len(e.directory.asked) + len(e.directory.status); left != 0 {
+	if left := len(e.directory.lastReport) + len(e.directory.ticketLifetimes) + len(e.directory.blockRequestedAt) + len(e.directory.status); left != 0 {
 		t.Errorf("%d entries stay", left)
 	}
 }
@@ -68,31 +68,31 @@
 // Somebody guesses keys. Past a bound an address gets no more tries, whatever key comes,
 // but those callers behind it whose key was good before go on; other addresses too.
 func TestGuessingKeysIsBounded(t *testing.T) {
-	g := newGuesses()
+	g := newGuessLimiter()
 	now := time.Unix(0, 0)
-	if !g.good(now, "10.0.0.1", 7) {
+	if !g.allowValidKey(now, "10.0.0.1", 7) {
 		t.Fatal("a good key is refused")
 	}
 	allowed := 0
 	for range 1000 {
-		if g.wrong(now, "10.0.0.1") {
+		if g.allowWrongKey(now, "10.0.0.1") {
 			allowed++
 		}
 	}
 	if allowed > guessBurst {
 		t.Errorf("%d guesses", allowed)
 	}
-	if !g.good(now, "10.0.0.1", 7) || g.good(now, "10.0.0.1", 8) || !g.good(now, "10.0.0.2", 8) {
+	if !g.allowValidKey(now, "10.0.0.1", 7) || g.allowValidKey(now, "10.0.0.1", 8) || !g.allowValidKey(now, "10.0.0.2", 8) {
 		t.Error("the wrong callers are refused")
 	}
-	if now = now.Add(time.Minute); !g.good(now, "10.0.0.1", 8) {
+	if now = now.Add(time.Minute); !g.allowValidKey(now, "10.0.0.1", 8) {
 		t.Error("an address is refused for ever")
 	}
-	for i := range 3 * maxGuessers {
-		g.good(now, strconv.Itoa(i), 1)
+	for i := range 3 * maxTrackedCallers {
+		g.allowValidKey(now, strconv.Itoa(i), 1)
 	}
-	if len(g.known) > maxGuessers {
-		t.Errorf("%d callers are remembered", len(g.known))
+	if len(g.knownCallers) > maxTrackedCallers {
+		t.Errorf("%d callers are remembered", len(g.knownCallers))
 	}
 
 	_, url := startEntry(t)
@@ -121,7 +121,7 @@
 	e, _ := startEntry(t)
 	s := *e.node.State()
 	s.Linked, s.ServeUntil = false, clock.Now()+time.Minute
-	named, err := e.addresses(&s)
+	named, err := e.listAddresses(&s)
 	if result.From(err).Code != api.ResultCode_STARTING {
 		t.Errorf("got %v, %v", named, err)
 	}
@@ -173,7 +173,7 @@
 			s.ServeUntil = 0
 		}
 		var got []string
-		named, _ := e.addresses(&s)
+		named, _ := e.listAddresses(&s)
 		for _, a := range named.Addresses {
 			got = append(got, strings.Replace(a.Address, "127.0.0.1:1", "e1", 1))
 		}
@@ -184,7 +184,7 @@
 	session.Close(io.EOF)
 	eventually(t, "suspect", session.Suspect)
 	state.Peers = map[string]*member.Peer{"e2": &good}
-	if got, _ := e.addresses(&state); len(got.Addresses) != 1 {
+	if got, _ := e.listAddresses(&state); len(got.Addresses) != 1 {
 		t.Errorf("a suspect entry is named: %v", got)
 	}
 }
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -20,54 +20,54 @@
 // loaded they are, and the tickets they have granted. Traffic and the control
 // goroutine share it under one lock.
 type directory struct {
-	mu      sync.Mutex
-	table   *place.Table
-	shifter *shift.Shifter
-	minter  *ticket.Minter
-	budget  place.RetryBudget
-	peers   map[string]*member.Peer // agents by VM
-	status  map[string]*api.BackendStatus
-	heard   map[string]time.Duration
-	steps   map[string]stepSeen // by group
-	flying  map[string]int      // own requests in flight, by offer
-	asked   map[string]time.Duration
-	// made is when an offer was last made by any backend server.
-	made map[string]time.Duration
-	// lifetimes of the newest block, by agent's VM.
-	lifetimes map[string]time.Duration
-	view      *config.View
-	// split names the models that splitModels finds.
-	split map[string]bool
-	links *links
-	// peersMoved is closed and made anew at each change of the links or of what they say.
-	peersMoved chan struct{}
-	// usuals are handed to agents that replace others.
-	usuals *usuals
+	mu               sync.Mutex
+	table            *place.Table
+	shifter          *shift.Shifter
+	minter           *ticket.Minter
+	budget           place.RetryBudget
+	peers            map[string]*member.Peer // agents by VM
+	status           map[string]*api.BackendStatus
+	lastReport       map[string]time.Duration
+	lastSteps        map[string]observedStep // by group
+	inFlight         map[string]int          // own requests in flight, by offer
+	blockRequestedAt map[string]time.Duration
+	// lastOffered is when an offer was last lastOffered by any backend server.
+	lastOffered map[string]time.Duration
+	// ticketLifetimes of the newest block, by agent's VM.
+	ticketLifetimes map[string]time.Duration
+	view            *config.View
+	// needsVersionOffer names the models that splitModels finds.
+	needsVersionOffer map[string]bool
+	links             *linkChooser
+	// peersChanged is closed and made anew at each change of the links or of what they say.
+	peersChanged chan struct{}
+	// baselines are handed to agents that replace others.
+	baselines *baselineCache
 }
 
-// blockAskAfter is how long an answer to a request for tickets is waited for.
-const blockAskAfter = 500 * time.Millisecond
+// blockRetryInterval is how long an answer to a request for tickets is waited for.
+const blockRetryInterval = 500 * time.Millisecond
 
 // newDirectory returns a directory of all agents, or of a subset of them.
 func newDirectory(subset bool) *directory {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &directory{
-		table:     place.NewTable(rng, place.Config{TrustStaleReports: subset}),
-		shifter:   shift.New(shift.Config{}),
-		minter:    ticket.NewMinter(),
-		peers:     make(map[string]*member.Peer),
-		status:    make(map[string]*api.BackendStatus),
-		heard:     make(map[string]time.Duration),
-		steps:     make(map[string]stepSeen),
-		flying:    make(map[string]int),
-		asked:     make(map[string]time.Duration),
-		made:      make(map[string]time.Duration),
-		lifetimes: make(map[string]time.Duration),
-		view:      config.NewFold().View(),
-		links:     &links{}, // All agents get work.
-		usuals:    newUsuals(),
-
-		peersMoved: make(chan struct{}),
+		table:            place.NewTable(rng, place.Config{TrustStaleReports: subset}),
+		shifter:          shift.New(shift.Config{}),
+		minter:           ticket.NewMinter(),
+		peers:            make(map[string]*member.Peer),
+		status:           make(map[string]*api.BackendStatus),
+		lastReport:       make(map[string]time.Duration),
+		lastSteps:        make(map[string]observedStep),
+		inFlight:         make(map[string]int),
+		blockRequestedAt: make(map[string]time.Duration),
+		lastOffered:      make(map[string]time.Duration),
+		ticketLifetimes:  make(map[string]time.Duration),
+		view:             config.NewFold().View(),
+		links:            &linkChooser{}, // All agents get work.
+		baselines:        newBaselineCache(),
+
+		peersChanged: make(chan struct{}),
 	}
 }
 
@@ -97,30 +97,30 @@
 func (d *directory) setPeers(state *member.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	was := d.peers
+	previous := d.peers
 	d.peers = make(map[string]*member.Peer)
 	for vm, peer := range state.Peers {
 		if peer.Hello.GetRole() == api.Role_ROLE_AGENT {
 			d.peers[vm] = peer
 		}
 	}
-	close(d.peersMoved)
-	d.peersMoved = make(chan struct{})
-	d.dropTickets(was)
-	d.usuals.prune(clock.Now())
-	for vm := range was {
+	close(d.peersChanged)
+	d.peersChanged = make(chan struct{})
+	d.dropStaleTickets(previous)
+	d.baselines.removeExpired(clock.Now())
+	for vm := range previous {
 		if _, ok := d.peers[vm]; !ok {
 			delete(d.status, vm)
-			delete(d.heard, vm)
-			delete(d.lifetimes, vm)
+			delete(d.lastReport, vm)
+			delete(d.ticketLifetimes, vm)
 		}
 	}
-	d.rebuild()
+	d.rebuildTable()
 }
 
-// complete says that every linked agent has reported: before that its backend server
+// allReported says that every linked agent has reported: before that its backend server
 // is not among those that may get work.
-func (d *directory) complete() bool {
+func (d *directory) allReported() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for vm := range d.peers {
@@ -131,14 +131,14 @@
 	return true
 }
 
-// dropTickets lets go of the tickets of agents that are gone or were replaced. Minted
+// dropStaleTickets lets go of the tickets of agents that are gone or were replaced. Minted
 // from them, a request would end as "outcome unknown" though nobody ever sent it.
-func (d *directory) dropTickets(was map[string]*member.Peer) {
-	for vm, old := range was {
-		now := d.peers[vm]
-		if now == nil || now.Hello.GetIncarnation() != old.Hello.GetIncarnation() {
+func (d *directory) dropStaleTickets(previous map[string]*member.Peer) {
+	for vm, old := range previous {
+		current := d.peers[vm]
+		if current == nil || current.Hello.GetIncarnation() != old.Hello.GetIncarnation() {
 			d.minter.Drop(vm)
-			delete(d.asked, vm)
+			delete(d.blockRequestedAt, vm)
 		}
 	}
 }
@@ -148,29 +148,29 @@
 func (d *directory) setView(now time.Duration, view *config.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	was := d.view
+	previous := d.view
 	d.view = view
 	for _, mark := range view.Marks() {
 		if mark.GetTarget() != api.MarkTarget_TARGET_DOMAIN {
 			continue
 		}
 		out := mark.GetOut()
-		switch before := was.VMOut("", mark.GetName()); {
-		case out && !before:
+		switch wasOut := previous.VMOut("", mark.GetName()); {
+		case out && !wasOut:
 			d.shifter.Leave(now, mark.GetName())
-		case !out && before:
+		case !out && wasOut:
 			d.shifter.Return(now, mark.GetName())
 		}
 	}
-	d.rebuild()
+	d.rebuildTable()
 }
 
-// rebuild gives the table the backend servers that may get work.
-func (d *directory) rebuild() {
+// rebuildTable gives the table the backend servers that may get work.
+func (d *directory) rebuildTable() {
 	servers := make([]place.Server, 0, len(d.peers))
 	for vm, peer := range d.peers {
 		status := d.status[vm]
-		if status == nil || peer.Draining || !d.links.forWork(vm) {
+		if status == nil || peer.Draining || !d.links.canGetWork(vm) {
 			continue
 		}
 		domain := peer.Hello.GetFailureDomain()
@@ -181,18 +181,18 @@
 		servers = append(servers, place.Server{VM: vm, Domain: domain, Offers: offers(status), Weight: weight})
 	}
 	d.table.SetServers(servers)
-	d.split = splitModels(d.view, d.status)
+	d.needsVersionOffer = modelsNeedingVersionOffer(d.view, d.status)
 }
 
-// message takes what agents send on the control stream. It says whether a backend
+// handleMessage takes what agents send on the control stream. It says whether a backend
 // server now offers what it did not before, or takes work again: requests that waited
 // for it go to the gate at once, and would be refused there for want of room.
-func (d *directory) message(peer *member.Peer, m *api.Control) bool {
+func (d *directory) handleMessage(peer *member.Peer, m *api.Control) bool {
 	now := clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	vm := peer.Hello.GetVm()
-	if now := d.peers[vm]; now == nil || now.Hello.GetIncarnation() != peer.Hello.GetIncarnation() {
+	if current := d.peers[vm]; current == nil || current.Hello.GetIncarnation() != peer.Hello.GetIncarnation() {
 		// An older process of the VM, paused and woken: what it says would be
 		// taken for its successor's.
 		return false
@@ -202,7 +202,7 @@
 			return false
 		}
 		d.minter.Add(now, block)
-		d.lifetimes[block.GetAgentVm()] = time.Duration(block.GetLifetimeMs()) * time.Millisecond
+		d.ticketLifetimes[block.GetAgentVm()] = time.Duration(block.GetLifetimeMs()) * time.Millisecond
 		return false
 	}
 	status := m.GetStatus()
@@ -211,14 +211,14 @@
 	}
 	old := d.status[vm]
 	d.status[vm] = status
-	d.noteStep(now, status)
-	d.heard[vm] = now
-	if usual := d.usuals.note(now, peer, status); usual != nil {
-		peer.Session.Post(&api.Control{Body: &api.Control_Usual{Usual: usual}})
+	d.recordStep(now, status)
+	d.lastReport[vm] = now
+	if baseline := d.baselines.exchange(now, peer, status); baseline != nil {
+		peer.Session.Post(&api.Control{Body: &api.Control_Usual{Usual: baseline}})
 	}
 	changed := old == nil || !sameOffers(old, status)
 	if changed {
-		d.rebuild()
+		d.rebuildTable()
 	}
 	d.table.Report(vm, now, place.Report{
 		Limit:     int(status.GetLimit()),
@@ -255,8 +255,8 @@
 		d.table.SetSuspect(vm, peer.Session.Suspect())
 		domains[peer.Hello.GetFailureDomain()] = true
 		// No ticket is minted from the blocks of an agent that gets no new work.
-		if d.links.forWork(vm) {
-			d.askForTickets(now, vm, peer)
+		if d.links.canGetWork(vm) {
+			d.requestTickets(now, vm, peer)
 		}
 	}
 	for domain := range domains {
@@ -264,15 +264,15 @@
 	}
 }
 
-// askForTickets asks an agent for a block of tickets when few are left, unless it was
+// requestTickets asks an agent for a block of tickets when few are left, unless it was
 // asked a moment ago. An agent that was never asked is asked at once: taken for asked at
 // the process's start, it would leave an entry that has just started without any ticket.
-func (d *directory) askForTickets(now time.Duration, vm string, peer *member.Peer) {
-	asked, before := d.asked[vm]
-	if !d.minter.Low(now, vm) || before && now-asked < blockAskAfter {
+func (d *directory) requestTickets(now time.Duration, vm string, peer *member.Peer) {
+	requestedAt, requested := d.blockRequestedAt[vm]
+	if !d.minter.Low(now, vm) || requested && now-requestedAt < blockRetryInterval {
 		return
 	}
-	d.asked[vm] = now
+	d.blockRequestedAt[vm] = now
 	peer.Session.Post(&api.Control{Body: &api.Control_BlockRequest{BlockRequest: &api.BlockRequest{}}})
 }
 
@@ -290,59 +290,59 @@
 		return nil, api.ResultCode_NO_BACKEND
 	}
 	d.table.Started(vm, now)
-	d.flying[req.Offer]++
-	d.links.use(vm)
+	d.inFlight[req.Offer]++
+	d.links.acquire(vm)
 	return peer, api.ResultCode_OK
 }
 
-// started counts a request that goes to a given agent, such as one with a ticket.
-func (d *directory) started(vm, offer string) {
+// recordStart counts a request that goes to a given agent, such as one with a ticket.
+func (d *directory) recordStart(vm, offer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.Started(vm, clock.Now())
-	d.flying[offer]++
-	d.links.use(vm)
+	d.inFlight[offer]++
+	d.links.acquire(vm)
 }
 
-// ended takes back the count of pick or started.
-func (d *directory) ended(vm, offer string, outcome place.Outcome) {
+// recordEnd takes back the count of pick or started.
+func (d *directory) recordEnd(vm, offer string, outcome place.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
 	d.table.Ended(vm, now, outcome)
-	d.links.done(now, vm)
-	d.flying[offer]--
-	if d.flying[offer] == 0 {
+	d.links.release(now, vm)
+	d.inFlight[offer]--
+	if d.inFlight[offer] == 0 {
 		// A caller may name any version.
-		delete(d.flying, offer)
+		delete(d.inFlight, offer)
 	}
 }
 
-// agent returns the link to an agent's VM.
-func (d *directory) agent(vm string) (*member.Peer, bool) {
+// agentPeer returns the link to an agentPeer's VM.
+func (d *directory) agentPeer(vm string) (*member.Peer, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	peer, ok := d.peers[vm]
 	return peer, ok
 }
 
-// draining says that the agent which a ticket names is stopping or leaving; false
+// agentDraining says that the agent which a ticket names is stopping or leaving; false
 // without a ticket.
-func (d *directory) draining(t *api.Ticket) bool {
+func (d *directory) agentDraining(t *api.Ticket) bool {
 	if t == nil {
 		return false
 	}
-	peer, ok := d.agent(t.GetAgentVm())
+	peer, ok := d.agentPeer(t.GetAgentVm())
 	return ok && peer.Draining
 }
 
-// untilDraining returns a context that also ends when the agent which a ticket names begins
+// withAgentDraining returns a context that also ends when the agent which a ticket names begins
 // to stop; without a ticket, the context given.
 //
 // Load: pushes wait at the gate for room while the one agent that may run them stops.
 // Harm prevented: they wait for longer than the agent lives, and its callers are left not
 // knowing whether their pushes ran. Sent at once, they hear it from the agent itself.
-func (d *directory) untilDraining(ctx context.Context, t *api.Ticket) (context.Context, context.CancelFunc) {
+func (d *directory) withAgentDraining(ctx context.Context, t *api.Ticket) (context.Context, context.CancelFunc) {
 	if t == nil {
 		return ctx, func() {}
 	}
@@ -350,13 +350,13 @@
 	go func() {
 		for {
 			// Asked for before the look: a change between the two must not be missed.
-			moved := d.moved()
-			if d.draining(t) {
+			changed := d.peerChanges()
+			if d.agentDraining(t) {
 				cancel()
 				return
 			}
 			select {
-			case <-moved:
+			case <-changed:
 			case <-ctx.Done():
 				return
 			}
@@ -365,45 +365,45 @@
 	return ctx, cancel
 }
 
-// moved returns a channel that is closed at the next change of the links.
-func (d *directory) moved() <-chan struct{} {
+// peerChanges returns a channel that is closed at the next change of the links.
+func (d *directory) peerChanges() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.peersMoved
+	return d.peersChanged
 }
 
-// known says whether any backend server offers the key.
-func (d *directory) known(offer string) bool {
+// hasCapacity says whether any backend server offers the key.
+func (d *directory) hasCapacity(offer string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, capacity := d.table.Slots(offer, clock.Now())
 	return capacity > 0
 }
 
-// offered says whether a backend server that is linked and in service offers the key,
+// expectsOffer says whether a backend server that is linked and in service offers the key,
 // even if it may get no work at this moment, or that a link to one is on its way.
-func (d *directory) offered(offer string) bool {
+func (d *directory) expectsOffer(offer string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.expected(offer)
+	return d.expectsOfferLocked(offer)
 }
 
-// expected is offered with the lock held.
-func (d *directory) expected(offer string) bool {
+// expectsOfferLocked is offered with the lock held.
+func (d *directory) expectsOfferLocked(offer string) bool {
 	for vm, status := range d.status {
 		peer := d.peers[vm]
-		if peer == nil || peer.Draining || !d.links.forWork(vm) || d.view.VMOut(vm, peer.Hello.GetFailureDomain()) {
+		if peer == nil || peer.Draining || !d.links.canGetWork(vm) || d.view.VMOut(vm, peer.Hello.GetFailureDomain()) {
 			continue
 		}
 		if slices.Contains(offers(status), offer) {
 			return true
 		}
 	}
-	return d.links.pending(offer, d.reported)
+	return d.links.isLinkPending(offer, d.noReportPending)
 }
 
-// mint makes a ticket of an agent for a customer.
-func (d *directory) mint(vm, customer string) (*api.Ticket, bool) {
+// mintTicket makes a ticket of an agent for a customer.
+func (d *directory) mintTicket(vm, customer string) (*api.Ticket, bool) {
 	now := clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -412,27 +412,27 @@
 		return nil, false
 	}
 	t, ok := d.minter.Mint(now, vm, customer)
-	d.askForTickets(now, vm, peer)
+	d.requestTickets(now, vm, peer)
 	// A block that was on its way when its agent was replaced is of no use any more.
 	return t, ok && t.GetIncarnation() == peer.Hello.GetIncarnation()
 }
 
-// lifetime is the time for which a ticket just minted is good at least: blocks are
-// minted from in the first half of their lifetime.
-func (d *directory) lifetime(t *api.Ticket) time.Duration {
+// ticketLifetime is the time for which a ticket just minted is good at least: blocks are
+// minted from in the first half of their ticketLifetime.
+func (d *directory) ticketLifetime(t *api.Ticket) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lifetimes[t.GetAgentVm()] / 2
+	return d.ticketLifetimes[t.GetAgentVm()] / 2
 }
 
-// firstAttempt and mayRetry keep the budget for second attempts.
-func (d *directory) firstAttempt() {
+// countRequest and mayRetry keep the budget for second attempts.
+func (d *directory) countRequest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget.CountRequest()
 }
 
-func (d *directory) mayRetry() bool {
+func (d *directory) spendRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget.SpendRetry()
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// reattachWait is how long the link to an agent that holds an answer is waited
+	// reattachTimeout is how long the link to an agent that holds an answer is waited
 	// for: the time in which a silent link is closed and dialled anew, and some.
-	reattachWait = 4 * time.Second
-	// waitStep is the time between looks while waiting for one of the above.
-	waitStep = 10 * time.Millisecond
+	reattachTimeout = 4 * time.Second
+	// pollInterval is the time between looks while waiting for one of the above.
+	pollInterval = 10 * time.Millisecond
 	// maxAttempts bounds the agents that one request is sent to.
 	maxAttempts = 4
 )
@@ -36,32 +36,32 @@
 
 // dispatch sends a request to agents until one gives the whole answer, or the request
 // has failed for good. What the caller has had of an answer is never begun anew.
-func (e *entry) dispatch(ctx context.Context, req *request, pass *pass, out *output) error {
-	if req.given != nil {
-		return e.dispatchGiven(ctx, req, out)
+func (e *entry) dispatch(ctx context.Context, req *request, adm *admission, out *output) error {
+	if req.callerTicket != nil {
+		return e.dispatchToTicketAgent(ctx, req, out)
 	}
-	e.directory.firstAttempt()
+	e.directory.countRequest()
 	var tried []string
-	begun := false // An attempt may have run.
+	mayHaveRun := false // An attempt may have run.
 	for n := 1; ; n++ {
-		a, refused := e.place(ctx, req, pass, tried, n)
+		a, refused := e.placeAttempt(ctx, req, adm, tried, n)
 		if refused != nil {
-			return ofAll(refused, begun)
+			return withEarlierAttempts(refused, mayHaveRun)
 		}
-		err := e.try(ctx, a, out)
-		if err == nil || !movable(ctx, req, out, err) || n >= maxAttempts {
-			return plain(ofAll(err, begun))
+		err := e.runAttempt(ctx, a, out)
+		if err == nil || !canRetry(ctx, req, out, err) || n >= maxAttempts {
+			return asError(withEarlierAttempts(err, mayHaveRun))
 		}
-		begun = begun || err.Ran != api.Ran_RAN_NO
+		mayHaveRun = mayHaveRun || err.Ran != api.Ran_RAN_NO
 		tried = append(tried, a.vm)
-		if !e.directory.mayRetry() {
+		if !e.directory.spendRetry() {
 			// The budget for second attempts is spent. What has not run may still
 			// wait at the gate like any other.
 			if err.Ran != api.Ran_RAN_NO {
 				return err
 			}
-			if refused := e.postpone(ctx, req, pass, err.Code); refused != nil {
-				return ofAll(refused, begun)
+			if refused := e.requeue(ctx, req, adm, err.Code); refused != nil {
+				return withEarlierAttempts(refused, mayHaveRun)
 			}
 			tried = nil
 		}
@@ -69,10 +69,10 @@
 	}
 }
 
-// ofAll makes the last attempt's failure true of all attempts: "not run" is not said of
+// withEarlierAttempts makes the last attempt's failure true of all attempts: "not run" is not said of
 // a request of which an earlier attempt may have run.
-func ofAll(err *result.Error, begun bool) *result.Error {
-	if err == nil || !begun || err.Ran != api.Ran_RAN_NO {
+func withEarlierAttempts(err *result.Error, mayHaveRun bool) *result.Error {
+	if err == nil || !mayHaveRun || err.Ran != api.Ran_RAN_NO {
 		return err
 	}
 	unknown := *err
@@ -80,19 +80,19 @@
 	return &unknown
 }
 
-// plain keeps a nil *result.Error from becoming an error that is not nil.
-func plain(err *result.Error) error {
+// asError keeps a nil *result.Error from becoming an error that is not nil.
+func asError(err *result.Error) error {
 	if err == nil {
 		return nil
 	}
 	return err
 }
 
-// movable says whether a failed attempt may be followed by another: always only while
+// canRetry says whether a failed attempt may be followed by another: always only while
 // the caller has had nothing; and for a request that runs at most once only when it
 // certainly has not run.
-func movable(ctx context.Context, req *request, out *output, err *result.Error) bool {
-	if ctx.Err() != nil || out.begun() {
+func canRetry(ctx context.Context, req *request, out *output, err *result.Error) bool {
+	if ctx.Err() != nil || out.hasBegun() {
 		return false
 	}
 	if req.once && err.Ran != api.Ran_RAN_NO {
@@ -105,10 +105,10 @@
 	return true
 }
 
-// place chooses the agent, and makes a ticket of it for a request that runs at most
+// placeAttempt chooses the agent, and makes a ticket of it for a request that runs at most
 // once. A request for which there is no room after all goes back to the gate.
-func (e *entry) place(ctx context.Context, req *request, pass *pass, tried []string, n int) (*attempt, *result.Error) {
-	limit := clock.Now() + mintWait
+func (e *entry) placeAttempt(ctx context.Context, req *request, adm *admission, tried []string, n int) (*attempt, *result.Error) {
+	deadline := clock.Now() + mintTimeout
 	for {
 		peer, code := e.directory.pick(place.Request{
 			Offer:        req.offer,
@@ -116,11 +116,11 @@
 			Adapter:      req.adapter,
 			Avoid:        tried,
 			TimeLeft:     req.deadline - clock.Now(),
-			RelativeSize: req.size,
-			WithinShare:  pass.guaranteed,
+			RelativeSize: req.relativeSize,
+			WithinShare:  adm.withinShare,
 		})
 		if code != api.ResultCode_OK {
-			if refused := e.postpone(ctx, req, pass, code); refused != nil {
+			if refused := e.requeue(ctx, req, adm, code); refused != nil {
 				return nil, refused
 			}
 			tried = nil
@@ -130,17 +130,17 @@
 			return a, nil
 		}
 		// The agent's first block of tickets is still on its way.
-		e.directory.ended(peer.Hello.GetVm(), req.offer, place.Outcome{})
-		if clock.Now() > limit || ctx.Err() != nil {
+		e.directory.recordEnd(peer.Hello.GetVm(), req.offer, place.Outcome{})
+		if clock.Now() > deadline || ctx.Err() != nil {
 			return nil, result.Refuse(api.ResultCode_NO_BACKEND, time.Second)
 		}
-		pause(ctx, waitStep)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// postpone lets a request wait at the gate for a backend server.
-func (e *entry) postpone(ctx context.Context, req *request, pass *pass, code api.ResultCode) *result.Error {
-	return pass.postpone(ctx, code, !e.directory.known(req.offer))
+// requeue lets a request wait at the gate for a backend server.
+func (e *entry) requeue(ctx context.Context, req *request, adm *admission, code api.ResultCode) *result.Error {
+	return adm.requeue(ctx, code, !e.directory.hasCapacity(req.offer))
 }
 
 func (e *entry) newAttempt(req *request, peer *member.Peer, n int) (*attempt, bool) {
@@ -154,17 +154,17 @@
 	if !req.once {
 		return a, true
 	}
-	t, ok := e.directory.mint(a.vm, req.caller.name)
+	t, ok := e.directory.mintTicket(a.vm, req.caller.name)
 	a.work.Ticket = t
 	return a, ok
 }
 
-// try has one agent run the request and takes the answer to the output.
-func (e *entry) try(ctx context.Context, a *attempt, out *output) *result.Error {
+// runAttempt has one agent run the request and takes the answer to the output.
+func (e *entry) runAttempt(ctx context.Context, a *attempt, out *output) *result.Error {
 	started := clock.Now()
-	err := e.proved(ctx, a)
+	err := e.checkLink(ctx, a)
 	if err == nil {
-		err = e.follow(ctx, a, out)
+		err = e.relayAnswer(ctx, a, out)
 	}
 	journal.From(ctx).Tried(a.vm, clock.Now()-started, err)
 	if err != nil {
@@ -177,40 +177,40 @@
 	case ctx.Err() != nil:
 	case err.Ran == api.Ran_RAN_NO:
 		outcome.Refused = true
-		outcome.RefusesAll = closed(err.Code)
+		outcome.RefusesAll = refusesAllWork(err.Code)
 	default:
 		outcome.Failed = true
 	}
-	e.directory.ended(a.vm, a.req.offer, outcome)
+	e.directory.recordEnd(a.vm, a.req.offer, outcome)
 	return err
 }
 
-// closed says that an agent's refusal means that it takes no new work from anybody until
+// refusesAllWork says that an agent's refusal means that it takes no new work from anybody until
 // it says otherwise in a report.
-func closed(code api.ResultCode) bool {
+func refusesAllWork(code api.ResultCode) bool {
 	return code == api.ResultCode_DRAINING || code == api.ResultCode_OUT_OF_SERVICE
 }
 
-// dispatchGiven sends a request to the one agent that its ticket names. It is sent
+// dispatchToTicketAgent sends a request to the one agent that its ticket names. It is sent
 // again there as often as links break: the agent knows the ticket.
-func (e *entry) dispatchGiven(ctx context.Context, req *request, out *output) error {
-	vm := req.given.GetAgentVm()
-	e.directory.started(vm, req.offer)
+func (e *entry) dispatchToTicketAgent(ctx context.Context, req *request, out *output) error {
+	vm := req.callerTicket.GetAgentVm()
+	e.directory.recordStart(vm, req.offer)
 	a := &attempt{req: req, vm: vm, work: proto.CloneOf(req.work)}
-	a.work.Ticket = req.given
-	peer, err := e.ticketAgent(ctx, req.given)
+	a.work.Ticket = req.callerTicket
+	peer, err := e.ticketAgentPeer(ctx, req.callerTicket)
 	if err != nil {
-		e.directory.ended(vm, req.offer, place.Outcome{})
+		e.directory.recordEnd(vm, req.offer, place.Outcome{})
 		return err
 	}
 	a.peer = peer
-	return plain(e.try(ctx, a, out))
+	return asError(e.runAttempt(ctx, a, out))
 }
 
-// ticketAgent finds the incarnation that a ticket names. When it cannot be reached
+// ticketAgentPeer finds the incarnation that a ticket names. When it cannot be reached
 // nobody can say what became of the ticket: it may have been used through another
 // entry.
-func (e *entry) ticketAgent(ctx context.Context, t *api.Ticket) (*member.Peer, error) {
+func (e *entry) ticketAgentPeer(ctx context.Context, t *api.Ticket) (*member.Peer, error) {
 	peer, ok := e.awaitAgent(ctx, t.GetAgentVm(), t.GetIncarnation(), nil)
 	if !ok {
 		return nil, result.New(api.ResultCode_OUTCOME_UNKNOWN, "The backend server that the ticket names cannot be reached.")
@@ -222,17 +222,17 @@
 // that has failed, and has the agent dialled if this entry is not linked to it. It gives
 // up at once when another incarnation has taken its place. The caller holds the agent.
 func (e *entry) awaitAgent(ctx context.Context, vm, incarnation string, failed *link.Session) (*member.Peer, bool) {
-	limit := clock.Now() + reattachWait
+	deadline := clock.Now() + reattachTimeout
 	for {
-		peer, ok := e.directory.agent(vm)
+		peer, ok := e.directory.agentPeer(vm)
 		if ok && peer.Session != failed {
 			return peer, peer.Hello.GetIncarnation() == incarnation
 		}
-		if clock.Now() > limit || ctx.Err() != nil {
+		if clock.Now() > deadline || ctx.Err() != nil {
 			return nil, false
 		}
-		e.reach(vm)
-		pause(ctx, waitStep)
+		e.requestLink(vm)
+		sleep(ctx, pollInterval)
 	}
 }
 
@@ -245,14 +245,14 @@
 
 // settle asks the agent what became of a ticket.
 func (e *entry) settle(ctx context.Context, t *api.Ticket, customer string) settlement {
-	s := e.askSettle(ctx, t, customer)
+	s := e.settleAtAgent(ctx, t, customer)
 	e.logSettled(ctx, t, s)
 	return s
 }
 
-func (e *entry) askSettle(ctx context.Context, t *api.Ticket, customer string) settlement {
-	defer e.hold(t.GetAgentVm())()
-	peer, err := e.ticketAgent(ctx, t)
+func (e *entry) settleAtAgent(ctx context.Context, t *api.Ticket, customer string) settlement {
+	defer e.retainLink(t.GetAgentVm())()
+	peer, err := e.ticketAgentPeer(ctx, t)
 	if err != nil {
 		return settlement{err: result.From(err)}
 	}
@@ -276,9 +276,9 @@
 	return settlement{err: result.FromRefusal(event.GetRefusal())}
 }
 
-// splitEventID splits an event id: VM, incarnation and number of the answer, and the
+// parseEventID splits an event id: VM, incarnation and number of the answer, and the
 // number of the part.
-func splitEventID(id string) (vm, incarnation, answerID, part string, ok bool) {
+func parseEventID(id string) (vm, incarnation, answerID, part string, ok bool) {
 	fields := strings.Split(id, ":")
 	if len(fields) != 4 {
 		return "", "", "", "", false
--- a/internal/entry/show.go
+++ b/internal/entry/dump.go
@@ -18,7 +18,7 @@
 func (d *directory) dump() placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := placement{InFlight: maps.Clone(d.flying)}
+	p := placement{InFlight: maps.Clone(d.inFlight)}
 	for vm, peer := range d.peers {
 		if peer.Session.Suspect() {
 			p.Suspect = append(p.Suspect, vm)
@@ -39,7 +39,7 @@
 			domain = peer.Hello.GetFailureDomain()
 		}
 		b := adminapi.BackendOf(vm, domain, s)
-		b.ReportAgeMs = (now - d.heard[vm]).Milliseconds()
+		b.ReportAgeMs = (now - d.lastReport[vm]).Milliseconds()
 		all = append(all, b)
 	}
 	slices.SortFunc(all, func(a, b adminapi.Backend) int { return strings.Compare(a.VM, b.VM) })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,27 +32,27 @@
 
 // entry ties callers' requests, the member and the decisions together.
 type entry struct {
-	settings  *api.EntrySettings
-	self      *api.Hello
-	platform  *platform.Client
-	node      *member.Node
-	gate      *gate
-	directory *directory
-	keys      *keys
-	sizes     sizes
-	rollouts  rollouts
-	counts    *counters
-	registry  metrics.Registry
-	journal   *journal.Journal
-	guesses   *guesses
-	links     *links
-	logger    log.Logger
+	settings     *api.EntrySettings
+	self         *api.Hello
+	platform     *platform.Client
+	node         *member.Node
+	gate         *gate
+	directory    *directory
+	keys         *keyBinder
+	sizes        sizeTracker
+	rollouts     rolloutState
+	counts       *counters
+	registry     metrics.Registry
+	journal      *journal.Journal
+	guessLimiter *guessLimiter
+	links        *linkChooser
+	logger       log.Logger
 
-	// telling counts the answers of which an agent is still to be told that the caller has
+	// pendingDone counts the answers of which an agent is still to be told that the caller has
 	// them.
-	telling sync.WaitGroup
-	// told is what agents were told of their links, by the control goroutine.
-	told map[*link.Session]bool
+	pendingDone sync.WaitGroup
+	// announcedSpare is what agents were announcedSpare of their links, by the control goroutine.
+	announcedSpare map[*link.Session]bool
 }
 
 // journalRequests is how many requests of each kind a dump can tell of.
@@ -78,24 +78,24 @@
 // returns when the last request has its answer.
 func Run(ctx context.Context, settings *api.EntrySettings, logger log.Logger) error {
 	e := newEntry(settings, logger)
-	links, err := net.Listen("tcp", settings.GetListen().GetLink())
+	linkListener, err := net.Listen("tcp", settings.GetListen().GetLink())
 	if err != nil {
 		return errors.Wrap(err, "listen for links")
 	}
-	public, err := net.Listen("tcp", settings.GetListen().GetPublic())
+	publicListener, err := net.Listen("tcp", settings.GetListen().GetPublic())
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
 	server := httpguard.NewServer(settings.GetLimits(), e.handler(), logger)
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group run.Group
-	group.Add(func() error { return e.node.Run(work, links) }, func(error) { stop() })
-	group.Add(func() error { return e.serveAdmin(work) }, func(error) { stop() })
-	group.Add(func() error { return e.keys.follow(work) }, func(error) { stop() })
-	group.Add(func() error { return e.keys.append(work) }, func(error) { stop() })
-	group.Add(func() error { return e.servePublic(work, server, public) }, func(error) { stop() })
-	group.Add(func() error { return e.drainAfter(ctx, work, server) }, func(error) { stop() })
+	group.Add(func() error { return e.node.Run(workCtx, linkListener) }, func(error) { stop() })
+	group.Add(func() error { return e.serveAdmin(workCtx) }, func(error) { stop() })
+	group.Add(func() error { return e.keys.readLoop(workCtx) }, func(error) { stop() })
+	group.Add(func() error { return e.keys.appendLoop(workCtx) }, func(error) { stop() })
+	group.Add(func() error { return e.servePublic(workCtx, server, publicListener) }, func(error) { stop() })
+	group.Add(func() error { return e.drainOnStop(ctx, workCtx, server) }, func(error) { stop() })
 	_ = logger.Log("msg", "The entry has started.", "incarnation", e.self.GetIncarnation())
 	err = group.Run()
 	if errors.Is(err, context.Canceled) {
@@ -106,9 +106,9 @@
 
 func newEntry(settings *api.EntrySettings, logger log.Logger) *entry {
 	listen := settings.GetListen()
-	public := listen.GetPublicName()
-	if public == "" {
-		public = listen.GetPublic()
+	publicName := listen.GetPublicName()
+	if publicName == "" {
+		publicName = listen.GetPublic()
 	}
 	registry := metrics.NewRegistry()
 	e := &entry{
@@ -120,23 +120,23 @@
 			Incarnation:   newID(8),
 			Version:       version.String(),
 			LinkAddress:   listen.GetLink(),
-			PublicAddress: public,
+			PublicAddress: publicName,
 		},
-		gate:      newGate(settings.GetPolicy()),
-		directory: newDirectory(settings.GetLink().GetAgentsPerOffer() > 0),
-		sizes:     sizes{usual: make(map[string]float64)},
-		rollouts:  newRollouts(),
-		counts:    newCounters(registry),
-		registry:  registry,
-		journal:   journal.New(journalRequests),
-		guesses:   newGuesses(),
-		logger:    logger,
+		gate:         newGate(settings.GetPolicy()),
+		directory:    newDirectory(settings.GetLink().GetAgentsPerOffer() > 0),
+		sizes:        sizeTracker{averages: make(map[string]float64)},
+		rollouts:     newRolloutState(),
+		counts:       newCounters(registry),
+		registry:     registry,
+		journal:      journal.New(journalRequests),
+		guessLimiter: newGuessLimiter(),
+		logger:       logger,
 	}
-	e.links = newLinks(e.self, int(settings.GetLink().GetAgentsPerOffer()), registry)
+	e.links = newLinkChooser(e.self, int(settings.GetLink().GetAgentsPerOffer()), registry)
 	e.directory.links = e.links
 	p := settings.GetPlatform()
 	e.platform = platform.New(p.GetUrl(), time.Duration(p.GetRequestTimeoutMs())*time.Millisecond)
-	e.keys = newKeys(e)
+	e.keys = newKeyBinder(e)
 	e.node = member.New(member.Options{
 		Self:          e.self,
 		Platform:      e.platform,
@@ -148,15 +148,15 @@
 		SnapshotAge:   time.Duration(p.GetSnapshotEveryMs()) * time.Millisecond,
 		Logger:        logger,
 		Registry:      registry,
-		Dials:         e.dials,
+		Dials:         e.shouldDial,
 		Hooks: member.Hooks{
 			Tick:      e.tick,
-			Complete:  e.directory.complete,
-			Peers:     e.peersChanged,
-			Message:   e.message,
-			Changed:   e.configured,
-			Reporters: e.reporters,
-			Reach:     e.keepReach,
+			Complete:  e.directory.allReported,
+			Peers:     e.handlePeersChanged,
+			Message:   e.handleMessage,
+			Changed:   e.applyConfig,
+			Reporters: e.chooseReporters,
+			Reach:     e.ensureLinked,
 		},
 	})
 	return e
@@ -171,46 +171,46 @@
 	return hex.EncodeToString(b)
 }
 
-// dials says that this entry opens the links to agents, all or those that it wants, and
+// shouldDial says that this entry opens the links to agents, all or those that it wants, and
 // to the entries whose names come after its own, so that each pair has one link.
-func (e *entry) dials(vm platform.VM) bool {
+func (e *entry) shouldDial(vm platform.VM) bool {
 	if vm.Role == platform.RoleBackend {
-		return e.links.wants(vm.ID)
+		return e.links.isWanted(vm.ID)
 	}
 	return vm.ID > e.self.GetVm()
 }
 
-// configured takes a new configuration to the decisions.
-func (e *entry) configured(view *config.View) {
+// applyConfig takes a new configuration to the decisions.
+func (e *entry) applyConfig(view *config.View) {
 	shares := e.gate.setPlans(view)
 	e.keys.setShares(shares)
 	if e.node != nil {
 		// The marks may take agents away; the member's own first view has none.
-		e.chooseLinks(clock.Now(), e.node.State())
+		e.updateLinks(clock.Now(), e.node.State())
 	}
 	e.directory.setView(clock.Now(), view)
 }
 
 // tick refreshes what decisions go by.
 func (e *entry) tick(now time.Duration) {
-	e.keepLinks(now, e.node.State())
+	e.maintainLinks(now, e.node.State())
 	state := e.node.State()
 	e.directory.tick(now, state)
-	e.measureRoom(now)
-	e.driveRollout(now, state)
+	e.updateCapacities(now)
+	e.coordinateRollout(now, state)
 }
 
-// measureRoom tells the gate what the backend servers have room for.
-func (e *entry) measureRoom(now time.Duration) {
+// updateCapacities tells the gate what the backend servers have room for.
+func (e *entry) updateCapacities(now time.Duration) {
 	entries := liveEntries(e.node.State())
-	e.gate.setRoom(e.directory.rooms(now, entries), entries)
+	e.gate.setCapacities(e.directory.capacities(now, entries), entries)
 }
 
-// message takes an agent's report. What a new one offers is admitted at once: until
+// handleMessage takes an agent's report. What a new one offers is admitted at once: until
 // the next tick its requests would be refused as if nobody offered it.
-func (e *entry) message(peer *member.Peer, m *api.Control) {
-	if e.directory.message(peer, m) {
-		e.measureRoom(clock.Now())
+func (e *entry) handleMessage(peer *member.Peer, m *api.Control) {
+	if e.directory.handleMessage(peer, m) {
+		e.updateCapacities(clock.Now())
 	}
 }
 
@@ -225,44 +225,44 @@
 	return n
 }
 
-func (e *entry) servePublic(work context.Context, server *http.Server, ln net.Listener) error {
+func (e *entry) servePublic(workCtx context.Context, server *http.Server, ln net.Listener) error {
 	err := server.Serve(httpguard.Listener(ln, int(e.settings.GetLimits().GetConnections())))
 	if errors.Is(err, http.ErrServerClosed) {
-		<-work.Done()
-		return work.Err()
+		<-workCtx.Done()
+		return workCtx.Err()
 	}
 	return err
 }
 
-// drainAfter waits for the planned stop, then for what callers keep, then for the
+// drainOnStop waits for the planned stop, then for what callers keep, then for the
 // last request.
-func (e *entry) drainAfter(ctx, work context.Context, server *http.Server) error {
+func (e *entry) drainOnStop(ctx, workCtx context.Context, server *http.Server) error {
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
-		return work.Err()
+	case <-workCtx.Done():
+		return workCtx.Err()
 	}
 	policy := e.settings.GetPolicy()
 	e.node.SetDraining()
 	_ = e.logger.Log("msg", "The entry is stopping. It has left the list of addresses.")
-	// Callers were told to keep the addresses this long; and other entries hear of
+	// Callers were told to addressKeepMs the addresses this long; and other entries hear of
 	// the stop a heartbeat later.
-	keep := policy.GetAddressKeepMs() + 2*e.settings.GetLink().GetHeartbeatMs()
-	pause(work, time.Duration(keep)*time.Millisecond)
-	limit, cancel := context.WithTimeout(work, time.Duration(policy.GetDrainMs())*time.Millisecond)
+	addressKeepMs := policy.GetAddressKeepMs() + 2*e.settings.GetLink().GetHeartbeatMs()
+	sleep(workCtx, time.Duration(addressKeepMs)*time.Millisecond)
+	drainCtx, cancel := context.WithTimeout(workCtx, time.Duration(policy.GetDrainMs())*time.Millisecond)
 	defer cancel()
-	if err := server.Shutdown(limit); err != nil {
+	if err := server.Shutdown(drainCtx); err != nil {
 		_ = e.logger.Log("msg", "The entry stops with requests under way.", "result", result.Label(api.ResultCode_ANSWER_BROKEN), "err", err)
 	} else {
 		// An agent that was not told would keep the answer for its caller to come back, and
 		// a planned stop of its own would wait for that.
-		e.telling.Wait()
+		e.pendingDone.Wait()
 	}
 	_ = e.logger.Log("msg", "The entry has stopped.")
 	return context.Canceled
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -17,7 +17,7 @@
 // logRequest logs how a request ended: what was decided on it, and the configuration that was
 // gone by. Requests that need no key, as for addresses, are logged only when they fail.
 func (e *entry) logRequest(record *journal.Record, state *member.State, err error) {
-	fields := logging.Fields(func() []any { return inputs(record, state, err) })
+	fields := logging.Fields(func() []any { return requestFields(record, state, err) })
 	switch {
 	case err == nil && record.Customer == "":
 	case err == nil && len(record.Attempts) > 1:
@@ -29,25 +29,25 @@
 		// Whoever reaches the entry can make any number of these. A sentence of their own
 		// keeps them from crowding out those of customers.
 		_ = level.Warn(e.logger).Log("msg", "A request of no known team was refused.", logging.RequestKey, record.Request,
-			"result", label(err), logging.FieldsKey, fields)
-	case fault(err):
+			"result", resultLabel(err), logging.FieldsKey, fields)
+	case isFault(err):
 		_ = level.Error(e.logger).Log("msg", "A request failed.", logging.RequestKey, record.Request,
-			"result", label(err), logging.FieldsKey, fields)
+			"result", resultLabel(err), logging.FieldsKey, fields)
 	default:
 		_ = level.Warn(e.logger).Log("msg", "A request was refused.", logging.RequestKey, record.Request,
-			"result", label(err), logging.FieldsKey, fields)
+			"result", resultLabel(err), logging.FieldsKey, fields)
 	}
 }
 
-func label(err error) string { return result.Label(result.From(err).Code) }
+func resultLabel(err error) string { return result.Label(result.From(err).Code) }
 
-// fault says whether a request failed by a fault, and nobody can say that it has not run.
-func fault(err error) bool {
+// isFault says whether a request failed by a isFault, and nobody can say that it has not run.
+func isFault(err error) bool {
 	failed := result.From(err)
 	return failed.Ran != api.Ran_RAN_NO && result.Of(failed.Code).HTTP >= http.StatusInternalServerError
 }
 
-func inputs(record *journal.Record, state *member.State, err error) []any {
+func requestFields(record *journal.Record, state *member.State, err error) []any {
 	fields := []any{
 		"team", record.Customer, "service", record.Offer, "ticket", record.Ticket,
 		"took_ms", record.TookMs, "waited_ms", record.WaitMs, "tried", len(record.Attempts),
@@ -77,5 +77,5 @@
 // logSettled logs what an agent said of a ticket.
 func (e *entry) logSettled(ctx context.Context, t *api.Ticket, s settlement) {
 	_ = level.Warn(e.logger).Log("msg", "An agent was asked what became of a ticket.", logging.RequestKey, journal.From(ctx).Request,
-		"vm", t.GetAgentVm(), "begun", s.begun, "outcome", label(s.err), "ran", result.RanName(s.err.Ran))
+		"vm", t.GetAgentVm(), "begun", s.begun, "outcome", resultLabel(s.err), "ran", result.RanName(s.err.Ran))
 }
--- a/internal/entry/events_test.go
+++ b/internal/entry/events_test.go
@@ -10,7 +10,7 @@
 // be read. Each refusal names an id that operators find, also before anything else is known
 // of the request; and no two are alike.
 func TestEachRefusalNamesTheRequest(t *testing.T) {
-	_, url := startEntry(t, newFakeAgent(t, "b1", whole("x")))
+	_, url := startEntry(t, newFakeAgent(t, "b1", wholeAnswer("x")))
 	seen := make(map[string]bool)
 	for _, c := range []struct{ path, key, body string }{
 		{completions, "old", "{}"},
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -38,14 +38,14 @@
 	config  link.Config
 	script  func(work *api.Work, stream *link.Stream)
 	// attached serves a reader that comes back for the rest of an answer.
-	attached func(attach *api.Attach, stream *link.Stream)
-	status   *api.BackendStatus
-	works    atomic.Int32
-	drains   atomic.Bool
-	frozen   atomic.Bool // no heartbeats
-	stuck    atomic.Bool // one that was due was not sent
-	settles  atomic.Int32
-	begun    time.Duration
+	attached        func(attach *api.Attach, stream *link.Stream)
+	status          *api.BackendStatus
+	works           atomic.Int32
+	draining        atomic.Bool
+	frozen          atomic.Bool // no heartbeats
+	heartbeatMissed atomic.Bool // one that was due was not sent
+	settles         atomic.Int32
+	startedAt       time.Duration
 	// offer is what the list of VMs says; empty for nothing.
 	offer string
 
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	a := &fakeAgent{
-		vm: vm, address: ln.Addr().String(), script: script, begun: clock.Now(),
+		vm: vm, address: ln.Addr().String(), script: script, startedAt: clock.Now(),
 		status: &api.BackendStatus{Model: "m", Service: "", Limit: 8, FullLimit: 8},
 		ledger: ticket.NewLedger(vm, "1", []byte("k"), ticket.Limits{}),
 	}
@@ -123,10 +123,10 @@
 
 func (a *fakeAgent) Heartbeat() *api.Heartbeat {
 	for a.frozen.Load() {
-		a.stuck.Store(true)
+		a.heartbeatMissed.Store(true)
 		time.Sleep(5 * time.Millisecond)
 	}
-	return &api.Heartbeat{Draining: a.drains.Load(), Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1, Ready: true}}
+	return &api.Heartbeat{Draining: a.draining.Load(), Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1, Ready: true}}
 }
 
 func send(stream *link.Stream, events ...*api.WorkEvent) {
@@ -156,16 +156,16 @@
 	return &api.WorkEvent{Body: &api.WorkEvent_End{End: &api.End{Parts: parts, Bytes: size}}}
 }
 
-// whole gives a whole answer.
-func whole(text string) func(*api.Work, *link.Stream) {
+// wholeAnswer gives a wholeAnswer answer.
+func wholeAnswer(text string) func(*api.Work, *link.Stream) {
 	return func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/plain"), partOf(1, text), endOf(1, uint64(len(text))))
 		_ = stream.Receive(&api.WorkSignal{})
 	}
 }
 
-// lists returns the log: a customer of a plan with a model and a service.
-func lists(t testing.TB) []map[string]any {
+// configRecords returns the log: a customer of a plan with a model and a service.
+func configRecords(t testing.TB) []map[string]any {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
 	customer := &api.Customer{KeySha256: []string{hex.EncodeToString(sum[:])}, Plan: "p", Weight: 1, Burst: 32}
@@ -201,7 +201,7 @@
 	for _, a := range agents {
 		vms = append(vms, platform.VM{ID: a.vm, Role: platform.RoleBackend, FailureDomain: "a", Link: a.address, Offer: a.offer})
 	}
-	records := lists(t)
+	records := configRecords(t)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string]any{"vms": vms})
@@ -251,9 +251,9 @@
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	limit := time.Now().Add(8 * time.Second)
+	deadline := time.Now().Add(8 * time.Second)
 	for !holds() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -268,12 +268,12 @@
 	ran    string
 	cut    bool
 	closes bool // the connection is closed after it
-	// retryMs is when it says to come back.
-	retryMs int64
+	// retryAfterMs is when it says to come back.
+	retryAfterMs int64
 }
 
-// ask sends a completion, or a call of the service s.
-func ask(t *testing.T, url, path string, headers ...string) reply {
+// sendRequest sends a completion, or a call of the service s.
+func sendRequest(t *testing.T, url, path string, headers ...string) reply {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+path, strings.NewReader(`{"model":"m","prompt":"p","max_tokens":5}`))
 	if err != nil {
@@ -299,7 +299,7 @@
 	_ = json.Unmarshal(body, &failed)
 	return reply{
 		status: resp.StatusCode, result: resp.Header.Get("Apricothub-Result"), body: string(body),
-		ran: failed.Error.Ran, cut: err != nil, closes: resp.Close, retryMs: failed.Error.RetryAfterMs,
+		ran: failed.Error.Ran, cut: err != nil, closes: resp.Close, retryAfterMs: failed.Error.RetryAfterMs,
 	}
 }
 
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -17,7 +17,7 @@
 type gate struct {
 	mu       sync.Mutex
 	admitter *admit.Admitter
-	waiting  map[uint64]chan admit.Decision
+	waiters  map[uint64]chan admit.Decision
 	lastID   uint64
 	timer    *time.Timer
 }
@@ -25,119 +25,119 @@
 func newGate(policy *api.EntryPolicy) *gate {
 	g := &gate{
 		admitter: admit.New(admit.Config{MaxWait: time.Duration(policy.GetQueueMs()) * time.Millisecond}),
-		waiting:  make(map[uint64]chan admit.Decision),
+		waiters:  make(map[uint64]chan admit.Decision),
 	}
 	g.timer = time.AfterFunc(time.Hour, g.wake)
 	return g
 }
 
-// pass is the right of one request to run.
-type pass struct {
+// admission is the right of one request to run.
+type admission struct {
 	gate  *gate
 	id    uint64
 	offer string
-	// guaranteed says that the customer is within its share.
-	guaranteed bool
-	// over says that the gate knows nothing of the request any more.
-	over bool
+	// withinShare says that the customer is within its share.
+	withinShare bool
+	// ended says that the gate knows nothing of the request any more.
+	ended bool
 }
 
-// enter returns when the request may run, or with the refusal.
-func (g *gate) enter(ctx context.Context, r admit.Request) (*pass, *result.Error) {
+// admit returns when the request may run, or with the refusal.
+func (g *gate) admit(ctx context.Context, r admit.Request) (*admission, *result.Error) {
 	g.mu.Lock()
 	g.lastID++
 	r.ID = g.lastID
 	decision := g.admitter.Offer(clock.Now(), r)
-	var granted chan admit.Decision
+	var decided chan admit.Decision
 	if decision.Action == admit.Wait {
-		granted = g.wait(r.ID)
+		decided = g.addWaiter(r.ID)
 	}
-	g.release()
+	g.deliverDecisions()
 	g.mu.Unlock()
-	p := &pass{gate: g, id: r.ID, offer: r.Offer}
-	return p, p.await(ctx, decision, granted)
+	p := &admission{gate: g, id: r.ID, offer: r.Offer}
+	return p, p.awaitDecision(ctx, decision, decided)
 }
 
-// wait makes the channel on which a waiting request hears; the lock is held.
-func (g *gate) wait(id uint64) chan admit.Decision {
-	granted := make(chan admit.Decision, 1)
-	g.waiting[id] = granted
-	return granted
+// addWaiter makes the channel on which a waiting request hears; the lock is held.
+func (g *gate) addWaiter(id uint64) chan admit.Decision {
+	decided := make(chan admit.Decision, 1)
+	g.waiters[id] = decided
+	return decided
 }
 
-// await takes a decision, which comes over the channel for a request that waits.
-func (p *pass) await(ctx context.Context, decision admit.Decision, granted chan admit.Decision) *result.Error {
-	if granted != nil {
+// awaitDecision takes a decision, which comes over the channel for a request that waits.
+func (p *admission) awaitDecision(ctx context.Context, decision admit.Decision, decided chan admit.Decision) *result.Error {
+	if decided != nil {
 		select {
-		case decision = <-granted:
+		case decision = <-decided:
 		case <-ctx.Done():
 			p.gate.cancel(p.id)
-			p.over = true
+			p.ended = true
 			return result.New(api.ResultCode_DEADLINE_UNREACHABLE, "The time was over, or the caller gone, before the request could run.")
 		}
 	}
 	if decision.Action == admit.Refuse {
-		p.over = true
+		p.ended = true
 		return result.Refuse(decision.Code, decision.RetryAfter)
 	}
-	p.guaranteed = decision.Guaranteed
+	p.withinShare = decision.Guaranteed
 	return nil
 }
 
-// postpone gives the right back, since no backend server has room after all, or absent
+// requeue gives the right back, since no backend server has room after all, or absent
 // since none may get work at all, and returns when the request may run again, or with the
 // refusal.
-func (p *pass) postpone(ctx context.Context, code api.ResultCode, absent bool) *result.Error {
+func (p *admission) requeue(ctx context.Context, code api.ResultCode, absent bool) *result.Error {
 	g := p.gate
 	g.mu.Lock()
 	if absent {
 		g.admitter.Absent(p.offer)
 	}
 	if !g.admitter.Postpone(clock.Now(), p.id) {
-		g.release()
+		g.deliverDecisions()
 		g.mu.Unlock()
-		p.over = true
+		p.ended = true
 		return result.Refuse(code, 0)
 	}
-	granted := g.wait(p.id)
-	g.release()
+	decided := g.addWaiter(p.id)
+	g.deliverDecisions()
 	g.mu.Unlock()
-	return p.await(ctx, admit.Decision{}, granted)
+	return p.awaitDecision(ctx, admit.Decision{}, decided)
 }
 
-// leave ends the request, with the time its work took; zero teaches nothing about the
+// done ends the request, with the time its work took; zero teaches nothing about the
 // usual time.
-func (p *pass) leave(took time.Duration) {
-	if p.over {
+func (p *admission) done(took time.Duration) {
+	if p.ended {
 		return
 	}
-	p.over = true
+	p.ended = true
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	p.gate.admitter.Done(clock.Now(), p.id, took)
-	p.gate.release()
+	p.gate.deliverDecisions()
 }
 
 func (g *gate) cancel(id uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.waiting, id)
+	delete(g.waiters, id)
 	g.admitter.Cancel(clock.Now(), id)
-	g.release()
+	g.deliverDecisions()
 }
 
-// release tells the requests that may start, or are refused, now; and sets the timer
+// deliverDecisions tells the requests that may start, or are refused, now; and sets the timer
 // for the next moment at which one must be refused.
-func (g *gate) release() {
+func (g *gate) deliverDecisions() {
 	now := clock.Now()
 	for _, r := range g.admitter.Next(now) {
-		granted, ok := g.waiting[r.ID]
+		decided, ok := g.waiters[r.ID]
 		if !ok {
 			g.admitter.Cancel(now, r.ID)
 			continue
 		}
-		delete(g.waiting, r.ID)
-		granted <- r.Decision
+		delete(g.waiters, r.ID)
+		decided <- r.Decision
 	}
 	if at, ok := g.admitter.Wake(now); ok {
 		g.timer.Reset(max(at-now, time.Millisecond))
@@ -147,7 +147,7 @@
 func (g *gate) wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.release()
+	g.deliverDecisions()
 }
 
 // setPlans takes customers and plans from the configuration, and returns the customers'
@@ -170,36 +170,36 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.admitter.SetPlans(plans, customers)
-	g.release()
+	g.deliverDecisions()
 	return admit.Shares(plans, customers)
 }
 
-// room is what this entry knows of the backend servers for one offer.
-type room struct {
+// offerCapacity is what this entry knows of the backend servers for one offer.
+type offerCapacity struct {
 	// slots is how many requests this entry may have running.
 	slots int
-	// capacity is what all backend servers can hold for all entries.
-	capacity int
+	// total is what all backend servers can hold for all entries.
+	total int
 	// entries share it; 0 for all live ones.
 	entries int
 	// presence says whether any of them may get work.
 	presence admit.Presence
 }
 
-// setRoom takes the room for each offer, shared by so many entries.
-func (g *gate) setRoom(rooms map[string]room, entries int) {
+// setCapacities takes the room for each offer, shared by so many entries.
+func (g *gate) setCapacities(capacities map[string]offerCapacity, entries int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for offer, r := range rooms {
-		of := entries
-		if r.entries > 0 {
-			of = r.entries
+	for offer, c := range capacities {
+		sharedBy := entries
+		if c.entries > 0 {
+			sharedBy = c.entries
 		}
-		g.admitter.SetPresence(offer, r.presence)
-		g.admitter.SetTotal(offer, r.capacity, of)
-		g.admitter.SetCapacity(offer, r.slots)
+		g.admitter.SetPresence(offer, c.presence)
+		g.admitter.SetTotal(offer, c.total, sharedBy)
+		g.admitter.SetCapacity(offer, c.slots)
 	}
-	g.release()
+	g.deliverDecisions()
 }
 
 // gateState is what a dump tells of the gate.
@@ -211,5 +211,5 @@
 func (g *gate) dump() gateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return gateState{Waiting: len(g.waiting), Admitted: g.lastID}
+	return gateState{Waiting: len(g.waiters), Admitted: g.lastID}
 }
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -10,20 +10,20 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// stepSeen is the newest step that is known of a group, and since when.
-type stepSeen struct {
-	step uint64
-	at   time.Duration
+// observedStep is the newest step that is known of a group, and since when.
+type observedStep struct {
+	step  uint64
+	since time.Duration
 }
 
-// noteStep takes the step of a coordinator's report.
-func (d *directory) noteStep(now time.Duration, s *api.BackendStatus) {
+// recordStep takes the step of a coordinator's report.
+func (d *directory) recordStep(now time.Duration, s *api.BackendStatus) {
 	g := s.GetGroupStatus()
 	if g == nil {
 		return
 	}
-	if seen, ok := d.steps[s.GetGroup()]; !ok || seen.step != g.GetStep() {
-		d.steps[s.GetGroup()] = stepSeen{step: g.GetStep(), at: now}
+	if last, ok := d.lastSteps[s.GetGroup()]; !ok || last.step != g.GetStep() {
+		d.lastSteps[s.GetGroup()] = observedStep{step: g.GetStep(), since: now}
 	}
 }
 
@@ -33,14 +33,14 @@
 func (d *directory) groups(now time.Duration, vms []platform.VM) []adminapi.Group {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	named := make(map[string]adminapi.Group)
+	byName := make(map[string]adminapi.Group)
 	for vm, s := range d.status {
 		if g := s.GetGroupStatus(); g != nil {
-			named[s.GetGroup()] = adminapi.GroupOf(s.GetGroup(), vm, g)
+			byName[s.GetGroup()] = adminapi.GroupOf(s.GetGroup(), vm, g)
 		}
 	}
 	for _, vm := range vms {
-		g := named[vm.Group]
+		g := byName[vm.Group]
 		if vm.Role != platform.RoleBackend || vm.Group == "" || g.Coordinator != "" {
 			continue
 		}
@@ -49,22 +49,22 @@
 		if d.status[vm.ID] != nil {
 			g.Agents++
 		}
-		named[vm.Group] = g
+		byName[vm.Group] = g
 	}
-	all := make([]adminapi.Group, 0, len(named))
-	for name, g := range named {
-		seen, ok := d.steps[name]
+	all := make([]adminapi.Group, 0, len(byName))
+	for name, g := range byName {
+		last, ok := d.lastSteps[name]
 		if !ok {
-			seen.at = now
-			d.steps[name] = seen
+			last.since = now
+			d.lastSteps[name] = last
 		}
-		g.Step = max(g.Step, seen.step)
-		g.StillMs = (now - seen.at).Milliseconds()
+		g.Step = max(g.Step, last.step)
+		g.StillMs = (now - last.since).Milliseconds()
 		all = append(all, g)
 	}
-	for name := range d.steps {
-		if _, ok := named[name]; !ok {
-			delete(d.steps, name)
+	for name := range d.lastSteps {
+		if _, ok := byName[name]; !ok {
+			delete(d.lastSteps, name)
 		}
 	}
 	slices.SortFunc(all, func(a, b adminapi.Group) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -22,7 +22,7 @@
 	report := func(now time.Duration, step uint64) {
 		d.status["p1"] = &api.BackendStatus{Group: "g", GroupStatus: &api.GroupStatus{Step: step, Agents: 2, AgentsAll: 2}}
 		d.status["p2"] = &api.BackendStatus{Group: "g"}
-		d.noteStep(now, d.status["p1"])
+		d.recordStep(now, d.status["p1"])
 	}
 	shown := func(now time.Duration) adminapi.Group {
 		all := d.groups(now, vms)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -23,13 +23,13 @@
 // handler returns the callers' interface.
 func (e *entry) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/v1/addresses", e.only(http.MethodGet, e.serveAddresses))
-	mux.HandleFunc("/v1/completions", e.only(http.MethodPost, e.serveCompletion))
-	mux.HandleFunc("/v1/chat/completions", e.only(http.MethodPost, e.serveCompletion))
-	mux.HandleFunc("/v1/tickets", e.only(http.MethodPost, e.serveTicket))
-	mux.HandleFunc("/v1/tickets/{ticket}", e.only(http.MethodGet, e.serveSettle))
-	mux.HandleFunc("/services/{name}/{path...}", e.serve(e.serveService))
-	mux.HandleFunc("/", e.serve(func(http.ResponseWriter, *http.Request) error {
+	mux.HandleFunc("/v1/addresses", e.handleMethod(http.MethodGet, e.serveAddresses))
+	mux.HandleFunc("/v1/completions", e.handleMethod(http.MethodPost, e.serveCompletion))
+	mux.HandleFunc("/v1/chat/completions", e.handleMethod(http.MethodPost, e.serveCompletion))
+	mux.HandleFunc("/v1/tickets", e.handleMethod(http.MethodPost, e.serveTicket))
+	mux.HandleFunc("/v1/tickets/{ticket}", e.handleMethod(http.MethodGet, e.serveSettle))
+	mux.HandleFunc("/services/{name}/{path...}", e.handle(e.serveService))
+	mux.HandleFunc("/", e.handle(func(http.ResponseWriter, *http.Request) error {
 		return result.New(api.ResultCode_UNKNOWN_ADDRESS)
 	}))
 	return mux
@@ -55,15 +55,15 @@
 // Unwrap gives the cause.
 func (a *abortedError) Unwrap() error { return a.cause }
 
-// requestBytes is the length of a request's id, bytes, shown as twice as many digits: enough
+// requestIDBytes is the length of a request's id, bytes, shown as twice as many digits: enough
 // that no two of all entries are alike.
-const requestBytes = 12
+const requestIDBytes = 12
 
-// writeLimit bounds the writing of answers that have no deadline of their own.
-const writeLimit = time.Minute
+// writeTimeout bounds the writing of answers that have no deadline of their own.
+const writeTimeout = time.Minute
 
-// serve turns a handler's error into the answer.
-func (e *entry) serve(h handlerFunc) http.HandlerFunc {
+// handle turns a handler's error into the answer.
+func (e *entry) handle(h handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.counts.requests.Inc(1)
 		state := e.node.State()
@@ -73,11 +73,11 @@
 			w.Header().Set("Connection", "close")
 		}
 		// A deadline of the request before would hold on a kept connection.
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeLimit))
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 		ctx, record := journal.Begin(r.Context(), clock.Now())
 		// The caller can name the request to operators, who find it in logs and dumps; also one
 		// that is refused before anything is known of it.
-		record.Request = newID(requestBytes)
+		record.Request = newID(requestIDBytes)
 		w.Header().Set(headerRequest, record.Request)
 		err := h(w, r.WithContext(ctx))
 		e.journal.End(record, clock.Now(), err)
@@ -103,8 +103,8 @@
 	metrics.GetOrRegisterCounter("entry.results."+name, e.registry).Inc(1)
 }
 
-func (e *entry) only(method string, h handlerFunc) http.HandlerFunc {
-	return e.serve(func(w http.ResponseWriter, r *http.Request) error {
+func (e *entry) handleMethod(method string, h handlerFunc) http.HandlerFunc {
+	return e.handle(func(w http.ResponseWriter, r *http.Request) error {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
 			return result.New(api.ResultCode_METHOD_NOT_ALLOWED)
@@ -128,12 +128,12 @@
 	now := time.Now()
 	who, err := identify(state, r)
 	switch {
-	case err != nil && e.guesses.wrong(now, address):
+	case err != nil && e.guessLimiter.allowWrongKey(now, address):
 		return nil, err
-	case err == nil && e.guesses.good(now, address, who.key):
+	case err == nil && e.guessLimiter.allowValidKey(now, address, who.key):
 		return who, nil
 	}
-	return nil, result.Refuse(api.ResultCode_RATE_LIMITED, guessWait, "Too many wrong keys came from this address.")
+	return nil, result.Refuse(api.ResultCode_RATE_LIMITED, guessRetryAfter, "Too many wrong keys came from this address.")
 }
 
 func identify(state *member.State, r *http.Request) (*caller, error) {
@@ -158,9 +158,9 @@
 	}, nil
 }
 
-// serving returns the state to serve by, or why this entry takes no work. An entry
+// servingState returns the state to serve by, or why this entry takes no work. An entry
 // that is stopping serves on: callers keep its address for a while.
-func (e *entry) serving() (*member.State, error) {
+func (e *entry) servingState() (*member.State, error) {
 	state := e.node.State()
 	switch code := state.Refusing(clock.Now()); code {
 	case api.ResultCode_OK, api.ResultCode_DRAINING:
@@ -170,8 +170,8 @@
 	}
 }
 
-// addresses is the answer to "which address to use".
-type addresses struct {
+// addressList is the answer to "which address to use".
+type addressList struct {
 	Addresses []address `json:"addresses"`
 	KeepMs    int64     `json:"keep_ms"`
 }
@@ -184,16 +184,16 @@
 // serveAddresses lists the entries that take requests. No key is needed: a caller
 // must find an entry before it can show one.
 func (e *entry) serveAddresses(w http.ResponseWriter, _ *http.Request) error {
-	answer, err := e.addresses(e.node.State())
+	answer, err := e.listAddresses(e.node.State())
 	if err != nil {
 		return err
 	}
 	return writeJSON(w, answer)
 }
 
-// addresses lists the entries that take requests, as far as a state shows.
-func (e *entry) addresses(state *member.State) (addresses, error) {
-	answer := addresses{KeepMs: e.settings.GetPolicy().GetAddressKeepMs()}
+// listAddresses lists the entries that take requests, as far as a state shows.
+func (e *entry) listAddresses(state *member.State) (addressList, error) {
+	answer := addressList{KeepMs: e.settings.GetPolicy().GetAddressKeepMs()}
 	unready := state.Unready(clock.Now())
 	if unready == api.ResultCode_OK && !state.Out {
 		answer.Addresses = append(answer.Addresses, address{Address: e.self.GetPublicAddress(), Weight: 1})
@@ -211,7 +211,7 @@
 	if len(answer.Addresses) == 0 {
 		if unready != api.ResultCode_OK && unready != api.ResultCode_DRAINING {
 			// A caller that is sent here would be refused; it has other entries to ask.
-			return addresses{}, result.New(unready)
+			return addressList{}, result.New(unready)
 		}
 		// Nothing is in service. An entry that answers is of more use than none.
 		answer.Addresses = []address{{Address: e.self.GetPublicAddress(), Weight: 1}}
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keyquota.go
@@ -16,7 +16,7 @@
 
 // setShares takes the customers' shares, by which the room for their keys is divided. The
 // control goroutine calls it at each change of the configuration, few of which move shares.
-func (k *keys) setShares(shares map[string]float64) {
+func (k *keyBinder) setShares(shares map[string]float64) {
 	if k.shares != nil && maps.Equal(shares, k.shares) {
 		return
 	}
@@ -29,12 +29,12 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.names = names
+	k.customerNames = names
 	k.fold.Room().SetShares(byDigest)
 	k.batcher.Room().SetShares(byDigest)
 }
 
-// roomFor says why a customer can bind no more keys for now; the lock is held.
+// checkQuota says why a customer can bind no more keys for now; the lock is held.
 //
 // Load: a team whose program makes a new key in each try. Harm prevented: it takes the
 // room of all, and others' first deposit of the hour is refused for 20 minutes; or it is
@@ -42,29 +42,29 @@
 // have run out: a wait shorter than that is for nothing. See keybind.Room for the limits.
 // Entries that have read differently far may judge differently. That changes who may
 // append, never what a key is bound to.
-func (k *keys) roomFor(c keybind.Customer) *result.Error {
+func (k *keyBinder) checkQuota(c keybind.Customer) *result.Error {
 	room := k.fold.Room()
 	verdict, n := room.Ask(c, k.batcher.Room().Held(c))
 	switch verdict {
 	case keybind.BeyondShare:
-		k.cramped = true
+		k.refusedForSpace = true
 		k.counts.beyond.Inc(1)
 		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", room.Held(c))
-		return result.Refuse(api.ResultCode_OVER_SHARE, k.untilGone(k.fold.OldestAtMs(c, room.Promise(c, n, k.entries()))), text)
+		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.OldestAtMs(c, room.Promise(c, n, k.entries()))), text)
 	case keybind.Full:
-		k.cramped = true
-		return result.Refuse(api.ResultCode_KEYS_FULL, k.untilGone(k.fold.FirstAtMs(n)))
+		k.refusedForSpace = true
+		return result.Refuse(api.ResultCode_KEYS_FULL, k.timeUntilReleased(k.fold.FirstAtMs(n)))
 	case keybind.Free:
 	}
 	return nil
 }
 
-// untilGone is the time until bindings of a record with a wall time are let go.
-func (k *keys) untilGone(atMs int64) time.Duration {
+// timeUntilReleased is the time until bindings of a record with a wall time are let go.
+func (k *keyBinder) timeUntilReleased(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
 	// Records are let go of in steps, and read at the next look at the stream.
-	longest := k.hold + keybind.ReleaseStep(k.hold) + (keyIdlePolls+1)*k.poll
-	return min(max(longest-age, keyRetry), longest)
+	maxWait := k.retention + keybind.ReleaseStep(k.retention) + (idlePollFactor+1)*k.poll
+	return min(max(maxWait-age, keyRetryInterval), maxWait)
 }
 
 // keysState is what a dump tells of keys: their digests, never the keys.
@@ -76,20 +76,20 @@
 	// Lent is how many of Lendable are held beyond the customers' own parts.
 	Lent, Lendable int
 	// Customers are those that hold most.
-	Customers []keysOf
+	Customers []customerKeys
 	Newest    []string
 }
 
-// keysOf is how many keys of a customer are bound, and how many it is sure of.
-type keysOf struct {
+// customerKeys is how many keys of a customer are bound, and how many it is sure of.
+type customerKeys struct {
 	Customer  string
 	Held, Own int
 }
 
-// dumpKeys bounds the keys, and the customers, in a dump.
-const dumpKeys = 20
+// maxDumped bounds the keys, and the customers, in a dump.
+const maxDumped = 20
 
-func (k *keys) dump() keysState {
+func (k *keyBinder) dump() keysState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := keysState{
@@ -97,30 +97,30 @@
 		Waiting:   len(k.waiting),
 		Next:      k.fold.Next(),
 		Released:  k.fold.Released(),
-		Proven:    k.proven(),
-		Answers:   !k.readFailing && k.appendFailed == 0,
-		Customers: k.largest(),
+		Proven:    k.confirmed(),
+		Answers:   !k.readFailing && k.appendFailedAt == 0,
+		Customers: k.largestHolders(),
 	}
 	s.Lent, s.Lendable = k.fold.Room().Lent()
-	for _, key := range k.fold.Newest(dumpKeys) {
+	for _, key := range k.fold.Newest(maxDumped) {
 		s.Newest = append(s.Newest, hex.EncodeToString(key[:]))
 	}
 	return s
 }
 
-// largest returns the customers that hold most keys; the lock is held.
-func (k *keys) largest() []keysOf {
+// largestHolders returns the customers that hold most keys; the lock is held.
+func (k *keyBinder) largestHolders() []customerKeys {
 	room := k.fold.Room()
-	all := make([]keysOf, 0, len(room.Customers()))
-	for c, n := range room.Customers() {
-		name, ok := k.names[c]
+	all := make([]customerKeys, 0, len(room.Customers()))
+	for c, held := range room.Customers() {
+		name, ok := k.customerNames[c]
 		if !ok {
 			name = hex.EncodeToString(c[:]) + ", not in the plans"
 		}
-		all = append(all, keysOf{Customer: name, Held: n, Own: room.Own(c)})
+		all = append(all, customerKeys{Customer: name, Held: held, Own: room.Own(c)})
 	}
-	slices.SortFunc(all, func(a, b keysOf) int {
+	slices.SortFunc(all, func(a, b customerKeys) int {
 		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Customer, b.Customer))
 	})
-	return all[:min(len(all), dumpKeys)]
+	return all[:min(len(all), maxDumped)]
 }
--- a/internal/entry/prove_test.go
+++ b/internal/entry/linkcheck_test.go
@@ -15,17 +15,17 @@
 	agent := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { _ = stream.Receive(&api.WorkSignal{}) })
 	e, url := startEntry(t, agent)
 	eventually(t, "tickets", func() bool {
-		_, ok := e.directory.mint("b1", "c")
+		_, ok := e.directory.mintTicket("b1", "c")
 		return ok
 	})
 	time.Sleep(1200 * time.Millisecond) // The link counts as idle.
 	agent.frozen.Store(true)
 	defer agent.frozen.Store(false)
-	eventually(t, "a heartbeat that does not come", agent.stuck.Load)
-	if peer, _ := e.directory.agent("b1"); peer.Session.Suspect() {
+	eventually(t, "a heartbeat that does not come", agent.heartbeatMissed.Load)
+	if peer, _ := e.directory.agentPeer("b1"); peer.Session.Suspect() {
 		t.Error("suspect too early")
 	}
-	got := ask(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "1000")
+	got := sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "1000")
 	if got.status == 200 || got.ran != "no" || agent.works.Load() != 0 {
 		t.Errorf("%+v after %d works", got, agent.works.Load())
 	}
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// maxSpare bounds the links for which the subset has no use: those dialled for a
+	// maxSpareLinks bounds the links for which the subset has no use: those dialled for a
 	// ticket or an answer at another agent, and those that have left the subset. It is
 	// about as many as the subset has at the size to design for, so that a store that
 	// comes back through other entries finds room, and a flood of such requests doubles
 	// an entry's links at most.
-	maxSpare = 64
-	// spareKeep is how long such a link is kept after its last use: callers ask again
+	maxSpareLinks = 64
+	// spareIdleTimeout is how long such a link is kept after its last use: callers ask again
 	// within seconds.
-	spareKeep = 10 * time.Second
-	// unlinkedKeep is how long an agent is dialled on after the last request gave up
+	spareIdleTimeout = 10 * time.Second
+	// unlinkedSpareTimeout is how long an agent is dialled on after the last request gave up
 	// waiting for it.
-	unlinkedKeep = time.Second
+	unlinkedSpareTimeout = time.Second
 )
 
-// links decides which agents this entry is linked to, and what for. With no number of
+// linkChooser decides which agents this entry is linked to, and what for. With no number of
 // agents per offer set it wants all of them, and does nothing else. Traffic and the
 // control goroutine share it under one lock, which is taken inside the directory's.
-type links struct {
-	self   *api.Hello
-	per    int
-	spares metrics.Counter
+type linkChooser struct {
+	self           *api.Hello
+	agentsPerOffer int
+	spareRequests  metrics.Counter
 
 	mu sync.Mutex
 	// vms is the list of VMs that the choice was made from.
 	vms     []platform.VM
 	agents  map[string]platform.VM
-	keepers map[string]*subset.Keeper
-	// unnamed are agents of which the list does not say what they offer.
-	unnamed map[string]bool
-	wanted  map[string]bool
+	subsets map[string]*subset.Keeper
+	// withoutOffer are agents of which the list does not say what they offer.
+	withoutOffer map[string]bool
+	wanted       map[string]bool
 	// spare are the agents that are linked, or dialled, beside those wanted, with the
 	// time of their last use.
 	spare map[string]time.Duration
@@ -53,25 +53,25 @@
 	uses map[string]int
 }
 
-func newLinks(self *api.Hello, per int, registry metrics.Registry) *links {
-	return &links{
-		self:    self,
-		per:     per,
-		spares:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
-		agents:  make(map[string]platform.VM),
-		keepers: make(map[string]*subset.Keeper),
-		wanted:  make(map[string]bool),
-		spare:   make(map[string]time.Duration),
-		uses:    make(map[string]int),
+func newLinkChooser(self *api.Hello, agentsPerOffer int, registry metrics.Registry) *linkChooser {
+	return &linkChooser{
+		self:           self,
+		agentsPerOffer: agentsPerOffer,
+		spareRequests:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
+		agents:         make(map[string]platform.VM),
+		subsets:        make(map[string]*subset.Keeper),
+		wanted:         make(map[string]bool),
+		spare:          make(map[string]time.Duration),
+		uses:           make(map[string]int),
 	}
 }
 
-// all says that this entry links to every agent.
-func (l *links) all() bool { return l.per == 0 }
+// linksToAll says that this entry links to every agent.
+func (l *linkChooser) linksToAll() bool { return l.agentsPerOffer == 0 }
 
-// wants says that a link to an agent is to stand.
-func (l *links) wants(vm string) bool {
-	if l.all() {
+// isWanted says that a link to an agent is to stand.
+func (l *linkChooser) isWanted(vm string) bool {
+	if l.linksToAll() {
 		return true
 	}
 	l.mu.Lock()
@@ -80,9 +80,9 @@
 	return spare || l.wanted[vm]
 }
 
-// forWork says that new work may go to an agent.
-func (l *links) forWork(vm string) bool {
-	if l.all() {
+// canGetWork says that new work may go to an agent.
+func (l *linkChooser) canGetWork(vm string) bool {
+	if l.linksToAll() {
 		return true
 	}
 	l.mu.Lock()
@@ -90,10 +90,10 @@
 	return l.wanted[vm]
 }
 
-// use counts a request at an agent, or one that waits for the link to it: until it is
+// acquire counts a request at an agent, or one that waits for the link to it: until it is
 // done the link is not dropped.
-func (l *links) use(vm string) {
-	if l.all() {
+func (l *linkChooser) acquire(vm string) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -101,9 +101,9 @@
 	l.uses[vm]++
 }
 
-// done takes back the count of use.
-func (l *links) done(now time.Duration, vm string) {
-	if l.all() {
+// release takes back the count of use.
+func (l *linkChooser) release(now time.Duration, vm string) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -117,34 +117,34 @@
 	}
 }
 
-// ask asks for a link to an agent outside the subset, for a request that only that agent
+// requestSpare asks for a link to an agent outside the subset, for a request that only that agent
 // can answer. It returns true if the agent is to be dialled now; however many requests
 // wait for one agent, it is asked for once. Past the bound the link that has been idle
-// longest gives way; if none is idle the request waits on and may ask again.
-func (l *links) ask(now time.Duration, vm string) bool {
-	if l.all() {
+// longest gives way; if none is idle the request waits on and may requestSpare again.
+func (l *linkChooser) requestSpare(now time.Duration, vm string) bool {
+	if l.linksToAll() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, asked := l.spare[vm]
+	_, requested := l.spare[vm]
 	_, listed := l.agents[vm]
-	if asked || l.wanted[vm] || !listed {
+	if requested || l.wanted[vm] || !listed {
 		return false
 	}
-	if len(l.spare) >= maxSpare && !l.giveWay() {
+	if len(l.spare) >= maxSpareLinks && !l.evictIdlest() {
 		return false
 	}
 	l.spare[vm] = now
-	l.spares.Inc(1)
+	l.spareRequests.Inc(1)
 	return true
 }
 
-// giveWay lets go of the spare link that has been idle longest; the lock is held.
-func (l *links) giveWay() bool {
+// evictIdlest lets go of the spare link that has been idle longest; the lock is held.
+func (l *linkChooser) evictIdlest() bool {
 	var oldest string
-	for vm, used := range l.spare {
-		if l.uses[vm] == 0 && (oldest == "" || used < l.spare[oldest]) {
+	for vm, lastUse := range l.spare {
+		if l.uses[vm] == 0 && (oldest == "" || lastUse < l.spare[oldest]) {
 			oldest = vm
 		}
 	}
@@ -152,9 +152,9 @@
 	return oldest != ""
 }
 
-// list takes the platform's list, and chooses anew if it has changed.
-func (l *links) list(vms []platform.VM) {
-	if l.all() {
+// setVMs takes the platform's setVMs, and chooses anew if it has changed.
+func (l *linkChooser) setVMs(vms []platform.VM) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -164,51 +164,51 @@
 	}
 	l.vms = vms
 	l.agents = make(map[string]platform.VM)
-	l.unnamed = make(map[string]bool)
+	l.withoutOffer = make(map[string]bool)
 	offers := make(map[string][]platform.VM)
 	for _, vm := range vms {
 		switch {
 		case vm.Role != platform.RoleBackend:
 			continue
 		case vm.Offer == "":
-			l.unnamed[vm.ID] = true
+			l.withoutOffer[vm.ID] = true
 		case vm.State != platform.StateLeaving:
 			offers[vm.Offer] = append(offers[vm.Offer], vm)
 		}
 		l.agents[vm.ID] = vm
 	}
-	l.choose(offers)
+	l.chooseSubsets(offers)
 }
 
-// choose takes the subset for each offer; the lock is held.
-func (l *links) choose(offers map[string][]platform.VM) {
-	entries, region := l.entries()
-	for offer := range l.keepers {
+// chooseSubsets takes the subset for each offer; the lock is held.
+func (l *linkChooser) chooseSubsets(offers map[string][]platform.VM) {
+	entries, region := l.regionEntries()
+	for offer := range l.subsets {
 		if offers[offer] == nil {
-			delete(l.keepers, offer)
+			delete(l.subsets, offer)
 		}
 	}
 	for offer, agents := range offers {
 		servers := inRegion(agents, region)
-		own := subset.Of(l.self.GetVm(), entries, servers, l.per)
-		if l.keepers[offer] == nil {
-			l.keepers[offer] = subset.NewKeeper()
+		own := subset.Of(l.self.GetVm(), entries, servers, l.agentsPerOffer)
+		if l.subsets[offer] == nil {
+			l.subsets[offer] = subset.NewKeeper()
 		}
-		l.keepers[offer].Set(own, subset.Further(l.self.GetVm(), servers, own))
+		l.subsets[offer].Set(own, subset.Further(l.self.GetVm(), servers, own))
 		// Wanted at once: with nothing wanted until the next tick, a process that has
 		// just started would take itself for linked.
 		for _, vm := range own {
 			l.wanted[vm] = true
 		}
 	}
-	for vm := range l.unnamed {
+	for vm := range l.withoutOffer {
 		l.wanted[vm] = true
 	}
 }
 
-// entries returns the entries of this one's region, itself among them even before the
+// regionEntries returns the regionEntries of this one's region, itself among them even before the
 // list has it.
-func (l *links) entries() (entries []subset.Node, region string) {
+func (l *linkChooser) regionEntries() (entries []subset.Node, region string) {
 	self := l.self.GetVm()
 	listed := slices.IndexFunc(l.vms, func(vm platform.VM) bool { return vm.ID == self })
 	if listed >= 0 {
@@ -245,25 +245,25 @@
 // wanted any more at all, and whether those that may get work have changed. A link that
 // leaves the subset gets no new work from now on and becomes a spare one, which is let go
 // of when its work has ended: it cuts nothing.
-func (l *links) tick(now time.Duration, linked map[string]bool, health func(vm string) subset.Health) (drop []string, changed bool) {
+func (l *linkChooser) tick(now time.Duration, linked map[string]bool, health func(vm string) subset.Health) (drop []string, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.wanted
-	l.wanted = make(map[string]bool, len(was))
-	for vm := range l.unnamed {
+	previous := l.wanted
+	l.wanted = make(map[string]bool, len(previous))
+	for vm := range l.withoutOffer {
 		l.wanted[vm] = true
 	}
-	for _, keeper := range l.keepers {
+	for _, keeper := range l.subsets {
 		for _, vm := range keeper.Tick(now, health) {
 			l.wanted[vm] = true
 		}
 	}
-	changed = len(was) != len(l.wanted)
+	changed = len(previous) != len(l.wanted)
 	for vm := range l.wanted {
-		changed = changed || !was[vm]
+		changed = changed || !previous[vm]
 		delete(l.spare, vm)
 	}
-	l.expire(now, linked)
+	l.expireSpare(now, linked)
 	for vm := range linked {
 		if l.wanted[vm] {
 			continue
@@ -271,7 +271,7 @@
 		if _, spare := l.spare[vm]; spare {
 			continue
 		}
-		if was[vm] {
+		if previous[vm] {
 			l.spare[vm] = now
 			continue
 		}
@@ -283,40 +283,40 @@
 	return drop, changed
 }
 
-// expire lets go of the spare links that have been idle for long enough, and of the
+// expireSpare lets go of the spare links that have been idle for long enough, and of the
 // longest idle ones past the bound; the lock is held.
-func (l *links) expire(now time.Duration, linked map[string]bool) {
-	for vm, used := range l.spare {
-		keep := spareKeep
+func (l *linkChooser) expireSpare(now time.Duration, linked map[string]bool) {
+	for vm, lastUse := range l.spare {
+		timeout := spareIdleTimeout
 		if !linked[vm] {
-			keep = unlinkedKeep
+			timeout = unlinkedSpareTimeout
 		}
-		if l.uses[vm] == 0 && now-used >= keep {
+		if l.uses[vm] == 0 && now-lastUse >= timeout {
 			delete(l.spare, vm)
 		}
 	}
-	for len(l.spare) > maxSpare && l.giveWay() {
+	for len(l.spare) > maxSpareLinks && l.evictIdlest() {
 	}
 }
 
-// out says that an agent is marked out, or that its VM leaves or has left. It is called on
+// isOut says that an agent is marked isOut, or that its VM leaves or has left. It is called on
 // the control goroutine, the only one that writes the agents, and needs no lock.
-func (l *links) out(state *member.State, vm string) bool {
+func (l *linkChooser) isOut(state *member.State, vm string) bool {
 	listed, ok := l.agents[vm]
 	return !ok || listed.State == platform.StateLeaving || state.View.VMOut(vm, listed.FailureDomain)
 }
 
-// pending says that a link to an agent for an offer may stand at any moment: one is being
+// isLinkPending says that a link to an agent for an offer may stand at any moment: one is being
 // made, or stands and has brought no report yet.
-func (l *links) pending(offer string, reported func(vm string) bool) bool {
-	if l.all() {
+func (l *linkChooser) isLinkPending(offer string, reported func(vm string) bool) bool {
+	if l.linksToAll() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// The list names the model; a caller may ask for one version of it.
 	offer, _, _ = strings.Cut(offer, "@")
-	keeper := l.keepers[offer]
+	keeper := l.subsets[offer]
 	if keeper == nil {
 		return false
 	}
@@ -331,20 +331,20 @@
 	return false
 }
 
-// whole is how many agents of the region there are for each that new work may go to, of
+// regionScale is how many agents of the region there are for each that new work may go to, of
 // the offer that the list says an agent makes.
-func (l *links) whole(vm string) float64 {
+func (l *linkChooser) regionScale(vm string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	keeper := l.keepers[l.agents[vm].Offer]
+	keeper := l.subsets[l.agents[vm].Offer]
 	if keeper == nil {
 		return 1
 	}
 	return keeper.Whole()
 }
 
-// idle says that no request is at an agent, or waits for it.
-func (l *links) idle(vm string) bool {
+// isIdle says that no request is at an agent, or waits for it.
+func (l *linkChooser) isIdle(vm string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.uses[vm] == 0
@@ -358,8 +358,8 @@
 	Work, Spare []string
 }
 
-func (l *links) dump() linkState {
+func (l *linkChooser) dump() linkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return linkState{PerOffer: l.per, Work: slices.Sorted(maps.Keys(l.wanted)), Spare: slices.Sorted(maps.Keys(l.spare))}
+	return linkState{PerOffer: l.agentsPerOffer, Work: slices.Sorted(maps.Keys(l.wanted)), Spare: slices.Sorted(maps.Keys(l.spare))}
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -62,7 +62,7 @@
 
 // Ready implements admin.Process.
 func (o operators) Ready() error {
-	state, err := o.entry.serving()
+	state, err := o.entry.servingState()
 	if err == nil && !state.Linked {
 		return result.New(api.ResultCode_STARTING, "The links to the other VMs do not stand yet.")
 	}
@@ -74,12 +74,12 @@
 
 // List implements admin.Configuration.
 func (o operators) List(list api.ListName) admin.ListInForce {
-	offset, sections, made := o.entry.node.List(list)
+	offset, sections, origin := o.entry.node.List(list)
 	return admin.ListInForce{
 		Offset:   offset,
 		Sections: sections,
-		Author:   made.GetAuthor(),
-		ChangeID: made.GetChangeId(),
+		Author:   origin.GetAuthor(),
+		ChangeID: origin.GetChangeId(),
 	}
 }
 
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -22,15 +22,15 @@
 // other answer only when it is whole, so that its failure still has a status of its
 // own and another attempt can take its place.
 type output struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	backend *api.Head
-	stream  bool
-	started atomic.Bool // read by the goroutine that notices that the caller has gone
-	whole   bool
-	unsent  bool   // something was written and not flushed
-	event   []byte // used again for each
-	body    bytes.Buffer
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	backendHead *api.Head
+	stream      bool
+	started     atomic.Bool // read by the goroutine that notices that the caller has gone
+	complete    bool
+	unflushed   bool   // something was written and not flushed
+	eventBuffer []byte // used again for each
+	body        bytes.Buffer
 }
 
 // writeGrace is how long after its deadline a request may still write.
@@ -45,30 +45,30 @@
 	return &output{w: w, control: control}
 }
 
-// begun says that the caller has had something of the answer.
-func (o *output) begun() bool { return o.started.Load() }
+// hasBegun says that the caller has had something of the answer.
+func (o *output) hasBegun() bool { return o.started.Load() }
 
-// headed says that the status is known.
-func (o *output) headed() bool { return o.backend != nil }
+// hasHead says that the status is known.
+func (o *output) hasHead() bool { return o.backendHead != nil }
 
-// restart forgets what an earlier attempt has brought, which the caller has had nothing
+// reset forgets what an earlier attempt has brought, which the caller has had nothing
 // of.
-func (o *output) restart() {
-	if o.begun() {
+func (o *output) reset() {
+	if o.hasBegun() {
 		return
 	}
-	o.backend = nil
+	o.backendHead = nil
 	o.body.Reset()
 	o.stream = false
 }
 
-// head takes status and header. The same head comes again over each further link of an
+// setHead takes status and header. The same setHead comes again over each further link of an
 // attempt: the parts before it stay, or the answer would end short and look whole.
-func (o *output) head(h *api.Head) {
-	if o.headed() {
+func (o *output) setHead(h *api.Head) {
+	if o.hasHead() {
 		return
 	}
-	o.backend = h
+	o.backendHead = h
 	for _, header := range h.GetHeaders() {
 		if header.GetName() == "Content-Type" && strings.HasPrefix(header.GetValue(), "text/event-stream") {
 			o.stream = true
@@ -76,26 +76,26 @@
 	}
 }
 
-// part takes one new part.
-func (o *output) part(answerID string, part *api.Part) error {
-	if !o.stream && !o.begun() {
+// writePart takes one new writePart.
+func (o *output) writePart(answerID string, part *api.Part) error {
+	if !o.stream && !o.hasBegun() {
 		o.body.Write(part.GetData())
 		return nil
 	}
-	o.begin()
+	o.beginStream()
 	data := part.GetData()
 	if bytes.HasPrefix(data, []byte(doneEvent)) {
 		// The mark that the answer is whole is written when that is known.
 		return nil
 	}
-	o.event = append(o.event[:0], "id: "...)
-	o.event = append(o.event, answerID...)
-	o.event = append(o.event, ':')
-	o.event = strconv.AppendUint(o.event, part.GetNumber(), 10)
-	o.event = append(o.event, '\n')
-	o.event = append(o.event, data...)
-	o.unsent = true
-	if _, err := o.w.Write(o.event); err != nil {
+	o.eventBuffer = append(o.eventBuffer[:0], "id: "...)
+	o.eventBuffer = append(o.eventBuffer, answerID...)
+	o.eventBuffer = append(o.eventBuffer, ':')
+	o.eventBuffer = strconv.AppendUint(o.eventBuffer, part.GetNumber(), 10)
+	o.eventBuffer = append(o.eventBuffer, '\n')
+	o.eventBuffer = append(o.eventBuffer, data...)
+	o.unflushed = true
+	if _, err := o.w.Write(o.eventBuffer); err != nil {
 		return result.New(api.ResultCode_ANSWER_BROKEN, "The caller has gone.")
 	}
 	return nil
@@ -104,47 +104,47 @@
 // flush sends the caller what was written. It is called when no more of the answer is
 // here, so that a token never waits; those that came together go out together.
 func (o *output) flush() error {
-	if !o.unsent {
+	if !o.unflushed {
 		return nil
 	}
-	o.unsent = false
+	o.unflushed = false
 	if err := o.control.Flush(); err != nil {
 		return result.New(api.ResultCode_ANSWER_BROKEN, "The caller has gone.")
 	}
 	return nil
 }
 
-// begin writes the header of a stream.
-func (o *output) begin() {
-	if o.begun() {
+// beginStream writes the header of a stream.
+func (o *output) beginStream() {
+	if o.hasBegun() {
 		return
 	}
 	o.started.Store(true)
 	o.writeHead()
 	o.w.Header().Set("Content-Type", "text/event-stream")
 	o.w.Header().Set("Cache-Control", "no-store")
-	o.w.WriteHeader(int(o.backend.GetStatus()))
+	o.w.WriteHeader(int(o.backendHead.GetStatus()))
 }
 
 func (o *output) writeHead() {
-	for _, h := range o.backend.GetHeaders() {
+	for _, h := range o.backendHead.GetHeaders() {
 		o.w.Header().Add(h.GetName(), h.GetValue())
 	}
 	result.SetHeader(o.w.Header(), api.ResultCode_OK)
 }
 
-// end writes the mark that the answer is whole, with its count. It goes out with the end of
+// writeEnd writes the mark that the answer is whole, with its count. It goes out with the writeEnd of
 // the HTTP answer, which the library writes next, by one write.
-func (o *output) end(end *api.End) error {
-	streamed := o.stream || o.begun()
+func (o *output) writeEnd(end *api.End) error {
+	streamed := o.stream || o.hasBegun()
 	if !streamed && uint64(o.body.Len()) != end.GetBytes() {
 		// The last guard against an answer that looks whole and is not.
 		return result.Newf(api.ResultCode_ANSWER_BROKEN, "Of %d bytes of the answer %d are here.", end.GetBytes(), o.body.Len())
 	}
-	o.whole = true
+	o.complete = true
 	if streamed {
-		o.begin()
-		o.unsent = true
+		o.beginStream()
+		o.unflushed = true
 		_, err := fmt.Fprintf(o.w, ": whole parts=%d bytes=%d\n%s\n\n", end.GetParts(), end.GetBytes(), doneEvent)
 		if err != nil {
 			return result.New(api.ResultCode_ANSWER_BROKEN, "The caller has gone.")
@@ -153,7 +153,7 @@
 	}
 	o.writeHead()
 	o.w.Header().Set("Content-Length", strconv.Itoa(o.body.Len()))
-	o.w.WriteHeader(int(o.backend.GetStatus()))
+	o.w.WriteHeader(int(o.backendHead.GetStatus()))
 	_, _ = o.w.Write(o.body.Bytes())
 	return nil
 }
@@ -161,10 +161,10 @@
 // finish ends an answer that failed. One that the caller has had in part gets an
 // event that says so, and its connection is cut without the mark of the end.
 func (o *output) finish(err error) error {
-	if err == nil || o.whole {
+	if err == nil || o.complete {
 		return nil
 	}
-	if !o.begun() {
+	if !o.hasBegun() {
 		return err
 	}
 	text, _ := json.Marshal(result.Body{Error: result.From(err).Detail()})
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// headerFirst is the caller's word that it has sent no request under this key yet,
+	// headerFirstTry is the caller's word that it has sent no request under this key yet,
 	// and sends no other one at the same time.
-	headerFirst = "Apricothub-First-Try"
+	headerFirstTry = "Apricothub-First-Try"
 	// headerKeyLifetime tells callers for how long a key is bound, in milliseconds.
 	headerKeyLifetime = "Apricothub-Key-Lifetime-Ms"
 	// ticketPrefix marks what looks like a ticket: it is one, or nothing.
@@ -41,7 +41,7 @@
 		return result.New(api.ResultCode_KEY_INVALID)
 	}
 	work := req.work
-	req.own = &ownKey{
+	req.ownKey = &ownKey{
 		arrived:  req.arrived,
 		key:      keybind.KeyOf(req.caller.name, values[0]),
 		customer: keybind.CustomerFrom(ticket.CustomerDigest(req.caller.name)),
@@ -53,9 +53,9 @@
 // looksLikeTicket says that a key is a ticket or a spoilt one.
 func looksLikeTicket(text string) bool { return strings.HasPrefix(text, ticketPrefix) }
 
-// carriesOwnKey says that a request to a service has a key of the caller's own, whose
+// hasOwnKey says that a request to a service has a key of the caller's own, whose
 // earlier copies may have run.
-func carriesOwnKey(r *http.Request) bool {
+func hasOwnKey(r *http.Request) bool {
 	text := r.Header.Get(headerTicket)
 	if text == "" || !strings.HasPrefix(r.URL.Path, "/services/") {
 		return false
@@ -64,47 +64,47 @@
 	return err != nil && !looksLikeTicket(text) && keybind.ValidKey(text)
 }
 
-// firstTry says that the caller vouches for no earlier copy.
-func firstTry(h http.Header) bool { return h.Get(headerFirst) == "yes" }
+// isFirstTry says that the caller vouches for no earlier copy.
+func isFirstTry(h http.Header) bool { return h.Get(headerFirstTry) == "yes" }
 
-// findKey takes the ticket that a key is bound to, as far as this entry has read.
-func (e *entry) findKey(w http.ResponseWriter, req *request) error {
-	if req.own == nil {
+// resolveKey takes the ticket that a key is bound to, as far as this entry has read.
+func (e *entry) resolveKey(w http.ResponseWriter, req *request) error {
+	if req.ownKey == nil {
 		return nil
 	}
 	w.Header().Set(headerKeyLifetime, strconv.FormatInt(e.keys.lifetime.Milliseconds(), 10))
-	b, ok, err := e.keys.lookUp(req.own.key)
+	b, ok, err := e.keys.lookUp(req.ownKey.key)
 	if err != nil {
 		return err
 	}
 	if !ok {
 		// Said now, a caller is not kept at the gate for a refusal.
-		return plain(e.keys.ready(req.own.customer))
+		return asError(e.keys.checkReady(req.ownKey.customer))
 	}
 	e.keys.counts.found.Inc(1)
-	return plain(req.useBinding(b))
+	return asError(req.useBinding(b))
 }
 
 // useBinding makes a request one that came with the ticket of a binding.
 func (r *request) useBinding(b keybind.Binding) *result.Error {
-	if b.Request != r.own.request {
+	if b.Request != r.ownKey.request {
 		return result.New(api.ResultCode_KEY_REUSED)
 	}
 	t, err := b.OpenTicket()
 	if err != nil {
 		return result.New(api.ResultCode_INTERNAL, err.Error()+".")
 	}
-	r.given = t
+	r.callerTicket = t
 	return nil
 }
 
 // bindKey binds a key that is bound to nothing yet, with the gate's leave: an append
 // for a request that the gate would refuse would be for nothing.
 func (e *entry) bindKey(ctx context.Context, req *request) error {
-	if req.own == nil || req.given != nil {
+	if req.ownKey == nil || req.callerTicket != nil {
 		return nil
 	}
-	if err := e.keys.ready(req.own.customer); err != nil {
+	if err := e.keys.checkReady(req.ownKey.customer); err != nil {
 		return err
 	}
 	t, err := e.newTicket(ctx, req)
@@ -112,39 +112,39 @@
 		return err
 	}
 	// Blocks are minted from in the first half of their lifetime.
-	if 2*e.directory.lifetime(t) > e.keys.hold {
+	if 2*e.directory.ticketLifetime(t) > e.keys.retention {
 		// When its key is let go of the ticket could still run, beside the one that the
 		// key is bound to next.
 		return result.New(api.ResultCode_INTERNAL, "A ticket lives longer than its key is bound: ticket-lifetime-ms of the agent is more than twice the lifetime-ms of [keys].")
 	}
-	b, refused := e.keys.bind(ctx, req.own, t)
+	b, refused := e.keys.bind(ctx, req.ownKey, t)
 	if refused != nil {
 		return refused
 	}
 	e.keys.counts.bound.Inc(1)
-	return plain(req.useBinding(b))
+	return asError(req.useBinding(b))
 }
 
-// unknownIfKey keeps "not run" from being said of a request whose key this entry could
+// unknownOutcomeIfKey keeps "not run" from being said of a request whose key this entry could
 // not resolve. An earlier copy may have bound it and run through another entry: the
 // store would push again under a new key. When the caller vouches that there is none,
 // and nothing was appended, it is true.
-func unknownIfKey(req *request, first bool, err error) error {
-	if err == nil || req.own == nil || req.given != nil {
+func unknownOutcomeIfKey(req *request, firstTry bool, err error) error {
+	if err == nil || req.ownKey == nil || req.callerTicket != nil {
 		return err
 	}
-	if first && !req.own.appended {
+	if firstTry && !req.ownKey.appended {
 		return err
 	}
-	return unknown(err)
+	return withUnknownOutcome(err)
 }
 
-// unknown is an error that does not say "not run".
-func unknown(err error) error {
-	told := *result.From(err)
-	if told.Ran != api.Ran_RAN_NO {
+// withUnknownOutcome is an error that does not say "not run".
+func withUnknownOutcome(err error) error {
+	changed := *result.From(err)
+	if changed.Ran != api.Ran_RAN_NO {
 		return err
 	}
-	told.Ran = api.Ran_RAN_UNKNOWN
-	return &told
+	changed.Ran = api.Ran_RAN_UNKNOWN
+	return &changed
 }
--- a/internal/entry/ownkey_test.go
+++ b/internal/entry/ownkey_test.go
@@ -17,10 +17,10 @@
 // must not call "not run", unless the caller vouches for the first try: the caller would
 // take a new key and push twice.
 func TestRefusalsOfOwnKeysAreTrue(t *testing.T) {
-	_, url := startEntry(t, serviceAgent(t, "b1", whole("x")))
+	_, url := startEntry(t, serviceAgent(t, "b1", wholeAnswer("x")))
 	for name, c := range map[string]struct {
 		path, key, header, value string
-		again, first             string
+		ran, ranFirstTry         string
 	}{
 		"unknown service": {"/services/none/push", "k", "", "", "unknown", "no"},
 		"unknown key":     {"/services/s/push", "k", "Authorization", "Bearer none", "unknown", "no"},
@@ -34,10 +34,10 @@
 		if c.header != "" {
 			headers = append(headers, c.header, c.value)
 		}
-		if got := ask(t, url, c.path, headers...); got.status == 200 || got.ran != c.again {
+		if got := sendRequest(t, url, c.path, headers...); got.status == 200 || got.ran != c.ran {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got := ask(t, url, c.path, append(headers, headerFirst, "yes")...); got.status == 200 || got.ran != c.first {
+		if got := sendRequest(t, url, c.path, append(headers, headerFirstTry, "yes")...); got.status == 200 || got.ran != c.ranFirstTry {
 			t.Errorf("%s, first try: %+v", name, got)
 		}
 	}
@@ -65,9 +65,9 @@
 // It must not be refused for the loud team's sake. The loud team is refused at once, by
 // its own limit, until its oldest bindings run out.
 func TestALoudCustomersKeysLeaveRoom(t *testing.T) {
-	e, url := startEntry(t, serviceAgent(t, "b1", whole("x")))
+	e, url := startEntry(t, serviceAgent(t, "b1", wholeAnswer("x")))
 	push := func() reply {
-		return ask(t, url, "/services/s/push", "Idempotency-Key", "new", headerFirst, "yes", "Apricothub-Deadline-Ms", "300")
+		return sendRequest(t, url, "/services/s/push", "Idempotency-Key", "new", headerFirstTry, "yes", "Apricothub-Deadline-Ms", "300")
 	}
 	holdKeys(t, e, "loud", keybind.MaxHeld)
 	if got := push(); strings.Contains(got.result, "KEYS_FULL") || strings.Contains(got.result, "OVER_SHARE") {
@@ -79,7 +79,7 @@
 		t.Errorf("the loud customer: %+v", got)
 	}
 	// Bindings are held for 20 minutes, and these are a minute old.
-	if wait := got.retryMs / 1000; wait < 18*60 || wait > 21*60 {
+	if wait := got.retryAfterMs / 1000; wait < 18*60 || wait > 21*60 {
 		t.Errorf("told to come back after %d s", wait)
 	}
 	state := e.keys.dump()
@@ -90,9 +90,9 @@
 	// lets go of them by itself, and does not wait for the next record that somebody needs.
 	e.keys.mu.Lock()
 	defer e.keys.mu.Unlock()
-	e.keys.ages = keybind.NewAges(e.keys.hold)
-	e.keys.ages.Saw(clock.Now()-e.keys.hold, 1)
-	if !e.keys.beatDue() {
+	e.keys.ages = keybind.NewAges(e.keys.retention)
+	e.keys.ages.Saw(clock.Now()-e.keys.retention, 1)
+	if !e.keys.keepaliveDue() {
 		t.Error("callers who were told to come back are refused for want of a record")
 	}
 }
--- a/internal/entry/reporters.go
+++ b/internal/entry/reporters.go
@@ -8,27 +8,27 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// reporters chooses the reporters of a list for this entry's settings.
-func (e *entry) reporters(vms []platform.VM) map[string]string {
-	return reportersOf(vms, e.links.per)
+// chooseReporters chooses the chooseReporters of a list for this entry's settings.
+func (e *entry) chooseReporters(vms []platform.VM) map[string]string {
+	return reportersByAgent(vms, e.links.agentsPerOffer)
 }
 
-// reportersOf chooses the entry that reports for each agent, from the list of VMs alone, so
+// reportersByAgent chooses the entry that reports for each agent, from the list of VMs alone, so
 // that all entries choose alike; nil where each entry hears all agents itself. It is one
 // of the entries that have the agent in their subsets, so that the links which tell it are
 // there already. An agent that is in no subset has one by hash, which dials it when asked.
-func reportersOf(vms []platform.VM, per int) map[string]string {
-	if per == 0 {
+func reportersByAgent(vms []platform.VM, agentsPerOffer int) map[string]string {
+	if agentsPerOffer == 0 {
 		return nil
 	}
 	regions := make(map[string][]subset.Node)
 	offers := make(map[string][]platform.VM)
-	var everywhere []string
+	var allEntries []string
 	for _, vm := range vms {
 		switch {
 		case vm.Role == platform.RoleEntry:
 			regions[vm.Region] = append(regions[vm.Region], subset.Node{Name: vm.ID, Domain: vm.FailureDomain})
-			everywhere = append(everywhere, vm.ID)
+			allEntries = append(allEntries, vm.ID)
 		case vm.Offer != "" && vm.State != platform.StateLeaving:
 			offers[vm.Offer] = append(offers[vm.Offer], vm)
 		}
@@ -36,14 +36,14 @@
 	linked := make(map[string][]string)
 	for region, entries := range regions {
 		for _, agents := range offers {
-			for entry, own := range subset.Assign(entries, inRegion(agents, region), per) {
+			for entry, own := range subset.Assign(entries, inRegion(agents, region), agentsPerOffer) {
 				for _, agent := range own {
 					linked[agent] = append(linked[agent], entry)
 				}
 			}
 		}
 	}
-	of := make(map[string]string)
+	reporterOf := make(map[string]string)
 	for _, vm := range vms {
 		if vm.Role != platform.RoleBackend {
 			continue
@@ -55,35 +55,35 @@
 			}
 		}
 		if len(candidates) == 0 {
-			candidates = everywhere
+			candidates = allEntries
 		}
-		if entry := byHash(vm.ID, candidates); entry != "" {
-			of[vm.ID] = entry
+		if entry := highestScored(vm.ID, candidates); entry != "" {
+			reporterOf[vm.ID] = entry
 		}
 	}
-	return of
+	return reporterOf
 }
 
-// byHash takes the entry of the highest rendezvous score: when one goes, its agents spread
+// highestScored takes the entry of the highest rendezvous score: when one goes, its agents spread
 // over all others, and no other agent moves.
-func byHash(agent string, entries []string) string {
+func highestScored(agent string, entries []string) string {
 	var best string
-	var most uint64
+	var bestScore uint64
 	for _, entry := range entries {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(agent + "\x00" + entry))
-		if score := h.Sum64(); best == "" || score > most || score == most && entry < best {
-			best, most = entry, score
+		if score := h.Sum64(); best == "" || score > bestScore || score == bestScore && entry < best {
+			best, bestScore = entry, score
 		}
 	}
 	return best
 }
 
-// keepReach asks for a link to an agent that this entry reports for, or keeps it for as
+// ensureLinked asks for a link to an agent that this entry reports for, or keeps it for as
 // long as after any other use. It runs on the control goroutine.
-func (e *entry) keepReach(vm string) {
-	if e.links.ask(clock.Now(), vm) {
+func (e *entry) ensureLinked(vm string) {
+	if e.links.requestSpare(clock.Now(), vm) {
 		e.node.Redial()
 	}
-	e.hold(vm)()
+	e.retainLink(vm)()
 }
--- a/internal/entry/reporters_test.go
+++ b/internal/entry/reporters_test.go
@@ -22,15 +22,15 @@
 	for i := range 9 {
 		vms = append(vms, agentVM(fmt.Sprint("a", i), "model:m", "r0"))
 	}
-	want := reportersOf(vms, 2)
+	want := reportersByAgent(vms, 2)
 	slices.Reverse(vms)
-	if got := reportersOf(vms, 2); len(got) != 17 || fmt.Sprint(got) != fmt.Sprint(want) {
+	if got := reportersByAgent(vms, 2); len(got) != 17 || fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%v, in another order %v", want, got)
 	}
 	linkedBy := make(map[string][]string)
 	for _, entry := range []string{"e0", "e2"} {
-		l := newLinks(&api.Hello{Vm: entry}, 2, metrics.NewRegistry())
-		l.list(vms)
+		l := newLinkChooser(&api.Hello{Vm: entry}, 2, metrics.NewRegistry())
+		l.setVMs(vms)
 		for _, agent := range wantedOf(l) {
 			linkedBy[agent] = append(linkedBy[agent], entry)
 		}
@@ -40,7 +40,7 @@
 			t.Errorf("%s reports for %s, which is linked to %v", want[agent], agent, entries)
 		}
 	}
-	if reportersOf(vms, 0) != nil {
+	if reportersByAgent(vms, 0) != nil {
 		t.Error("reporters though all entries hear all agents")
 	}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -32,20 +32,20 @@
 
 // request is a caller's request on its way to a backend server.
 type request struct {
-	caller   *caller
-	offer    string
-	adapter  string
-	prefix   uint64
-	size     float64       // expected ratio of the work to the usual; 0 for unknown
-	arrived  time.Duration // on the process's clock, as the deadline
-	deadline time.Duration
-	work     *api.Work
+	caller       *caller
+	offer        string
+	adapter      string
+	prefix       uint64
+	relativeSize float64       // expected ratio of the work to the usual; 0 for unknown
+	arrived      time.Duration // on the process's clock, as the deadline
+	deadline     time.Duration
+	work         *api.Work
 	// once says that the request runs at most once. given is the caller's ticket;
 	// without one a ticket is made for each attempt.
-	once  bool
-	given *api.Ticket
-	// own is the caller's own key; given is its ticket once that is known.
-	own *ownKey
+	once         bool
+	callerTicket *api.Ticket
+	// ownKey is the caller's ownKey key; given is its ticket once that is known.
+	ownKey *ownKey
 }
 
 // newRequest reads what completions and calls have in common.
@@ -89,12 +89,12 @@
 }
 
 // readDeadline returns the time left until the deadline that the caller names.
-func readDeadline(h http.Header, otherwise time.Duration) (time.Duration, error) {
-	left := otherwise
+func readDeadline(h http.Header, fallback time.Duration) (time.Duration, error) {
+	left := fallback
 	if text := h.Get(headerDeadlineMs); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || ms > maxDeadline.Milliseconds() {
-			return 0, result.Newf(api.ResultCode_BAD_REQUEST, "%s is not a number of milliseconds up to %d.", headerDeadlineMs, maxDeadline.Milliseconds())
+		if err != nil || ms > maxTimeLeft.Milliseconds() {
+			return 0, result.Newf(api.ResultCode_BAD_REQUEST, "%s is not a number of milliseconds up to %d.", headerDeadlineMs, maxTimeLeft.Milliseconds())
 		}
 		left = time.Duration(ms) * time.Millisecond
 	}
@@ -111,8 +111,8 @@
 	return left, nil
 }
 
-// maxDeadline bounds how long one request may be asked to take.
-const maxDeadline = time.Hour
+// maxTimeLeft bounds how long one request may be asked to take.
+const maxTimeLeft = time.Hour
 
 func readPriority(h http.Header, plan *api.Plan) (int32, error) {
 	text := h.Get(headerPriority)
@@ -147,15 +147,15 @@
 }
 
 func forwardedHeaders(h http.Header) []*api.Header {
-	named := make(map[string]bool)
+	connectionHeaders := make(map[string]bool)
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
-			named[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
+			connectionHeaders[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	var headers []*api.Header
 	for name, values := range h {
-		if notForwarded[name] || named[name] || strings.HasPrefix(name, "Apricothub-") {
+		if notForwarded[name] || connectionHeaders[name] || strings.HasPrefix(name, "Apricothub-") {
 			continue
 		}
 		for _, value := range values {
@@ -196,8 +196,8 @@
 		return err
 	}
 	req.prefix = prefixHash(body)
-	if e.directory.known(req.offer) { // A caller may name any version.
-		req.size = e.sizes.ratio(req.offer, max(body.MaxTokens, body.MaxCompletionTokens))
+	if e.directory.hasCapacity(req.offer) { // A caller may name any version.
+		req.relativeSize = e.sizes.relativeSize(req.offer, max(body.MaxTokens, body.MaxCompletionTokens))
 	}
 	work := req.work
 	work.Kind = api.WorkKind_WORK_COMPLETION
@@ -209,7 +209,7 @@
 	// may be repeated, so only a ticket counts.
 	if t, err := ticket.Decode(r.Header.Get(headerTicket)); err == nil {
 		req.once = true
-		req.given = t
+		req.callerTicket = t
 	}
 	return nil
 }
@@ -229,7 +229,7 @@
 		return result.Newf(api.ResultCode_NOT_IN_PLAN, "The plan does not include the version %q.", version)
 	}
 	if version == "" {
-		req.offer, version = e.directory.inForce(name)
+		req.offer, version = e.directory.offerInForce(name)
 	} else {
 		req.offer = modelOffer(name + "@" + version)
 	}
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -9,54 +9,54 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// orderAgain is how long an agent's report may take to tell of an order sent to it: some
+// orderReportTimeout is how long an agent's report may take to tell of an order sent to it: some
 // reports' time. Until then it counts as loading, or the next tick would choose more.
-const orderAgain = 2 * time.Second
+const orderReportTimeout = 2 * time.Second
 
-// orderSent is an order that reports may not tell of yet.
-type orderSent struct {
-	fence int64
-	at    time.Duration
+// sentOrder is an order that reports may not tell of yet.
+type sentOrder struct {
+	fence  int64
+	sentAt time.Duration
 }
 
-// rollouts brings the backend servers to the versions in force. The control goroutine
+// rolloutState brings the backend servers to the versions in force. The control goroutine
 // owns it.
-type rollouts struct {
-	sent map[string]orderSent // by agent's VM
-	// models remembers the model of each backend server that may be ordered, so that
+type rolloutState struct {
+	sentOrders map[string]sentOrder // by agent's VM
+	// lastReported remembers the model of each backend server that may be ordered, so that
 	// one whose link is gone still counts as one of its model's.
-	models map[string]rollout.Server
-	of     map[string]string
+	lastReported map[string]rollout.Server
+	modelByVM    map[string]string
 }
 
-func newRollouts() rollouts {
-	return rollouts{sent: make(map[string]orderSent), models: make(map[string]rollout.Server), of: make(map[string]string)}
+func newRolloutState() rolloutState {
+	return rolloutState{sentOrders: make(map[string]sentOrder), lastReported: make(map[string]rollout.Server), modelByVM: make(map[string]string)}
 }
 
-// driveRollout sends orders if this entry is the one that drives.
+// coordinateRollout sends orders if this entry is the one that drives.
 //
 // Nobody agrees on the driver. Two entries may both believe that they are it while links
 // or readiness change; each counts what the agents report, so that until the reports of
 // a second or so tell of the other's orders, more may load at once than the budget, and
 // no longer. Two orders for one agent are one: the fence is the offset of the uses list.
-func (e *entry) driveRollout(now time.Duration, state *member.State) {
+func (e *entry) coordinateRollout(now time.Duration, state *member.State) {
 	servers := e.directory.rolloutServers()
-	e.rollouts.remember(servers, state)
-	if !e.drives(now, state) {
-		clear(e.rollouts.sent)
+	e.rollouts.updateServers(servers, state)
+	if !e.isRolloutCoordinator(now, state) {
+		clear(e.rollouts.sentOrders)
 		return
 	}
 	fence := state.View.ListOffset(api.ListName_LIST_USES)
 	for name, model := range state.View.Models() {
 		want := rollout.Want{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
 		for _, vm := range rollout.Next(e.rollouts.fleet(now, name, want, servers), want) {
-			e.order(now, vm, name, want)
+			e.sendLoadOrder(now, vm, name, want)
 		}
 	}
 }
 
-// drives says whether this entry has the lowest name of those that serve.
-func (e *entry) drives(now time.Duration, state *member.State) bool {
+// isRolloutCoordinator says whether this entry has the lowest name of those that serve.
+func (e *entry) isRolloutCoordinator(now time.Duration, state *member.State) bool {
 	if state.Unready(now) != api.ResultCode_OK || state.Out {
 		return false
 	}
@@ -69,15 +69,15 @@
 	return true
 }
 
-func (e *entry) order(now time.Duration, vm, model string, want rollout.Want) {
-	peer, ok := e.directory.agent(vm)
+func (e *entry) sendLoadOrder(now time.Duration, vm, model string, want rollout.Want) {
+	peer, ok := e.directory.agentPeer(vm)
 	if !ok {
 		return
 	}
-	if sent, ok := e.rollouts.sent[vm]; ok && sent.fence == want.Fence && now-sent.at < orderAgain {
+	if sent, ok := e.rollouts.sentOrders[vm]; ok && sent.fence == want.Fence && now-sent.sentAt < orderReportTimeout {
 		return
 	}
-	e.rollouts.sent[vm] = orderSent{fence: want.Fence, at: now}
+	e.rollouts.sentOrders[vm] = sentOrder{fence: want.Fence, sentAt: now}
 	_ = e.logger.Log("msg", "A backend server is ordered to load.", "vm", vm, "model", model, "version", want.Version, "fence", want.Fence)
 	peer.Session.Post(&api.Control{Body: &api.Control_Rollout{Rollout: &api.LoadOrder{
 		Model:    model,
@@ -87,41 +87,41 @@
 	}}})
 }
 
-// remember takes what the servers report and forgets those that have left the
+// updateServers takes what the servers report and forgets those that have left the
 // platform's list.
-func (r *rollouts) remember(servers map[string]map[string]rollout.Server, state *member.State) {
+func (r *rolloutState) updateServers(servers map[string]map[string]rollout.Server, state *member.State) {
 	listed := make(map[string]bool, len(state.VMs))
 	for _, vm := range state.VMs {
 		listed[vm.ID] = true
 	}
-	for vm := range r.of {
+	for vm := range r.modelByVM {
 		if !listed[vm] {
-			delete(r.of, vm)
-			delete(r.models, vm)
-			delete(r.sent, vm)
+			delete(r.modelByVM, vm)
+			delete(r.lastReported, vm)
+			delete(r.sentOrders, vm)
 		}
 	}
-	for model, of := range servers {
-		for vm, server := range of {
-			r.of[vm], r.models[vm] = model, server
+	for model, byVM := range servers {
+		for vm, server := range byVM {
+			r.modelByVM[vm], r.lastReported[vm] = model, server
 		}
 	}
 }
 
 // fleet returns all servers of a model, with those missing and with those that have been
 // sent an order that no report tells of yet.
-func (r *rollouts) fleet(now time.Duration, model string, want rollout.Want, servers map[string]map[string]rollout.Server) []rollout.Server {
+func (r *rolloutState) fleet(now time.Duration, model string, want rollout.Want, servers map[string]map[string]rollout.Server) []rollout.Server {
 	var fleet []rollout.Server
-	for vm, of := range r.of {
-		if of != model {
+	for vm, vmModel := range r.modelByVM {
+		if vmModel != model {
 			continue
 		}
 		server, linked := servers[model][vm]
 		if !linked {
-			server = r.models[vm]
+			server = r.lastReported[vm]
 			server.Missing = true
 		}
-		if sent, ok := r.sent[vm]; ok && now-sent.at < orderAgain && !server.Loading && !want.Met(server.Version, server.Adapters) {
+		if sent, ok := r.sentOrders[vm]; ok && now-sent.sentAt < orderReportTimeout && !server.Loading && !want.Met(server.Version, server.Adapters) {
 			server.Loading, server.Order = true, sent.fence
 		}
 		fleet = append(fleet, server)
@@ -138,7 +138,7 @@
 	servers := make(map[string]map[string]rollout.Server)
 	for vm, s := range d.status {
 		peer := d.peers[vm]
-		if !takesOrders(s) || peer == nil {
+		if !takesLoadOrders(s) || peer == nil {
 			continue
 		}
 		if servers[s.GetModel()] == nil {
@@ -161,11 +161,11 @@
 	return servers
 }
 
-func takesOrders(s *api.BackendStatus) bool {
+func takesLoadOrders(s *api.BackendStatus) bool {
 	return s.GetModel() != "" && s.GetGroup() == "" && !s.GetFixed()
 }
 
-// inForce returns the offer for callers that name no version, and the version that it
+// offerInForce returns the offer for callers that name no version, and the version that it
 // means; empty for any.
 //
 // While a rollout is under way they are served by any version: at its beginning nobody
@@ -173,22 +173,22 @@
 // and after it, so that what waits at the gate when a version is published does not wait
 // for one that goes. Only where servers that take no orders hold another version for
 // good does the version in force make an offer of its own.
-func (d *directory) inForce(name string) (offer, version string) {
+func (d *directory) offerInForce(name string) (offer, version string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	model, _ := d.view.Model(name)
-	if version = model.GetVersion(); version != "" && d.split[name] {
+	if version = model.GetVersion(); version != "" && d.needsVersionOffer[name] {
 		return modelOffer(name + "@" + version), version
 	}
 	return modelOffer(name), ""
 }
 
-// splitModels finds the models that are served in another version than that in force by
+// modelsNeedingVersionOffer finds the models that are served in another version than that in force by
 // servers that take no orders, while all that take orders have it.
-func splitModels(view *config.View, status map[string]*api.BackendStatus) map[string]bool {
-	split := make(map[string]bool)
-	rolling := make(map[string]bool)
-	offered := make(map[string]bool)
+func modelsNeedingVersionOffer(view *config.View, status map[string]*api.BackendStatus) map[string]bool {
+	heldElsewhere := make(map[string]bool)
+	rollingOut := make(map[string]bool)
+	servedInForce := make(map[string]bool)
 	for _, s := range status {
 		model, ok := view.Model(s.GetModel())
 		if !ok || s.GetModel() == "" {
@@ -196,15 +196,15 @@
 		}
 		switch {
 		case s.GetModelVersion() == model.GetVersion():
-			offered[s.GetModel()] = true
-		case takesOrders(s):
-			rolling[s.GetModel()] = true
+			servedInForce[s.GetModel()] = true
+		case takesLoadOrders(s):
+			rollingOut[s.GetModel()] = true
 		default:
-			split[s.GetModel()] = true
+			heldElsewhere[s.GetModel()] = true
 		}
 	}
-	for name := range split {
-		split[name] = offered[name] && !rolling[name]
+	for name := range heldElsewhere {
+		heldElsewhere[name] = servedInForce[name] && !rollingOut[name]
 	}
-	return split
+	return heldElsewhere
 }
--- a/internal/entry/rollout_test.go
+++ b/internal/entry/rollout_test.go
@@ -17,7 +17,7 @@
 // what was ordered, and for some reports' time at most: the order may be lost. One whose
 // link is gone is missing until the platform's list leaves it out.
 func TestFleetOfARollout(t *testing.T) {
-	r := newRollouts()
+	r := newRolloutState()
 	listed := &member.State{VMs: []platform.VM{{ID: "vm-1"}, {ID: "vm-2"}}}
 	servers := map[string]map[string]rollout.Server{"m": {
 		"vm-1": {VM: "vm-1", Version: "1"},
@@ -33,21 +33,21 @@
 		}
 		return n
 	}
-	r.remember(servers, listed)
-	r.sent["vm-1"] = orderSent{fence: 5, at: time.Second}
-	if n := loading(time.Second + orderAgain/2); n != 1 {
+	r.updateServers(servers, listed)
+	r.sentOrders["vm-1"] = sentOrder{fence: 5, sentAt: time.Second}
+	if n := loading(time.Second + orderReportTimeout/2); n != 1 {
 		t.Errorf("%d load just after the order, want 1", n)
 	}
-	if n := loading(time.Second + orderAgain); n != 0 {
+	if n := loading(time.Second + orderReportTimeout); n != 0 {
 		t.Errorf("%d load though no report tells of it, want none", n)
 	}
 	servers["m"]["vm-1"] = rollout.Server{VM: "vm-1", Version: "2"}
-	if n := loading(time.Second + orderAgain/2); n != 0 {
+	if n := loading(time.Second + orderReportTimeout/2); n != 0 {
 		t.Errorf("%d load though the report has the version, want none", n)
 	}
 
 	delete(servers["m"], "vm-2")
-	r.remember(servers, listed)
+	r.updateServers(servers, listed)
 	missing := 0
 	for _, s := range r.fleet(0, "m", want, servers) {
 		if s.Missing {
@@ -58,7 +58,7 @@
 		t.Errorf("%d missing, want 1", missing)
 	}
 	listed.VMs = listed.VMs[:1]
-	r.remember(servers, listed)
+	r.updateServers(servers, listed)
 	if fleet := r.fleet(0, "m", want, servers); len(fleet) != 1 {
 		t.Errorf("%d servers after one left the list, want 1", len(fleet))
 	}
@@ -92,8 +92,8 @@
 			for i, s := range test.status {
 				status[string(rune('a'+i))] = s
 			}
-			d.split = splitModels(d.view, status)
-			if got, _ := d.inForce("m"); got != test.want {
+			d.needsVersionOffer = modelsNeedingVersionOffer(d.view, status)
+			if got, _ := d.offerInForce("m"); got != test.want {
 				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -40,22 +40,22 @@
 // serveWork reads a request, lets read take in what is its own, and has it run unless
 // read has answered it.
 func (e *entry) serveWork(w http.ResponseWriter, r *http.Request, read func(*request, *member.State) (bool, error)) error {
-	state, err := e.serving()
+	state, err := e.servingState()
 	if err != nil {
-		return unknownIfTicket(r, err)
+		return unknownOutcomeIfTicket(r, err)
 	}
 	req, err := e.newRequest(w, r, state)
 	if err != nil {
-		return unknownIfTicket(r, err)
+		return unknownOutcomeIfTicket(r, err)
 	}
 	answered, err := read(req, state)
 	if answered || err != nil {
-		return unknownIfTicket(r, err)
+		return unknownOutcomeIfTicket(r, err)
 	}
-	if err := e.findKey(w, req); err != nil {
-		return unknownIfTicket(r, err)
+	if err := e.resolveKey(w, req); err != nil {
+		return unknownOutcomeIfTicket(r, err)
 	}
-	return unknownIfKey(req, firstTry(r.Header), e.admitted(w, r, req))
+	return unknownOutcomeIfKey(req, isFirstTry(r.Header), e.admitAndDispatch(w, r, req))
 }
 
 func readCall(req *request, r *http.Request, state *member.State) error {
@@ -67,13 +67,13 @@
 	if !contains(req.caller.plan.GetServices(), name) {
 		return result.Newf(api.ResultCode_NOT_IN_PLAN, "The plan does not include the service %q.", name)
 	}
-	at := "/" + r.PathValue("path")
+	callPath := "/" + r.PathValue("path")
 	req.offer = serviceOffer(name)
-	req.once = !repeatable(service, r.Method, at)
+	req.once = !isRepeatable(service, r.Method, callPath)
 	work := req.work
 	work.Kind = api.WorkKind_WORK_CALL
 	work.Service = name
-	work.Path = (&urlPath{path: at, query: r.URL.RawQuery}).String()
+	work.Path = (&urlPath{path: callPath, query: r.URL.RawQuery}).String()
 	if r.Header.Get(headerDeadlineMs) == "" && r.Header.Get(headerDeadline) == "" && service.GetTimeoutMs() > 0 {
 		req.deadline = clock.Now() + time.Duration(service.GetTimeoutMs())*time.Millisecond
 	}
@@ -97,14 +97,14 @@
 		return readOwnKey(req, h)
 	}
 	req.once = true
-	req.given = t
+	req.callerTicket = t
 	return nil
 }
 
-// repeatable says whether the lists allow a call to be sent again.
-func repeatable(service *api.Service, method, at string) bool {
+// isRepeatable says whether the lists allow a call to be sent again.
+func isRepeatable(service *api.Service, method, callPath string) bool {
 	// A path with dots in it could name a call other than the one matched.
-	if path.Clean(at) != strings.TrimSuffix(at, "/") && at != "/" {
+	if path.Clean(callPath) != strings.TrimSuffix(callPath, "/") && callPath != "/" {
 		return false
 	}
 	for _, call := range service.GetRepeatable() {
@@ -112,8 +112,8 @@
 		if !ok || m != method {
 			continue
 		}
-		prefix, below := strings.CutSuffix(pattern, "*")
-		if pattern == at || below && strings.HasPrefix(at, prefix) {
+		prefix, isPrefix := strings.CutSuffix(pattern, "*")
+		if pattern == callPath || isPrefix && strings.HasPrefix(callPath, prefix) {
 			return true
 		}
 	}
@@ -128,33 +128,33 @@
 // servers that are all there; suspicion ends with the next heartbeat. A link that is
 // truly silent is dead after dead-ms, and its backend server is then not waited for.
 func (e *entry) awaitBackend(ctx context.Context, req *request) {
-	if req.given != nil || e.directory.known(req.offer) {
+	if req.callerTicket != nil || e.directory.hasCapacity(req.offer) {
 		return
 	}
-	limit := clock.Now() + time.Duration(e.settings.GetLink().GetDeadMs())*time.Millisecond
-	for clock.Now() < limit && ctx.Err() == nil {
-		if e.directory.known(req.offer) || !e.directory.offered(req.offer) {
+	deadline := clock.Now() + time.Duration(e.settings.GetLink().GetDeadMs())*time.Millisecond
+	for clock.Now() < deadline && ctx.Err() == nil {
+		if e.directory.hasCapacity(req.offer) || !e.directory.expectsOffer(req.offer) {
 			return
 		}
-		pause(ctx, waitStep)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// admitted asks the gate, then dispatches.
-func (e *entry) admitted(w http.ResponseWriter, r *http.Request, req *request) error {
+// admitAndDispatch asks the gate, then dispatches.
+func (e *entry) admitAndDispatch(w http.ResponseWriter, r *http.Request, req *request) error {
 	record := journal.From(r.Context())
-	record.Offer, record.Once, record.Ticket = req.offer, req.once, req.given != nil
+	record.Offer, record.Once, record.Ticket = req.offer, req.once, req.callerTicket != nil
 	ctx, cancel := context.WithTimeout(r.Context(), req.deadline-clock.Now())
 	defer cancel()
 	out := newOutput(w, req.deadline-clock.Now())
 	req.work.Weight = req.caller.plan.GetShare() * req.caller.customer.GetWeight()
 	arrived := clock.Now()
 	e.awaitBackend(ctx, req)
-	if !e.directory.known(req.offer) || e.directory.draining(req.given) {
-		return out.finish(e.dispatchPast(ctx, req, out))
+	if !e.directory.hasCapacity(req.offer) || e.directory.agentDraining(req.callerTicket) {
+		return out.finish(e.dispatchWithoutGate(ctx, req, out))
 	}
-	waitCtx, endWait := e.directory.untilDraining(ctx, req.given)
-	pass, refused := e.gate.enter(waitCtx, admit.Request{
+	waitCtx, endWait := e.directory.withAgentDraining(ctx, req.callerTicket)
+	adm, refused := e.gate.admit(waitCtx, admit.Request{
 		Customer: req.caller.name,
 		Key:      req.caller.key,
 		Offer:    req.offer,
@@ -163,87 +163,87 @@
 	})
 	endWait()
 	record.WaitMs = (clock.Now() - arrived).Milliseconds()
-	if refused != nil && e.directory.draining(req.given) {
-		return out.finish(e.dispatchPast(ctx, req, out))
+	if refused != nil && e.directory.agentDraining(req.callerTicket) {
+		return out.finish(e.dispatchWithoutGate(ctx, req, out))
 	}
 	if refused != nil {
-		return out.finish(e.refuseTicket(ctx, req, refused, out))
+		return out.finish(e.settleRefusal(ctx, req, refused, out))
 	}
 	started := clock.Now()
 	err := e.bindKey(ctx, req)
 	if err == nil {
-		err = e.dispatch(ctx, req, pass, out)
+		err = e.dispatch(ctx, req, adm, out)
 	}
 	took := clock.Now() - started
 	if err != nil {
 		took = 0
 	}
-	pass.leave(took)
+	adm.done(took)
 	return out.finish(err)
 }
 
-// dispatchPast serves a request past the gate. There is no room to share out for what no
+// dispatchWithoutGate serves a request past the gate. There is no room to share out for what no
 // backend server offers as far as this entry knows, and the gate would keep its name,
 // which may be invented: only the agent that a ticket names can say what became of the
 // ticket, and the link to it may be on its way. Nor for a ticket of an agent that is
 // stopping, which starts nothing, and would be gone after a wait for the others' room.
-func (e *entry) dispatchPast(ctx context.Context, req *request, out *output) error {
-	if req.given == nil {
+func (e *entry) dispatchWithoutGate(ctx context.Context, req *request, out *output) error {
+	if req.callerTicket == nil {
 		return result.Refuse(api.ResultCode_NO_BACKEND, time.Second)
 	}
-	return e.dispatchGiven(ctx, req, out)
+	return e.dispatchToTicketAgent(ctx, req, out)
 }
 
-// refuseTicket makes a refusal by the gate of a request with a ticket true: the ticket
+// settleRefusal makes a refusal by the gate of a request with a ticket true: the ticket
 // may have been used before, or a copy of the request may still be under way. The agent
 // says what became of it, and voids it if nothing did. A run that has begun takes no
 // room that the gate could refuse: its answer is joined.
-func (e *entry) refuseTicket(ctx context.Context, req *request, refused *result.Error, out *output) error {
-	if req.given == nil {
+func (e *entry) settleRefusal(ctx context.Context, req *request, refused *result.Error, out *output) error {
+	if req.callerTicket == nil {
 		return refused
 	}
-	settled := e.settle(ctx, req.given, req.caller.name)
+	settled := e.settle(ctx, req.callerTicket, req.caller.name)
 	switch {
 	case settled.begun:
-		return e.dispatchGiven(ctx, req, out)
+		return e.dispatchToTicketAgent(ctx, req, out)
 	case settled.err.Ran == api.Ran_RAN_NO:
 		return refused
 	}
 	return settled.err
 }
 
-// unknownIfTicket keeps a refusal that the entry makes by itself from saying "not run"
+// unknownOutcomeIfTicket keeps a refusal that the entry makes by itself from saying "not run"
 // of a request with a ticket or a key. An earlier copy may have run through another entry: the
 // store would take a new ticket and push a second time.
-func unknownIfTicket(r *http.Request, err error) error {
+func unknownOutcomeIfTicket(r *http.Request, err error) error {
 	if err == nil || errors.Is(err, errAborted) {
 		return err
 	}
-	_, none := ticket.Decode(r.Header.Get(headerTicket))
-	if none == nil || carriesOwnKey(r) && !firstTry(r.Header) {
-		return unknown(err)
+	_, decodeErr := ticket.Decode(r.Header.Get(headerTicket))
+	if decodeErr == nil || hasOwnKey(r) && !isFirstTry(r.Header) {
+		return withUnknownOutcome(err)
 	}
 	return err
 }
 
-// ticketAsk is the body of a request for a ticket.
-type ticketAsk struct {
+// ticketRequest is the body of a request for a ticket.
+type ticketRequest struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
 }
 
-// ticketAnswer is a new ticket.
-type ticketAnswer struct {
+// ticketResponse is a new ticket.
+type ticketResponse struct {
 	Ticket      string `json:"ticket"`
 	ExpiresInMs int64  `json:"expires_in_ms"`
 }
 
-// mintWait is how long a request for a ticket waits for an agent's first block.
-const mintWait = time.Second
+// mintTimeout is how long a request for a ticket waits for an agent's first block.
+const mintTimeout = time.Second
 
 // serveTicket gives a caller the right to have one request run at most once.
 func (e *entry) serveTicket(w http.ResponseWriter, r *http.Request) error {
-	state, err := e.serving()
+	state, err := e.servingState()
 	if err != nil {
 		return err
 	}
@@ -251,21 +251,21 @@
 	if err != nil {
 		return err
 	}
-	if err := e.readTicketAsk(req, state); err != nil {
+	if err := e.readTicketRequest(req, state); err != nil {
 		return err
 	}
 	t, err := e.newTicket(r.Context(), req)
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, ticketAnswer{
+	return writeJSON(w, ticketResponse{
 		Ticket:      ticket.Encode(t),
-		ExpiresInMs: e.directory.lifetime(t).Milliseconds(),
+		ExpiresInMs: e.directory.ticketLifetime(t).Milliseconds(),
 	})
 }
 
-func (e *entry) readTicketAsk(req *request, state *member.State) error {
-	var ask ticketAsk
+func (e *entry) readTicketRequest(req *request, state *member.State) error {
+	var ask ticketRequest
 	if err := json.Unmarshal(req.work.GetBody(), &ask); err != nil {
 		return result.New(api.ResultCode_BAD_REQUEST, `The body is not {"service": "NAME"} or {"model": "NAME"}.`)
 	}
@@ -288,29 +288,29 @@
 }
 
 func (e *entry) newTicket(ctx context.Context, req *request) (*api.Ticket, error) {
-	limit := clock.Now() + mintWait
+	deadline := clock.Now() + mintTimeout
 	code := api.ResultCode_NO_BACKEND
 	for {
 		peer, picked := e.directory.pick(place.Request{Offer: req.offer})
 		code = picked
 		if code == api.ResultCode_OK {
 			vm := peer.Hello.GetVm()
-			t, ok := e.directory.mint(vm, req.caller.name)
-			e.directory.ended(vm, req.offer, place.Outcome{})
+			t, ok := e.directory.mintTicket(vm, req.caller.name)
+			e.directory.recordEnd(vm, req.offer, place.Outcome{})
 			if ok {
 				return t, nil
 			}
 			code = api.ResultCode_NO_BACKEND
 		}
-		if clock.Now() > limit || ctx.Err() != nil {
+		if clock.Now() > deadline || ctx.Err() != nil {
 			return nil, result.Refuse(code, time.Second)
 		}
-		pause(ctx, 10*time.Millisecond)
+		sleep(ctx, 10*time.Millisecond)
 	}
 }
 
-// settledAnswer says what became of a ticket.
-type settledAnswer struct {
+// settleResponse says what became of a ticket.
+type settleResponse struct {
 	Ran  string `json:"ran"`
 	Code int32  `json:"code"`
 	Name string `json:"name"`
@@ -331,7 +331,7 @@
 	}
 	settled := e.settle(r.Context(), t, who.name).err
 	info := result.Of(settled.Code)
-	return writeJSON(w, settledAnswer{
+	return writeJSON(w, settleResponse{
 		Ran:  result.RanName(settled.Ran),
 		Code: info.Number,
 		Name: info.Name,
--- a/internal/entry/sizes.go
+++ b/internal/entry/sizes.go
@@ -2,28 +2,28 @@
 
 import "sync"
 
-// sizes knows how many tokens requests for each offer usually ask for, so that one that
+// sizeTracker knows how many tokens requests for each offer usually ask for, so that one that
 // asks for many more is not placed where it cannot end in time.
-type sizes struct {
-	mu    sync.Mutex
-	usual map[string]float64
+type sizeTracker struct {
+	mu       sync.Mutex
+	averages map[string]float64
 }
 
-// sizeWeight is how little one request moves the usual size.
-const sizeWeight = 64
+// sizeSmoothing is how little one request moves the usual size.
+const sizeSmoothing = 64
 
-// ratio returns a request's size over the usual one and takes it into account; 0 for a
+// relativeSize returns a request's size over the usual one and takes it into account; 0 for a
 // request that names no bound.
-func (s *sizes) ratio(offer string, tokens float64) float64 {
+func (s *sizeTracker) relativeSize(offer string, tokens float64) float64 {
 	if tokens <= 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	usual, ok := s.usual[offer]
+	average, ok := s.averages[offer]
 	if !ok {
-		usual = tokens
+		average = tokens
 	}
-	s.usual[offer] = usual + (tokens-usual)/sizeWeight
-	return tokens / usual
+	s.averages[offer] = average + (tokens-average)/sizeSmoothing
+	return tokens / average
 }
--- a/internal/entry/tickets_test.go
+++ b/internal/entry/tickets_test.go
@@ -16,8 +16,8 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// takeTicket gets a ticket for the service s.
-func takeTicket(t *testing.T, url string) string {
+// requestTicket gets a ticket for the service s.
+func requestTicket(t *testing.T, url string) string {
 	t.Helper()
 	r, _ := http.NewRequest(http.MethodPost, url+"/v1/tickets", strings.NewReader(`{"service":"s"}`))
 	r.Header.Set("Authorization", "Bearer "+testKey)
@@ -26,19 +26,19 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var answer ticketAnswer
+	var answer ticketResponse
 	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil || answer.Ticket == "" {
 		t.Fatalf("no ticket: %v, %s", err, resp.Status)
 	}
 	return answer.Ticket
 }
 
-// takeTicketOf gets one of the agent on a VM.
-func takeTicketOf(t *testing.T, url, vm string) string {
+// requestTicketOf gets one of the agent on a VM.
+func requestTicketOf(t *testing.T, url, vm string) string {
 	t.Helper()
 	var given string
 	eventually(t, "a ticket of "+vm, func() bool {
-		given = takeTicket(t, url)
+		given = requestTicket(t, url)
 		decoded, err := ticket.Decode(given)
 		return err == nil && decoded.GetAgentVm() == vm
 	})
@@ -57,8 +57,8 @@
 func TestRefusalsOfTicketsAreTrue(t *testing.T) {
 	agent := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { refuse(stream, api.ResultCode_SATURATED, api.Ran_RAN_NO) })
 	e, url := startEntry(t, agent)
-	given := takeTicket(t, url)
-	if got := ask(t, url, "/services/s/push", "Idempotency-Key", given); got.ran != "no" {
+	given := requestTicket(t, url)
+	if got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given); got.ran != "no" {
 		t.Errorf("the agent's word: %+v", got)
 	}
 	for name, headers := range map[string][]string{
@@ -70,20 +70,20 @@
 		"bad last event":  {completions, "Last-Event-ID", "none"},
 		"no such answer":  {completions, "Last-Event-ID", "b9:1:1:1", "Apricothub-Deadline-Ms", "50"},
 	} {
-		got := ask(t, url, headers[0], append([]string{"Idempotency-Key", given}, headers[1:]...)...)
+		got := sendRequest(t, url, headers[0], append([]string{"Idempotency-Key", given}, headers[1:]...)...)
 		if got.status == 200 || got.ran != "unknown" {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 	// The gate has no room: the agent is asked, and voids the ticket before "not run".
-	given = takeTicket(t, url)
-	e.node.Do(func() { e.gate.setRoom(map[string]room{"service:s": {}}, 1) })
+	given = requestTicket(t, url)
+	e.node.Do(func() { e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1) })
 	settled := agent.settles.Load()
 	var got reply
 	eventually(t, "a refusal by the gate", func() bool {
 		e.node.Do(func() {
-			e.gate.setRoom(map[string]room{"service:s": {}}, 1)
-			got = ask(t, url, "/services/s/push", "Idempotency-Key", given, "Apricothub-Deadline-Ms", "100")
+			e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1)
+			got = sendRequest(t, url, "/services/s/push", "Idempotency-Key", given, "Apricothub-Deadline-Ms", "100")
 		})
 		return agent.settles.Load() > settled
 	})
@@ -95,27 +95,27 @@
 // An agent's link is lost and it does not come back, or comes back as another process. Its
 // tickets are let go of: minted from them, a push would end as "outcome unknown" that
 // nobody ever sent.
-func TestTicketsGoWithTheirAgent(t *testing.T) {
-	agent := serviceAgent(t, "b1", whole("x"))
+func TestTicketsAreDroppedWithTheirAgent(t *testing.T) {
+	agent := serviceAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
-	takeTicket(t, url)
+	requestTicket(t, url)
 	state := *e.node.State()
-	now := state.Peers["b1"]
-	replaced := *now
+	current := state.Peers["b1"]
+	replaced := *current
 	replaced.Hello = &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "2"}
 	for name, peers := range map[string]map[string]*member.Peer{"gone": {}, "replaced": {"b1": &replaced}} {
-		state.Peers = map[string]*member.Peer{"b1": now}
+		state.Peers = map[string]*member.Peer{"b1": current}
 		e.directory.setPeers(&state)
 		agent.mu.Lock()
 		block := agent.ledger.Grant(clock.Now())
 		agent.mu.Unlock()
-		e.directory.message(now, &api.Control{Body: &api.Control_Block{Block: block}})
-		if _, ok := e.directory.mint("b1", "c"); !ok {
+		e.directory.handleMessage(current, &api.Control{Body: &api.Control_Block{Block: block}})
+		if _, ok := e.directory.mintTicket("b1", "c"); !ok {
 			t.Fatal("no ticket")
 		}
 		state.Peers = peers
 		e.directory.setPeers(&state)
-		if _, ok := e.directory.mint("b1", "c"); ok {
+		if _, ok := e.directory.mintTicket("b1", "c"); ok {
 			t.Errorf("%s: a ticket of it was minted", name)
 		}
 	}
@@ -124,44 +124,44 @@
 // The gate lets a request in, and its place has been taken by another entry meanwhile. It
 // waits at its old place, and runs as soon as there is room; or is told when to come back
 // long before its deadline.
-func TestAPostponedRequestWaitsForRoom(t *testing.T) {
+func TestRequeuedRequestWaitsForASlot(t *testing.T) {
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
-	g.setRoom(map[string]room{"o": {slots: 1, capacity: 1}}, 1)
+	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
 	ask := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
-	p, refused := g.enter(context.Background(), ask)
+	p, refused := g.admit(context.Background(), ask)
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	back := make(chan error, 1)
-	go func() { back <- plain(p.postpone(context.Background(), api.ResultCode_SATURATED, false)) }()
+	requeued := make(chan error, 1)
+	go func() { requeued <- asError(p.requeue(context.Background(), api.ResultCode_SATURATED, false)) }()
 	select {
-	case err := <-back:
+	case err := <-requeued:
 		t.Fatalf("it did not wait: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	g.setRoom(map[string]room{"o": {slots: 1, capacity: 1}}, 1)
+	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
 	select {
-	case err := <-back:
+	case err := <-requeued:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
 		t.Error("it waits although there is room")
 	}
-	p.leave(time.Millisecond)
+	p.done(time.Millisecond)
 	// The caller goes away while its request waits: its place is free again.
 	ctx, cancel := context.WithCancel(context.Background())
-	p, refused = g.enter(ctx, ask)
+	p, refused = g.admit(ctx, ask)
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	cancel()
-	if refused := p.postpone(ctx, api.ResultCode_SATURATED, false); refused.Ran != api.Ran_RAN_NO {
+	if refused := p.requeue(ctx, api.ResultCode_SATURATED, false); refused.Ran != api.Ran_RAN_NO {
 		t.Errorf("got %v", refused)
 	}
-	g.setRoom(map[string]room{"o": {slots: 1, capacity: 1}}, 1)
-	if _, refused := g.enter(context.Background(), ask); refused != nil {
+	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
+	if _, refused := g.admit(context.Background(), ask); refused != nil {
 		t.Errorf("the place is lost: %v", refused)
 	}
 	if g.dump().Waiting != 0 {
@@ -178,20 +178,20 @@
 	leaving := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { refuse(stream, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO) })
 	staying := serviceAgent(t, "b2", func(work *api.Work, stream *link.Stream) {
 		<-held
-		whole("x")(work, stream)
+		wholeAnswer("x")(work, stream)
 	})
 	staying.status.Limit, staying.status.FullLimit = 1, 1
 	e, url := startEntry(t, leaving, staying)
-	given := takeTicketOf(t, url, "b1")
-	leaving.drains.Store(true)
+	given := requestTicketOf(t, url, "b1")
+	leaving.draining.Store(true)
 	eventually(t, "that it drains", func() bool { return e.node.State().Peers["b1"].Draining })
-	go ask(t, url, "/services/s/push")
+	go sendRequest(t, url, "/services/s/push")
 	eventually(t, "a full agent", func() bool { return staying.works.Load() == 1 })
 	eventually(t, "that the gate knows", func() bool {
-		return ask(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "40").status == http.StatusServiceUnavailable
+		return sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "40").status == http.StatusServiceUnavailable
 	})
 	admitted := e.gate.dump().Admitted
-	got := ask(t, url, "/services/s/push", "Idempotency-Key", given)
+	got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given)
 	if asked := e.gate.dump().Admitted - admitted; got.result != "209 TICKET_VOID" || asked > 0 {
 		t.Errorf("%s, and the gate was asked %d times", got.result, asked)
 	}
@@ -205,11 +205,11 @@
 	defer close(held)
 	hold := func(work *api.Work, stream *link.Stream) {
 		<-held
-		whole("x")(work, stream)
+		wholeAnswer("x")(work, stream)
 	}
 	var leaving *fakeAgent
 	leaving = serviceAgent(t, "b1", func(work *api.Work, stream *link.Stream) {
-		if leaving.drains.Load() {
+		if leaving.draining.Load() {
 			refuse(stream, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
 			return
 		}
@@ -217,18 +217,18 @@
 	})
 	staying := serviceAgent(t, "b2", hold)
 	e, url := startEntry(t, leaving, staying)
-	given := takeTicketOf(t, url, "b1")
+	given := requestTicketOf(t, url, "b1")
 	// From the first that waits on the gate knows that no agent has room.
 	eventually(t, "that a push waits at the gate", func() bool {
-		go ask(t, url, "/services/s/push")
+		go sendRequest(t, url, "/services/s/push")
 		time.Sleep(20 * time.Millisecond)
 		return e.gate.dump().Waiting > 0
 	})
 	waiting := e.gate.dump().Waiting
 	answered := make(chan reply, 1)
-	go func() { answered <- ask(t, url, "/services/s/push", "Idempotency-Key", given) }()
+	go func() { answered <- sendRequest(t, url, "/services/s/push", "Idempotency-Key", given) }()
 	eventually(t, "that the one with a ticket waits too", func() bool { return e.gate.dump().Waiting > waiting })
-	leaving.drains.Store(true)
+	leaving.draining.Store(true)
 	if got := <-answered; got.result != "209 TICKET_VOID" {
 		t.Errorf("got %+v", got)
 	}
@@ -237,22 +237,22 @@
 // The first request that the gate lets in finds no place after all, and waits. The room is
 // taken for none until the next look at it; but there are backend servers, and a request
 // that comes in between must not be told that nobody offers what it asks for.
-func TestNoRoomIsNotNoBackend(t *testing.T) {
+func TestNoFreeSlotIsNotNoBackend(t *testing.T) {
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
-	g.setRoom(map[string]room{"o": {slots: 2, capacity: 2}}, 1)
+	g.setCapacities(map[string]offerCapacity{"o": {slots: 2, total: 2}}, 1)
 	ask := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p, refused := g.enter(ctx, ask)
+	p, refused := g.admit(ctx, ask)
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	go func() { _ = p.postpone(ctx, api.ResultCode_SATURATED, false) }()
+	go func() { _ = p.requeue(ctx, api.ResultCode_SATURATED, false) }()
 	eventually(t, "that it waits", func() bool { return g.dump().Waiting == 1 })
 	second, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
-	if _, refused := g.enter(second, ask); refused != nil && refused.Code == api.ResultCode_NO_BACKEND {
+	if _, refused := g.admit(second, ask); refused != nil && refused.Code == api.ResultCode_NO_BACKEND {
 		t.Errorf("got %v", refused)
 	}
 }
