--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -99,7 +99,7 @@
 }
 
 func admission(n int, saturated bool) func(int) {
-	a := admit.New(admit.Config{Queue: 1 << 16, MaxWait: time.Hour})
+	a := admit.New(admit.Config{MaxQueue: 1 << 16, MaxWait: time.Hour})
 	plans := []admit.PlanShare{{Name: "gold", Share: 3}, {Name: "basic", Share: 1}}
 	customers := make([]admit.CustomerShare, n)
 	for i := range customers {
@@ -111,7 +111,7 @@
 	var id uint64
 	offer := func(i int) {
 		id++
-		a.Offer(0, admit.Request{ID: id, Customer: customers[i%n].Name, Offer: "model:m", Deadline: time.Hour})
+		a.Admit(0, admit.Request{ID: id, Customer: customers[i%n].Name, Offer: "model:m", Deadline: time.Hour})
 	}
 	if !saturated {
 		return func(i int) {
--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -20,61 +20,61 @@
 
 // Config holds the limits of admission. A zero field takes its default.
 type Config struct {
-	// Queue is the most requests that wait for one offer. Default 1024.
-	Queue int
-	// LeastQueue is the number of waiting requests that each customer may have
+	// MaxQueue is the most requests that wait for one offer. Default 1024.
+	MaxQueue int
+	// MinQueue is the number of waiting requests that each customer may have
 	// whatever its share. Default 4, so that a small customer's few requests at
 	// once are not refused by rounding.
-	LeastQueue int
+	MinQueue int
 	// MaxWait is the longest expected wait with which a request is still taken.
 	// Default 2 s: a caller that would wait longer is better told so at once.
 	MaxWait time.Duration
-	// LastingWait is the same for a customer whose overload lasts. Default
+	// OverloadMaxWait is the same for a customer whose overload lasts. Default
 	// 250 ms, but not more than MaxWait.
-	LastingWait time.Duration
-	// Margin is the ratio of the time left to the usual time of the work below which
+	OverloadMaxWait time.Duration
+	// DeadlineMargin is the ratio of the time left to the usual time of the work below which
 	// a request is given up. Default 1.3: of requests begun with just the usual time
 	// left half would be late, and their work thrown away.
-	Margin float64
-	// Work is the time of one request that is assumed until the first has ended.
+	DeadlineMargin float64
+	// DefaultWorkTime is the time of one request that is assumed until the first has ended.
 	// Default 500 ms.
-	Work time.Duration
-	// LeastRetry and MostRetry bound the time to come back that callers are told.
+	DefaultWorkTime time.Duration
+	// MinRetryAfter and MaxRetryAfter bound the time to come back that callers are told.
 	// Defaults 100 ms and 30 s.
-	LeastRetry, MostRetry time.Duration
-	// RateBurst is the number of seconds of its rate that a key may use at once.
+	MinRetryAfter, MaxRetryAfter time.Duration
+	// RateBurstSeconds is the number of seconds of its rate that a key may use at once.
 	// Default 1.
-	RateBurst float64
+	RateBurstSeconds float64
 }
 
 func (c Config) withDefaults() Config {
-	if c.Queue <= 0 {
-		c.Queue = 1024
+	if c.MaxQueue <= 0 {
+		c.MaxQueue = 1024
 	}
-	if c.LeastQueue <= 0 {
-		c.LeastQueue = 4
+	if c.MinQueue <= 0 {
+		c.MinQueue = 4
 	}
 	if c.MaxWait <= 0 {
 		c.MaxWait = 2 * time.Second
 	}
-	if c.LastingWait <= 0 {
-		c.LastingWait = 250 * time.Millisecond
+	if c.OverloadMaxWait <= 0 {
+		c.OverloadMaxWait = 250 * time.Millisecond
 	}
-	c.LastingWait = min(c.LastingWait, c.MaxWait)
-	if c.Margin < 1 {
-		c.Margin = 1.3
+	c.OverloadMaxWait = min(c.OverloadMaxWait, c.MaxWait)
+	if c.DeadlineMargin < 1 {
+		c.DeadlineMargin = 1.3
 	}
-	if c.Work <= 0 {
-		c.Work = 500 * time.Millisecond
+	if c.DefaultWorkTime <= 0 {
+		c.DefaultWorkTime = 500 * time.Millisecond
 	}
-	if c.LeastRetry <= 0 {
-		c.LeastRetry = 100 * time.Millisecond
+	if c.MinRetryAfter <= 0 {
+		c.MinRetryAfter = 100 * time.Millisecond
 	}
-	if c.MostRetry <= 0 {
-		c.MostRetry = 30 * time.Second
+	if c.MaxRetryAfter <= 0 {
+		c.MaxRetryAfter = 30 * time.Second
 	}
-	if c.RateBurst <= 0 {
-		c.RateBurst = 1
+	if c.RateBurstSeconds <= 0 {
+		c.RateBurstSeconds = 1
 	}
 	return c
 }
@@ -154,10 +154,10 @@
 	shares  map[string]float64
 	offers  map[string]*offer
 	buckets map[bucketKey]*bucket
-	// here are the requests that run or wait.
-	here map[uint64]*request
-	// names are the keys of the offers, in the order in which they came.
-	names []string
+	// requests are the requests that run or wait.
+	requests map[uint64]*request
+	// offerKeys are the keys of the offers, in the order in which they came.
+	offerKeys []string
 }
 
 // New returns an admitter that knows no customer yet.
@@ -168,7 +168,7 @@
 		customers: make(map[string]CustomerShare),
 		offers:    make(map[string]*offer),
 		buckets:   make(map[bucketKey]*bucket),
-		here:      make(map[uint64]*request),
+		requests:  make(map[uint64]*request),
 	}
 }
 
@@ -184,7 +184,7 @@
 	}
 	a.shares = Shares(plans, customers)
 	for _, o := range a.offers {
-		o.reweigh(a)
+		o.updateShares(a)
 	}
 	clear(a.buckets)
 }
@@ -193,8 +193,8 @@
 func (a *Admitter) SetCapacity(key string, slots int) {
 	o := a.offer(key)
 	o.slots = max(slots, 0)
-	if o.slots > 0 && o.presence == Here {
-		o.measured = o.slots
+	if o.slots > 0 && o.availability == Available {
+		o.lastSlots = o.slots
 	}
 }
 
@@ -203,13 +203,13 @@
 	if !ok {
 		o = newOffer(key)
 		a.offers[key] = o
-		a.names = append(a.names, key)
+		a.offerKeys = append(a.offerKeys, key)
 	}
 	return o
 }
 
-// Offer decides on a new request.
-func (a *Admitter) Offer(now time.Duration, r Request) Decision {
+// Admit decides on a new request.
+func (a *Admitter) Admit(now time.Duration, r Request) Decision {
 	share, known := a.customers[r.Customer]
 	if !known {
 		return Decision{Action: Refuse, Code: api.ResultCode_UNKNOWN_KEY}
@@ -217,23 +217,23 @@
 	if r.Deadline <= now {
 		return Decision{Action: Refuse, Code: api.ResultCode_DEADLINE_PAST}
 	}
-	if wait := a.rateWait(now, r, share); wait > 0 {
+	if wait := a.takeToken(now, r, share); wait > 0 {
 		return Decision{Action: Refuse, Code: api.ResultCode_RATE_LIMITED, RetryAfter: wait}
 	}
 	o := a.offer(r.Offer)
 	c := o.customer(a, share)
-	entitled := c.waiting.Len() == 0 && o.entitled(now, c)
-	if entitled || o.running < o.slots && o.waiting == 0 {
-		o.pressure.count(now, false)
-		return o.start(now, a.keep(now, o, c, r), entitled)
+	guaranteed := c.waiting.Len() == 0 && o.isGuaranteed(now, c)
+	if guaranteed || o.running < o.slots && o.waiting == 0 {
+		o.overload.record(now, false)
+		return o.start(now, a.track(now, o, c, r), guaranteed)
 	}
 	d, refused := a.refusal(now, o, c, share, r)
-	o.pressure.count(now, refused)
+	o.overload.record(now, refused)
 	if refused {
-		o.leave(c)
+		o.removeIfIdle(c)
 		return d
 	}
-	o.push(a.keep(now, o, c, r))
+	o.enqueue(a.track(now, o, c, r))
 	return Decision{Action: Wait}
 }
 
@@ -243,74 +243,74 @@
 // that waits and then expires, or that runs and is late, which takes capacity
 // and gives no answer. Each limit is an expected wait, so it holds for any size.
 func (a *Admitter) refusal(now time.Duration, o *offer, c *customer, share CustomerShare, r Request) (Decision, bool) {
-	if o.presence == None {
-		return a.refuse(api.ResultCode_NO_BACKEND, noneRetry), true
+	if o.availability == Unavailable {
+		return a.refuse(api.ResultCode_NO_BACKEND, unavailableRetryAfter), true
 	}
 	// A postponed start takes the slots away until they are measured anew; that nobody
 	// offers the work shows only in the total.
-	if o.presence == Here && o.slots == 0 && o.running == 0 && o.total == 0 {
-		return a.refuse(api.ResultCode_NO_BACKEND, a.cfg.LeastRetry), true
+	if o.availability == Available && o.slots == 0 && o.running == 0 && o.total == 0 {
+		return a.refuse(api.ResultCode_NO_BACKEND, a.cfg.MinRetryAfter), true
 	}
-	work := o.workTime(a.cfg.Work)
+	work := o.workTimeOr(a.cfg.DefaultWorkTime)
 	wait := o.expectedWait(c, work)
-	late := now + wait + a.need(o) - r.Deadline
+	late := now + wait + a.requiredTime(o) - r.Deadline
 	if late > 0 {
-		return a.promise(now, o, c, api.ResultCode_DEADLINE_UNREACHABLE, late), true
+		return a.refuseUntilFree(now, o, c, api.ResultCode_DEADLINE_UNREACHABLE, late), true
 	}
-	fair := o.fair(c)
-	over := a.tooLong(now, o, c, wait)
-	beyond := float64(c.running+c.waiting.Len()) >= fair+float64(share.Burst)
-	if beyond && o.waiting > c.waiting.Len() {
-		return a.promise(now, o, c, api.ResultCode_OVER_SHARE, wait), true
+	fair := o.fairShare(c)
+	exceedsMaxWait := a.exceedsMaxWait(now, o, c, wait)
+	isOverShare := float64(c.running+c.waiting.Len()) >= fair+float64(share.Burst)
+	if isOverShare && o.waiting > c.waiting.Len() {
+		return a.refuseUntilFree(now, o, c, api.ResultCode_OVER_SHARE, wait), true
 	}
-	if over {
+	if exceedsMaxWait {
 		code := api.ResultCode_SATURATED
 		if float64(c.running) > fair {
 			code = api.ResultCode_OVER_SHARE
 		}
-		return a.promise(now, o, c, code, wait), true
+		return a.refuseUntilFree(now, o, c, code, wait), true
 	}
-	if o.waiting >= a.cfg.Queue || c.waiting.Len() >= a.queueOf(o, fair) {
-		return a.promise(now, o, c, api.ResultCode_SATURATED, wait), true
+	if o.waiting >= a.cfg.MaxQueue || c.waiting.Len() >= a.queueLimit(o, fair) {
+		return a.refuseUntilFree(now, o, c, api.ResultCode_SATURATED, wait), true
 	}
 	return Decision{}, false
 }
 
-// need is the time that must be left before the deadline when a request starts.
-func (a *Admitter) need(o *offer) time.Duration {
-	return time.Duration(a.cfg.Margin * float64(o.workTime(a.cfg.Work)))
+// requiredTime is the time that must be left before the deadline when a request starts.
+func (a *Admitter) requiredTime(o *offer) time.Duration {
+	return time.Duration(a.cfg.DeadlineMargin * float64(o.workTimeOr(a.cfg.DefaultWorkTime)))
 }
 
-// queueOf is the part of the queue that a customer may fill.
-func (a *Admitter) queueOf(o *offer, fair float64) int {
-	part := fair / float64(max(o.judged(), 1))
-	return max(a.cfg.LeastQueue, int(part*float64(a.cfg.Queue)))
+// queueLimit is the part of the queue that a customer may fill.
+func (a *Admitter) queueLimit(o *offer, fair float64) int {
+	ratio := fair / float64(max(o.expectedSlots(), 1))
+	return max(a.cfg.MinQueue, int(ratio*float64(a.cfg.MaxQueue)))
 }
 
-func (a *Admitter) keep(now time.Duration, o *offer, c *customer, r Request) *request {
-	kept := &request{id: r.ID, arrived: now, offer: o, customer: c, deadline: r.Deadline, priority: r.Priority}
-	a.here[r.ID] = kept
-	return kept
+func (a *Admitter) track(now time.Duration, o *offer, c *customer, r Request) *request {
+	tracked := &request{id: r.ID, arrived: now, offer: o, customer: c, deadline: r.Deadline, priority: r.Priority}
+	a.requests[r.ID] = tracked
+	return tracked
 }
 
 // Done says that a request that was started has ended, and how long its work
 // took. A took of zero teaches nothing about the usual time. What is learned is
 // how long the place was held, which is longer by the wait at the agent.
 func (a *Admitter) Done(now time.Duration, id uint64, took time.Duration) {
-	r, ok := a.here[id]
+	r, ok := a.requests[id]
 	if !ok || !r.running {
 		return
 	}
-	delete(a.here, id)
-	r.offer.done(r)
+	delete(a.requests, id)
+	r.offer.finish(r)
 	if took > 0 {
-		r.offer.learn(max(took, now-r.started))
+		r.offer.observeWorkTime(max(took, now-r.started))
 	}
 }
 
 // Cancel says that the caller of a request has gone, whether it runs or waits.
 func (a *Admitter) Cancel(now time.Duration, id uint64) {
-	r, ok := a.here[id]
+	r, ok := a.requests[id]
 	if !ok {
 		return
 	}
@@ -318,7 +318,7 @@
 		a.Done(now, id, 0)
 		return
 	}
-	delete(a.here, id)
-	r.offer.take(r)
-	r.offer.leave(r.customer)
+	delete(a.requests, id)
+	r.offer.dequeue(r)
+	r.offer.removeIfIdle(r.customer)
 }
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -21,33 +21,33 @@
 	return a
 }
 
-func ask(a *Admitter, now time.Duration, id uint64, customer string) Decision {
-	return a.Offer(now, Request{ID: id, Customer: customer, Offer: "model:m", Deadline: now + 60*second})
+func submit(a *Admitter, now time.Duration, id uint64, customer string) Decision {
+	return a.Admit(now, Request{ID: id, Customer: customer, Offer: "model:m", Deadline: now + 60*second})
 }
 
-func TestFreePlacesGoToWhoeverAsks(t *testing.T) {
+func TestFreeSlotsIgnoreShares(t *testing.T) {
 	a := twoPlans(t, 8)
 	for id := range uint64(8) {
-		if d := ask(a, 0, id, "large"); d.Action != Start {
+		if d := submit(a, 0, id, "large"); d.Action != Start {
 			t.Fatalf("request %d: %+v with free places", id, d)
 		}
 	}
 }
 
-func TestFreedPlacesGoByShare(t *testing.T) {
+func TestFreedSlotsFollowShares(t *testing.T) {
 	a := twoPlans(t, 8)
 	running := map[uint64]string{}
 	for id := range uint64(8) {
-		ask(a, 0, id, "large")
+		submit(a, 0, id, "large")
 		running[id] = "large"
 	}
 	for id := uint64(8); id < 14; id++ {
-		if d := ask(a, 0, id, "large"); d.Action != Wait {
+		if d := submit(a, 0, id, "large"); d.Action != Wait {
 			t.Fatalf("request %d of large: %+v", id, d)
 		}
 	}
 	for id := uint64(100); id < 108; id++ {
-		if d := ask(a, 0, id, "small"); d.Action != Wait {
+		if d := submit(a, 0, id, "small"); d.Action != Wait {
 			t.Fatalf("request %d of small: %+v", id, d)
 		}
 	}
@@ -76,8 +76,8 @@
 
 func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
 	a := twoPlans(t, 1)
-	ask(a, 0, 1, "large")
-	d := a.Offer(0, Request{ID: 2, Customer: "large", Offer: "model:m", Deadline: 600 * time.Millisecond})
+	submit(a, 0, 1, "large")
+	d := a.Admit(0, Request{ID: 2, Customer: "large", Offer: "model:m", Deadline: 600 * time.Millisecond})
 	if d.Action != Refuse || d.Code != api.ResultCode_DEADLINE_UNREACHABLE || d.RetryAfter == 0 {
 		t.Fatalf("got %+v", d)
 	}
@@ -85,12 +85,12 @@
 
 func TestWaitingRequestIsRefusedWhenItCannotBeMet(t *testing.T) {
 	a := twoPlans(t, 1)
-	ask(a, 0, 1, "large")
-	d := a.Offer(0, Request{ID: 2, Customer: "small", Offer: "model:m", Deadline: 2 * second})
+	submit(a, 0, 1, "large")
+	d := a.Admit(0, Request{ID: 2, Customer: "small", Offer: "model:m", Deadline: 2 * second})
 	if d.Action != Wait {
 		t.Fatalf("got %+v", d)
 	}
-	wake, ok := a.Wake(0)
+	wake, ok := a.NextWake(0)
 	if !ok || wake > 1500*time.Millisecond+1 {
 		t.Fatalf("wake %v %v", wake, ok)
 	}
@@ -98,25 +98,25 @@
 	if len(out) != 1 || out[0].Action != Refuse || out[0].Code != api.ResultCode_DEADLINE_UNREACHABLE {
 		t.Fatalf("got %+v", out)
 	}
-	if len(a.here) != 1 {
-		t.Fatalf("%d requests kept, want the running one", len(a.here))
+	if len(a.requests) != 1 {
+		t.Fatalf("%d requests kept, want the running one", len(a.requests))
 	}
 }
 
 func TestCustomersWithoutRequestsAreForgotten(t *testing.T) {
 	a := twoPlans(t, 2)
-	ask(a, 0, 1, "large")
-	ask(a, 0, 2, "small")
-	ask(a, 0, 3, "small")
+	submit(a, 0, 1, "large")
+	submit(a, 0, 2, "small")
+	submit(a, 0, 3, "small")
 	a.Cancel(0, 3)
 	a.Cancel(0, 1)
 	a.Done(second, 2, second)
 	o := a.offers["model:m"]
-	if o.active != 0 || o.running != 0 || o.waiting != 0 || o.activePlans != 0 {
+	if o.activeShares != 0 || o.running != 0 || o.waiting != 0 || o.activePlans != 0 {
 		t.Fatalf("left behind: %+v", o)
 	}
 	for _, p := range o.plans {
-		if len(p.customers) != 0 || p.active != 0 {
+		if len(p.customers) != 0 || p.activeWeights != 0 {
 			t.Fatalf("left behind: %+v", p)
 		}
 	}
@@ -127,7 +127,7 @@
 	a.SetPlans([]PlanShare{{"p", 1}}, []CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 1, Rate: 2}})
 	a.SetCapacity("model:m", 100)
 	try := func(now time.Duration, id, key uint64) Decision {
-		return a.Offer(now, Request{ID: id, Customer: "c", Key: key, Offer: "model:m", Deadline: now + second})
+		return a.Admit(now, Request{ID: id, Customer: "c", Key: key, Offer: "model:m", Deadline: now + second})
 	}
 	try(0, 1, 7)
 	try(0, 2, 7)
@@ -147,16 +147,16 @@
 // that is free. It must not wait for the entry's own part.
 func TestWholeShareIsGuaranteed(t *testing.T) {
 	a := twoPlans(t, 4)
-	a.SetTotal("model:m", 32, 8)
+	a.SetTotalCapacity("model:m", 32, 8)
 	for id := range uint64(12) {
-		ask(a, 0, id, "large")
+		submit(a, 0, id, "large")
 	}
 	for id := uint64(100); id < 124; id++ {
-		if d := ask(a, 0, id, "small"); d.Action != Start || !d.Guaranteed {
+		if d := submit(a, 0, id, "small"); d.Action != Start || !d.Guaranteed {
 			t.Fatalf("request %d of 24, three quarters of 32: %+v", id-99, d)
 		}
 	}
-	if d := ask(a, 0, 124, "small"); d.Action != Wait {
+	if d := submit(a, 0, 124, "small"); d.Action != Wait {
 		t.Fatalf("request beyond the share: %+v", d)
 	}
 	a.Done(second, 100, second)
@@ -167,13 +167,13 @@
 
 // An agent has no place for a guaranteed request: the customer uses its share through
 // other entries. The entry lets half through from then on, and the request waits.
-func TestPostponedGuaranteeIsCut(t *testing.T) {
+func TestRequeuedRequestHalvesGuarantee(t *testing.T) {
 	a := twoPlans(t, 4)
-	a.SetTotal("model:m", 32, 8)
+	a.SetTotalCapacity("model:m", 32, 8)
 	for id := range uint64(20) {
-		ask(a, 0, id, "small")
+		submit(a, 0, id, "small")
 	}
-	if !a.Postpone(0, 19) {
+	if !a.Requeue(0, 19) {
 		t.Fatal("a request with a minute left was given up")
 	}
 	if out := a.Next(0); len(out) != 0 {
@@ -185,7 +185,7 @@
 		t.Fatalf("guarantee %d, want half of 24", got)
 	}
 	for range 10 {
-		o.cut(0, c)
+		o.reduceGuarantee(0, c)
 	}
 	if got := o.guarantee(0, c); got != 3 {
 		t.Fatalf("guarantee %d, want the even part of 24 over 8 entries", got)
@@ -195,18 +195,18 @@
 	}
 }
 
-func TestPostponedTooLateIsForgotten(t *testing.T) {
+func TestRequeuePastDeadlineIsRefused(t *testing.T) {
 	a := twoPlans(t, 4)
-	a.Offer(0, Request{ID: 1, Customer: "small", Offer: "model:m", Deadline: second})
-	if a.Postpone(800*time.Millisecond, 1) {
+	a.Admit(0, Request{ID: 1, Customer: "small", Offer: "model:m", Deadline: second})
+	if a.Requeue(800*time.Millisecond, 1) {
 		t.Fatal("a request that can't be met any more waits")
 	}
-	if len(a.here) != 0 || a.offers["model:m"].running != 0 {
+	if len(a.requests) != 0 || a.offers["model:m"].running != 0 {
 		t.Fatal("the request is still counted")
 	}
 }
 
-func TestPartTakesFreePlacesAndGivesBack(t *testing.T) {
+func TestEntrySlotsFollowFreeCapacity(t *testing.T) {
 	tests := []struct{ running, free, capacity, entries, want int }{
 		{running: 0, free: 0, capacity: 64, entries: 8, want: 8},
 		{running: 20, free: 40, capacity: 64, entries: 8, want: 30},
@@ -214,7 +214,7 @@
 		{running: 0, free: 2, capacity: 2, entries: 8, want: 1},
 	}
 	for _, test := range tests {
-		if got := Part(test.running, test.free, test.capacity, test.entries); got != test.want {
+		if got := EntrySlots(test.running, test.free, test.capacity, test.entries); got != test.want {
 			t.Errorf("%+v: got %d", test, got)
 		}
 	}
@@ -229,7 +229,7 @@
 	var last time.Duration
 	refused := 0
 	for id := range uint64(60) {
-		d := ask(a, 0, id, "c")
+		d := submit(a, 0, id, "c")
 		if d.Action != Refuse {
 			continue
 		}
@@ -247,7 +247,7 @@
 func BenchmarkSaturated(b *testing.B) {
 	for _, n := range []int{10, 7300} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			a := New(Config{Queue: 1 << 16, MaxWait: time.Hour})
+			a := New(Config{MaxQueue: 1 << 16, MaxWait: time.Hour})
 			customers := make([]CustomerShare, n)
 			for i := range customers {
 				customers[i] = CustomerShare{Name: strconv.Itoa(i), Plan: "p", Weight: 1, Burst: 1 << 20}
@@ -257,7 +257,7 @@
 			var id uint64
 			offer := func() {
 				id++
-				a.Offer(0, Request{ID: id, Customer: customers[id%uint64(n)].Name, Offer: "model:m", Deadline: time.Hour})
+				a.Admit(0, Request{ID: id, Customer: customers[id%uint64(n)].Name, Offer: "model:m", Deadline: time.Hour})
 			}
 			for range 100 + n {
 				offer()
--- a/decide/admit/presence.go
+++ b/decide/admit/availability.go
@@ -6,25 +6,25 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Presence says whether any backend server for an offer may get work.
-type Presence int
+// Availability says whether any backend server for an offer may get work.
+type Availability int
 
 // What is known of the backend servers for an offer.
 const (
-	// Here: one may get work, though it may be full.
-	Here Presence = iota
-	// Coming: none may, and one may at any moment: a link to it is being made, or it was
+	// Available: one may get work, though it may be full.
+	Available Availability = iota
+	// Pending: none may, and one may at any moment: a link to it is being made, or it was
 	// heard a moment ago and is silent or has not reported.
-	Coming
-	// None: none may, and none is on its way.
-	None
+	Pending
+	// Unavailable: none may, and none is on its way.
+	Unavailable
 )
 
-// noneRetry is when to come back when there is no backend server at all: about what a VM
+// unavailableRetryAfter is when to come back when there is no backend server at all: about what a VM
 // takes to be seen on the platform's list, and not so soon that callers only ask again.
-const noneRetry = time.Second
+const unavailableRetryAfter = time.Second
 
-// SetPresence sets what is known of the backend servers for an offer; Here without it.
+// SetAvailability sets what is known of the backend servers for an offer; Here without it.
 // Call it before SetCapacity, and Next after both.
 //
 // Load: an entry linked to one agent of an offer, or to few of which all stop at once;
@@ -34,48 +34,48 @@
 // gather as would behind agents that are there, and no more, so that the new agent is not
 // given a queue of which most is late. With None they are refused at once: nothing that
 // they could wait for is known, and their callers may go elsewhere.
-func (a *Admitter) SetPresence(key string, p Presence) {
-	a.offer(key).presence = p
+func (a *Admitter) SetAvailability(key string, p Availability) {
+	a.offer(key).availability = p
 }
 
-// Absent says that a request which was let in has found no backend server that may get
+// MarkPending says that a request which was let in has found no backend server that may get
 // work, before the room was measured anew. Until the next SetPresence it counts as Coming.
-func (a *Admitter) Absent(key string) {
+func (a *Admitter) MarkPending(key string) {
 	o := a.offer(key)
-	o.presence = Coming
+	o.availability = Pending
 	o.slots = 0
 }
 
-// Expect sets the room that there will be once the backend servers on their way may get work,
+// ExpectSlots sets the room that there will be once the backend servers on their way may get work,
 // by what they are known to hold. Without it the room measured last stands for it.
 //
 // Load: an entry that has just started while all backend servers start again. Harm prevented:
 // it knows of no room yet, judges all waits by one place, and refuses nearly all of what
 // could be served a second later.
-func (a *Admitter) Expect(key string, slots int) {
+func (a *Admitter) ExpectSlots(key string, slots int) {
 	o := a.offer(key)
-	o.measured = max(o.measured, slots)
+	o.lastSlots = max(o.lastSlots, slots)
 }
 
-// judged is the room by which waits are judged. While a backend server is on its way it
+// expectedSlots is the room by which waits are expectedSlots. While a backend server is on its way it
 // is the room measured last: by none at all the wait would have no end, and a deadline of
 // a minute would be refused as out of reach. If none was ever known it is one place, as of
 // an agent in cold start.
-func (o *offer) judged() int {
-	if o.presence == Coming {
-		return max(o.slots, o.measured, 1)
+func (o *offer) expectedSlots() int {
+	if o.availability == Pending {
+		return max(o.slots, o.lastSlots, 1)
 	}
 	return o.slots
 }
 
-// dismiss refuses all that wait for an offer of which no backend server is left.
-func (a *Admitter) dismiss(o *offer, out []Release) []Release {
-	for o.presence == None && o.waiting > 0 {
-		r := o.next()
-		o.take(r)
-		o.leave(r.customer)
-		delete(a.here, r.id)
-		out = append(out, Release{ID: r.id, Decision: a.refuse(api.ResultCode_NO_BACKEND, noneRetry)})
+// refuseUnavailable refuses all that wait for an offer of which no backend server is left.
+func (a *Admitter) refuseUnavailable(o *offer, out []Release) []Release {
+	for o.availability == Unavailable && o.waiting > 0 {
+		r := o.head()
+		o.dequeue(r)
+		o.removeIfIdle(r.customer)
+		delete(a.requests, r.id)
+		out = append(out, Release{ID: r.id, Decision: a.refuse(api.ResultCode_NO_BACKEND, unavailableRetryAfter)})
 	}
 	return out
 }
--- a/decide/admit/presence_test.go
+++ b/decide/admit/availability_test.go
@@ -6,19 +6,19 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// stopped is an admitter whose one agent, with 32 places, has just refused the first of n
+// stoppedAgent is an admitter whose one agent, with 32 places, has just refused the first of n
 // requests because it stops: all that ran are postponed.
-func stopped(t *testing.T, n uint64) *Admitter {
+func stoppedAgent(t *testing.T, n uint64) *Admitter {
 	t.Helper()
 	a := twoPlans(t, 32)
-	a.SetTotal("model:m", 32, 1)
-	a.SetPresence("model:m", Here)
+	a.SetTotalCapacity("model:m", 32, 1)
+	a.SetAvailability("model:m", Available)
 	for id := range n {
-		ask(a, 0, id, "small")
+		submit(a, 0, id, "small")
 	}
-	a.Absent("model:m")
+	a.MarkPending("model:m")
 	for id := range n {
-		if !a.Postpone(0, id) {
+		if !a.Requeue(0, id) {
 			t.Fatalf("request %d was given up", id)
 		}
 	}
@@ -29,24 +29,24 @@
 // to the next one is on its way. Those refused and those that come meanwhile wait, by
 // share as ever, and start when the new agent has reported. Before, those that came were
 // refused as if their deadline of a minute could not be met.
-func TestRequestsWaitForABackendServerOnItsWay(t *testing.T) {
-	a := stopped(t, 20)
+func TestRequestsWaitForPendingBackend(t *testing.T) {
+	a := stoppedAgent(t, 20)
 	for id := uint64(20); id < 30; id++ {
-		if d := ask(a, 0, id, "small"); d.Action != Wait {
+		if d := submit(a, 0, id, "small"); d.Action != Wait {
 			t.Fatalf("request %d that came meanwhile: %+v", id, d)
 		}
 	}
-	a.SetPresence("model:m", Coming)
-	a.SetTotal("model:m", 0, 1)
+	a.SetAvailability("model:m", Pending)
+	a.SetTotalCapacity("model:m", 0, 1)
 	a.SetCapacity("model:m", 0)
 	if out := a.Next(0); len(out) != 0 {
 		t.Fatalf("released without room: %+v", out)
 	}
-	if d := ask(a, 0, 30, "small"); d.Action != Wait {
+	if d := submit(a, 0, 30, "small"); d.Action != Wait {
 		t.Fatalf("a request once no room was measured: %+v", d)
 	}
-	a.SetPresence("model:m", Here)
-	a.SetTotal("model:m", 32, 1)
+	a.SetAvailability("model:m", Available)
+	a.SetTotalCapacity("model:m", 32, 1)
 	a.SetCapacity("model:m", 32)
 	if out := a.Next(second / 5); len(out) != 31 || out[0].Action != Start {
 		t.Fatalf("%d released with the new agent, want 31", len(out))
@@ -60,10 +60,10 @@
 // A burst arrives while the link to the next agent is being made. It waits no longer than
 // behind an agent that is there: what the last room could not do in two seconds is
 // refused at once, with a time to come back that is worked out from that room.
-func TestTheWaitForABackendServerIsBounded(t *testing.T) {
-	a := stopped(t, 1)
+func TestBacklogForPendingBackendIsLimited(t *testing.T) {
+	a := stoppedAgent(t, 1)
 	for id := uint64(1); id < 500; id++ {
-		d := ask(a, 0, id, "small")
+		d := submit(a, 0, id, "small")
 		if d.Action == Wait {
 			continue
 		}
@@ -77,9 +77,9 @@
 
 // The last agent of a model stops and nothing is on its way. Who waits and who comes is
 // told so at once, not near a deadline a minute away.
-func TestNoBackendServerLeftIsSaidAtOnce(t *testing.T) {
-	a := stopped(t, 8)
-	a.SetPresence("model:m", None)
+func TestRequestsAreRefusedWithoutBackends(t *testing.T) {
+	a := stoppedAgent(t, 8)
+	a.SetAvailability("model:m", Unavailable)
 	out := a.Next(0)
 	if len(out) != 8 {
 		t.Fatalf("%d of 8 were told", len(out))
@@ -89,10 +89,10 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	if d := ask(a, 0, 9, "small"); d.Action != Refuse || d.Code != api.ResultCode_NO_BACKEND {
+	if d := submit(a, 0, 9, "small"); d.Action != Refuse || d.Code != api.ResultCode_NO_BACKEND {
 		t.Fatalf("%+v", d)
 	}
-	if len(a.here) != 0 {
-		t.Fatalf("%d are still counted", len(a.here))
+	if len(a.requests) != 0 {
+		t.Fatalf("%d are still counted", len(a.requests))
 	}
 }
--- a/decide/admit/room.go
+++ b/decide/admit/capacity.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Room is what one backend server can hold, as an entry knows it from reports.
-type Room struct {
+// BackendCapacity is what one backend server can hold, as an entry knows it from reports.
+type BackendCapacity struct {
 	// Limit is the number of requests that it may hold, Free how many more it can take.
 	Limit, Free int
 	// Entries is the number of entries that send it work, this one among them.
 	Entries int
 }
 
-// Parts is what an entry may do with the room of the backend servers that it is linked
+// EntryCapacity is what an entry may do with the room of the backend servers that it is linked
 // to.
-type Parts struct {
+type EntryCapacity struct {
 	// Slots is the number of requests that it may have running, for SetCapacity.
 	Slots int
 	// Total is what all backend servers for the offer can hold, those that the entry is
@@ -21,7 +21,7 @@
 	Total, Entries int
 }
 
-// PartOf is [Part] for an entry that is linked to some backend servers only: its part of
+// SubsetCapacity is [EntrySlots] for an entry that is linked to some backend servers only: its part of
 // each is by the number of entries of that one, where Part has all entries at all of them.
 // With all entries at each backend server the two are the same.
 //
@@ -38,29 +38,29 @@
 // there are for each that the entry is linked to; 1 with all linked. Of the linked ones
 // alone, a customer within its share whose callers keep to one entry would be let through
 // with a part of its share, and refused as beyond it.
-func PartOf(running int, rooms []Room, whole float64) Parts {
-	var p Parts
-	capacity, even, free := 0.0, 0.0, 0.0
-	for _, r := range rooms {
+func SubsetCapacity(running int, backends []BackendCapacity, backendsPerLink float64) EntryCapacity {
+	var p EntryCapacity
+	capacity, evenSlots, free := 0.0, 0.0, 0.0
+	for _, r := range backends {
 		entries := float64(max(r.Entries, 1))
 		capacity += float64(r.Limit)
-		even += float64(r.Limit) / entries
+		evenSlots += float64(r.Limit) / entries
 		free += float64(r.Free) / entries
 	}
 	if capacity == 0 {
 		return p
 	}
-	whole = max(whole, 1)
-	p.Total = int(math.Round(capacity * whole))
-	p.Entries = max(int(math.Round(capacity/even*whole)), 1)
-	p.Slots = int(math.Ceil(even - rounding))
+	backendsPerLink = max(backendsPerLink, 1)
+	p.Total = int(math.Round(capacity * backendsPerLink))
+	p.Entries = max(int(math.Round(capacity/evenSlots*backendsPerLink)), 1)
+	p.Slots = int(math.Ceil(evenSlots - roundingError))
 	if free > 0 {
-		p.Slots = max(p.Slots, running+max(1, int(2*free+rounding)))
+		p.Slots = max(p.Slots, running+max(1, int(2*free+roundingError)))
 	} else {
 		p.Slots = max(p.Slots, running-running/16)
 	}
 	return p
 }
 
-// rounding is the error of sums of parts, far below one request.
-const rounding = 1e-6
+// roundingError is the error of sums of parts, far below one request.
+const roundingError = 1e-6
--- a/decide/admit/room_test.go
+++ b/decide/admit/capacity_test.go
@@ -7,20 +7,20 @@
 
 // With all entries at all backend servers the part by backend server is the part of all
 // room, as it is without subsets.
-func TestPartOfIsPartWhenAllAreLinked(t *testing.T) {
+func TestSubsetCapacityMatchesEntrySlots(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 10000 {
 		entries, running := 1+rng.IntN(20), rng.IntN(200)
-		var rooms []Room
+		var rooms []BackendCapacity
 		free, capacity := 0, 0
 		for range 1 + rng.IntN(15) {
-			r := Room{Limit: 1 + rng.IntN(64), Entries: entries}
+			r := BackendCapacity{Limit: 1 + rng.IntN(64), Entries: entries}
 			r.Free = rng.IntN(r.Limit + 1)
 			free, capacity = free+r.Free, capacity+r.Limit
 			rooms = append(rooms, r)
 		}
-		want := Parts{Slots: Part(running, free, capacity, entries), Total: capacity, Entries: entries}
-		if got := PartOf(running, rooms, 1); got != want {
+		want := EntryCapacity{Slots: EntrySlots(running, free, capacity, entries), Total: capacity, Entries: entries}
+		if got := SubsetCapacity(running, rooms, 1); got != want {
 			t.Fatalf("%d running, %d entries, %+v: %+v, want %+v", running, entries, rooms, got, want)
 		}
 	}
@@ -29,27 +29,27 @@
 // The even parts of all entries of a backend server together are its limit, and no entry
 // that has work is left without a place while there is one; an entry whose backend
 // servers are all out has none.
-func TestPartsOfOneBackendServerAddUp(t *testing.T) {
+func TestEntryCapacitiesAddUp(t *testing.T) {
 	for entries := 1; entries <= 8; entries++ {
-		full := PartOf(0, []Room{{Limit: 32, Entries: entries}}, 1)
+		full := SubsetCapacity(0, []BackendCapacity{{Limit: 32, Entries: entries}}, 1)
 		if sum := full.Slots * entries; sum < 32 || sum >= 32+entries {
 			t.Errorf("%d entries have %d places together, want 32 and rounding", entries, sum)
 		}
-		some := PartOf(full.Slots, []Room{{Limit: 32, Free: 1, Entries: entries}}, 1)
+		some := SubsetCapacity(full.Slots, []BackendCapacity{{Limit: 32, Free: 1, Entries: entries}}, 1)
 		if some.Slots != full.Slots+max(1, 2/entries) {
 			t.Errorf("%d entries, one place free: %d, had %d", entries, some.Slots, full.Slots)
 		}
 	}
-	if got := PartOf(3, []Room{{Entries: 2}}, 3); got != (Parts{}) {
+	if got := SubsetCapacity(3, []BackendCapacity{{Entries: 2}}, 3); got != (EntryCapacity{}) {
 		t.Errorf("nothing up: %+v", got)
 	}
 	// Linked to a third of 12 backend servers, with 8 entries in all.
-	third := []Room{{Limit: 32, Entries: 3}, {Limit: 32, Entries: 2}, {Limit: 32, Entries: 3}, {Limit: 32, Entries: 3}}
-	if got := PartOf(0, third, 3); got.Total != 12*32 || got.Entries != 8 {
+	third := []BackendCapacity{{Limit: 32, Entries: 3}, {Limit: 32, Entries: 2}, {Limit: 32, Entries: 3}, {Limit: 32, Entries: 3}}
+	if got := SubsetCapacity(0, third, 3); got.Total != 12*32 || got.Entries != 8 {
 		t.Errorf("a third linked: %+v, want a total of %d for 8 entries", got, 12*32)
 	}
 	// Two entries at one backend server, six at the other.
-	if got, want := PartOf(0, []Room{{Limit: 32, Entries: 2}, {Limit: 32, Entries: 6}}, 1).Slots, 22; got != want {
+	if got, want := SubsetCapacity(0, []BackendCapacity{{Limit: 32, Entries: 2}, {Limit: 32, Entries: 6}}, 1).Slots, 22; got != want {
 		t.Errorf("uneven: %d, want %d", got, want)
 	}
 }
--- a/decide/admit/example_test.go
+++ b/decide/admit/example_test.go
@@ -19,7 +19,7 @@
 
 	names := map[admit.Action]string{admit.Start: "start", admit.Wait: "wait", admit.Refuse: "refuse"}
 	offer := func(id uint64, customer string) {
-		d := a.Offer(time.Second, admit.Request{ID: id, Customer: customer, Offer: "model:x", Deadline: time.Minute})
+		d := a.Admit(time.Second, admit.Request{ID: id, Customer: customer, Offer: "model:x", Deadline: time.Minute})
 		fmt.Println(id, customer, names[d.Action])
 	}
 	offer(1, "loud")
--- a/decide/admit/guarantee.go
+++ b/decide/admit/guarantee.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// allowRecovery is the part of a guarantee that comes back in a second after a
+// guaranteeRecoveryPerSecond is the part of a guarantee that comes back in a second after a
 // cut: a caller keeps to one entry for some seconds, and a customer's demand
 // moves between entries as fast.
-const allowRecovery = 0.1
+const guaranteeRecoveryPerSecond = 0.1
 
 // guarantee is how many requests of a customer may run from this entry whatever
 // its slots.
@@ -18,29 +18,29 @@
 // place even so shows that the customer uses its share elsewhere too: each such
 // refusal halves what is let through, down to the even part.
 func (o *offer) guarantee(now time.Duration, c *customer) int {
-	c.allow = min(c.allow+allowRecovery*(now-c.allowAt).Seconds(), 1)
-	c.allowAt = now
-	if o.presence != Here {
+	c.guaranteeRatio = min(c.guaranteeRatio+guaranteeRecoveryPerSecond*(now-c.guaranteeUpdatedAt).Seconds(), 1)
+	c.guaranteeUpdatedAt = now
+	if o.availability != Available {
 		return 0 // Nobody may get what would be let through.
 	}
-	return int(float64(o.total) * c.share * c.allow)
+	return int(float64(o.total) * c.share * c.guaranteeRatio)
 }
 
-// cut lowers a customer's guarantee after an agent had no place for it.
-func (o *offer) cut(now time.Duration, c *customer) {
+// reduceGuarantee lowers a customer's guarantee after an agent had no place for it.
+func (o *offer) reduceGuarantee(now time.Duration, c *customer) {
 	o.guarantee(now, c)
-	c.allow = max(c.allow/2, 1/float64(max(o.entries, 1)))
+	c.guaranteeRatio = max(c.guaranteeRatio/2, 1/float64(max(o.entries, 1)))
 }
 
-// entitled says whether a customer may start one more by its guarantee.
-func (o *offer) entitled(now time.Duration, c *customer) bool {
+// isGuaranteed says whether a customer may start one more by its guarantee.
+func (o *offer) isGuaranteed(now time.Duration, c *customer) bool {
 	return c.running < o.guarantee(now, c)
 }
 
-// SetTotal sets how many requests for an offer all backend servers can hold, and
+// SetTotalCapacity sets how many requests for an offer all backend servers can hold, and
 // the number of live entries. Without it no share is guaranteed beyond this
 // entry's slots.
-func (a *Admitter) SetTotal(key string, capacity, entries int) {
+func (a *Admitter) SetTotalCapacity(key string, capacity, entries int) {
 	o := a.offer(key)
 	o.total = max(capacity, 0)
 	o.entries = entries
@@ -51,10 +51,10 @@
 // An agent takes it as the weight of a customer in its queue.
 func Shares(plans []PlanShare, customers []CustomerShare) map[string]float64 {
 	byPlan := make(map[string]float64, len(plans))
-	all := 0.0
+	totalShare := 0.0
 	for _, p := range plans {
 		byPlan[p.Name] = p.Share
-		all += p.Share
+		totalShare += p.Share
 	}
 	weights := make(map[string]float64, len(plans))
 	for _, c := range customers {
@@ -62,8 +62,8 @@
 	}
 	shares := make(map[string]float64, len(customers))
 	for _, c := range customers {
-		if all > 0 && weights[c.Plan] > 0 {
-			shares[c.Name] = byPlan[c.Plan] / all * c.Weight / weights[c.Plan]
+		if totalShare > 0 && weights[c.Plan] > 0 {
+			shares[c.Name] = byPlan[c.Plan] / totalShare * c.Weight / weights[c.Plan]
 		}
 	}
 	return shares
--- a/decide/admit/offer.go
+++ b/decide/admit/offer.go
@@ -6,17 +6,17 @@
 	"github.com/apricothub/apricothub/decide/internal/heap"
 )
 
-// leastShare stands for a share or weight of zero, which would never be served.
-const leastShare = 1e-6
+// minShare stands for a share or weight of zero, which would never be served.
+const minShare = 1e-6
 
 // offer is the state of one kind of work: two levels of shares, plans above
 // their customers.
 type offer struct {
 	key   string
 	slots int
-	// measured is the last room that was not none.
-	measured int
-	presence Presence
+	// lastSlots is the last room that was not none.
+	lastSlots    int
+	availability Availability
 	// total is what all backend servers can hold, entries the number of entries.
 	total, entries int
 	running        int
@@ -25,16 +25,16 @@
 	// ready are the plans with waiting requests, least served first.
 	ready  heap.Heap[*plan]
 	expiry heap.Heap[*request]
-	// active is the sum of the shares of plans with any request here.
-	active      float64
-	activePlans int
-	// freed are customers of whom a request ended while others wait.
-	freed []*customer
-	// pressure tells whether an overload lasts.
-	pressure pressure
-	// work is the smoothed time that one request holds its place, with what it
+	// activeShares is the sum of the shares of plans with any request here.
+	activeShares float64
+	activePlans  int
+	// freedCustomers are customers of whom a request ended while others wait.
+	freedCustomers []*customer
+	// overload tells whether an overload lasts.
+	overload overloadDetector
+	// avgWorkTime is the smoothed time that one request holds its place, with what it
 	// waits at the agent.
-	work time.Duration
+	avgWorkTime time.Duration
 }
 
 // plan is the state of one plan at one offer.
@@ -46,8 +46,8 @@
 	customers map[string]*customer
 	// ready are the customers with waiting requests, least served first.
 	ready heap.Heap[*customer]
-	// active is the sum of the weights of customers with any request here.
-	active          float64
+	// activeWeights is the sum of the weights of customers with any request here.
+	activeWeights   float64
 	activeCustomers int
 	index           int
 }
@@ -60,15 +60,15 @@
 	running int
 	// share is the customer's part of the whole capacity; allow the part of that
 	// which is guaranteed, as of allowAt.
-	share   float64
-	allow   float64
-	allowAt time.Duration
-	// promised is when the last request that was refused was told to come back.
-	promised time.Duration
-	// active says that it is counted in the sums of active shares.
-	active  bool
-	waiting heap.Heap[*request]
-	index   int
+	share              float64
+	guaranteeRatio     float64
+	guaranteeUpdatedAt time.Duration
+	// lastRetryAt is when the last request that was refused was told to come back.
+	lastRetryAt time.Duration
+	// isActive says that it is counted in the sums of isActive shares.
+	isActive bool
+	waiting  heap.Heap[*request]
+	index    int
 }
 
 // request is one request that runs or waits.
@@ -83,26 +83,26 @@
 	// guaranteed says that it was started by the customer's guarantee.
 	guaranteed bool
 	started    time.Duration
-	// byDeadline and byExpiry are its places in the two heaps while it waits.
-	byDeadline, byExpiry int
+	// queueIndex and expiryIndex are its places in the two heaps while it waits.
+	queueIndex, expiryIndex int
 }
 
 func newOffer(key string) *offer {
 	o := &offer{key: key, plans: make(map[string]*plan)}
 	o.ready = heap.Heap[*plan]{Less: planLess, Moved: func(p *plan, i int) { p.index = i }}
-	o.expiry = heap.Heap[*request]{Less: expiryLess, Moved: func(r *request, i int) { r.byExpiry = i }}
+	o.expiry = heap.Heap[*request]{Less: expiryLess, Moved: func(r *request, i int) { r.expiryIndex = i }}
 	return o
 }
 
 func newPlan(name string, share float64) *plan {
-	p := &plan{name: name, share: max(share, leastShare), customers: make(map[string]*customer), index: -1}
+	p := &plan{name: name, share: max(share, minShare), customers: make(map[string]*customer), index: -1}
 	p.ready = heap.Heap[*customer]{Less: customerLess, Moved: func(c *customer, i int) { c.index = i }}
 	return p
 }
 
 func newCustomer(p *plan, share CustomerShare) *customer {
-	c := &customer{name: share.Name, plan: p, weight: max(share.Weight, leastShare), allow: 1, index: -1}
-	c.waiting = heap.Heap[*request]{Less: requestLess, Moved: func(r *request, i int) { r.byDeadline = i }}
+	c := &customer{name: share.Name, plan: p, weight: max(share.Weight, minShare), guaranteeRatio: 1, index: -1}
+	c.waiting = heap.Heap[*request]{Less: requestLess, Moved: func(r *request, i int) { r.queueIndex = i }}
 	return c
 }
 
@@ -141,83 +141,83 @@
 	return c
 }
 
-// enter counts a customer as active with its first request.
-func (o *offer) enter(c *customer) {
-	if c.active {
+// activate counts a customer as active with its first request.
+func (o *offer) activate(c *customer) {
+	if c.isActive {
 		return
 	}
-	c.active = true
+	c.isActive = true
 	p := c.plan
-	p.active += c.weight
+	p.activeWeights += c.weight
 	p.activeCustomers++
 	if p.activeCustomers == 1 {
-		o.active += p.share
+		o.activeShares += p.share
 		o.activePlans++
 	}
 }
 
-// leave forgets a customer with its last request, so that memory and shares
+// removeIfIdle forgets a customer with its last request, so that memory and shares
 // follow the customers who are here.
-func (o *offer) leave(c *customer) {
+func (o *offer) removeIfIdle(c *customer) {
 	if c.running+c.waiting.Len() > 0 {
 		return
 	}
 	p := c.plan
 	delete(p.customers, c.name)
-	if !c.active {
+	if !c.isActive {
 		return
 	}
-	c.active = false
-	p.active -= c.weight
+	c.isActive = false
+	p.activeWeights -= c.weight
 	p.activeCustomers--
 	if p.activeCustomers > 0 {
 		return
 	}
-	p.active = 0
-	o.active -= p.share
+	p.activeWeights = 0
+	o.activeShares -= p.share
 	o.activePlans--
 	if o.activePlans == 0 {
-		o.active = 0
+		o.activeShares = 0
 	}
 }
 
-// reweigh takes in new shares and weights.
-func (o *offer) reweigh(a *Admitter) {
-	o.active = 0
+// updateShares takes in new shares and weights.
+func (o *offer) updateShares(a *Admitter) {
+	o.activeShares = 0
 	for name, p := range o.plans {
 		if p.activeCustomers == 0 {
 			delete(o.plans, name)
 			continue
 		}
-		p.share = max(a.plans[name], leastShare)
-		o.active += p.share
+		p.share = max(a.plans[name], minShare)
+		o.activeShares += p.share
 		p.reweigh(a)
 	}
 	o.ready.Init()
 }
 
 func (p *plan) reweigh(a *Admitter) {
-	p.active = 0
+	p.activeWeights = 0
 	for name, c := range p.customers {
-		c.weight = max(a.customers[name].Weight, leastShare)
+		c.weight = max(a.customers[name].Weight, minShare)
 		c.share = a.shares[name]
-		p.active += c.weight
+		p.activeWeights += c.weight
 	}
 	p.ready.Init()
 }
 
-// fair is the part of the slots that is the customer's own among those who are
+// fairShare is the part of the slots that is the customer's own among those who are
 // here now, in requests.
-func (o *offer) fair(c *customer) float64 {
+func (o *offer) fairShare(c *customer) float64 {
 	p := c.plan
-	shares, weights := o.active, p.active
-	if !c.active {
+	shares, weights := o.activeShares, p.activeWeights
+	if !c.isActive {
 		weights += c.weight
 	}
 	if p.activeCustomers == 0 {
 		shares += p.share
 	}
-	return float64(o.judged()) * (p.share / shares) * (c.weight / weights)
+	return float64(o.expectedSlots()) * (p.share / shares) * (c.weight / weights)
 }
 
 // expectedWait is the time until one more request of a customer would start.
@@ -226,34 +226,34 @@
 // those that its share, or what it holds already, frees up.
 func (o *offer) expectedWait(c *customer, work time.Duration) time.Duration {
 	ahead := float64(c.waiting.Len() + 1)
-	fair := o.fair(c)
-	owed := min(max(fair-float64(c.running), 0), ahead)
-	pace := o.pace(c)
-	slots := float64(max(o.judged(), 1))
-	return time.Duration(float64(work) * (owed/slots + (ahead-owed)/pace))
+	fair := o.fairShare(c)
+	withinShare := min(max(fair-float64(c.running), 0), ahead)
+	concurrency := o.expectedConcurrency(c)
+	slots := float64(max(o.expectedSlots(), 1))
+	return time.Duration(float64(work) * (withinShare/slots + (ahead-withinShare)/concurrency))
 }
 
-func (o *offer) workTime(unknown time.Duration) time.Duration {
-	if o.work == 0 {
-		return unknown
+func (o *offer) workTimeOr(fallback time.Duration) time.Duration {
+	if o.avgWorkTime == 0 {
+		return fallback
 	}
-	return o.work
+	return o.avgWorkTime
 }
 
 func (o *offer) start(now time.Duration, r *request, guaranteed bool) Decision {
-	o.enter(r.customer)
+	o.activate(r.customer)
 	r.running = true
 	r.guaranteed = guaranteed
 	r.started = now
-	o.count(r.customer, 1)
+	o.addRunning(r.customer, 1)
 	return Decision{Action: Start, Guaranteed: guaranteed}
 }
 
-// count changes the number of running requests and keeps the orders by it.
-func (o *offer) count(c *customer, by int) {
-	o.running += by
-	c.running += by
-	c.plan.running += by
+// addRunning changes the number of running requests and keeps the orders by it.
+func (o *offer) addRunning(c *customer, delta int) {
+	o.running += delta
+	c.running += delta
+	c.plan.running += delta
 	if c.index >= 0 {
 		c.plan.ready.Fix(c.index)
 	}
@@ -262,9 +262,9 @@
 	}
 }
 
-func (o *offer) push(r *request) {
+func (o *offer) enqueue(r *request) {
 	c := r.customer
-	o.enter(c)
+	o.activate(c)
 	c.waiting.Push(r)
 	o.expiry.Push(r)
 	o.waiting++
@@ -277,12 +277,12 @@
 	}
 }
 
-// take takes a waiting request out of the queue. The caller calls leave after
+// dequeue takes a waiting request out of the queue. The caller calls leave after
 // it, unless the request starts.
-func (o *offer) take(r *request) {
+func (o *offer) dequeue(r *request) {
 	c := r.customer
-	c.waiting.Remove(r.byDeadline)
-	o.expiry.Remove(r.byExpiry)
+	c.waiting.Remove(r.queueIndex)
+	o.expiry.Remove(r.expiryIndex)
 	o.waiting--
 	c.plan.waiting--
 	if c.waiting.Len() == 0 {
@@ -293,23 +293,23 @@
 	}
 }
 
-func (o *offer) done(r *request) {
-	o.count(r.customer, -1)
+func (o *offer) finish(r *request) {
+	o.addRunning(r.customer, -1)
 	if r.customer.waiting.Len() > 0 {
-		o.freed = append(o.freed, r.customer)
+		o.freedCustomers = append(o.freedCustomers, r.customer)
 	}
-	o.leave(r.customer)
+	o.removeIfIdle(r.customer)
 }
 
-// learn takes in how long a request held its place.
-func (o *offer) learn(held time.Duration) {
-	if o.work == 0 {
-		o.work = held
+// observeWorkTime takes in how long a request held its place.
+func (o *offer) observeWorkTime(held time.Duration) {
+	if o.avgWorkTime == 0 {
+		o.avgWorkTime = held
 	}
-	o.work += (held - o.work) / 16
+	o.avgWorkTime += (held - o.avgWorkTime) / 16
 }
 
-// next returns the waiting request whose turn it is.
-func (o *offer) next() *request {
+// head returns the waiting request whose turn it is.
+func (o *offer) head() *request {
 	return o.ready.Top().ready.Top().waiting.Top()
 }
--- a/decide/admit/pressure_test.go
+++ b/decide/admit/overload_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// overload lets one customer ask for work of a second, some requests a second at even
+// simulateOverload lets one customer ask for work of a second, some requests a second at even
 // times, of 10 places. It returns how long each request that was taken waited, by the
 // time at which it asked.
-func overload(a *Admitter, rate int, length time.Duration) map[time.Duration]time.Duration {
+func simulateOverload(a *Admitter, rate int, duration time.Duration) map[time.Duration]time.Duration {
 	const step = 10 * time.Millisecond
 	asked, ends := map[uint64]time.Duration{}, map[uint64]time.Duration{}
 	waits := map[time.Duration]time.Duration{}
@@ -18,7 +18,7 @@
 		ends[id] = now + second
 	}
 	next, id := time.Duration(0), uint64(0)
-	for now := time.Duration(0); now < length+10*second; now += step {
+	for now := time.Duration(0); now < duration+10*second; now += step {
 		for r, end := range ends {
 			if end <= now {
 				a.Done(now, r, second)
@@ -30,10 +30,10 @@
 				start(now, r.ID)
 			}
 		}
-		for ; next <= now && next < length; next += second / time.Duration(rate) {
+		for ; next <= now && next < duration; next += second / time.Duration(rate) {
 			id++
 			asked[id] = next
-			if ask(a, next, id, "large").Action == Start {
+			if submit(a, next, id, "large").Action == Start {
 				start(next, id)
 			}
 		}
@@ -44,9 +44,9 @@
 // A customer asks for twice what there is, and goes on. As many of its requests are
 // answered whether the queue is long or short; after some seconds those that are taken
 // no longer wait the whole length of it. All along no place is empty.
-func TestLastingOverloadDoesNotWait(t *testing.T) {
+func TestSustainedOverloadShortensQueue(t *testing.T) {
 	a := twoPlans(t, 10)
-	waits := overload(a, 20, 30*second)
+	waits := simulateOverload(a, 20, 30*second)
 	var early, late []time.Duration
 	for at, wait := range waits {
 		if at < 4*second {
@@ -72,7 +72,7 @@
 // The same customer asks for four times what there is, for two seconds. The queue takes
 // what it can drain in its longest wait.
 func TestBurstKeepsTheLongQueue(t *testing.T) {
-	if taken := len(overload(twoPlans(t, 10), 40, 2*second)); taken < 38 {
+	if taken := len(simulateOverload(twoPlans(t, 10), 40, 2*second)); taken < 38 {
 		t.Errorf("%d of a burst were taken, want those of 10 places and of a queue of two seconds", taken)
 	}
 }
--- a/decide/loadtest/entry.go
+++ b/decide/loadtest/entry.go
@@ -34,7 +34,7 @@
 		e.place(r)
 		return
 	}
-	d := e.admit.Offer(e.run.clock.now, admit.Request{ID: r.id, Customer: r.customer, Offer: offerKey, Deadline: r.deadline})
+	d := e.admit.Admit(e.run.clock.now, admit.Request{ID: r.id, Customer: r.customer, Offer: offerKey, Deadline: r.deadline})
 	switch d.Action {
 	case admit.Start:
 		r.guaranteed = d.Guaranteed
@@ -50,7 +50,7 @@
 	now := e.run.clock.now
 	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, Left: r.deadline - now, Size: r.size, Guaranteed: r.guaranteed})
 	if code != api.ResultCode_OK {
-		if e.admit == nil || !e.admit.Postpone(now, r.id) {
+		if e.admit == nil || !e.admit.Requeue(now, r.id) {
 			e.refuse(r, code, 0)
 		}
 		return
@@ -101,7 +101,7 @@
 			e.place(t.request)
 			return
 		}
-		if e.admit != nil && e.admit.Postpone(e.run.clock.now, t.request.id) {
+		if e.admit != nil && e.admit.Requeue(e.run.clock.now, t.request.id) {
 			t.tried = nil
 			return
 		}
@@ -197,7 +197,7 @@
 	}
 	if e.admit != nil {
 		parts := e.parts(now)
-		e.admit.SetTotal(offerKey, parts.Total, parts.Entries)
+		e.admit.SetTotalCapacity(offerKey, parts.Total, parts.Entries)
 		e.admit.SetCapacity(offerKey, parts.Slots)
 	}
 	e.next()
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -42,7 +42,7 @@
 	p := Own()
 	p.Name = "own, second version"
 	p.Limiter = func(c cold.Config, now time.Duration) limiter { return paceless{ownLimiter(c, now)} }
-	p.Admission.LastingWait = time.Hour
+	p.Admission.OverloadMaxWait = time.Hour
 	p.Placement.FullTrust = true
 	p.Queue = secondQueue
 	return p
--- a/decide/loadtest/subset.go
+++ b/decide/loadtest/subset.go
@@ -59,19 +59,19 @@
 }
 
 // parts is what the entry may do with the room that it sees.
-func (e *entry) parts(now time.Duration) admit.Parts {
+func (e *entry) parts(now time.Duration) admit.EntryCapacity {
 	table, ok := e.table.(*place.Table)
 	if e.run.setup.Subset == 0 || !ok {
 		entries := len(e.run.entries)
 		free, capacity := e.table.Spare(offerKey, now)
-		return admit.Parts{Slots: admit.Part(e.running, free, capacity, entries), Total: capacity, Entries: entries}
+		return admit.EntryCapacity{Slots: admit.EntrySlots(e.running, free, capacity, entries), Total: capacity, Entries: entries}
 	}
 	if e.run.entriesOf == nil {
 		e.run.entriesOf = e.run.setup.entriesOf()
 	}
-	var rooms []admit.Room
+	var rooms []admit.BackendCapacity
 	for _, r := range table.Rooms(offerKey, now) {
-		rooms = append(rooms, admit.Room{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesOf[r.VM]})
+		rooms = append(rooms, admit.BackendCapacity{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesOf[r.VM]})
 	}
-	return admit.PartOf(e.running, rooms, float64(len(e.run.vms))/float64(e.run.setup.Subset))
+	return admit.SubsetCapacity(e.running, rooms, float64(len(e.run.vms))/float64(e.run.setup.Subset))
 }
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	g.lastID++
 	r.ID = g.lastID
-	decision := g.admitter.Offer(clock.Now(), r)
+	decision := g.admitter.Admit(clock.Now(), r)
 	var granted chan admit.Decision
 	if decision.Action == admit.Wait {
 		granted = g.wait(r.ID)
@@ -91,9 +91,9 @@
 	g := p.gate
 	g.mu.Lock()
 	if absent {
-		g.admitter.Absent(p.offer)
+		g.admitter.MarkPending(p.offer)
 	}
-	if !g.admitter.Postpone(clock.Now(), p.id) {
+	if !g.admitter.Requeue(clock.Now(), p.id) {
 		g.release()
 		g.mu.Unlock()
 		p.over = true
@@ -139,7 +139,7 @@
 		delete(g.waiting, r.ID)
 		granted <- r.Decision
 	}
-	if at, ok := g.admitter.Wake(now); ok {
+	if at, ok := g.admitter.NextWake(now); ok {
 		g.timer.Reset(max(at-now, time.Millisecond))
 	}
 }
@@ -183,7 +183,7 @@
 	// entries share it; 0 for all live ones.
 	entries int
 	// presence says whether any of them may get work.
-	presence admit.Presence
+	presence admit.Availability
 }
 
 // setRoom takes the room for each offer, shared by so many entries.
@@ -195,8 +195,8 @@
 		if r.entries > 0 {
 			of = r.entries
 		}
-		g.admitter.SetPresence(offer, r.presence)
-		g.admitter.SetTotal(offer, r.capacity, of)
+		g.admitter.SetAvailability(offer, r.presence)
+		g.admitter.SetTotalCapacity(offer, r.capacity, of)
 		g.admitter.SetCapacity(offer, r.slots)
 	}
 	g.release()
--- a/internal/entry/presence_test.go
+++ b/internal/entry/presence_test.go
@@ -31,13 +31,13 @@
 	d.message(stopping, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", ModelVersion: "v", Limit: 4, FullLimit: 4}}})
 	rooms := d.rooms(0, 1)
 	for _, offer := range []string{"model:m", "model:m@v"} {
-		if r, ok := rooms[offer]; !ok || r.presence != admit.Coming || r.slots != 0 {
+		if r, ok := rooms[offer]; !ok || r.presence != admit.Pending || r.slots != 0 {
 			t.Errorf("%s: %+v while a link is on its way", offer, r)
 		}
 	}
 	out := func(string) subset.Health { return subset.Out }
 	l.tick(time.Minute, map[string]bool{own: true}, out)
-	if r := d.rooms(time.Minute, 1)["model:m"]; r.presence != admit.None {
+	if r := d.rooms(time.Minute, 1)["model:m"]; r.presence != admit.Unavailable {
 		t.Errorf("%+v with all agents out", r)
 	}
 }
@@ -54,12 +54,12 @@
 	d.message(peer, report)
 	d.rooms(0, 1)
 	d.setPeers(&member.State{})
-	for now, want := range map[time.Duration]admit.Presence{0: admit.Coming, vanishedKeep - 1: admit.Coming} {
+	for now, want := range map[time.Duration]admit.Availability{0: admit.Pending, vanishedKeep - 1: admit.Pending} {
 		if r, ok := d.rooms(now, 1)["service:s"]; !ok || r.presence != want || r.capacity != 0 {
 			t.Errorf("after %v: %+v", now, r)
 		}
 	}
-	if r, ok := d.rooms(vanishedKeep, 1)["service:s"]; !ok || r.presence != admit.None {
+	if r, ok := d.rooms(vanishedKeep, 1)["service:s"]; !ok || r.presence != admit.Unavailable {
 		t.Errorf("after %v: %+v", vanishedKeep, r)
 	}
 	if _, ok := d.rooms(time.Minute, 1)["service:s"]; ok {
@@ -67,7 +67,7 @@
 	}
 	d.setPeers(linked)
 	d.message(peer, report)
-	if r := d.rooms(time.Hour, 1)["service:s"]; r.presence != admit.Here {
+	if r := d.rooms(time.Hour, 1)["service:s"]; r.presence != admit.Available {
 		t.Errorf("when it is back: %+v", r)
 	}
 }
--- a/internal/entry/rooms.go
+++ b/internal/entry/rooms.go
@@ -44,9 +44,9 @@
 		if _, made := rooms[offer]; made {
 			continue
 		}
-		rooms[offer] = room{presence: admit.Coming}
+		rooms[offer] = room{presence: admit.Pending}
 		if now-last >= vanishedKeep && !d.expected(offer) {
-			rooms[offer] = room{presence: admit.None}
+			rooms[offer] = room{presence: admit.Unavailable}
 			delete(d.made, offer)
 		}
 	}
@@ -58,25 +58,25 @@
 		return d.subsetRoom(now, offer, entries)
 	}
 	free, capacity := d.table.Spare(offer, now)
-	return room{slots: admit.Part(d.flying[offer], free, capacity, entries), capacity: capacity}
+	return room{slots: admit.EntrySlots(d.flying[offer], free, capacity, entries), capacity: capacity}
 }
 
 // presence says whether any backend server for an offer may get work; the lock is held.
-func (d *directory) presence(offer string, capacity int) admit.Presence {
+func (d *directory) presence(offer string, capacity int) admit.Availability {
 	switch {
 	case capacity > 0:
-		return admit.Here
+		return admit.Available
 	case d.expected(offer):
-		return admit.Coming
+		return admit.Pending
 	}
-	return admit.None
+	return admit.Unavailable
 }
 
 // subsetRoom is the room for an offer when this entry is linked to some agents only: its
 // part of each by what the agent says of its entries. An agent that does not say counts
 // with all live entries. The directory's lock is held.
 func (d *directory) subsetRoom(now time.Duration, offer string, entries int) room {
-	var rooms []admit.Room
+	var rooms []admit.BackendCapacity
 	whole := 1.0
 	for _, r := range d.table.Rooms(offer, now) {
 		of := int(d.status[r.VM].GetEntries())
@@ -84,8 +84,8 @@
 			of = entries
 		}
 		whole = d.links.whole(r.VM)
-		rooms = append(rooms, admit.Room{Limit: r.Limit, Free: r.Free, Entries: of})
+		rooms = append(rooms, admit.BackendCapacity{Limit: r.Limit, Free: r.Free, Entries: of})
 	}
-	parts := admit.PartOf(d.flying[offer], rooms, whole)
+	parts := admit.SubsetCapacity(d.flying[offer], rooms, whole)
 	return room{slots: parts.Slots, capacity: parts.Total, entries: parts.Entries}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -106,7 +106,7 @@
 		budgets:  make(map[string]*place.RetryBudget),
 		entries:  1,
 		mayLive:  1,
-		admitter: admit.New(admit.Config{Queue: mostWaiting, MaxWait: longestWait, MostRetry: comeBackMost}),
+		admitter: admit.New(admit.Config{MaxQueue: mostWaiting, MaxWait: longestWait, MaxRetryAfter: comeBackMost}),
 		waiting:  make(map[uint64]*waiter),
 		running:  make(map[string]int),
 		queued:   make(map[string]int),
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -63,17 +63,17 @@
 	for service, held := range f.registered {
 		key := offer(service)
 		free, capacity := f.table.Spare(key, now)
-		presence := admit.Here
+		presence := admit.Available
 		switch {
 		case held == 0:
-			presence = admit.None
+			presence = admit.Unavailable
 		case capacity == 0:
-			presence = admit.Coming
+			presence = admit.Pending
 		}
-		f.admitter.SetPresence(key, presence)
-		f.admitter.Expect(key, held/f.entries)
-		f.admitter.SetTotal(key, capacity, f.entries)
-		f.admitter.SetCapacity(key, admit.Part(f.running[service], free, capacity, f.entries))
+		f.admitter.SetAvailability(key, presence)
+		f.admitter.ExpectSlots(key, held/f.entries)
+		f.admitter.SetTotalCapacity(key, capacity, f.entries)
+		f.admitter.SetCapacity(key, admit.EntrySlots(f.running[service], free, capacity, f.entries))
 		f.rooms[service] = room{free: free, capacity: capacity, registered: held, at: now}
 	}
 	f.release(now)
@@ -104,7 +104,7 @@
 		f.end(id, turn{server: s})
 		return
 	}
-	if !f.admitter.Postpone(now, id) {
+	if !f.admitter.Requeue(now, id) {
 		f.end(id, turn{err: result.New(code)})
 	}
 }
@@ -169,7 +169,7 @@
 		until = now + endless
 	}
 	w := &waiter{need: need{service: t.service, left: left(t.until, now)}, turn: make(chan turn, 1)}
-	d := f.admitter.Offer(now, admit.Request{
+	d := f.admitter.Admit(now, admit.Request{
 		ID: id, Customer: t.team, Offer: offer(t.service), Deadline: until, Priority: -t.priority,
 	})
 	if d.Action == admit.Refuse {
