--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -1,15 +1,14 @@
-// Package admit decides which requests run, wait or are refused, by customers'
-// shares.
+// Package admit decides which requests run, wait or are refused, according to customers' shares.
 //
-// Each entry keeps one Admitter for its part of the backend servers' capacity.
-// Capacity is shared out weighted max-min fair: between plans by their share,
-// and within a plan between customers by their weight. What one leaves unused
-// goes to the others. It is made for a few large customers beside many small
-// ones, and for any of them asking for many times its share. The harm prevented:
-// a customer within its share waits behind, or is refused for, one beyond it.
+// Each entry keeps one Admitter for its part of the backend servers' capacity. Capacity is divided
+// by weighted max-min fairness: between plans by their share, and within a plan between customers
+// by their weight. Capacity that one customer leaves unused is lent to the others. A few large
+// customers share the servers with many small ones, and any of them may ask for many times its
+// share; a customer within its share must not wait behind, or be refused because of, one beyond its
+// share.
 //
-// The caller passes the time, since process start, into every method. An
-// Admitter is not safe for use by several goroutines at once.
+// The caller passes the time since process start into every method. An Admitter is not safe for
+// concurrent use.
 package admit
 
 import (
@@ -20,30 +19,28 @@
 
 // Config holds the limits of admission. A zero field takes its default.
 type Config struct {
-	// MaxQueue is the most requests that wait for one offer. Default 1024.
+	// MaxQueue limits the number of requests that wait for one offer. Default 1024.
 	MaxQueue int
-	// MinQueue is the number of waiting requests that each customer may have
-	// whatever its share. Default 4, so that a small customer's few requests at
-	// once are not refused by rounding.
+	// MinQueue is the number of waiting requests that each customer may have whatever its share.
+	// Default 4, so that a small customer's few simultaneous requests are not refused because its
+	// share is rounded down.
 	MinQueue int
-	// MaxWait is the longest expected wait with which a request is still taken.
-	// Default 2 s: a caller that would wait longer is better told so at once.
+	// MaxWait is the longest expected wait with which a request is accepted. Default 2 s; a caller
+	// that would wait longer is refused at once.
 	MaxWait time.Duration
-	// OverloadMaxWait is the same for a customer whose overload lasts. Default
-	// 250 ms, but not more than MaxWait.
+	// OverloadMaxWait replaces MaxWait during a sustained overload. Default 250 ms, at most
+	// MaxWait.
 	OverloadMaxWait time.Duration
-	// DeadlineMargin is the ratio of the time left to the usual time of the work below which
-	// a request is given up. Default 1.3: of requests begun with just the usual time
-	// left half would be late, and their work thrown away.
+	// DeadlineMargin is multiplied with the average work time to get the least time that must be
+	// left before the deadline; with less a request is refused. Default 1.3: of requests started
+	// with just the average time left, half would be late and their work wasted.
 	DeadlineMargin float64
-	// DefaultWorkTime is the time of one request that is assumed until the first has ended.
-	// Default 500 ms.
+	// DefaultWorkTime is the work time assumed until the first request has ended. Default 500 ms.
 	DefaultWorkTime time.Duration
-	// MinRetryAfter and MaxRetryAfter bound the time to come back that callers are told.
-	// Defaults 100 ms and 30 s.
+	// MinRetryAfter and MaxRetryAfter limit the retry-after time of refusals. Defaults 100 ms and
+	// 30 s.
 	MinRetryAfter, MaxRetryAfter time.Duration
-	// RateBurstSeconds is the number of seconds of its rate that a key may use at once.
-	// Default 1.
+	// RateBurstSeconds is the burst of a key's rate limit, in seconds of its rate. Default 1.
 	RateBurstSeconds float64
 }
 
@@ -79,39 +76,39 @@
 	return c
 }
 
-// PlanShare is a plan's weight of the capacity against other plans.
+// PlanShare is the weight of a plan relative to other plans.
 type PlanShare struct {
 	Name  string
 	Share float64
 }
 
-// CustomerShare is what a customer may use.
+// CustomerShare is the share and the limits of one customer.
 type CustomerShare struct {
 	Name string
-	// Plan names the customer's plan.
+	// Plan is the name of the customer's plan.
 	Plan string
 	// Weight is the customer's weight among the customers of its plan.
 	Weight float64
-	// Burst is the number of requests that it may have running and waiting above
-	// its share while others wait.
+	// Burst is the number of requests that the customer may have running and waiting above its
+	// share while others wait.
 	Burst int
-	// Rate is the number of requests a second for each key; 0 means no limit.
+	// Rate is the limit of requests per second for each key; 0 means no limit.
 	Rate float64
 }
 
-// Request is one request that asks to run.
+// Request is a request to be admitted.
 type Request struct {
-	// ID is the caller's name for it, unique among the requests that are here.
+	// ID is chosen by the caller and is unique among the requests that run or wait.
 	ID       uint64
 	Customer string
-	// Key is the hash of the key that the request came with; the rate counts by
-	// it. Zero counts by the customer.
+	// Key is the hash of the API key that the request came with. The rate limit applies per key, or
+	// per customer if Key is zero.
 	Key uint64
-	// Offer is the key of what it needs, such as "model:x".
+	// Offer is the key of the model or service that the request needs, such as "model:x".
 	Offer string
-	// Deadline is when its answer must be whole, on the caller's clock.
+	// Deadline is when the complete answer is due, on the clock of the methods' now argument.
 	Deadline time.Duration
-	// Priority puts it before others of the same customer; higher goes first.
+	// Priority orders the requests of one customer; higher goes first.
 	Priority int
 }
 
@@ -120,26 +117,26 @@
 
 // The actions.
 const (
-	// Start says to run it now; end it with Done or Cancel.
+	// Start means that the request runs now; it ends with Done or Cancel.
 	Start Action = iota
-	// Wait says that Next will return it.
+	// Wait means that the request is queued; Next returns it later.
 	Wait
-	// Refuse says that it is given up, with the code. It has not run.
+	// Refuse means that the request is rejected with Decision.Code. It has not run.
 	Refuse
 )
 
-// Decision is the answer to Offer.
+// Decision is the result of [Admitter.Admit].
 type Decision struct {
 	Action Action
 	Code   api.ResultCode
-	// RetryAfter is when a request like it is expected to be taken.
+	// RetryAfter is the time after which a similar request is expected to be accepted.
 	RetryAfter time.Duration
-	// Guaranteed says, with Start, that the customer is within its share; pass it
-	// on to placement.
+	// Guaranteed is set with Start when the customer is within its share. It must be passed on to
+	// placement.
 	Guaranteed bool
 }
 
-// Release is a request that waited and is now to be run or refused.
+// Release is the decision on a request that waited: it starts or is refused.
 type Release struct {
 	ID uint64
 	Decision
@@ -150,17 +147,17 @@
 	cfg       Config
 	plans     map[string]float64
 	customers map[string]CustomerShare
-	// shares are the customers' parts of the whole capacity.
+	// shares holds each customer's fraction of the total capacity.
 	shares  map[string]float64
 	offers  map[string]*offer
 	buckets map[bucketKey]*bucket
-	// requests are the requests that run or wait.
+	// requests holds the requests that run or wait, by ID.
 	requests map[uint64]*request
-	// offerKeys are the keys of the offers, in the order in which they came.
+	// offerKeys holds the keys of offers in the order of their first use.
 	offerKeys []string
 }
 
-// New returns an admitter that knows no customer yet.
+// New returns an Admitter without plans and customers; it refuses all requests until SetPlans.
 func New(cfg Config) *Admitter {
 	return &Admitter{
 		cfg:       cfg.withDefaults(),
@@ -172,7 +169,7 @@
 	}
 }
 
-// SetPlans replaces plans and customers. Requests that are here keep their place.
+// SetPlans replaces plans and customers. Requests that run or wait are kept.
 func (a *Admitter) SetPlans(plans []PlanShare, customers []CustomerShare) {
 	clear(a.plans)
 	for _, p := range plans {
@@ -237,18 +234,19 @@
 	return Decision{Action: Wait}
 }
 
-// refusal says whether a request that can't start now is refused at once.
+// refusal decides whether a request that can't start now is refused at once. It returns false if
+// the request is to wait.
 //
-// Load: saturation, and one customer far beyond its share. Harm prevented: work
-// that waits and then expires, or that runs and is late, which takes capacity
-// and gives no answer. Each limit is an expected wait, so it holds for any size.
+// Under saturation, and when one customer is far beyond its share, queued requests would expire or
+// finish late: their work takes capacity and gives no answer. The limits are expected waits, so
+// that they hold for any size of deployment.
 func (a *Admitter) refusal(now time.Duration, o *offer, c *customer, share CustomerShare, r Request) (Decision, bool) {
 	if o.availability == Unavailable {
 		return a.refuse(api.ResultCode_NO_BACKEND, unavailableRetryAfter), true
 	}
-	// A postponed start takes the slots away until they are measured anew; that nobody
-	// offers the work shows only in the total.
-	if o.availability == Available && o.slots == 0 && o.running == 0 && o.total == 0 {
+	// A requeued request sets slots to zero until the next SetCapacity; only zero total slots show
+	// that no backend server has the model or service.
+	if o.availability == Available && o.slots == 0 && o.running == 0 && o.totalSlots == 0 {
 		return a.refuse(api.ResultCode_NO_BACKEND, a.cfg.MinRetryAfter), true
 	}
 	work := o.workTimeOr(a.cfg.DefaultWorkTime)
@@ -281,7 +279,8 @@
 	return time.Duration(a.cfg.DeadlineMargin * float64(o.workTimeOr(a.cfg.DefaultWorkTime)))
 }
 
-// queueLimit is the part of the queue that a customer may fill.
+// queueLimit is the number of waiting requests that a customer may have, in proportion to its
+// share.
 func (a *Admitter) queueLimit(o *offer, fair float64) int {
 	ratio := fair / float64(max(o.expectedSlots(), 1))
 	return max(a.cfg.MinQueue, int(ratio*float64(a.cfg.MaxQueue)))
@@ -293,22 +292,22 @@
 	return tracked
 }
 
-// Done says that a request that was started has ended, and how long its work
-// took. A took of zero teaches nothing about the usual time. What is learned is
-// how long the place was held, which is longer by the wait at the agent.
-func (a *Admitter) Done(now time.Duration, id uint64, took time.Duration) {
+// Done records that a started request has ended and how long its work took. A workTime of zero
+// leaves the average unchanged. The average is of the time for which the slot was held, which also
+// includes the wait at the agent.
+func (a *Admitter) Done(now time.Duration, id uint64, workTime time.Duration) {
 	r, ok := a.requests[id]
 	if !ok || !r.running {
 		return
 	}
 	delete(a.requests, id)
 	r.offer.finish(r)
-	if took > 0 {
-		r.offer.observeWorkTime(max(took, now-r.started))
+	if workTime > 0 {
+		r.offer.observeWorkTime(max(workTime, now-r.started))
 	}
 }
 
-// Cancel says that the caller of a request has gone, whether it runs or waits.
+// Cancel records that the caller of a running or waiting request has gone.
 func (a *Admitter) Cancel(now time.Duration, id uint64) {
 	r, ok := a.requests[id]
 	if !ok {
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -29,7 +29,7 @@
 	a := twoPlans(t, 8)
 	for id := range uint64(8) {
 		if d := submit(a, 0, id, "large"); d.Action != Start {
-			t.Fatalf("request %d: %+v with free places", id, d)
+			t.Fatalf("request %d: %+v with free slots", id, d)
 		}
 	}
 }
@@ -139,12 +139,12 @@
 		t.Fatalf("another key: %+v", d)
 	}
 	if d := try(second/2, 5, 7); d.Action != Start {
-		t.Fatalf("when told to come back: %+v", d)
+		t.Fatalf("after the retry-after time: %+v", d)
 	}
 }
 
-// A customer within its share comes through one entry only, while another fills all
-// that is free. It must not wait for the entry's own part.
+// All requests of a customer within its share come through one entry, while another customer uses
+// all free slots. The customer gets its whole share, not only this entry's slots.
 func TestWholeShareIsGuaranteed(t *testing.T) {
 	a := twoPlans(t, 4)
 	a.SetTotalCapacity("model:m", 32, 8)
@@ -165,8 +165,8 @@
 	}
 }
 
-// An agent has no place for a guaranteed request: the customer uses its share through
-// other entries. The entry lets half through from then on, and the request waits.
+// An agent has no slot for a guaranteed request because the customer uses its share through other
+// entries. The guarantee is halved and the request waits.
 func TestRequeuedRequestHalvesGuarantee(t *testing.T) {
 	a := twoPlans(t, 4)
 	a.SetTotalCapacity("model:m", 32, 8)
@@ -174,10 +174,10 @@
 		submit(a, 0, id, "small")
 	}
 	if !a.Requeue(0, 19) {
-		t.Fatal("a request with a minute left was given up")
+		t.Fatal("a request with a minute left was not requeued")
 	}
 	if out := a.Next(0); len(out) != 0 {
-		t.Fatalf("started again at once: %+v", out)
+		t.Fatalf("requeued request started at once: %+v", out)
 	}
 	o := a.offers["model:m"]
 	c := o.plans["gold"].customers["small"]
@@ -188,7 +188,7 @@
 		o.reduceGuarantee(0, c)
 	}
 	if got := o.guarantee(0, c); got != 3 {
-		t.Fatalf("guarantee %d, want the even part of 24 over 8 entries", got)
+		t.Fatalf("guarantee %d, want an even part of 24 over 8 entries", got)
 	}
 	if got := o.guarantee(20*second, c); got != 24 {
 		t.Fatalf("guarantee %d after 20 s, want all", got)
@@ -199,7 +199,7 @@
 	a := twoPlans(t, 4)
 	a.Admit(0, Request{ID: 1, Customer: "small", Offer: "model:m", Deadline: second})
 	if a.Requeue(800*time.Millisecond, 1) {
-		t.Fatal("a request that can't be met any more waits")
+		t.Fatal("a request that can't meet its deadline was requeued")
 	}
 	if len(a.requests) != 0 || a.offers["model:m"].running != 0 {
 		t.Fatal("the request is still counted")
@@ -220,8 +220,8 @@
 	}
 }
 
-// A burst is refused in one moment. The times to come back must be spread at the pace
-// at which places free up, not all be the same.
+// A burst is refused in one moment. The retry-after times must be spaced by the interval at which
+// slots become free; with equal times all callers would retry together.
 func TestRefusalsPromiseTurns(t *testing.T) {
 	a := New(Config{MaxWait: second})
 	a.SetPlans([]PlanShare{{"p", 1}}, []CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
--- a/decide/admit/availability.go
+++ b/decide/admit/availability.go
@@ -6,60 +6,60 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Availability says whether any backend server for an offer may get work.
+// Availability says whether any backend server for an offer can get work.
 type Availability int
 
-// What is known of the backend servers for an offer.
+// The states of the backend servers for an offer.
 const (
-	// Available: one may get work, though it may be full.
+	// Available means that at least one backend server can get work, though it may be full.
 	Available Availability = iota
-	// Pending: none may, and one may at any moment: a link to it is being made, or it was
-	// heard a moment ago and is silent or has not reported.
+	// Pending means that none can, but one is expected at any moment: a link to it is being made,
+	// or it was heard a moment ago and is silent or has not reported yet.
 	Pending
-	// Unavailable: none may, and none is on its way.
+	// Unavailable means that none can and none is expected.
 	Unavailable
 )
 
-// unavailableRetryAfter is when to come back when there is no backend server at all: about what a VM
-// takes to be seen on the platform's list, and not so soon that callers only ask again.
+// unavailableRetryAfter is the retry-after time when no backend server is expected: about the time
+// until a new VM appears on the platform's list, and long enough that callers do not only repeat
+// their requests.
 const unavailableRetryAfter = time.Second
 
-// SetAvailability sets what is known of the backend servers for an offer; Here without it.
-// Call it before SetCapacity, and Next after both.
+// SetAvailability sets the state of the backend servers for an offer, which is Available by
+// default. Call it before SetCapacity, and call Next after both.
 //
-// Load: an entry linked to one agent of an offer, or to few of which all stop at once;
-// hundreds of requests are refused there, and as many come, until the link to the next
-// one stands, 0.1 to 1.5 s later. Harm prevented: they are refused for want of room that
-// is about to be there. They wait, judged by the room measured last: in that time as many
-// gather as would behind agents that are there, and no more, so that the new agent is not
-// given a queue of which most is late. With None they are refused at once: nothing that
-// they could wait for is known, and their callers may go elsewhere.
-func (a *Admitter) SetAvailability(key string, p Availability) {
-	a.offer(key).availability = p
+// An entry may be linked to a single agent of an offer, or to a few that all stop at once. Hundreds
+// of requests are refused there, and as many arrive, until the link to the next agent stands 0.1 to
+// 1.5 s later. In the state Pending these requests wait instead of being refused for lack of slots.
+// Their expected wait is computed from the last known slots, so that the queue grows no longer than
+// it would with agents present and the new agent does not get a queue that is mostly late. In the
+// state Unavailable all requests are refused at once, since their callers may go elsewhere.
+func (a *Admitter) SetAvailability(key string, availability Availability) {
+	a.offer(key).availability = availability
 }
 
-// MarkPending says that a request which was let in has found no backend server that may get
-// work, before the room was measured anew. Until the next SetPresence it counts as Coming.
+// MarkPending sets an offer to Pending and its slots to zero. It is called when an admitted request
+// has found no backend server that can get work, and holds until the next SetAvailability.
 func (a *Admitter) MarkPending(key string) {
 	o := a.offer(key)
 	o.availability = Pending
 	o.slots = 0
 }
 
-// ExpectSlots sets the room that there will be once the backend servers on their way may get work,
-// by what they are known to hold. Without it the room measured last stands for it.
+// ExpectSlots raises the last known slots of an offer to the number that its pending backend
+// servers are known to hold.
 //
-// Load: an entry that has just started while all backend servers start again. Harm prevented:
-// it knows of no room yet, judges all waits by one place, and refuses nearly all of what
-// could be served a second later.
+// An entry that has just started while all backend servers restart knows no slots yet. Without this
+// number it computes all waits from one slot, and refuses nearly all requests that could be served
+// a second later.
 func (a *Admitter) ExpectSlots(key string, slots int) {
 	o := a.offer(key)
 	o.lastSlots = max(o.lastSlots, slots)
 }
 
-// expectedSlots is the room by which waits are expectedSlots. While a backend server is on its way it
-// is the room measured last: by none at all the wait would have no end, and a deadline of
-// a minute would be refused as out of reach. If none was ever known it is one place, as of
+// expectedSlots is the number of slots from which waits are computed. While backend servers are
+// pending it is the last known number: with zero slots the wait would be infinite, and even a
+// deadline a minute away would be refused as unreachable. If no number is known it is one, as for
 // an agent in cold start.
 func (o *offer) expectedSlots() int {
 	if o.availability == Pending {
@@ -68,7 +68,7 @@
 	return o.slots
 }
 
-// refuseUnavailable refuses all that wait for an offer of which no backend server is left.
+// refuseUnavailable refuses all waiting requests of an offer that has no backend server left.
 func (a *Admitter) refuseUnavailable(o *offer, out []Release) []Release {
 	for o.availability == Unavailable && o.waiting > 0 {
 		r := o.head()
--- a/decide/admit/capacity.go
+++ b/decide/admit/capacity.go
@@ -2,65 +2,64 @@
 
 import "math"
 
-// BackendCapacity is what one backend server can hold, as an entry knows it from reports.
+// BackendCapacity is the capacity of one backend server, as an entry knows it from reports.
 type BackendCapacity struct {
-	// Limit is the number of requests that it may hold, Free how many more it can take.
+	// Limit is the number of requests that the server may hold, and Free how many more it can take.
 	Limit, Free int
-	// Entries is the number of entries that send it work, this one among them.
+	// Entries is the number of entries that send work to the server, including this one.
 	Entries int
 }
 
-// EntryCapacity is what an entry may do with the room of the backend servers that it is linked
-// to.
+// EntryCapacity is the capacity that an entry may use on the backend servers that it is linked to.
 type EntryCapacity struct {
-	// Slots is the number of requests that it may have running, for SetCapacity.
+	// Slots is the number of requests that the entry may have running, for SetCapacity.
 	Slots int
-	// Total is what all backend servers for the offer can hold, those that the entry is
-	// not linked to included, and Entries the number of entries that share them, for
-	// SetTotal. Both are worked out from those that it is linked to.
+	// Total is the number of requests that all backend servers for the offer can hold, including
+	// those without a link to the entry, and Entries the number of entries that share them, for
+	// SetTotalCapacity. Both are extrapolated from the linked servers.
 	Total, Entries int
 }
 
-// SubsetCapacity is [EntrySlots] for an entry that is linked to some backend servers only: its part of
-// each is by the number of entries of that one, where Part has all entries at all of them.
-// With all entries at each backend server the two are the same.
+// SubsetCapacity is [EntrySlots] for an entry that is linked to a subset of the backend servers.
+// The entry's part of each server depends on the number of entries linked to that server, whereas
+// EntrySlots assumes that all entries are linked to all servers. In that case both give the same
+// result.
 //
-// Load: entries linked to 4 of 62 backend servers each, one with half of the callers, and
-// backend servers with more entries than others. Harm prevented: by its own links alone,
-// as if nobody else had any, an entry sends each backend server several times what it has
-// room for, to be refused there and sent again: twice the attempts at 100% load, six times
-// in a storm of retries (docs/design/subsetting.md). By the count of all entries, 98, it
-// takes what is free one place at a time, and is left with the guarantees.
-// The part is only how many requests to try with. The limit of a backend server is kept
-// by its agent, exactly.
+// With entries linked to 4 of 62 backend servers each, one entry with half of the callers, and
+// backend servers with unequal numbers of entries: an entry that takes all capacity of its own
+// links as its own sends each server several times what it can take, and the excess is refused and
+// sent again. That makes twice the attempts at 100% load, and six times in a retry storm
+// (docs/design/subsetting.md). Divided by the count of all entries, 98, it takes free slots one at
+// a time, and only guarantees remain. The result only limits how many requests are tried; the agent
+// enforces the exact limit of its backend server.
 //
-// A customer's guarantee is its share of all backend servers, whole of which says how many
-// there are for each that the entry is linked to; 1 with all linked. Of the linked ones
-// alone, a customer within its share whose callers keep to one entry would be let through
-// with a part of its share, and refused as beyond it.
+// A customer's guarantee is its share of all backend servers. backendsPerLink is the number of
+// backend servers for each one that the entry is linked to, 1 with links to all. With a total of
+// the linked servers alone, a customer within its share whose callers use one entry would get part
+// of its share, and be refused as beyond it.
 func SubsetCapacity(running int, backends []BackendCapacity, backendsPerLink float64) EntryCapacity {
-	var p EntryCapacity
+	var c EntryCapacity
 	capacity, evenSlots, free := 0.0, 0.0, 0.0
-	for _, r := range backends {
-		entries := float64(max(r.Entries, 1))
-		capacity += float64(r.Limit)
-		evenSlots += float64(r.Limit) / entries
-		free += float64(r.Free) / entries
+	for _, b := range backends {
+		entries := float64(max(b.Entries, 1))
+		capacity += float64(b.Limit)
+		evenSlots += float64(b.Limit) / entries
+		free += float64(b.Free) / entries
 	}
 	if capacity == 0 {
-		return p
+		return c
 	}
 	backendsPerLink = max(backendsPerLink, 1)
-	p.Total = int(math.Round(capacity * backendsPerLink))
-	p.Entries = max(int(math.Round(capacity/evenSlots*backendsPerLink)), 1)
-	p.Slots = int(math.Ceil(evenSlots - roundingError))
+	c.Total = int(math.Round(capacity * backendsPerLink))
+	c.Entries = max(int(math.Round(capacity/evenSlots*backendsPerLink)), 1)
+	c.Slots = int(math.Ceil(evenSlots - roundingError))
 	if free > 0 {
-		p.Slots = max(p.Slots, running+max(1, int(2*free+roundingError)))
+		c.Slots = max(c.Slots, running+max(1, int(2*free+roundingError)))
 	} else {
-		p.Slots = max(p.Slots, running-running/16)
+		c.Slots = max(c.Slots, running-running/16)
 	}
-	return p
+	return c
 }
 
-// roundingError is the error of sums of parts, far below one request.
+// roundingError is the floating-point error of summed parts, far below one request.
 const roundingError = 1e-6
--- a/decide/admit/capacity_test.go
+++ b/decide/admit/capacity_test.go
@@ -5,43 +5,42 @@
 	"testing"
 )
 
-// With all entries at all backend servers the part by backend server is the part of all
-// room, as it is without subsets.
+// With all entries linked to all backend servers, SubsetCapacity must agree with EntrySlots, which
+// knows no subsets.
 func TestSubsetCapacityMatchesEntrySlots(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 10000 {
 		entries, running := 1+rng.IntN(20), rng.IntN(200)
-		var rooms []BackendCapacity
+		var backends []BackendCapacity
 		free, capacity := 0, 0
 		for range 1 + rng.IntN(15) {
 			r := BackendCapacity{Limit: 1 + rng.IntN(64), Entries: entries}
 			r.Free = rng.IntN(r.Limit + 1)
 			free, capacity = free+r.Free, capacity+r.Limit
-			rooms = append(rooms, r)
+			backends = append(backends, r)
 		}
 		want := EntryCapacity{Slots: EntrySlots(running, free, capacity, entries), Total: capacity, Entries: entries}
-		if got := SubsetCapacity(running, rooms, 1); got != want {
-			t.Fatalf("%d running, %d entries, %+v: %+v, want %+v", running, entries, rooms, got, want)
+		if got := SubsetCapacity(running, backends, 1); got != want {
+			t.Fatalf("%d running, %d entries, %+v: %+v, want %+v", running, entries, backends, got, want)
 		}
 	}
 }
 
-// The even parts of all entries of a backend server together are its limit, and no entry
-// that has work is left without a place while there is one; an entry whose backend
-// servers are all out has none.
+// The even parts of all entries of a backend server add up to its limit, and no entry gets zero
+// slots while the server has capacity. An entry whose backend servers are all out gets none.
 func TestEntryCapacitiesAddUp(t *testing.T) {
 	for entries := 1; entries <= 8; entries++ {
 		full := SubsetCapacity(0, []BackendCapacity{{Limit: 32, Entries: entries}}, 1)
 		if sum := full.Slots * entries; sum < 32 || sum >= 32+entries {
-			t.Errorf("%d entries have %d places together, want 32 and rounding", entries, sum)
+			t.Errorf("%d entries have %d slots together, want 32 plus rounding", entries, sum)
 		}
 		some := SubsetCapacity(full.Slots, []BackendCapacity{{Limit: 32, Free: 1, Entries: entries}}, 1)
 		if some.Slots != full.Slots+max(1, 2/entries) {
-			t.Errorf("%d entries, one place free: %d, had %d", entries, some.Slots, full.Slots)
+			t.Errorf("%d entries, one slot free: %d, had %d", entries, some.Slots, full.Slots)
 		}
 	}
 	if got := SubsetCapacity(3, []BackendCapacity{{Entries: 2}}, 3); got != (EntryCapacity{}) {
-		t.Errorf("nothing up: %+v", got)
+		t.Errorf("no backend server up: %+v", got)
 	}
 	// Linked to a third of 12 backend servers, with 8 entries in all.
 	third := []BackendCapacity{{Limit: 32, Entries: 3}, {Limit: 32, Entries: 2}, {Limit: 32, Entries: 3}, {Limit: 32, Entries: 3}}
--- a/decide/admit/example_test.go
+++ b/decide/admit/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/decide/admit"
 )
 
-// Two places for two customers of one plan. The loud one takes both; as soon as the
-// calm one asks, the next free place is its own.
+// Two customers of one plan share two slots. The loud customer uses both; once the calm one has a
+// waiting request, the next free slot goes to it.
 func Example() {
 	a := admit.New(admit.Config{})
 	a.SetPlans([]admit.PlanShare{{Name: "all", Share: 1}}, []admit.CustomerShare{
--- a/decide/admit/next.go
+++ b/decide/admit/next.go
@@ -6,13 +6,12 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Next returns the waiting requests that may start now, each of which counts as
-// started, and those that are refused now. Call it after Done, Cancel and
-// SetCapacity, and at the time that Wake says.
+// Next returns the waiting requests that start now, which count as running from then on, and those
+// that are refused now. Call it after Done, Cancel and SetCapacity, and at the time that NextWake
+// returns.
 //
-// Load: a full queue whose requests grow old. Harm prevented: work begun too
-// late to be of use. A request that can't be met any more is refused at that
-// moment, not at its deadline, so that its caller can still go elsewhere.
+// A request that can't meet its deadline any more is refused when this becomes certain, not at its
+// deadline: its work would be wasted, and its caller may still go elsewhere.
 func (a *Admitter) Next(now time.Duration) []Release {
 	var out []Release
 	for _, key := range a.offerKeys {
@@ -55,13 +54,12 @@
 
 // release starts one waiting request.
 func (o *offer) release(now time.Duration, r *request) Release {
-	entitled := o.isGuaranteed(now, r.customer)
+	guaranteed := o.isGuaranteed(now, r.customer)
 	o.dequeue(r)
-	return Release{ID: r.id, Decision: o.start(now, r, entitled)}
+	return Release{ID: r.id, Decision: o.start(now, r, guaranteed)}
 }
 
-// NextWake is when Next must be called at the latest. It returns false when nothing
-// waits.
+// NextWake returns the latest time for the next call of Next. It returns false when nothing waits.
 func (a *Admitter) NextWake(now time.Duration) (time.Duration, bool) {
 	var wake time.Duration
 	found := false
@@ -81,12 +79,12 @@
 	return wake, found
 }
 
-// Requeue takes back a start for which no backend server was found: the request
-// waits again, at its old place, until SetCapacity says that there is room. It
-// returns false, and the request is forgotten, when it can't be met any more.
+// Requeue takes back the start of a request for which no backend server was found. The request
+// returns to its place in the queue and waits until SetCapacity sets free slots. Requeue returns
+// false, and forgets the request, if it can't meet its deadline any more.
 //
-// Load: several entries that use the same free place by reports that are late.
-// Harm prevented: a refusal of a request that only came a moment too early.
+// Several entries may use the same free slot while their reports are stale; the request that
+// arrives second is queued again rather than refused.
 func (a *Admitter) Requeue(now time.Duration, id uint64) bool {
 	r, ok := a.requests[id]
 	if !ok || !r.running {
@@ -108,16 +106,15 @@
 	return true
 }
 
-// EntrySlots is the number of requests that one entry may have running, for
-// SetCapacity: free and capacity are of all backend servers for the offer, as
-// this entry sees them, and entries is the number of live entries.
+// EntrySlots returns the number of requests that one entry may have running, for SetCapacity. The
+// arguments free and capacity are sums over all backend servers for the offer, as this entry sees
+// them, and entries is the number of live entries.
 //
-// Load: callers keep to one entry for some time, so that a large customer's whole
-// demand may come through one of many entries. Harm prevented: with a fixed part
-// for each entry, that one refuses while the rest idle. An entry therefore takes
-// of what is free, a part at each call, so that all entries together do not take
-// the same free places many times over; and when nothing is free it gives back
-// what it holds above the even part, so that customers of other entries get theirs.
+// Callers stay at one entry for some time, so that a large customer's whole demand may come through
+// one of many entries. With a fixed part per entry, this entry would refuse requests while the
+// others idle. An entry therefore takes part of the free slots at each call, so that all entries
+// together do not take the same free slots many times over. When none are free it gives back slots
+// above its even part, for customers of other entries.
 func EntrySlots(running, free, capacity, entries int) int {
 	entries = max(entries, 1)
 	evenSlots := (capacity + entries - 1) / entries
--- a/decide/admit/offer.go
+++ b/decide/admit/offer.go
@@ -6,34 +6,33 @@
 	"github.com/apricothub/apricothub/decide/internal/heap"
 )
 
-// minShare stands for a share or weight of zero, which would never be served.
+// minShare replaces a share or weight of zero, with which a customer would never be served.
 const minShare = 1e-6
 
-// offer is the state of one kind of work: two levels of shares, plans above
-// their customers.
+// offer is the state of one model or service: two levels of shares, plans above their customers.
 type offer struct {
 	key   string
 	slots int
-	// lastSlots is the last room that was not none.
+	// lastSlots is the last nonzero number of slots.
 	lastSlots    int
 	availability Availability
-	// total is what all backend servers can hold, entries the number of entries.
-	total, entries int
-	running        int
-	waiting        int
-	plans          map[string]*plan
-	// ready are the plans with waiting requests, least served first.
+	// totalSlots is the number of requests that all backend servers can hold, and entries the
+	// number of live entries.
+	totalSlots, entries int
+	running             int
+	waiting             int
+	plans               map[string]*plan
+	// ready holds the plans with waiting requests, least served first.
 	ready  heap.Heap[*plan]
 	expiry heap.Heap[*request]
-	// activeShares is the sum of the shares of plans with any request here.
+	// activeShares is the sum of the shares of plans with running or waiting requests.
 	activeShares float64
 	activePlans  int
-	// freedCustomers are customers of whom a request ended while others wait.
+	// freedCustomers are customers with waiting requests of which one has ended.
 	freedCustomers []*customer
-	// overload tells whether an overload lasts.
-	overload overloadDetector
-	// avgWorkTime is the smoothed time that one request holds its place, with what it
-	// waits at the agent.
+	overload       overloadDetector
+	// avgWorkTime is a moving average of the time for which a request holds its slot, including its
+	// wait at the agent.
 	avgWorkTime time.Duration
 }
 
@@ -44,9 +43,9 @@
 	running   int
 	waiting   int
 	customers map[string]*customer
-	// ready are the customers with waiting requests, least served first.
+	// ready holds the customers with waiting requests, least served first.
 	ready heap.Heap[*customer]
-	// activeWeights is the sum of the weights of customers with any request here.
+	// activeWeights is the sum of the weights of customers with running or waiting requests.
 	activeWeights   float64
 	activeCustomers int
 	index           int
@@ -58,20 +57,20 @@
 	plan    *plan
 	weight  float64
 	running int
-	// share is the customer's part of the whole capacity; allow the part of that
-	// which is guaranteed, as of allowAt.
+	// share is the customer's fraction of the total capacity, and guaranteeRatio the fraction of
+	// that share which is guaranteed, as of guaranteeUpdatedAt.
 	share              float64
 	guaranteeRatio     float64
 	guaranteeUpdatedAt time.Duration
-	// lastRetryAt is when the last request that was refused was told to come back.
+	// lastRetryAt is the retry time given to the last refused request.
 	lastRetryAt time.Duration
-	// isActive says that it is counted in the sums of isActive shares.
+	// isActive is set while the customer counts in the sums of active shares and weights.
 	isActive bool
 	waiting  heap.Heap[*request]
 	index    int
 }
 
-// request is one request that runs or waits.
+// request is a running or waiting request.
 type request struct {
 	id       uint64
 	offer    *offer
@@ -80,10 +79,10 @@
 	deadline time.Duration
 	priority int
 	running  bool
-	// guaranteed says that it was started by the customer's guarantee.
+	// guaranteed is set if the request was started under the customer's guarantee.
 	guaranteed bool
 	started    time.Duration
-	// queueIndex and expiryIndex are its places in the two heaps while it waits.
+	// queueIndex and expiryIndex are the positions in the two heaps while the request waits.
 	queueIndex, expiryIndex int
 }
 
@@ -106,8 +105,8 @@
 	return c
 }
 
-// planLess puts the plan that runs least for its share first. That is the
-// max-min rule: a free place goes to the worst served who wants it.
+// planLess puts the plan with the fewest running requests for its share first. This is max-min
+// fairness: a free slot goes to the least served plan with waiting requests.
 func planLess(a, b *plan) bool {
 	return float64(a.running)*b.share < float64(b.running)*a.share
 }
@@ -125,7 +124,7 @@
 
 func expiryLess(a, b *request) bool { return a.deadline < b.deadline }
 
-// customer returns the state of a customer, new if it has no request here.
+// customer returns the state of a customer and creates it if it does not exist.
 func (o *offer) customer(a *Admitter, share CustomerShare) *customer {
 	p, ok := o.plans[share.Plan]
 	if !ok {
@@ -141,7 +140,7 @@
 	return c
 }
 
-// activate counts a customer as active with its first request.
+// activate adds a customer to the sums of active shares with its first request.
 func (o *offer) activate(c *customer) {
 	if c.isActive {
 		return
@@ -156,8 +155,8 @@
 	}
 }
 
-// removeIfIdle forgets a customer with its last request, so that memory and shares
-// follow the customers who are here.
+// removeIfIdle deletes the state of a customer without requests, so that memory and shares depend
+// on active customers only.
 func (o *offer) removeIfIdle(c *customer) {
 	if c.running+c.waiting.Len() > 0 {
 		return
@@ -181,7 +180,7 @@
 	}
 }
 
-// updateShares takes in new shares and weights.
+// updateShares applies new shares and weights.
 func (o *offer) updateShares(a *Admitter) {
 	o.activeShares = 0
 	for name, p := range o.plans {
@@ -206,8 +205,7 @@
 	p.ready.Init()
 }
 
-// fairShare is the part of the slots that is the customer's own among those who are
-// here now, in requests.
+// fairShare is the number of slots that a customer is entitled to among the active customers.
 func (o *offer) fairShare(c *customer) float64 {
 	p := c.plan
 	shares, weights := o.activeShares, p.activeWeights
@@ -222,8 +220,8 @@
 
 // expectedWait is the time until one more request of a customer would start.
 //
-// Up to its share a customer gets the places that free up anywhere; beyond, only
-// those that its share, or what it holds already, frees up.
+// Up to its share, a customer gets any slot that becomes free. Beyond, it gets only those freed by
+// its share or by its own running requests.
 func (o *offer) expectedWait(c *customer, work time.Duration) time.Duration {
 	ahead := float64(c.waiting.Len() + 1)
 	fair := o.fairShare(c)
@@ -249,7 +247,7 @@
 	return Decision{Action: Start, Guaranteed: guaranteed}
 }
 
-// addRunning changes the number of running requests and keeps the orders by it.
+// addRunning changes the number of running requests and updates the heaps ordered by it.
 func (o *offer) addRunning(c *customer, delta int) {
 	o.running += delta
 	c.running += delta
@@ -277,8 +275,8 @@
 	}
 }
 
-// dequeue takes a waiting request out of the queue. The caller calls leave after
-// it, unless the request starts.
+// dequeue removes a waiting request from the queue. The caller must call removeIfIdle afterwards,
+// unless the request starts.
 func (o *offer) dequeue(r *request) {
 	c := r.customer
 	c.waiting.Remove(r.queueIndex)
@@ -301,7 +299,7 @@
 	o.removeIfIdle(r.customer)
 }
 
-// observeWorkTime takes in how long a request held its place.
+// observeWorkTime adds the time for which a request held its slot to the average.
 func (o *offer) observeWorkTime(held time.Duration) {
 	if o.avgWorkTime == 0 {
 		o.avgWorkTime = held
@@ -309,7 +307,7 @@
 	o.avgWorkTime += (held - o.avgWorkTime) / 16
 }
 
-// head returns the waiting request whose turn it is.
+// head returns the waiting request to be served next.
 func (o *offer) head() *request {
 	return o.ready.Top().ready.Top().waiting.Top()
 }
--- a/decide/admit/overload.go
+++ b/decide/admit/overload.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// overloadDetector tells a lasting overload from a burst.
+// overloadDetector tells a sustained overload from a burst.
 //
-// Load: more than the backend servers can do, for a long time. Harm prevented: a queue
-// that stands. It answers no request more, since what comes in is what goes out,
-// and each of them waits the whole length of it. In a burst the same queue is drained
-// when the burst is over, and what waited in it is answered.
+// In a sustained overload a long queue raises no throughput: as many requests come in as go out,
+// and each waits the whole length of the queue. After a burst the same queue drains, and the
+// requests in it are answered.
 //
-// It is counted for all customers of an entry together: a customer's callers move between
-// entries within seconds, and take what was counted for it alone with them.
+// All customers of an entry are counted together: a customer's callers move between entries within
+// seconds, and a count per customer would not follow them.
 type overloadDetector struct {
 	windowStart       time.Duration
 	requests, refused int
-	score             int
+	overloadScore     int
 }
 
 const (
-	// overloadWindow is the time over which refusals are counted: some tens of requests at
-	// an entry.
+	// overloadWindow is the length of a counting window, which sees some tens of requests at an
+	// entry.
 	overloadWindow = 2500 * time.Millisecond
-	// overloadRefusalRatio is the part of the requests refused past which a span counts as
-	// overload. For a little more load than capacity a queue holds, for the time that a
-	// failure domain is out, as many as would be refused otherwise.
+	// overloadRefusalRatio is the fraction of refused requests above which a window counts as
+	// overloaded. At a load slightly above capacity, such as while a failure domain is out, the
+	// queue absorbs as many requests as would be refused otherwise.
 	overloadRefusalRatio = 0.1
-	// sustainedScore is how many more heavy spans than light ones make an overload lasting.
-	// 10 s are longer than a burst, and than most of its callers take to come back when
-	// they were told: with half the time 219 of 346 of these were served, now nine in ten.
-	// mostSpans is how many are counted, so that a light one by chance does not end it.
-	sustainedScore = 4
-	maxScore       = 6
+	// sustainedOverloadScore is the excess of overloaded windows over others that makes an overload
+	// sustained. Its 10 s are longer than a burst, and than most callers of a burst take to retry
+	// after the time that they were given: with 5 s, 219 of 346 such retries were served, with 10 s
+	// nine in ten. maxOverloadScore limits the excess, and leaves room for a single window below
+	// the ratio by chance.
+	sustainedOverloadScore = 4
+	maxOverloadScore       = 6
 )
 
-// rollWindow ends the span if its time is over.
-func (p *overloadDetector) rollWindow(now time.Duration) {
-	if now-p.windowStart < overloadWindow {
+// rollWindow ends the current window if its time is over.
+func (d *overloadDetector) rollWindow(now time.Duration) {
+	if now-d.windowStart < overloadWindow {
 		return
 	}
-	isOverloaded := float64(p.refused) > overloadRefusalRatio*float64(p.requests)
+	isOverloaded := float64(d.refused) > overloadRefusalRatio*float64(d.requests)
 	switch {
-	case now-p.windowStart > 2*overloadWindow:
-		p.score = 0
+	case now-d.windowStart > 2*overloadWindow:
+		d.overloadScore = 0
 	case isOverloaded:
-		p.score = min(p.score+1, maxScore)
+		d.overloadScore = min(d.overloadScore+1, maxOverloadScore)
 	default:
-		p.score = max(p.score-1, 0)
+		d.overloadScore = max(d.overloadScore-1, 0)
 	}
-	p.windowStart, p.requests, p.refused = now, 0, 0
+	d.windowStart, d.requests, d.refused = now, 0, 0
 }
 
-// record takes in what was decided on one request.
-func (p *overloadDetector) record(now time.Duration, refused bool) {
-	p.rollWindow(now)
-	p.requests++
+// record counts the decision on one request.
+func (d *overloadDetector) record(now time.Duration, refused bool) {
+	d.rollWindow(now)
+	d.requests++
 	if refused {
-		p.refused++
+		d.refused++
 	}
 }
 
-// isSustained says that the overload is no burst.
-func (p *overloadDetector) isSustained(now time.Duration) bool {
-	p.rollWindow(now)
-	return p.score >= sustainedScore
+// isSustained reports whether the overload has lasted longer than a burst.
+func (d *overloadDetector) isSustained(now time.Duration) bool {
+	d.rollWindow(now)
+	return d.overloadScore >= sustainedOverloadScore
 }
 
-// withinShareRatio is the part of its guarantee down to which a customer counts as within its
-// share: one refusal by an agent in a while is no sign that it uses its share elsewhere.
+// withinShareRatio is the fraction of its full guarantee down to which a customer counts as within
+// its share: a single refusal by an agent does not show that it uses its share through other
+// entries.
 const withinShareRatio = 0.6
 
-// exceedsMaxWait says whether a customer's request would wait longer than is worth it. One
-// within its share keeps the long queue while another's overload lasts.
+// exceedsMaxWait reports whether a customer's request would wait too long to be queued. A customer
+// within its share keeps the limit MaxWait during a sustained overload of others.
 //
-// In a lasting overload agents often have no place for what was started here, so that it
-// waits again. What is expected counts places that others have taken, and each customer
-// takes itself for the next; the wait of the customer's next request so far does not.
+// In a sustained overload, agents often have no slot for a request started here, and it is queued
+// again. The expected wait is then too short, since it counts slots that other entries use and
+// treats each customer as the next to be served. The time for which the customer's first queued
+// request has waited has no such error.
 func (a *Admitter) exceedsMaxWait(now time.Duration, o *offer, c *customer, wait time.Duration) bool {
 	isWithinShare := c.guaranteeRatio >= withinShareRatio && o.isGuaranteed(now, c)
 	hasNoOverloadLimit := a.cfg.OverloadMaxWait == a.cfg.MaxWait
--- a/decide/admit/overload_test.go
+++ b/decide/admit/overload_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// simulateOverload lets one customer ask for work of a second, some requests a second at even
-// times, of 10 places. It returns how long each request that was taken waited, by the
-// time at which it asked.
+// simulateOverload lets one customer submit rate requests per second, at even intervals, with one
+// second of work each, to 10 slots. It returns the wait of each accepted request by its submission
+// time.
 func simulateOverload(a *Admitter, rate int, duration time.Duration) map[time.Duration]time.Duration {
 	const step = 10 * time.Millisecond
 	asked, ends := map[uint64]time.Duration{}, map[uint64]time.Duration{}
@@ -41,9 +41,9 @@
 	return waits
 }
 
-// A customer asks for twice what there is, and goes on. As many of its requests are
-// answered whether the queue is long or short; after some seconds those that are taken
-// no longer wait the whole length of it. All along no place is empty.
+// A customer's demand stays at twice the capacity. A long queue answers no more requests than a
+// short one, so after some seconds accepted requests must no longer wait its whole length.
+// Throughout, no slot may be idle.
 func TestSustainedOverloadShortensQueue(t *testing.T) {
 	a := twoPlans(t, 10)
 	waits := simulateOverload(a, 20, 30*second)
@@ -59,20 +59,20 @@
 	slices.Sort(early)
 	slices.Sort(late)
 	if longest := early[len(early)-1]; longest < 1500*time.Millisecond {
-		t.Errorf("longest wait %v in the first seconds: a burst would lose", longest)
+		t.Errorf("longest wait %v in the first seconds: a burst would be refused", longest)
 	}
 	if len(late) < 140 {
-		t.Errorf("%d answered in 15 s of 10 places", len(late))
+		t.Errorf("%d answered in 15 s by 10 slots", len(late))
 	}
 	if p95 := late[len(late)*95/100]; p95 > 600*time.Millisecond {
-		t.Errorf("wait p95 %v while the overload lasts", p95)
+		t.Errorf("wait p95 %v in a sustained overload", p95)
 	}
 }
 
-// The same customer asks for four times what there is, for two seconds. The queue takes
-// what it can drain in its longest wait.
+// The same customer submits four times the capacity for two seconds only. The queue must take as
+// many requests as it can drain within MaxWait.
 func TestBurstKeepsTheLongQueue(t *testing.T) {
-	if taken := len(simulateOverload(twoPlans(t, 10), 40, 2*second)); taken < 38 {
-		t.Errorf("%d of a burst were taken, want those of 10 places and of a queue of two seconds", taken)
+	if accepted := len(simulateOverload(twoPlans(t, 10), 40, 2*second)); accepted < 38 {
+		t.Errorf("%d of a burst were accepted, want 10 slots and a queue of two seconds", accepted)
 	}
 }
--- a/decide/admit/rate.go
+++ b/decide/admit/rate.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// bucketKey names one bucket: a key, or a customer for requests without one.
+// bucketKey identifies a bucket: an API key, or a customer for requests without one.
 type bucketKey struct {
 	customer string
 	key      uint64
 }
 
-// bucket holds the requests that a key may still make now.
+// bucket is the token bucket of one API key.
 type bucket struct {
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// takeToken takes one request off a key's rate. It returns zero when there was
-// one, and otherwise the time until there is.
+// takeToken takes one token from the bucket of the request's key. It returns zero, or the time
+// until a token is available.
 //
-// Load: one key in a loop, such as a script that retries without a pause. Harm
-// prevented: the customer's own other keys go short, which shares between
-// customers can't prevent.
+// A single key in a loop, such as a script that retries without a backoff, would otherwise use up
+// the share of the customer's other keys, which shares between customers can't prevent.
 func (a *Admitter) takeToken(now time.Duration, r Request, share CustomerShare) time.Duration {
 	if share.Rate <= 0 {
 		return 0
--- a/decide/admit/retryafter.go
+++ b/decide/admit/retryafter.go
@@ -6,16 +6,16 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// refuseUntilFree refuses a request of a customer with the time at which one like it is
-// expected to be taken: no sooner than after, and one turn later than the last
-// request that was told to come back.
+// refuseUntilFree refuses a request with the retry-after time at which a similar one is expected to
+// be accepted. That is no sooner than after, and one start interval later than the time given to
+// the customer's previous refused request.
 //
-// Load: a burst of which most is refused in the same moment. Harm prevented: all
-// are told the same time, come back together and are refused again. At the pace at
-// which the customer's requests start, each finds the place that it was told of.
+// Most of a burst is refused in the same moment. With equal retry-after times all callers would
+// retry together and be refused again. Spaced by the interval at which the customer's requests
+// start, each finds a free slot.
 func (a *Admitter) refuseUntilFree(now time.Duration, o *offer, c *customer, code api.ResultCode, after time.Duration) Decision {
-	// What a customer holds beyond its share shrinks as others come back for theirs;
-	// half of it is taken as lasting.
+	// Slots beyond the customer's share are lost as other customers return; half of them are
+	// assumed to remain.
 	concurrency := max(o.fairShare(c), float64(c.running)/2, minShare)
 	interval := time.Duration(float64(o.workTimeOr(a.cfg.DefaultWorkTime)) / concurrency)
 	retryAt := max(now+after, c.lastRetryAt+interval)
@@ -28,7 +28,8 @@
 	return Decision{Action: Refuse, Code: code, RetryAfter: after}
 }
 
-// expectedConcurrency is how many of a customer's requests run at once when it wants more.
+// expectedConcurrency is the number of a customer's requests that run at once while it has more
+// waiting.
 func (o *offer) expectedConcurrency(c *customer) float64 {
 	return max(o.fairShare(c), float64(c.running), minShare)
 }
