--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -155,7 +155,7 @@
 }
 
 func limiting() func(int) {
-	l := cold.New(cold.Config{Cold: 2, Full: 32}, 0)
+	l := cold.New(cold.Config{ColdLimit: 2, FullLimit: 32}, 0)
 	return func(i int) {
 		now := time.Duration(i) * time.Millisecond
 		l.TryStart(now)
--- a/decide/cold/cold_test.go
+++ b/decide/cold/cold_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// feed starts as many requests as the limit allows, each of which has a latency
+// runRounds starts as many requests as the limit allows, each of which has a latency
 // and ends, for some rounds.
-func feed(l *Limiter, now *time.Duration, rounds int, latency time.Duration) {
+func runRounds(l *Limiter, now *time.Duration, rounds int, latency time.Duration) {
 	for range rounds {
 		started := 0
 		for l.TryStart(*now) {
@@ -21,18 +21,18 @@
 	}
 }
 
-func warm(t *testing.T) (*Limiter, time.Duration) {
+func warmLimiter(t *testing.T) (*Limiter, time.Duration) {
 	t.Helper()
-	l, now := New(Config{Cold: 2, Full: 16}, 0), time.Duration(0)
-	feed(l, &now, 40, 100*ms)
-	if l.Cold() || l.Limit() != 16 {
+	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
+	runRounds(l, &now, 40, 100*ms)
+	if l.IsCold() || l.Limit() != 16 {
 		t.Fatalf("limit %d after 40 rounds at one latency, want 16", l.Limit())
 	}
 	return l, now
 }
 
 func TestBeginsAtColdLimit(t *testing.T) {
-	l := New(Config{Cold: 2, Full: 16}, 0)
+	l := New(Config{ColdLimit: 2, FullLimit: 16}, 0)
 	started := 0
 	for l.TryStart(0) {
 		started++
@@ -46,10 +46,10 @@
 }
 
 func TestGrowsSlowlyWhileLatencyFalls(t *testing.T) {
-	l, now := New(Config{Cold: 2, Full: 64}, 0), time.Duration(0)
+	l, now := New(Config{ColdLimit: 2, FullLimit: 64}, 0), time.Duration(0)
 	latency := 2 * time.Second
 	for range 12 {
-		feed(l, &now, 2, latency)
+		runRounds(l, &now, 2, latency)
 		latency = latency * 3 / 4
 	}
 	if l.Limit() > 32 {
@@ -58,12 +58,12 @@
 }
 
 func TestStepBackWhenGrowthMadeLatencyWorse(t *testing.T) {
-	l, now := New(Config{Cold: 2, Full: 16}, 0), time.Duration(0)
+	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	for l.Limit() < 4 {
-		feed(l, &now, 1, 100*ms)
+		runRounds(l, &now, 1, 100*ms)
 	}
 	grown := l.Limit()
-	feed(l, &now, 8, 250*ms)
+	runRounds(l, &now, 8, 250*ms)
 	if l.Limit() >= grown {
 		t.Fatalf("limit %d, was %d before latency rose to 2.5 times", l.Limit(), grown)
 	}
@@ -73,7 +73,7 @@
 // tokens stop coming. The limiter must fall to the cold limit while all of them
 // are still running, and start nothing until they are fewer than that.
 func TestTurnsColdUnderFullLoad(t *testing.T) {
-	l, now := warm(t)
+	l, now := warmLimiter(t)
 	for range 10 {
 		if !l.TryStart(now) {
 			t.Fatal("no start on a warm backend server")
@@ -83,7 +83,7 @@
 	if l.TryStart(now) {
 		t.Fatal("started with ten requests overdue by 2.5 times")
 	}
-	if !l.Cold() || l.Limit() != 2 {
+	if !l.IsCold() || l.Limit() != 2 {
 		t.Fatalf("limit %d", l.Limit())
 	}
 	for range 8 {
@@ -100,7 +100,7 @@
 }
 
 func TestFailuresInARowCountAsCold(t *testing.T) {
-	l, now := warm(t)
+	l, now := warmLimiter(t)
 	for range 3 {
 		l.TryStart(now)
 		l.Done(now, Outcome{Failed: true})
@@ -110,8 +110,8 @@
 	}
 }
 
-func TestCancelledTeachesNothing(t *testing.T) {
-	l, now := warm(t)
+func TestCancelledRequestsAreIgnored(t *testing.T) {
+	l, now := warmLimiter(t)
 	for range 20 {
 		l.TryStart(now)
 		l.Done(now, Outcome{Cancelled: true})
@@ -124,7 +124,7 @@
 // A backend server with nothing usual known takes two requests and goes silent.
 // No completion will ever say that it is slow; the silence must.
 func TestSilenceCountsAsCold(t *testing.T) {
-	l := New(Config{Cold: 2, Full: 16}, 0)
+	l := New(Config{ColdLimit: 2, FullLimit: 16}, 0)
 	l.limit = 8
 	for range 5 {
 		l.TryStart(0)
@@ -137,8 +137,8 @@
 
 // A warm backend server idles for a minute, turns cold meanwhile, and gets a burst.
 // Only the cold limit may start until one latency proves that it is still warm.
-func TestIdleNeedsProofOfWarmth(t *testing.T) {
-	l, now := warm(t)
+func TestIdleServerIsProbedAtColdLimit(t *testing.T) {
+	l, now := warmLimiter(t)
 	now += time.Minute
 	started := 0
 	for l.TryStart(now) {
@@ -158,7 +158,7 @@
 }
 
 func TestAdoptedWorkTakesPlaces(t *testing.T) {
-	l := New(Config{Cold: 2, Full: 16}, 0)
+	l := New(Config{ColdLimit: 2, FullLimit: 16}, 0)
 	l.Adopt(3)
 	if l.TryStart(0) {
 		t.Fatal("started beside three requests of the predecessor")
@@ -172,14 +172,14 @@
 // A backend server that warms up in one step is level before it. The first step up
 // makes it fall over, with errors and no slowness before. The next step must come
 // much later, or it never gets the time to warm up.
-func TestFallOnTheWayUpAsksForMorePatience(t *testing.T) {
-	l, now := New(Config{Cold: 2, Full: 16}, 0), time.Duration(0)
+func TestFailureDuringGrowthDelaysNextStep(t *testing.T) {
+	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	rounds := func() int {
 		for round := range 1000 {
 			if l.Limit() > 2 {
 				return round
 			}
-			feed(l, &now, 1, 100*ms)
+			runRounds(l, &now, 1, 100*ms)
 		}
 		t.Fatal("never grew")
 		return 0
--- a/decide/cold/example_test.go
+++ b/decide/cold/example_test.go
@@ -11,7 +11,7 @@
 // however much there is to do.
 func Example() {
 	now := time.Second
-	limiter := cold.New(cold.Config{Cold: 2, Full: 32}, now)
+	limiter := cold.New(cold.Config{ColdLimit: 2, FullLimit: 32}, now)
 	started := 0
 	for limiter.TryStart(now) {
 		started++
--- a/decide/cold/inherit.go
+++ b/decide/cold/inherit.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Usual is what a Limiter has learned of a warm backend server. The zero value says
+// WarmBaseline is what a Limiter has learned of a warm backend server. The zero value says
 // nothing.
-type Usual struct {
+type WarmBaseline struct {
 	// Latency is the usual time to a first token, or of a whole call.
 	Latency time.Duration
 	// Gap is the usual time between two parts of a stream; zero for unknown.
 	Gap time.Duration
-	// Work is the usual time that one request is held; zero for unknown.
-	Work time.Duration
+	// WorkTime is the usual time that one request is held; zero for unknown.
+	WorkTime time.Duration
 }
 
-// Usual returns what was learned at the full limit, or the zero value when the limit
+// WarmBaseline returns what was learned at the full limit, or the zero value when the limit
 // was never the full one.
-func (l *Limiter) Usual() Usual {
-	if !l.proven || l.usual == 0 {
-		return Usual{}
+func (l *Limiter) WarmBaseline() WarmBaseline {
+	if !l.reachedFull || l.warmLatency == 0 {
+		return WarmBaseline{}
 	}
-	return Usual{Latency: l.usual, Gap: l.warmGap, Work: l.work}
+	return WarmBaseline{Latency: l.warmLatency, Gap: l.warmGap, WorkTime: l.avgWorkTime}
 }
 
 // Inherit takes what another Limiter learned of the same backend server before this
@@ -35,13 +35,13 @@
 // that turned cold meanwhile is safer with it than without. The caller must be sure that
 // it is the same backend server: another one, slower when warm, would lend its latency to
 // the cold start of a faster one.
-func (l *Limiter) Inherit(u Usual) {
-	if l.usual > 0 || u.Latency <= 0 {
+func (l *Limiter) Inherit(b WarmBaseline) {
+	if l.warmLatency > 0 || b.Latency <= 0 {
 		return
 	}
-	l.usual = u.Latency
-	l.warmGap = u.Gap
-	if u.Work > 0 {
-		l.work = u.Work
+	l.warmLatency = b.Latency
+	l.warmGap = b.Gap
+	if b.WorkTime > 0 {
+		l.avgWorkTime = b.WorkTime
 	}
 }
--- a/decide/cold/signs.go
+++ b/decide/cold/signs.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reported takes what the backend server says of itself, where it says anything.
+// SetReportedCold takes what the backend server says of itself, where it says anything.
 //
 // Load: an engine whose first tokens come at a level pace although it is cold, since
 // it warms up in one step by work completed. Harm prevented: taking level for warm,
@@ -15,51 +15,51 @@
 // backend server with long answers, which gives few latencies a second, takes half a
 // minute and more to its full limit. What it turns to later without a word, latency
 // shows as ever.
-func (l *Limiter) Reported(saysCold bool) {
-	if l.saysCold && !saysCold {
-		l.vouched = true
+func (l *Limiter) SetReportedCold(isCold bool) {
+	if l.reportedCold && !isCold {
+		l.warmConfirmed = true
 	}
-	l.saysCold = saysCold
-	if saysCold && l.limit > l.cfg.Cold {
-		l.fall(slowness)
+	l.reportedCold = isCold
+	if isCold && l.limit > l.cfg.ColdLimit {
+		l.resetToCold(signSlow)
 	}
 }
 
-// failed counts a failure of the backend server's own, and lets it rest when there
+// recordFailure counts a failure of the backend server's own, and lets it rest when there
 // were too many in a row.
 //
 // Load: an engine that has fallen over and answers every request at once with an
 // error. Harm prevented: a black hole. It always has room, looks the fastest of all,
 // and fails everything that is sent to it. It rests, longer each time, and is then
 // tried with one request.
-func (l *Limiter) failed(now time.Duration) {
-	l.failures++
-	if l.failures < l.cfg.SlowRun {
+func (l *Limiter) recordFailure(now time.Duration) {
+	l.consecutiveFailures++
+	if l.consecutiveFailures < l.cfg.MinSlowRun {
 		return
 	}
-	l.rest = min(max(2*l.rest, leastRest), mostRest)
-	l.restUntil = now + l.rest
+	l.backoff = min(max(2*l.backoff, minBackoff), maxBackoff)
+	l.backoffUntil = now + l.backoff
 }
 
-// leastRest and mostRest bound the time for which a backend server that only fails
+// minBackoff and maxBackoff bound the time for which a backend server that only fails
 // gets no work.
 const (
-	leastRest = 100 * time.Millisecond
-	mostRest  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// succeeded ends the rest.
-func (l *Limiter) succeeded() {
-	l.failures = 0
-	l.rest = 0
+// recordSuccess ends the rest.
+func (l *Limiter) recordSuccess() {
+	l.consecutiveFailures = 0
+	l.backoff = 0
 }
 
-// Resting says that the backend server has only failed of late and is given no work,
+// IsBackingOff says that the backend server has only failed of late and is given no work,
 // or that the one request that tries it is under way.
-func (l *Limiter) Resting(now time.Duration) bool {
-	return now < l.restUntil || l.failures >= l.cfg.SlowRun && l.Running() > 0
+func (l *Limiter) IsBackingOff(now time.Duration) bool {
+	return now < l.backoffUntil || l.consecutiveFailures >= l.cfg.MinSlowRun && l.Running() > 0
 }
 
-// levelVouched is the number of windows in a row that must agree before the limit grows,
+// confirmedWarmWindows is the number of windows in a row that must agree before the limit grows,
 // once the backend server has said that it has warmed up.
-const levelVouched = 1
+const confirmedWarmWindows = 1
--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -23,12 +23,12 @@
 
 // pacer is a limiter that takes the times between the parts of a stream too.
 type pacer interface {
-	Gap(now, gap time.Duration, p *cold.Pace)
+	ObserveGap(now, gap time.Duration, p *cold.Stream)
 }
 
 // faller is a limiter that says when what waits is better handed back.
 type faller interface {
-	Fallen() bool
+	IsFarOverLimit() bool
 }
 
 // agent stands before one backend server.
@@ -124,12 +124,12 @@
 	if !ok {
 		return nil
 	}
-	var pace cold.Pace
+	var pace cold.Stream
 	var last time.Duration
 	return func() {
 		now := a.clock.now
 		if last > 0 {
-			p.Gap(now, now-last, &pace)
+			p.ObserveGap(now, now-last, &pace)
 		}
 		last = now
 	}
@@ -143,7 +143,7 @@
 		delete(a.waiting, item.ID)
 		t.refused(api.ResultCode_DEADLINE_UNREACHABLE)
 	}
-	if f, ok := a.limit.(faller); ok && f.Fallen() {
+	if f, ok := a.limit.(faller); ok && f.IsFarOverLimit() {
 		a.giveBack()
 	}
 	for a.queue.Len() > 0 && a.limit.TryStart(now) {
--- a/decide/loadtest/first.go
+++ b/decide/loadtest/first.go
@@ -24,7 +24,7 @@
 )
 
 func newFirstLimit(c cold.Config) *firstLimit {
-	return &firstLimit{coldLimit: c.Cold, full: c.Full, limit: c.Cold}
+	return &firstLimit{coldLimit: c.ColdLimit, full: c.FullLimit, limit: c.ColdLimit}
 }
 
 func (f *firstLimit) TryStart(now time.Duration) bool {
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -187,7 +187,7 @@
 	if r.setup.Policy.Limiter == nil {
 		return &fixedLimit{full: spec.Full}
 	}
-	return r.setup.Policy.Limiter(cold.Config{Cold: spec.Cold, Full: spec.Full}, r.clock.now)
+	return r.setup.Policy.Limiter(cold.Config{ColdLimit: spec.Cold, FullLimit: spec.Full}, r.clock.now)
 }
 
 func (r *Run) report(a *agent) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -255,7 +255,7 @@
 	if !e.asked && refusing == api.ResultCode_OK {
 		refusing = api.ResultCode_STARTING
 	}
-	if refusing == api.ResultCode_OK && e.limiter.Resting(now) {
+	if refusing == api.ResultCode_OK && e.limiter.IsBackingOff(now) {
 		refusing = api.ResultCode_COLD
 	}
 	return &api.BackendStatus{
@@ -271,7 +271,7 @@
 		Running:      int32(e.limiter.Running()),
 		Queued:       int32(e.queue.Len()),
 		FullLimit:    int32(e.settings.GetFullLimit()),
-		Cold:         e.limiter.Cold(),
+		Cold:         e.limiter.IsCold(),
 		WorkUs:       e.limiter.WorkTime().Microseconds(),
 		Prefixes:     e.prefixes.hashes,
 		Silent:       e.silence.long(now),
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -84,8 +84,8 @@
 	}
 	keep := time.Duration(settings.GetAnswerKeepMs()) * time.Millisecond
 	limit := cold.Config{
-		Cold: int(settings.GetColdLimit()),
-		Full: int(settings.GetFullLimit()),
+		ColdLimit: int(settings.GetColdLimit()),
+		FullLimit: int(settings.GetFullLimit()),
 	}
 	return &executor{
 		vm:          self.GetVm(),
@@ -244,12 +244,12 @@
 	// A queue before a cold backend server whose work time nobody knows may outlast
 	// any deadline; the work is refused at once, and another server may be warm. Work
 	// with a ticket has no other server to go to.
-	unknown := j.repeatable() && item.Need == 0 && e.limiter.Cold()
+	unknown := j.repeatable() && item.Need == 0 && e.limiter.IsCold()
 	if !unknown && e.push(now, item, j) {
 		return nil
 	}
 	code := api.ResultCode_SATURATED
-	if e.limiter.Cold() {
+	if e.limiter.IsCold() {
 		code = api.ResultCode_COLD
 	}
 	e.counts.refused.Inc(1)
@@ -311,7 +311,7 @@
 		item, _ := e.queue.Pop()
 		e.refuseWaiting(item.ID, notRun(refusing, "The agent takes no new work.", retryElsewhere))
 	}
-	if e.limiter.Fallen() {
+	if e.limiter.IsFarOverLimit() {
 		e.giveBack(now)
 	}
 	for e.queue.Len() > 0 && e.limiter.TryStart(now) {
--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -280,7 +280,7 @@
 	other := testExecutor(t, server.URL+"/none", &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	before := asked.Load()
 	other.watchCold(ctx)
-	if n := asked.Load() - before; n < 1 || other.limiter.Resting(clock.Now()) {
+	if n := asked.Load() - before; n < 1 || other.limiter.IsBackingOff(clock.Now()) {
 		t.Errorf("asked %d times", n)
 	}
 }
--- a/internal/agent/inherit.go
+++ b/internal/agent/inherit.go
@@ -10,7 +10,7 @@
 // inheritance is what the agent before this one had learned of the engine, until it is
 // sure that it is the same engine.
 type inheritance struct {
-	usual cold.Usual
+	usual cold.WarmBaseline
 	// saysWarm and saidCold are the engine's own word, now and ever.
 	saysWarm, saidCold bool
 }
@@ -32,10 +32,10 @@
 func (e *executor) inherit(usual *api.Usual) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.inheritance.usual = cold.Usual{
-		Latency: microseconds(usual.GetLatencyUs()),
-		Gap:     microseconds(usual.GetGapUs()),
-		Work:    microseconds(usual.GetWorkUs()),
+	e.inheritance.usual = cold.WarmBaseline{
+		Latency:  microseconds(usual.GetLatencyUs()),
+		Gap:      microseconds(usual.GetGapUs()),
+		WorkTime: microseconds(usual.GetWorkUs()),
 	}
 	e.inheritance.take(e.limiter)
 }
@@ -44,7 +44,7 @@
 func (e *executor) reported(saysCold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.limiter.Reported(saysCold)
+	e.limiter.SetReportedCold(saysCold)
 	e.inheritance.saysWarm = !saysCold
 	e.inheritance.saidCold = e.inheritance.saidCold || saysCold
 	e.inheritance.take(e.limiter)
@@ -52,14 +52,14 @@
 
 // usual is what the entries keep for the agent after this one; nil until it is known.
 func usual(l *cold.Limiter) *api.Usual {
-	u := l.Usual()
+	u := l.WarmBaseline()
 	if u.Latency == 0 {
 		return nil
 	}
 	return &api.Usual{
 		LatencyUs: u.Latency.Microseconds(),
 		GapUs:     u.Gap.Microseconds(),
-		WorkUs:    u.Work.Microseconds(),
+		WorkUs:    u.WorkTime.Microseconds(),
 	}
 }
 
--- a/internal/agent/inherit_test.go
+++ b/internal/agent/inherit_test.go
@@ -35,7 +35,7 @@
 		if taken := e.limiter.WorkTime() == 200*time.Millisecond; taken != c.taken {
 			t.Errorf("%s: taken %v, want %v", name, taken, c.taken)
 		}
-		if e.status(0).GetUsual() != nil || e.limiter.Usual() != (cold.Usual{}) {
+		if e.status(0).GetUsual() != nil || e.limiter.WarmBaseline() != (cold.WarmBaseline{}) {
 			t.Errorf("%s: what was inherited is told as its own", name)
 		}
 	}
@@ -50,7 +50,7 @@
 		e.limiter.Done(now, cold.Outcome{Latency: 20 * time.Millisecond})
 	}
 	told := e.status(0).GetUsual()
-	if known := e.limiter.Usual(); told.GetLatencyUs() != known.Latency.Microseconds() || known.Latency == 0 {
+	if known := e.limiter.WarmBaseline(); told.GetLatencyUs() != known.Latency.Microseconds() || known.Latency == 0 {
 		t.Errorf("told %v, known %v", told, known)
 	}
 }
--- a/internal/agent/intake.go
+++ b/internal/agent/intake.go
@@ -17,7 +17,7 @@
 	stream   bool
 	started  time.Duration
 	last     time.Duration // when the last part came; 0 before the first
-	pace     cold.Pace
+	pace     cold.Stream
 	observed bool
 }
 
@@ -67,7 +67,7 @@
 		e.streamed = now
 		e.limiter.Observe(now, now-in.started)
 	} else {
-		e.limiter.Gap(now, now-in.last, &in.pace)
+		e.limiter.ObserveGap(now, now-in.last, &in.pace)
 	}
 	in.last = now
 }
