--- a/decide/cold/cold_test.go
+++ b/decide/cold/cold_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// runRounds starts as many requests as the limit allows, each of which has a latency
-// and ends, for some rounds.
+// runRounds starts as many requests as the limit allows, observes the latency for each and ends
+// them, for a number of rounds.
 func runRounds(l *Limiter, now *time.Duration, rounds int, latency time.Duration) {
 	for range rounds {
 		started := 0
@@ -41,7 +41,7 @@
 		t.Fatalf("%d started, want 2", started)
 	}
 	if l.RetryAfter(0) == 0 {
-		t.Fatal("no time to come back")
+		t.Fatal("no retry-after time")
 	}
 }
 
@@ -53,7 +53,7 @@
 		latency = latency * 3 / 4
 	}
 	if l.Limit() > 32 {
-		t.Fatalf("limit %d while latency still falls by a quarter each two rounds", l.Limit())
+		t.Fatalf("limit %d while latency still falls by a quarter every two rounds", l.Limit())
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-// A warm backend server that holds a full load turns cold, unannounced: first
-// tokens stop coming. The limiter must fall to the cold limit while all of them
-// are still running, and start nothing until they are fewer than that.
+// A fully loaded warm backend server turns cold without notice, and first tokens stop coming. The
+// limiter must return to the cold limit while all requests still run, and start none until fewer
+// than that limit are running.
 func TestTurnsColdUnderFullLoad(t *testing.T) {
 	l, now := warmLimiter(t)
 	for range 10 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A backend server with nothing usual known takes two requests and goes silent.
-// No completion will ever say that it is slow; the silence must.
+// A backend server without a known warm latency gets requests and goes silent. No completed request
+// shows that it is slow; the silence must reset the limit.
 func TestSilenceCountsAsCold(t *testing.T) {
 	l := New(Config{ColdLimit: 2, FullLimit: 16}, 0)
 	l.limit = 8
@@ -135,8 +135,8 @@
 	}
 }
 
-// A warm backend server idles for a minute, turns cold meanwhile, and gets a burst.
-// Only the cold limit may start until one latency proves that it is still warm.
+// A warm backend server is idle for a minute, may have turned cold, and gets a burst. Only the cold
+// limit may start until one latency confirms that it is still warm.
 func TestIdleServerIsProbedAtColdLimit(t *testing.T) {
 	l, now := warmLimiter(t)
 	now += time.Minute
@@ -145,7 +145,7 @@
 		started++
 	}
 	if started != 2 {
-		t.Fatalf("%d started without proof", started)
+		t.Fatalf("%d started without confirmation", started)
 	}
 	now += 100 * ms
 	l.Observe(now, 100*ms)
@@ -153,7 +153,7 @@
 		started++
 	}
 	if started != 16 {
-		t.Fatalf("%d running after the proof, want 16", started)
+		t.Fatalf("%d running after confirmation, want 16", started)
 	}
 }
 
@@ -169,9 +169,9 @@
 	}
 }
 
-// A backend server that warms up in one step is level before it. The first step up
-// makes it fall over, with errors and no slowness before. The next step must come
-// much later, or it never gets the time to warm up.
+// A backend server that warms up in one step has a stable latency before it. The first step up
+// makes it fall over, with errors and no slowness before. The next step must come much later, or
+// the server never has time to warm up.
 func TestFailureDuringGrowthDelaysNextStep(t *testing.T) {
 	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	rounds := func() int {
--- a/decide/cold/example_test.go
+++ b/decide/cold/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// A backend server has just started: no more than its cold limit is given to it,
-// however much there is to do.
+// A backend server that has just started gets no more than its cold limit, however many requests
+// wait.
 func Example() {
 	now := time.Second
 	limiter := cold.New(cold.Config{ColdLimit: 2, FullLimit: 32}, now)
@@ -18,7 +18,7 @@
 	}
 	fmt.Println("started:", started)
 
-	// Work that ends at a good latency raises the limit.
+	// Requests that end with a good latency raise the limit.
 	for range 200 {
 		now += 100 * time.Millisecond
 		for limiter.Running() > 0 {
--- a/decide/cold/grow.go
+++ b/decide/cold/grow.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// minWindowSize is the least number of latencies in a window: below 4 one odd
+// minWindowSize is the least number of latencies in a window: with fewer than 4, a single unusual
 // request decides.
 const minWindowSize = 4
 
-// The numbers of windows in a row that must agree before the limit grows by half
-// by levelling off alone.
+// Numbers of consecutive similar windows after which the limit grows by half because latency is
+// stable.
 const (
-	// minFirstStepWindows is for the first step above the cold limit while no usual latency
-	// is known: a backend server that warms up in one step is level before it too.
+	// minFirstStepWindows applies to the first step above the cold limit while the warm latency is
+	// unknown: a backend server that warms up in one step has a stable latency before it too.
 	minFirstStepWindows = 8
-	// nextStepWindows is for the steps after that: whoever bears more than the cold limit
-	// has left cold start.
+	// nextStepWindows applies to later steps: a server that serves more than the cold limit has
+	// left cold start.
 	nextStepWindows = 2
-	// changedLatencyWindows is for latencies far from the usual one, which is itself a sign of
-	// cold; only after so many is it taken for a change of the work, such as longer
-	// prompts.
+	// changedLatencyWindows applies to latencies far from the warm latency, which are a sign of a
+	// cold server; only after this many windows do they count as a change of the work, such as
+	// longer prompts.
 	changedLatencyWindows = 20
-	// maxFirstStepWindows bounds what falls add to levelFirst.
+	// maxFirstStepWindows limits the number of windows required after failures.
 	maxFirstStepWindows = 64
 )
 
-// significantErrors is the number of standard errors that make a difference between two
-// windows one of the backend server and not of the requests.
+// significantErrors is the number of standard errors above which the difference between two windows
+// is attributed to the backend server and not to the requests.
 const significantErrors = 2
 
-// sample sums up the logarithms of some latencies. Latencies of prompts of many
-// sizes spread by factors, so that their logarithms are what averages well.
+// sample summarizes the logarithms of some latencies. Latencies of prompts of many sizes differ by
+// factors, so that the mean of the logarithms is stable.
 type sample struct {
 	count         int
 	mean, squares float64
@@ -45,23 +45,23 @@
 	s.squares += delta * (x - s.mean)
 }
 
-// meanVariance is the variance of the mean. The spread is taken from the sample and from
-// an assumed one together, since four latencies may lie close by chance.
+// meanVariance is the variance of the mean. It combines the spread of the sample with an assumed
+// one, since four latencies may be close together by chance.
 func (s *sample) meanVariance() float64 {
 	const assumed, weight = 0.4 * 0.4, 4
 	spread := (s.squares + weight*assumed) / float64(s.count+weight)
 	return spread / float64(s.count)
 }
 
-// window gathers the latencies seen at one limit.
+// window collects the latencies seen at one limit.
 type window struct {
-	// current is the window being filled; baseline the first one at this limit.
+	// current is the window being filled, and baseline the first one at this limit.
 	current, baseline sample
-	// similarCount counts windows in a row that agreed with base.
+	// similarCount counts consecutive windows similar to the baseline.
 	similarCount int
 }
 
-// observeLatency takes in one latency.
+// observeLatency updates the state with one latency.
 func (l *Limiter) observeLatency(now, latency time.Duration) {
 	l.recentLatency = movingAverage(l.recentLatency, latency)
 	if l.warmLatency > 0 && latency > l.slowThreshold() {
@@ -81,14 +81,14 @@
 	}
 }
 
-// slowThreshold is the latency past which a request counts as slowThreshold.
+// slowThreshold is the latency above which a request counts as slow.
 func (l *Limiter) slowThreshold() time.Duration {
 	return time.Duration(l.cfg.SlowFactor * l.referenceLatency())
 }
 
-// referenceLatency is the latency that others are held against: the usual one when warm,
-// and what was last seen while growing, since a cold backend server is slow all
-// the time and only getting slower says that it bears no more.
+// referenceLatency is the latency that others are compared with: the warm one at the full limit,
+// and the window baseline while the limit grows. A cold backend server is slow all the time, and
+// only an increase shows that it is at its limit.
 func (l *Limiter) referenceLatency() float64 {
 	reference := float64(l.warmLatency)
 	if l.limit < l.cfg.FullLimit && l.window.baseline.count > 0 {
@@ -97,8 +97,8 @@
 	return reference
 }
 
-// updateWarmLatency learns the usual latency and its spread at the full limit. Slow ones count
-// for little, so that turning cold does not become the usual.
+// updateWarmLatency updates the latency and its spread at the full limit. Slow latencies are
+// capped, so that a server that turns cold does not raise the average.
 func (l *Limiter) updateWarmLatency(latency time.Duration) {
 	if l.warmLatency > 0 {
 		l.updateLogVariance(latency)
@@ -107,13 +107,12 @@
 	l.warmLatency = movingAverage(l.warmLatency, latency)
 }
 
-// evaluateWindow decides, with a window full, whether the limit grows.
+// evaluateWindow decides on the limit when a window is full.
 //
-// Load: a cold backend server, whose latency falls as it warms up. Harm
-// prevented: growing on completions alone, which outruns any backend server that
-// warms up later than expected. While latency falls the limit grows by a little,
-// since it is warming and not warm; once latency has levelled off, or is back at
-// the usual, the limit grows by half; when it got worse, the step is taken back.
+// Growing on completions alone would overload a backend server that warms up later than expected.
+// While latency falls, the server is still warming up and the limit grows by a quarter. Once
+// latency is stable or back at the warm latency, the limit grows by half; if latency got worse, the
+// last step is reverted.
 func (l *Limiter) evaluateWindow() {
 	if l.reportedCold {
 		l.window = window{}
@@ -123,8 +122,8 @@
 	current, baseline := w.current, w.baseline
 	w.current = sample{}
 	similar := math.Log(l.cfg.SimilarFactor)
-	// Cold latencies are SlowFactor and more times the usual one; what is nearer to
-	// the usual than to that counts as warm, since load stretches it a little too.
+	// Cold latencies are SlowFactor and more times the warm one. A latency nearer to the warm one
+	// on the logarithmic scale counts as warm, since load raises it slightly too.
 	if l.warmLatency > 0 && l.areGapsWarm() && current.mean < math.Log(float64(l.warmLatency))+math.Log(l.cfg.SlowFactor)/2 {
 		l.setLimit(current, l.limit+(l.limit+1)/2)
 		return
@@ -137,9 +136,10 @@
 	switch {
 	case current.mean > baseline.mean+max(minChange, math.Log(l.cfg.WorseFactor)):
 		if l.warmLatency == 0 {
-			// It did better before, so that what comes now is not the usual. A base that
-			// was low by chance does little harm if a part of the way is added. All of it
-			// must not be: a backend server that has turned cold is worse by any factor.
+			// The server was faster before, so the current latency is not the warm one. The warm
+			// latency is set to the baseline plus part of the increase, which does little harm if
+			// the baseline was low by chance. It must not take the whole increase, which may have
+			// any size when a backend server has turned cold.
 			worse := min(current.mean-baseline.mean, 2*math.Log(l.cfg.WorseFactor))
 			l.warmLatency = time.Duration(math.Exp(baseline.mean + worse/2))
 		}
@@ -167,7 +167,7 @@
 	}
 }
 
-// setLimit sets another limit; the window just seen is what it is held against.
+// setLimit changes the limit; later windows are compared with the given baseline.
 func (l *Limiter) setLimit(baseline sample, limit int) {
 	l.limit = min(limit, l.cfg.FullLimit)
 	l.window = window{baseline: baseline}
@@ -182,13 +182,13 @@
 	}
 }
 
-// coldSign is what showed that a backend server is cold.
+// coldSign is the kind of evidence that a backend server is cold.
 type coldSign int
 
 const (
-	// signSlow: latency, pace or silence, or its own word.
+	// signSlow is a high latency, a long gap, silence, or the server's own report.
 	signSlow coldSign = iota
-	// signFailure: it gave errors, with no slowness before.
+	// signFailure is a failed request, without slowness before.
 	signFailure
 )
 
@@ -200,8 +200,8 @@
 	}
 }
 
-// resetToCold goes back to the cold limit at once, however much is running: whoever
-// turns cold under full load bears no gradual way down.
+// resetToCold returns to the cold limit at once, however many requests are running: a server that
+// turns cold under full load would not survive a gradual decrease.
 func (l *Limiter) resetToCold(s coldSign) {
 	if l.limit > l.cfg.ColdLimit {
 		l.gapWindow = gapWindow{}
@@ -216,15 +216,14 @@
 	l.window = window{}
 }
 
-// learnFromReset takes in a fall on the way to the full limit, before any usual
-// latency was proven there.
+// learnFromReset handles a reset during growth, before a warm latency was confirmed at the full
+// limit.
 //
-// Load: a backend server that warms up in one step after some work, and until then
-// answers at a level pace. Harm prevented: growing at the same point of each cold
-// start, falling over by it, and so never becoming warm. When errors came without
-// slowness before, the latency that looked level was a cold one, and twice the
-// proof is asked for the next time. When slowness came first, what it was like
-// before is the usual.
+// A backend server that warms up in one step after some work has a stable latency until then.
+// Growing at the same point of every cold start would make it fall over each time, so that it never
+// becomes warm. If it failed without being slow before, the stable latency was that of a cold
+// server, and twice as many windows are required the next time. If it was slow first, the latency
+// before is the warm one.
 func (l *Limiter) learnFromReset(s coldSign) {
 	if s == signFailure {
 		l.warmLatency = 0
--- a/decide/cold/inherit.go
+++ b/decide/cold/inherit.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// WarmBaseline is what a Limiter has learned of a warm backend server. The zero value says
-// nothing.
+// WarmBaseline holds what a Limiter has learned about a warm backend server. The zero value means
+// that nothing is known.
 type WarmBaseline struct {
-	// Latency is the usual time to a first token, or of a whole call.
+	// Latency is the usual time to the first token, or of a whole call.
 	Latency time.Duration
-	// Gap is the usual time between two parts of a stream; zero for unknown.
+	// Gap is the usual time between two parts of a stream; zero if unknown.
 	Gap time.Duration
-	// WorkTime is the usual time that one request is held; zero for unknown.
+	// WorkTime is the usual time for which a request is held; zero if unknown.
 	WorkTime time.Duration
 }
 
-// WarmBaseline returns what was learned at the full limit, or the zero value when the limit
-// was never the full one.
+// WarmBaseline returns what was learned at the full limit, or the zero value if the limit was never
+// full.
 func (l *Limiter) WarmBaseline() WarmBaseline {
 	if !l.reachedFull || l.warmLatency == 0 {
 		return WarmBaseline{}
@@ -22,19 +22,19 @@
 	return WarmBaseline{Latency: l.warmLatency, Gap: l.warmGap, WorkTime: l.avgWorkTime}
 }
 
-// Inherit takes what another Limiter learned of the same backend server before this
-// one was made. It changes nothing once this one has a usual latency of its own.
+// Inherit takes over what another Limiter learned earlier about the same backend server. It has no
+// effect if this Limiter already knows a warm latency.
 //
-// Load: an agent that is replaced before a warm backend server with callers waiting.
-// Harm prevented: the time that it takes to tell a level warm latency from a level cold
-// one, levelFirst windows at the cold limit, in which most of the callers are refused;
-// and refusing all that would wait, since nobody knows how long.
+// When the agent of a warm backend server is replaced while callers wait, the new Limiter needs
+// minFirstStepWindows windows at the cold limit to tell a stable warm latency from a stable cold
+// one. Without a baseline most callers are refused during that time, and requests that could wait
+// are refused as well, since the wait is unknown.
 //
-// The limit stays the cold one: latency near the usual lets it grow, window by window.
-// A latency far from it counts as cold for levelKnown windows, so that a backend server
-// that turned cold meanwhile is safer with it than without. The caller must be sure that
-// it is the same backend server: another one, slower when warm, would lend its latency to
-// the cold start of a faster one.
+// The limit stays at the cold limit and grows window by window while latency is near the warm one.
+// A latency far from it counts as cold for changedLatencyWindows windows, so that a backend server
+// that turned cold in the meantime is safer with a baseline than without. The caller must make sure
+// that it is the same backend server: the warm latency of a slower one would make the cold latency
+// of a faster one look warm.
 func (l *Limiter) Inherit(b WarmBaseline) {
 	if l.warmLatency > 0 || b.Latency <= 0 {
 		return
--- a/decide/cold/inherit_test.go
+++ b/decide/cold/inherit_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// timeToFull returns how long a limiter takes to its full limit before an engine that is
-// warm, and what more callers could have been served with.
+// timeToFull returns how long a limiter takes to reach its full limit with a warm engine and more
+// requests than it can serve.
 func timeToFull(l *Limiter, seed uint64) time.Duration {
 	e := &stepEngine{random: rand.New(rand.NewPCG(seed, 1)), slow: 6}
 	now := time.Duration(0)
@@ -17,9 +17,9 @@
 	return now
 }
 
-// An agent is replaced before a warm engine, with callers waiting. Most of them are
-// refused for as long as the new one knows nothing of the engine; with what the old one
-// had learned it is back at the full limit in half the time.
+// The agent of a warm engine is replaced while callers wait. Most of them are refused as long as
+// the new agent knows nothing about the engine. With the old agent's baseline the full limit must
+// be reached in half the time.
 func TestInheritedBaselineSpeedsUpGrowth(t *testing.T) {
 	baseline := WarmBaseline{Latency: 23 * ms, Gap: 18 * ms, WorkTime: 200 * ms}
 	var with, without time.Duration
@@ -32,14 +32,14 @@
 		}
 		with += timeToFull(l, seed)
 	}
-	t.Logf("full limit after %v with the usual, %v without", with/50, without/50)
+	t.Logf("full limit after %v with the baseline, %v without", with/50, without/50)
 	if with > without/2 {
-		t.Errorf("full limit after %v with the usual, %v without", with/50, without/50)
+		t.Errorf("full limit after %v with the baseline, %v without", with/50, without/50)
 	}
 }
 
-// An engine turned cold while its agent was replaced. What the new agent inherits must not
-// let it give the engine more than it bears: its latency is nowhere near the usual.
+// An engine turned cold while its agent was replaced. The inherited baseline must not raise the
+// limit above what the cold engine can serve.
 func TestInheritedBaselineWithColdEngine(t *testing.T) {
 	for seed := range uint64(200) {
 		e := &stepEngine{random: rand.New(rand.NewPCG(seed, 2)), slow: 4, cold: true}
@@ -52,15 +52,15 @@
 	}
 }
 
-// What a limiter has seen itself goes before what it is told.
+// A limiter's own warm latency takes precedence over an inherited one.
 func TestInheritKeepsOwnBaseline(t *testing.T) {
 	l, _ := warmLimiter(t)
 	own := l.WarmBaseline()
 	l.Inherit(WarmBaseline{Latency: time.Second})
 	if l.WarmBaseline() != own || own.Latency == 0 {
-		t.Errorf("usual %v, was %v", l.WarmBaseline(), own)
+		t.Errorf("baseline %v, was %v", l.WarmBaseline(), own)
 	}
 	if fresh := New(Config{}, 0); fresh.WarmBaseline() != (WarmBaseline{}) {
-		t.Errorf("a new limiter tells %v", fresh.WarmBaseline())
+		t.Errorf("a new limiter has the baseline %v", fresh.WarmBaseline())
 	}
 }
--- a/decide/cold/pace.go
+++ b/decide/cold/pace.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// Stream is the pace of one stream. The zero value is a stream that has just begun.
+// Stream is the state of one stream of parts. The zero value is a stream that has just begun.
 type Stream struct {
 	consecutiveSlow int
 }
 
-// ObserveGap takes the time between two parts of one stream.
+// ObserveGap records the time between two parts of one stream.
 //
-// Load: streams under way on a backend server that turns cold. Harm prevented:
-// filling their places at the old limit until the first new request has shown by its
-// first token, long after, that the server is cold. SlowRun slow gaps in a row on one
-// stream say cold; a pause of this process or of the network makes one long gap on
-// each stream and then none, and says nothing.
+// When a backend server turns cold while streams run, the first token of a new request shows it
+// only long after, and until then freed slots would be filled at the old limit. MinSlowRun
+// consecutive slow gaps of one stream reset the limit. A pause of this process or of the network
+// makes a single long gap in each stream, which does not.
 func (l *Limiter) ObserveGap(now, gap time.Duration, s *Stream) {
 	l.lastProgress = now
 	if gap < minGap {
@@ -36,15 +35,15 @@
 	}
 	s.consecutiveSlow++
 	l.slowGaps.add(now)
-	// A pace that stays slow for good, such as that of larger batches, becomes the
-	// usual in some hundreds of gaps.
+	// Gaps that stay long, such as those of larger batches, become the usual ones after some
+	// hundreds of gaps.
 	l.avgGap += (gap - l.avgGap) / slowGapDivisor
 	if s.consecutiveSlow >= l.cfg.MinSlowRun && l.limit > l.cfg.ColdLimit {
 		l.resetToCold(signSlow)
 	}
 }
 
-// slowGapRun is the run of slow gaps over all streams together.
+// slowGapRun is a run of slow gaps over all streams.
 type slowGapRun struct {
 	count       int
 	first, last time.Duration
@@ -58,75 +57,73 @@
 	r.last = now
 }
 
-// allStreamsSlow says that all streams have become slow, and nothing more is started until one
-// is not.
+// allStreamsSlow reports whether all streams have become slow. No more than the cold limit is then
+// allowed until a gap is not slow.
 //
-// Load: a full backend server that turns cold or slow, with work coming in. Harm
-// prevented: what is started in the third of a second until first tokens are overdue, or
-// three gaps of one stream are slow, which is late or makes the server fall over. After a
-// pause, or a long prompt that is worked on alone, the streams go on together within a
-// usual gap: their slow gaps spread over less than a slow one. The limit stays as it is,
-// so that a wrong guess costs no more than the wait for the next part.
+// When a full backend server turns cold or slow, it takes a third of a second until first tokens
+// are overdue or three gaps of one stream are slow. Requests started in that time would be late or
+// make the server fall over. After a pause, or while a long prompt is processed alone, the streams
+// continue together within a usual gap, so that their slow gaps spread over less than one slow gap.
+// The limit itself is kept, so that a wrong guess costs only the wait for the next part.
 func (l *Limiter) allStreamsSlow() bool {
 	return l.slowGaps.count >= l.cfg.MinSlowRun && l.slowGaps.last-l.slowGaps.first >= l.slowGapThreshold()
 }
 
-// minGap is the least gap that is a pace. Parts that were read together, such as the
-// last token and the mark of the end, have none between them: when several streams end
-// at once a run of such gaps would take the usual one down, and every true gap after
-// them would count as slow. No engine makes a thousand tokens a second for one stream.
+// minGap is the shortest gap that counts. Parts that were read together, such as the last token and
+// the end marker, have no gap between them. When several streams end at once, a run of such gaps
+// would lower the average until every real gap counts as slow. No engine makes a thousand tokens
+// per second for one stream.
 const minGap = time.Millisecond
 
-// initialGaps is the number of gaps that make the first usual one. Parts that were read
-// together have no gap between them: a usual one taken from the first of all would
-// make every true gap a slow one.
+// initialGaps is the number of gaps in the initial average. Parts that were read together have no
+// gap between them; with an average taken from the first few gaps, every real gap would be slow.
 const initialGaps = 32
 
-// slowGapDivisor is how little a slow gap moves the usual one.
+// slowGapDivisor is the inverse weight of a slow gap in the moving averages.
 const slowGapDivisor = 256
 
-// minSlowGap is a gap that is never slow: scheduling alone makes it.
+// minSlowGap is the length up to which a gap is never slow, since scheduling alone can cause it.
 const minSlowGap = 4 * time.Millisecond
 
 func (l *Limiter) slowGapThreshold() time.Duration {
-	// LateFactor and not SlowFactor: the pace spreads far less than first tokens do,
-	// and a busy VM stretches the reference pace towards that of a cold engine.
+	// The factor is OverdueFactor and not SlowFactor: gaps vary far less than times to the first
+	// token, and a busy VM lengthens the usual gap towards that of a cold engine.
 	reference := float64(l.avgGap)
 	if l.limit < l.cfg.FullLimit && l.gapWindow.baseline.count > 0 {
-		// On the way up the pace is slow all the time, and only getting slower is a sign.
+		// In cold start all gaps are long, and only an increase is a sign.
 		reference = max(reference, math.Exp(l.gapWindow.baseline.mean))
 	}
 	return max(minSlowGap, time.Duration(l.cfg.OverdueFactor*reference))
 }
 
-// gapWindowSize is the number of gaps in one window of the pace.
+// gapWindowSize is the number of gaps in a window.
 const gapWindowSize = 16
 
-// similarGapFactor is the ratio of two windows' paces within which they count as the same.
+// similarGapFactor is the ratio of two windows' gaps up to which they count as equal.
 const similarGapFactor = 1.15
 
-// gapWindow are the gaps seen at one limit.
+// gapWindow collects the gaps seen at one limit.
 type gapWindow struct {
-	// current is the window being filled; baseline is what it is held against.
+	// current is the window being filled, and baseline the one that it is compared with.
 	current, baseline sample
-	// last is the last full window; worse says that it was worse than base.
+	// last is the last full window; isWorse is set if it was worse than the baseline.
 	last    sample
 	isWorse bool
 }
 
-// growByGaps lets the limit grow while the streams of a backend server in cold start
-// get faster.
+// growByGaps raises the limit while the streams of a backend server in cold start get faster.
 //
-// Load: a failure domain that returned cold while the others are full. Harm prevented:
-// at the cold limit a first token comes every few seconds, and two windows of them take
-// 20 s, in which a third of the capacity refuses work. Each stream tells the pace some
-// tens of times before it ends, and prompts' sizes do not spread it, so that 16 gaps
-// are enough. A pace better by paceNear is warmth, since the batch has only grown since,
-// and lets the limit grow by a quarter. One worse by Near, what a batch of twice the size
-// costs, takes the step back. A fall by SlowFactor is the change from cold to warm itself.
-// Pace that is level is never taken for warm here, since that is what a backend server
-// shows that warms up in one step: first tokens alone decide it. While more runs than the
-// limit allows, as after a fall, nothing is learned: what is left runs faster for that.
+// When a failure domain returns cold while the others are full, first tokens at the cold limit come
+// every few seconds. Two windows of them take 20 s, during which a third of the capacity refuses
+// work. Each stream gives some tens of gaps before it ends, and gaps do not vary with the prompt
+// size, so that 16 of them are enough.
+//
+// Gaps shorter by similarGapFactor show that the server warms up, since the batch has only grown,
+// and raise the limit by a quarter. Gaps longer by SimilarFactor, the cost of doubling the batch
+// size, revert the step. Gaps shorter by SlowFactor are the change from cold to warm itself. Stable
+// gaps do not count as warm, since a backend server that warms up in one step has them too; there,
+// first tokens alone decide. While more requests run than the limit allows, such as after a reset,
+// gaps are ignored, since the remaining streams become faster as others end.
 func (l *Limiter) growByGaps(gap time.Duration) {
 	if l.limit >= l.cfg.FullLimit {
 		l.updateWarmGap(gap)
@@ -161,14 +158,14 @@
 	}
 }
 
-// stepBackByGaps takes a step back, and begins the windows of first tokens anew. What they are
-// held against stays as it was: shifted by the change it would become the usual, and a
-// backend server that turns cold changes by its whole factor. So does what the pace is held
-// against: the better pace that follows a step back is not warmth.
+// stepBackByGaps reverts a step and restarts the windows of first tokens. Their baseline is kept:
+// scaled by the change of the gaps it could become the warm latency, and a backend server that
+// turns cold changes by its whole slowdown. The baseline of the gaps is kept too, since shorter
+// gaps after a reverted step do not show that the server warms up.
 //
-// At the cold limit there is no step back, and only the first of several worse windows is
-// a change. A pace that was good by chance makes all later ones worse, and would begin the
-// windows anew for good: a warm backend server would stay at its cold limit.
+// At the cold limit there is no step to revert, and only the first of several worse windows counts
+// as a change. Otherwise a window that was fast by chance would make all later ones worse and
+// restart the windows forever, so that a warm backend server would stay at its cold limit.
 func (l *Limiter) stepBackByGaps(current sample) {
 	baseline, wasWorse := l.gapWindow.baseline, l.gapWindow.isWorse
 	if !wasWorse || l.limit > l.cfg.ColdLimit {
@@ -177,9 +174,9 @@
 	l.gapWindow = gapWindow{baseline: baseline, last: current, isWorse: true}
 }
 
-// updateWarmGap takes in the pace at the full limit. A slow gap counts for little: a
-// backend server that turns cold shows some tens of them before the limit falls, and a
-// warm pace that had followed them would let its cold pace pass for warm.
+// updateWarmGap updates the average gap at the full limit. Slow gaps have little weight: a backend
+// server that turns cold shows some tens of them before the limit is reset, and an average that
+// followed them would make cold gaps look warm.
 func (l *Limiter) updateWarmGap(gap time.Duration) {
 	if l.warmGap > 0 && gap > l.slowGapThreshold() {
 		l.warmGap += (gap - l.warmGap) / slowGapDivisor
@@ -188,8 +185,8 @@
 	l.warmGap = movingAverage(l.warmGap, gap)
 }
 
-// stepByGaps sets another limit. What first tokens are held against changes as the pace
-// did, so that one change of warmth does not count twice.
+// stepByGaps changes the limit. The baseline of the first tokens is scaled by the change of the
+// gaps, so that the same change does not count twice.
 func (l *Limiter) stepByGaps(current sample, change float64, limit int) {
 	baseline := l.window.baseline
 	baseline.mean += change
@@ -197,8 +194,7 @@
 	l.gapWindow = gapWindow{baseline: current, last: current}
 }
 
-// areGapsWarm says whether the pace is the usual one of a warm backend server, as far as
-// it is known.
+// areGapsWarm reports whether the gaps are those of a warm backend server, or are unknown.
 func (l *Limiter) areGapsWarm() bool {
 	if l.warmGap == 0 || l.gapWindow.last.count == 0 {
 		return true
@@ -206,6 +202,6 @@
 	return l.gapWindow.last.mean <= math.Log(float64(l.warmGap)*l.cfg.SimilarFactor)
 }
 
-// hasGapWindow says that streams tell whether the backend server warms up. Four short
-// prompts look like it too; where the pace is known they count as level.
+// hasGapWindow reports whether gaps show the progress of warming up. Four short prompts look like
+// progress too, so that with known gaps shorter latencies count as stable.
 func (l *Limiter) hasGapWindow() bool { return l.gapWindow.last.count > 0 }
--- a/decide/cold/pace_test.go
+++ b/decide/cold/pace_test.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// observeGaps lets the streams that run give parts at one pace for a while.
+// observeGaps records a number of equal gaps of one stream.
 func observeGaps(l *Limiter, now *time.Duration, parts int, gap time.Duration) {
-	var pace Stream
+	var stream Stream
 	for range parts {
 		*now += gap
-		l.ObserveGap(*now, gap, &pace)
+		l.ObserveGap(*now, gap, &stream)
 	}
 }
 
-// A warm backend server comes back cold, and two long answers run on it. Callers wait
-// for places while first tokens are seconds apart. Their parts come faster and faster:
-// the limit grows before either answer has ended, and by no more than a step for each
-// change that a larger batch can't explain.
+// A warm backend server returns cold and runs two long answers, while callers wait and first tokens
+// are seconds apart. Its parts come faster and faster: the limit must grow before either answer
+// ends, by one step for each change that a larger batch can't explain.
 func TestFasterStreamsRaiseLimit(t *testing.T) {
 	l, now := warmLimiter(t)
 	l.AssumeCold()
@@ -25,21 +24,20 @@
 	l.TryStart(now)
 	observeGaps(l, &now, 32, 100*ms)
 	if l.Limit() != 2 {
-		t.Fatalf("limit %d at a level pace", l.Limit())
+		t.Fatalf("limit %d with equal gaps", l.Limit())
 	}
 	observeGaps(l, &now, 32, 80*ms)
 	if l.Limit() != 3 {
-		t.Errorf("limit %d after the pace got better once, want 3", l.Limit())
+		t.Errorf("limit %d after the gaps got shorter once, want 3", l.Limit())
 	}
 	observeGaps(l, &now, 32, 65*ms)
 	if l.Limit() != 4 {
-		t.Errorf("limit %d after it got better again, want 4", l.Limit())
+		t.Errorf("limit %d after they got shorter again, want 4", l.Limit())
 	}
 }
 
-// A full backend server turns cold and the limit falls. What it held drains, and the
-// rest runs faster for that alone. Callers' requests must not follow as if it had
-// warmed up.
+// A full backend server turns cold and the limit is reset. As its requests end, the remaining
+// streams run faster for that reason alone. The limit must not grow as if the server had warmed up.
 func TestDrainingAfterFallDoesNotRaiseLimit(t *testing.T) {
 	l, now := warmLimiter(t)
 	for l.TryStart(now) {
@@ -54,8 +52,8 @@
 	}
 }
 
-// A step makes the pace worse than a larger batch can: the backend server bears no
-// more. The step is taken back, and the better pace that follows is not warmth.
+// A step lengthens the gaps by more than a larger batch explains: the backend server is at its
+// limit. The step is reverted, and the shorter gaps that follow do not count as warming up.
 func TestStepThatSlowsStreamsIsTakenBack(t *testing.T) {
 	l, now := warmLimiter(t)
 	l.AssumeCold()
@@ -67,7 +65,7 @@
 	for range 4 {
 		observeGaps(l, &now, 32, 120*ms)
 		if l.Limit() != 2 {
-			t.Fatalf("limit %d after the step made the pace worse", l.Limit())
+			t.Fatalf("limit %d after the step made the gaps longer", l.Limit())
 		}
 		l.Done(now, Outcome{Took: time.Second, Observed: true})
 		observeGaps(l, &now, 32, 80*ms)
@@ -75,10 +73,9 @@
 	}
 }
 
-// A warm backend server turns slow with streams under way and callers' requests coming
-// in. One slow part of each of three streams holds the next request back, before any
-// stream has shown three and before a first token is overdue. The first part at the usual
-// pace lets it start: the limit was not touched.
+// A warm backend server turns slow while streams run and requests arrive. One slow gap in each of
+// three streams must hold back the next request, before one stream has shown three and before a
+// first token is overdue. The first usual gap lets it start, with the limit unchanged.
 func TestSlowStreamsBlockNewWork(t *testing.T) {
 	l, now := warmLimiter(t)
 	for range 4 {
@@ -86,23 +83,22 @@
 		l.Observe(now, 100*ms)
 	}
 	observeGaps(l, &now, 40, 20*ms)
-	paces := make([]Stream, 3)
-	for i := range paces {
+	streams := make([]Stream, 3)
+	for i := range streams {
 		now += 25 * ms
-		l.ObserveGap(now, 100*ms, &paces[i])
+		l.ObserveGap(now, 100*ms, &streams[i])
 	}
 	if l.TryStart(now) {
 		t.Error("a request was started while all streams were slow")
 	}
 	observeGaps(l, &now, 1, 20*ms)
 	if l.Limit() != 16 || !l.TryStart(now) {
-		t.Errorf("limit %d, and no place at the usual pace", l.Limit())
+		t.Errorf("limit %d, and no slot with usual gaps", l.Limit())
 	}
 }
 
-// A fresh backend server in cold start is asked long prompts and then some short ones.
-// Their first tokens come early, but its streams run as slowly as before: it bears no
-// more than it did, and one request more at a time is one too many.
+// A backend server in cold start gets long prompts and then short ones, whose first tokens come
+// early. Its gaps do not change, so it can serve no more than before, and the limit must not grow.
 func TestShortPromptsDoNotRaiseLimit(t *testing.T) {
 	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	for _, latency := range []time.Duration{800 * ms, 800 * ms, 300 * ms, 300 * ms} {
@@ -113,13 +109,13 @@
 		l.Done(now, Outcome{Took: time.Second, Observed: true})
 	}
 	if l.Limit() != 2 {
-		t.Errorf("limit %d by short prompts at a level pace", l.Limit())
+		t.Errorf("limit %d after short prompts with equal gaps", l.Limit())
 	}
 }
 
-// A busy VM hands on the first parts of a warm backend server's streams together, so that
-// the gaps between them are short by chance. All later ones look worse. Callers must not be
-// held to the cold limit for good by that: first tokens are level, and decide.
+// A busy VM delivers the first parts of a warm backend server's streams together, so that their
+// gaps are short by chance and all later ones look worse. The stable first tokens must decide, so
+// that the server does not stay at its cold limit.
 func TestFastFirstGapsDoNotBlockGrowth(t *testing.T) {
 	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	gap := 11 * ms
--- a/decide/cold/signs.go
+++ b/decide/cold/signs.go
@@ -2,19 +2,17 @@
 
 import "time"
 
-// SetReportedCold takes what the backend server says of itself, where it says anything.
+// SetReportedCold sets what the backend server reports about itself, if it reports anything.
 //
-// Load: an engine whose first tokens come at a level pace although it is cold, since
-// it warms up in one step by work completed. Harm prevented: taking level for warm,
-// and giving a cold engine one more than it bears. The report comes late and says
-// nothing of the moments after a silent turn, so that "warm" never lifts the limit:
-// latency alone does that.
+// An engine that warms up in one step after some completed work has a stable latency while cold.
+// Without its report the limit would grow and give the cold engine one request too many. The report
+// may be stale and does not show a sudden turn to cold, so that a report of being warm never raises
+// the limit by itself: only latency does.
 //
-// The change from "cold" to "warm" is another thing: the backend server has seen itself
-// warm up, and a level latency then need not be doubted for as long. Without it a
-// backend server with long answers, which gives few latencies a second, takes half a
-// minute and more to its full limit. What it turns to later without a word, latency
-// shows as ever.
+// After a change from cold to warm, the backend server has seen itself warm up, and fewer windows
+// of stable latency are required. Without this, a backend server with long answers, which gives few
+// latencies per second, needs half a minute and more to reach its full limit. A later turn to cold
+// is detected by latency as usual.
 func (l *Limiter) SetReportedCold(isCold bool) {
 	if l.reportedCold && !isCold {
 		l.warmConfirmed = true
@@ -25,13 +23,13 @@
 	}
 }
 
-// recordFailure counts a failure of the backend server's own, and lets it rest when there
-// were too many in a row.
+// recordFailure counts a failure of the backend server itself and starts a backoff after too many
+// in a row.
 //
-// Load: an engine that has fallen over and answers every request at once with an
-// error. Harm prevented: a black hole. It always has room, looks the fastest of all,
-// and fails everything that is sent to it. It rests, longer each time, and is then
-// tried with one request.
+// An engine that has fallen over answers every request at once with an error. It always has free
+// slots and looks like the fastest server, so that it would attract all requests and fail them (a
+// black hole). It gets no work during the backoff, which doubles each time, and is then probed with
+// one request.
 func (l *Limiter) recordFailure(now time.Duration) {
 	l.consecutiveFailures++
 	if l.consecutiveFailures < l.cfg.MinSlowRun {
@@ -41,25 +39,24 @@
 	l.backoffUntil = now + l.backoff
 }
 
-// minBackoff and maxBackoff bound the time for which a backend server that only fails
-// gets no work.
+// minBackoff and maxBackoff limit the time for which a failing backend server gets no work.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// recordSuccess ends the rest.
+// recordSuccess ends the backoff.
 func (l *Limiter) recordSuccess() {
 	l.consecutiveFailures = 0
 	l.backoff = 0
 }
 
-// IsBackingOff says that the backend server has only failed of late and is given no work,
-// or that the one request that tries it is under way.
+// IsBackingOff reports whether the backend server gets no work after consecutive failures, or the
+// single request that probes it is in flight.
 func (l *Limiter) IsBackingOff(now time.Duration) bool {
 	return now < l.backoffUntil || l.consecutiveFailures >= l.cfg.MinSlowRun && l.Running() > 0
 }
 
-// confirmedWarmWindows is the number of windows in a row that must agree before the limit grows,
-// once the backend server has said that it has warmed up.
+// confirmedWarmWindows is the number of consecutive similar windows after which the limit grows,
+// once the backend server is confirmed to have warmed up.
 const confirmedWarmWindows = 1
--- a/decide/cold/sizes.go
+++ b/decide/cold/sizes.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Prompts come in many sizes, and a long one is slow on a warm backend server too.
-// What is seen while warm says how much of that is usual.
+// Prompts vary in size, and a long one is slow on a warm backend server too. The variation seen
+// while warm tells how much of it is usual.
 const (
-	// varianceWeight is the number of latencies over which their spread is averaged.
+	// varianceWeight is the number of latencies over which variance and slow ratio are averaged.
 	varianceWeight = 64
-	// overdueSigmas is the number of standard deviations past which a wait for a first
-	// token is longer than that of all but one request in a hundred.
+	// overdueSigmas is the number of standard deviations that all but one in a hundred waits for a
+	// first token stay below.
 	overdueSigmas = 2.3
-	// maxOverdueFactor bounds that wait, as a ratio to the usual latency: a backend server
-	// in cold start is some 5 times slower.
+	// maxOverdueFactor limits that wait, as a ratio to the warm latency: a backend server in cold
+	// start is about 5 times slower.
 	maxOverdueFactor = 6
-	// maxFalsePositiveRate is how seldom a run of slow requests on a warm backend server may be
-	// taken for cold: once in a million requests is less than daily at 8 a second.
+	// maxFalsePositiveRate is the probability with which a run of slow requests on a warm backend
+	// server may count as cold. Once in a million requests is less than daily at 8 requests per
+	// second.
 	maxFalsePositiveRate = 1e-6
 )
 
-// overdueAfter is the wait for a first token past which a request counts as overdue.
+// overdueAfter is the wait for a first token above which a request is overdue.
 //
-// Load: a mix of short and long prompts. Harm prevented: a warm backend server at
-// its cold limit whenever a few long prompts come together.
+// With a mix of short and long prompts, a fixed factor would reset a warm backend server to its
+// cold limit whenever a few long prompts arrive together.
 func (l *Limiter) overdueAfter() time.Duration {
 	factor := math.Exp(overdueSigmas * math.Sqrt(l.logVariance))
 	factor = min(max(factor, l.cfg.OverdueFactor), max(maxOverdueFactor, l.cfg.OverdueFactor))
 	return time.Duration(factor * l.referenceLatency())
 }
 
-// updateLogVariance takes in one latency of a warm backend server.
+// updateLogVariance adds one latency of a warm backend server to the variance.
 func (l *Limiter) updateLogVariance(latency time.Duration) {
 	ratio := float64(max(latency, 1)) / float64(l.warmLatency)
 	deviation := math.Log(min(ratio, maxOverdueFactor))
 	l.logVariance += (deviation*deviation - l.logVariance) / varianceWeight
 }
 
-// requiredSlowRun is the number of slow requests in a row that show cold: SlowRun, or more
-// if so many come by chance among the sizes seen while warm.
+// requiredSlowRun is the number of consecutive slow requests that show a cold server: MinSlowRun,
+// or more if runs of that length occur by chance among the prompt sizes seen while warm.
 func (l *Limiter) requiredSlowRun(s coldSign) int {
 	if s == signFailure || l.slowRatio <= 0 {
 		return l.cfg.MinSlowRun
@@ -48,9 +49,8 @@
 	return max(l.cfg.MinSlowRun, int(math.Ceil(run)))
 }
 
-// endSlowRun takes in that a request was not slow after so many that were. Only runs
-// that have ended count towards the usual part of slow ones: one that ends in a fall
-// was cold.
+// endSlowRun ends a run of slow requests. Only ended runs count towards the usual ratio of slow
+// requests; a run that ends in a reset was caused by a cold server.
 func (l *Limiter) endSlowRun() {
 	if l.limit >= l.cfg.FullLimit {
 		for range l.consecutiveSlow {
--- a/decide/cold/turn_test.go
+++ b/decide/cold/turn_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// stepEngine is an engine that warms up in one step, as the stand-in does: in cold start
-// its parts take slow times as long, until warmAfter requests have completed. A busy VM
-// adds some time to each part.
+// stepEngine is a fake engine that warms up in one step, like the shipped demo engine. In cold
+// start its parts take slow times as long, until warmAfter requests have completed. Each part is
+// delayed by a random time, as on a busy VM.
 type stepEngine struct {
 	random      *rand.Rand
 	slow        time.Duration
 	cold        bool
 	completed   int
-	startedWarm int // what ran when it turned cold
+	startedWarm int // requests that were running when it turned cold
 	streams     []*stream
-	maxCold     int // at once after a start in cold start, without the spared
+	maxCold     int // most requests at once in cold start, without startedWarm
 }
 
 // stream is one running request. Its next part comes at next.
@@ -40,7 +40,7 @@
 	return now + d + time.Duration(e.random.ExpFloat64()*float64(meanJitter))
 }
 
-// run lets callers press on the engine until the time given.
+// run keeps more requests waiting than the engine can serve, until the given time.
 func (e *stepEngine) run(l *Limiter, now *time.Duration, until time.Duration) {
 	for *now < until {
 		for l.TryStart(*now) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// part hands on one part of the stream with index i.
+// part delivers one part of the stream with index i.
 func (e *stepEngine) part(l *Limiter, now time.Duration, i int) {
 	s := e.streams[i]
 	if s.parts == 0 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// A warm engine turns cold without a word, on its way to the full limit or at it. Its
-// last requests come slowly, and what the limiter takes for the usual must not follow
-// them: it would then take the cold engine for warm, and one request more than it bears
-// makes it fall over with all that it holds. For the first half second nobody can know.
+// A warm engine turns cold without notice, during growth or at the full limit. Its last requests
+// are slow, and the warm latency must not follow them: the cold engine would then look warm, and
+// one request too many makes it fall over with all that it holds. The first half second is not
+// checked, since nothing has shown the change yet.
 func TestTurningColdIsNotTheUsual(t *testing.T) {
 	for _, slow := range []time.Duration{4, 6} {
 		for seed := range uint64(500) {
@@ -109,16 +109,16 @@
 			e.maxCold = 0
 			e.run(l, &now, now+10*time.Second)
 			if e.maxCold > 2 {
-				t.Errorf("%d times as slow, seed %d: %d at once while cold; usual %v, warm pace %v",
+				t.Errorf("%d times as slow, seed %d: %d at once while cold; warm latency %v, warm gap %v",
 					slow, seed, e.maxCold, l.warmLatency, l.warmGap)
 			}
 		}
 	}
 }
 
-// A backend server is on its way up when its latency becomes many times worse. What it
-// did before is the usual, and at most half as much again: halfway to what came after
-// would be a latency of cold start.
+// The latency of a backend server increases many times during growth. The warm latency must be the
+// one before, plus at most half of it: a value halfway to the new latency would be a latency of
+// cold start.
 func TestSevereSlowdownIsNotWarmLatency(t *testing.T) {
 	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 	for l.Limit() < 4 {
@@ -126,6 +126,6 @@
 	}
 	runRounds(l, &now, 8, 2*time.Second)
 	if l.warmLatency > 150*ms {
-		t.Errorf("usual %v, was 100 ms until it became 2 s", l.warmLatency)
+		t.Errorf("warm latency %v, was 100 ms until it became 2 s", l.warmLatency)
 	}
 }
