--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// loadDivisor is the part of a model's backend servers that may be away at once:
+	// maxUnavailableDivisor is the part of a model's backend servers that may be away at once:
 	// one in eight, or one. At 8 servers and more an eighth of the capacity is less
 	// than what a day's peak leaves free by the usual rule of two thirds, and below
 	// that nothing smaller than one server can be chosen.
-	loadDivisor = 8
-	// lightFactor is how many times the work under way must fit into the limits of the
+	maxUnavailableDivisor = 8
+	// lightLoadFactor is how many times the work under way must fit into the limits of the
 	// servers that go on for cold ones not to hold up the others. A server warms up on
 	// work only; at night there is none, and waiting for it would never end.
-	lightFactor = 2
+	lightLoadFactor = 2
 )
 
 // Server is one backend server of the model as its agent reported it last.
@@ -39,20 +39,20 @@
 	Adapters []string
 	// Loading says that it is carrying out an order, the one with the fencing number
 	// Order.
-	Loading bool
-	Order   int64
+	Loading    bool
+	OrderFence int64
 	// Cold says that it bears less than when warm.
 	Cold bool
 	// Refusing says that it takes no new work for another reason than an order.
 	Refusing bool
 	// Missing says that it should be there and has no link.
 	Missing bool
-	// Limit is what it bears at once now, Work what runs and waits at it.
-	Limit, Work int
+	// Limit is what it bears at once now, Requests what runs and waits at it.
+	Limit, Requests int
 }
 
-// Want is what the lists say every backend server of the model should hold.
-type Want struct {
+// Target is what the lists say every backend server of the model should hold.
+type Target struct {
 	// Version may be empty: any version will do.
 	Version  string
 	Adapters []string
@@ -60,12 +60,12 @@
 	Fence int64
 }
 
-// Met says whether a server that holds a version and adapters needs no order.
-func (w Want) Met(version string, adapters []string) bool {
-	if w.Version != "" && version != w.Version {
+// IsMetBy says whether a server that holds a version and adapters needs no order.
+func (t Target) IsMetBy(version string, adapters []string) bool {
+	if t.Version != "" && version != t.Version {
 		return false
 	}
-	for _, adapter := range w.Adapters {
+	for _, adapter := range t.Adapters {
 		if !slices.Contains(adapters, adapter) {
 			return false
 		}
@@ -73,57 +73,57 @@
 	return true
 }
 
-// Budget is how many of n backend servers may be away at once.
-func Budget(n int) int { return max(1, n/loadDivisor) }
+// MaxUnavailable is how many of n backend servers may be away at once.
+func MaxUnavailable(n int) int { return max(1, n/maxUnavailableDivisor) }
 
-// Next returns the VMs that may be ordered to load now, in order.
+// NextToLoad returns the VMs that may be ordered to load now, in order.
 //
 // A server that still carries out an order of an older list gets the new one at once:
 // it is away already, and a version that does not load is left that way. Beyond that,
 // no more than Budget servers are away (loading, refusing, missing or cold) with those
 // chosen, and all that load are of one failure domain. Servers that refuse for another
 // reason go first, one budget at a time: nothing is served there.
-func Next(servers []Server, want Want) []string {
+func NextToLoad(servers []Server, target Target) []string {
 	var next []string
 	var candidates []Server
-	away, loading, domain := 0, 0, ""
-	cold := coldCounts(servers)
+	unavailable, loadingCount, loadingDomain := 0, 0, ""
+	countCold := needsColdServers(servers)
 	for _, s := range servers {
 		switch {
 		case s.Missing:
-			away++
+			unavailable++
 		case s.Loading:
-			away++
-			loading++
-			domain = s.Domain
-			if s.Order < want.Fence {
+			unavailable++
+			loadingCount++
+			loadingDomain = s.Domain
+			if s.OrderFence < target.Fence {
 				next = append(next, s.VM)
 			}
 		default:
-			if s.Refusing || s.Cold && cold {
-				away++
+			if s.Refusing || s.Cold && countCold {
+				unavailable++
 			}
-			if !want.Met(s.Version, s.Adapters) {
+			if !target.IsMetBy(s.Version, s.Adapters) {
 				candidates = append(candidates, s)
 			}
 		}
 	}
 	sortCandidates(candidates)
-	budget := Budget(len(servers))
+	maxUnavailable := MaxUnavailable(len(servers))
 	for _, s := range candidates {
-		if loading >= budget || domain != "" && s.Domain != domain {
+		if loadingCount >= maxUnavailable || loadingDomain != "" && s.Domain != loadingDomain {
 			continue
 		}
 		// One that is counted as away already costs nothing more. A cold one that
 		// serves does cost what it serves; it waits until it is warm.
-		if !s.Refusing && away >= budget {
+		if !s.Refusing && unavailable >= maxUnavailable {
 			continue
 		}
 		if !s.Refusing {
-			away++
+			unavailable++
 		}
-		loading++
-		domain = s.Domain
+		loadingCount++
+		loadingDomain = s.Domain
 		next = append(next, s.VM)
 	}
 	slices.Sort(next)
@@ -135,15 +135,15 @@
 func sortCandidates(servers []Server) {
 	slices.SortFunc(servers, func(a, b Server) int {
 		return cmp.Or(
-			first(a.Refusing, b.Refusing),
-			first(a.Cold, b.Cold),
+			compareTrueFirst(a.Refusing, b.Refusing),
+			compareTrueFirst(a.Cold, b.Cold),
 			cmp.Compare(a.Domain, b.Domain),
 			cmp.Compare(a.VM, b.VM),
 		)
 	})
 }
 
-func first(a, b bool) int {
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -153,18 +153,18 @@
 	return 1
 }
 
-// coldCounts says whether the model's work needs the cold servers warm: without the
+// needsColdServers says whether the model's work needs the cold servers warm: without the
 // largest of those that serve, the rest could not bear lightFactor times the work under
 // way.
-func coldCounts(servers []Server) bool {
-	work, limits, largest := 0, 0, 0
+func needsColdServers(servers []Server) bool {
+	requests, totalLimit, largestLimit := 0, 0, 0
 	for _, s := range servers {
-		work += s.Work
+		requests += s.Requests
 		if s.Missing || s.Loading || s.Refusing {
 			continue
 		}
-		limits += s.Limit
-		largest = max(largest, s.Limit)
+		totalLimit += s.Limit
+		largestLimit = max(largestLimit, s.Limit)
 	}
-	return work > 0 && work*lightFactor > limits-largest
+	return requests > 0 && requests*lightLoadFactor > totalLimit-largestLimit
 }
--- a/decide/rollout/rollout_test.go
+++ b/decide/rollout/rollout_test.go
@@ -6,62 +6,62 @@
 	"testing"
 )
 
-var v2 = Want{Version: "2", Fence: 20}
+var v2 = Target{Version: "2", Fence: 20}
 
 // fleet returns n warm, busy servers with version 1 over three failure domains.
 func fleet(n int) []Server {
 	servers := make([]Server, n)
 	for i := range servers {
-		servers[i] = Server{VM: fmt.Sprintf("vm-%02d", i), Domain: string(rune('a' + i%3)), Version: "1", Limit: 16, Work: 12}
+		servers[i] = Server{VM: fmt.Sprintf("vm-%02d", i), Domain: string(rune('a' + i%3)), Version: "1", Limit: 16, Requests: 12}
 	}
 	return servers
 }
 
-// with returns the fleet with changes to some servers.
-func with(servers []Server, change func(i int, s *Server)) []Server {
+// modify returns the fleet modify changes to some servers.
+func modify(servers []Server, change func(i int, s *Server)) []Server {
 	for i := range servers {
 		change(i, &servers[i])
 	}
 	return servers
 }
 
-func TestNext(t *testing.T) {
+func TestNextToLoad(t *testing.T) {
 	tests := map[string]struct {
 		servers []Server
-		want    Want
+		want    Target
 		next    []string
 	}{
-		"nothing to do":            {fleet(4), Want{Version: "1", Fence: 20}, nil},
-		"any version":              {fleet(4), Want{Fence: 20}, nil},
+		"nothing to do":            {fleet(4), Target{Version: "1", Fence: 20}, nil},
+		"any version":              {fleet(4), Target{Fence: 20}, nil},
 		"one of a few":             {fleet(4), v2, []string{"vm-00"}},
 		"the only one":             {fleet(1), v2, []string{"vm-00"}},
 		"two of 16, of one domain": {fleet(16), v2, []string{"vm-00", "vm-03"}},
 		"an adapter is missing": {
-			with(fleet(2), func(i int, s *Server) { s.Adapters = []string{"x", "y"}[:i+1] }),
-			Want{Version: "1", Adapters: []string{"y"}, Fence: 20},
+			modify(fleet(2), func(i int, s *Server) { s.Adapters = []string{"x", "y"}[:i+1] }),
+			Target{Version: "1", Adapters: []string{"y"}, Fence: 20},
 			[]string{"vm-00"},
 		},
 		"one loads": {
-			with(fleet(4), func(i int, s *Server) { s.Loading, s.Order = i == 0, 20 }),
+			modify(fleet(4), func(i int, s *Server) { s.Loading, s.OrderFence = i == 0, 20 }),
 			v2, nil,
 		},
 		"room for one more, of the same domain only": {
-			with(fleet(16), func(i int, s *Server) { s.Loading, s.Order = i == 1, 20 }),
+			modify(fleet(16), func(i int, s *Server) { s.Loading, s.OrderFence = i == 1, 20 }),
 			v2,
 			[]string{"vm-04"},
 		},
 		"the one changed is cold and the others are busy": {
-			with(fleet(4), func(i int, s *Server) {
+			modify(fleet(4), func(i int, s *Server) {
 				if i == 0 {
-					s.Version, s.Cold, s.Limit, s.Work = "2", true, 2, 2
+					s.Version, s.Cold, s.Limit, s.Requests = "2", true, 2, 2
 				}
 				s.Limit -= i
 			}),
 			v2, nil,
 		},
 		"the one changed is cold and there is little work": {
-			with(fleet(4), func(i int, s *Server) {
-				s.Work = 1
+			modify(fleet(4), func(i int, s *Server) {
+				s.Requests = 1
 				if i == 0 {
 					s.Version, s.Cold, s.Limit = "2", true, 2
 				}
@@ -70,38 +70,38 @@
 			[]string{"vm-03"},
 		},
 		"all cold and busy": {
-			with(fleet(4), func(_ int, s *Server) { s.Cold, s.Limit, s.Work = true, 2, 2 }),
+			modify(fleet(4), func(_ int, s *Server) { s.Cold, s.Limit, s.Requests = true, 2, 2 }),
 			v2, nil,
 		},
 		"all cold and idle": {
-			with(fleet(4), func(_ int, s *Server) { s.Cold, s.Limit, s.Work = true, 2, 0 }),
+			modify(fleet(4), func(_ int, s *Server) { s.Cold, s.Limit, s.Requests = true, 2, 0 }),
 			v2,
 			[]string{"vm-00"},
 		},
 		"a server has died": {
-			with(fleet(8), func(i int, s *Server) { s.Missing = i == 7 }),
+			modify(fleet(8), func(i int, s *Server) { s.Missing = i == 7 }),
 			v2, nil,
 		},
 		"one of two that may be away has died": {
-			with(fleet(16), func(i int, s *Server) { s.Missing = i == 7 }),
+			modify(fleet(16), func(i int, s *Server) { s.Missing = i == 7 }),
 			v2,
 			[]string{"vm-00"},
 		},
 		"the one that loads dies": {
-			with(fleet(4), func(i int, s *Server) { s.Loading, s.Missing, s.Order = i == 0, i == 0, 20 }),
+			modify(fleet(4), func(i int, s *Server) { s.Loading, s.Missing, s.OrderFence = i == 0, i == 0, 20 }),
 			v2, nil,
 		},
 		"a domain is dead": {
-			with(fleet(24), func(_ int, s *Server) { s.Missing = s.Domain == "b" }),
+			modify(fleet(24), func(_ int, s *Server) { s.Missing = s.Domain == "b" }),
 			v2, nil,
 		},
 		"a domain is marked out: its own servers load": {
-			with(fleet(6), func(_ int, s *Server) { s.Refusing = s.Domain == "b" }),
+			modify(fleet(6), func(_ int, s *Server) { s.Refusing = s.Domain == "b" }),
 			v2,
 			[]string{"vm-01"},
 		},
 		"a domain is marked out and has been changed": {
-			with(fleet(6), func(_ int, s *Server) {
+			modify(fleet(6), func(_ int, s *Server) {
 				if s.Domain == "b" {
 					s.Refusing, s.Version = true, "2"
 				}
@@ -109,24 +109,24 @@
 			v2, nil,
 		},
 		"a second publish while one loads the first": {
-			with(fleet(4), func(i int, s *Server) {
-				s.Loading, s.Order = i == 1, 20
+			modify(fleet(4), func(i int, s *Server) {
+				s.Loading, s.OrderFence = i == 1, 20
 				if i == 0 {
 					s.Version = "2"
 				}
 			}),
-			Want{Version: "3", Fence: 30},
+			Target{Version: "3", Fence: 30},
 			[]string{"vm-01"},
 		},
 		"back to the old version while one fails to load": {
-			with(fleet(4), func(i int, s *Server) { s.Loading, s.Order = i == 0, 20 }),
-			Want{Version: "1", Fence: 30},
+			modify(fleet(4), func(i int, s *Server) { s.Loading, s.OrderFence = i == 0, 20 }),
+			Target{Version: "1", Fence: 30},
 			[]string{"vm-00"},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := Next(test.servers, test.want); !slices.Equal(got, test.next) {
+			if got := NextToLoad(test.servers, test.want); !slices.Equal(got, test.next) {
 				t.Errorf("got %v, want %v", got, test.next)
 			}
 		})
@@ -137,36 +137,36 @@
 // moment are more than the budget away, or two failure domains.
 func TestBurstOfPublishes(t *testing.T) {
 	servers := fleet(24)
-	want := v2
+	target := v2
 	for round := range 200 {
 		if round == 5 {
-			want = Want{Version: "3", Fence: 30}
+			target = Target{Version: "3", Fence: 30}
 		}
-		for _, vm := range Next(servers, want) {
+		for _, vm := range NextToLoad(servers, target) {
 			i := slices.IndexFunc(servers, func(s Server) bool { return s.VM == vm })
-			servers[i].Loading, servers[i].Order = true, want.Fence
+			servers[i].Loading, servers[i].OrderFence = true, target.Fence
 		}
 		domains := map[string]bool{}
-		away := 0
+		unavailable := 0
 		for i := range servers {
 			s := &servers[i]
 			if s.Loading {
 				domains[s.Domain] = true
 			}
 			if s.Loading || s.Cold {
-				away++
+				unavailable++
 			}
 			// Loading takes two rounds, warming up three.
 			switch {
 			case s.Loading && (round+i)%2 == 0:
 				s.Loading, s.Cold, s.Limit = false, true, 2
-				s.Version = map[int64]string{20: "2", 30: "3"}[s.Order]
+				s.Version = map[int64]string{20: "2", 30: "3"}[s.OrderFence]
 			case s.Cold && (round+i)%3 == 0:
 				s.Cold, s.Limit = false, 16
 			}
 		}
-		if away > Budget(len(servers)) || len(domains) > 1 {
-			t.Fatalf("round %d: %d away, loading in %v", round, away, domains)
+		if unavailable > MaxUnavailable(len(servers)) || len(domains) > 1 {
+			t.Fatalf("round %d: %d away, loading in %v", round, unavailable, domains)
 		}
 	}
 	for _, s := range servers {
--- a/internal/agent/loads.go
+++ b/internal/agent/loads.go
@@ -63,7 +63,7 @@
 		return // It comes again until a report tells of it.
 	}
 	l.newest = order.GetFence()
-	if l.order == nil && wantOf(order).Met(l.version, l.adapters) {
+	if l.order == nil && wantOf(order).IsMetBy(l.version, l.adapters) {
 		return
 	}
 	l.order = order
@@ -76,8 +76,8 @@
 	_ = e.logger.Log("msg", "The engine is to load another version.", "version", order.GetVersion(), "fence", order.GetFence())
 }
 
-func wantOf(order *api.LoadOrder) rollout.Want {
-	return rollout.Want{Version: order.GetVersion(), Adapters: order.GetAdapters(), Fence: order.GetFence()}
+func wantOf(order *api.LoadOrder) rollout.Target {
+	return rollout.Target{Version: order.GetVersion(), Adapters: order.GetAdapters(), Fence: order.GetFence()}
 }
 
 // carryOut brings the engine to one order after another.
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -48,8 +48,8 @@
 	}
 	fence := state.View.ListOffset(api.ListName_LIST_USES)
 	for name, model := range state.View.Models() {
-		want := rollout.Want{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
-		for _, vm := range rollout.Next(e.rollouts.fleet(now, name, want, servers), want) {
+		want := rollout.Target{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
+		for _, vm := range rollout.NextToLoad(e.rollouts.fleet(now, name, want, servers), want) {
 			e.order(now, vm, name, want)
 		}
 	}
@@ -69,7 +69,7 @@
 	return true
 }
 
-func (e *entry) order(now time.Duration, vm, model string, want rollout.Want) {
+func (e *entry) order(now time.Duration, vm, model string, want rollout.Target) {
 	peer, ok := e.directory.agent(vm)
 	if !ok {
 		return
@@ -110,7 +110,7 @@
 
 // fleet returns all servers of a model, with those missing and with those that have been
 // sent an order that no report tells of yet.
-func (r *rollouts) fleet(now time.Duration, model string, want rollout.Want, servers map[string]map[string]rollout.Server) []rollout.Server {
+func (r *rollouts) fleet(now time.Duration, model string, want rollout.Target, servers map[string]map[string]rollout.Server) []rollout.Server {
 	var fleet []rollout.Server
 	for vm, of := range r.of {
 		if of != model {
@@ -121,8 +121,8 @@
 			server = r.models[vm]
 			server.Missing = true
 		}
-		if sent, ok := r.sent[vm]; ok && now-sent.at < orderAgain && !server.Loading && !want.Met(server.Version, server.Adapters) {
-			server.Loading, server.Order = true, sent.fence
+		if sent, ok := r.sent[vm]; ok && now-sent.at < orderAgain && !server.Loading && !want.IsMetBy(server.Version, server.Adapters) {
+			server.Loading, server.OrderFence = true, sent.fence
 		}
 		fleet = append(fleet, server)
 	}
@@ -145,17 +145,17 @@
 			servers[s.GetModel()] = make(map[string]rollout.Server)
 		}
 		servers[s.GetModel()][vm] = rollout.Server{
-			VM:       vm,
-			Domain:   peer.Hello.GetFailureDomain(),
-			Version:  s.GetModelVersion(),
-			Adapters: s.GetAdapters(),
-			Loading:  s.GetLoading(),
-			Order:    s.GetOrderFence(),
-			Cold:     s.GetCold(),
-			Refusing: s.GetRefusing() != api.ResultCode_OK && !s.GetLoading() || peer.Draining,
-			Missing:  peer.Session.Suspect(),
-			Limit:    int(s.GetLimit()),
-			Work:     int(s.GetRunning() + s.GetQueued()),
+			VM:         vm,
+			Domain:     peer.Hello.GetFailureDomain(),
+			Version:    s.GetModelVersion(),
+			Adapters:   s.GetAdapters(),
+			Loading:    s.GetLoading(),
+			OrderFence: s.GetOrderFence(),
+			Cold:       s.GetCold(),
+			Refusing:   s.GetRefusing() != api.ResultCode_OK && !s.GetLoading() || peer.Draining,
+			Missing:    peer.Session.Suspect(),
+			Limit:      int(s.GetLimit()),
+			Requests:   int(s.GetRunning() + s.GetQueued()),
 		}
 	}
 	return servers
--- a/internal/entry/rollout_test.go
+++ b/internal/entry/rollout_test.go
@@ -23,11 +23,11 @@
 		"vm-1": {VM: "vm-1", Version: "1"},
 		"vm-2": {VM: "vm-2", Version: "1"},
 	}}
-	want := rollout.Want{Version: "2", Fence: 5}
+	want := rollout.Target{Version: "2", Fence: 5}
 	loading := func(now time.Duration) int {
 		n := 0
 		for _, s := range r.fleet(now, "m", want, servers) {
-			if s.Loading && s.Order == want.Fence {
+			if s.Loading && s.OrderFence == want.Fence {
 				n++
 			}
 		}
