--- a/decide/rollout/example_test.go
+++ b/decide/rollout/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/apricothub/apricothub/decide/rollout"
 )
 
-// Three engines are to come to version 2: one at a time, and not while one is away.
+// Three engines are updated to version 2 one at a time, and none while another is loading.
 func Example() {
 	servers := []rollout.Server{
 		{VM: "vm-1", Domain: "a", Version: "1", Limit: 16, Requests: 10},
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -1,16 +1,16 @@
-// Package rollout decides which backend servers of a model may load the version and
-// the adapters in force now.
+// Package rollout decides which backend servers of a model may load the version and the adapters in
+// force.
 //
-// Load: operators publish a version, sometimes several in a burst, and every backend
-// server of the model is to change, through a weight store with a limited rate; each
-// one is out for the time of the load and bears little for a while after it. Harm
-// prevented: all servers loading at once, which takes the model away and starves the
-// weight store; a version that does not load, or falls over when it is warm, reaching
-// every server before anybody looks; and a failure domain that dies in the middle
-// taking more with it than it would at any other time.
+// Operators publish a version, sometimes several in quick succession, and every backend server of
+// the model has to load it from a weight store with a limited rate. Each server is unavailable
+// while it loads and has a low limit for some time afterwards. The load is therefore spread over
+// time: if all servers loaded at once, the model would be unavailable and the weight store
+// overloaded. A version that does not load, or falls over when warm, must not reach every server
+// before anybody notices, and a failure domain that dies during a rollout must not take more
+// capacity with it than at any other time.
 //
-// The functions hold nothing between calls: what a server reports says how far it is,
-// so another process may decide the next time.
+// The functions keep no state between calls. Reports of the servers show the progress, so that
+// another process may make the next decision.
 package rollout
 
 import (
@@ -19,48 +19,48 @@
 )
 
 const (
-	// maxUnavailableDivisor is the part of a model's backend servers that may be away at once:
-	// one in eight, or one. At 8 servers and more an eighth of the capacity is less
-	// than what a day's peak leaves free by the usual rule of two thirds, and below
-	// that nothing smaller than one server can be chosen.
+	// maxUnavailableDivisor is the inverse of the fraction of a model's backend servers that may be
+	// unavailable at once: one in eight, or one. With 8 and more servers, an eighth of the capacity
+	// is less than what remains free at the daily peak under the common rule of two thirds
+	// utilization. With fewer, one server is the smallest possible step.
 	maxUnavailableDivisor = 8
-	// lightLoadFactor is how many times the work under way must fit into the limits of the
-	// servers that go on for cold ones not to hold up the others. A server warms up on
-	// work only; at night there is none, and waiting for it would never end.
+	// lightLoadFactor is how many times the current requests must fit into the limits of the
+	// available servers for cold servers not to count as unavailable. A server only warms up with
+	// work; at night there is none, and a rollout that waits for it would never end.
 	lightLoadFactor = 2
 )
 
-// Server is one backend server of the model as its agent reported it last.
+// Server is the last reported state of one backend server of the model.
 type Server struct {
 	VM      string
 	Domain  string
 	Version string
-	// Adapters are those loaded.
+	// Adapters are the loaded adapters.
 	Adapters []string
-	// Loading says that it is carrying out an order, the one with the fencing number
-	// Order.
+	// Loading is set while the server carries out the order with the fencing number OrderFence.
 	Loading    bool
 	OrderFence int64
-	// Cold says that it bears less than when warm.
+	// Cold is set while the server's limit is lower than when warm.
 	Cold bool
-	// Refusing says that it takes no new work for another reason than an order.
+	// Refusing is set while the server takes no new requests for a reason other than an order.
 	Refusing bool
-	// Missing says that it should be there and has no link.
+	// Missing is set if the server is expected but has no link.
 	Missing bool
-	// Limit is what it bears at once now, Requests what runs and waits at it.
+	// Limit is the server's current concurrency limit, and Requests the number of requests that run
+	// or wait there.
 	Limit, Requests int
 }
 
-// Target is what the lists say every backend server of the model should hold.
+// Target is the version and the adapters that every backend server of the model should have.
 type Target struct {
-	// Version may be empty: any version will do.
+	// Version may be empty, which allows any version.
 	Version  string
 	Adapters []string
-	// Fence is the fencing number of the orders: a newer list has a greater one.
+	// Fence is the fencing number of the orders; a newer list has a greater one.
 	Fence int64
 }
 
-// IsMetBy says whether a server that holds a version and adapters needs no order.
+// IsMetBy reports whether a server with the given version and adapters needs no order.
 func (t Target) IsMetBy(version string, adapters []string) bool {
 	if t.Version != "" && version != t.Version {
 		return false
@@ -73,16 +73,16 @@
 	return true
 }
 
-// MaxUnavailable is how many of n backend servers may be away at once.
+// MaxUnavailable is the number of n backend servers that may be unavailable at once.
 func MaxUnavailable(n int) int { return max(1, n/maxUnavailableDivisor) }
 
-// NextToLoad returns the VMs that may be ordered to load now, in order.
+// NextToLoad returns the VMs that may be ordered to load now, sorted by name.
 //
-// A server that still carries out an order of an older list gets the new one at once:
-// it is away already, and a version that does not load is left that way. Beyond that,
-// no more than Budget servers are away (loading, refusing, missing or cold) with those
-// chosen, and all that load are of one failure domain. Servers that refuse for another
-// reason go first, one budget at a time: nothing is served there.
+// A server that still carries out an order of an older list gets the new order at once: it is
+// unavailable already, and this is how a version that does not load is abandoned. Otherwise, no
+// more than MaxUnavailable servers are unavailable (loading, refusing, missing or cold) including
+// those chosen, and all loading servers are in one failure domain. Servers that refuse requests for
+// another reason serve nothing and go first, up to MaxUnavailable at a time.
 func NextToLoad(servers []Server, target Target) []string {
 	var next []string
 	var candidates []Server
@@ -114,8 +114,8 @@
 		if loadingCount >= maxUnavailable || loadingDomain != "" && s.Domain != loadingDomain {
 			continue
 		}
-		// One that is counted as away already costs nothing more. A cold one that
-		// serves does cost what it serves; it waits until it is warm.
+		// A refusing server already counts as unavailable, so that its load costs no capacity. A
+		// cold server still serves requests and has to wait until it is warm.
 		if !s.Refusing && unavailable >= maxUnavailable {
 			continue
 		}
@@ -130,8 +130,8 @@
 	return next
 }
 
-// sortCandidates puts servers that serve nothing first, then cold ones, which serve
-// little, then by failure domain and VM, so that every process comes to one order.
+// sortCandidates puts refusing servers first, then cold ones, which serve little, and then sorts by
+// failure domain and VM, so that every process gets the same order.
 func sortCandidates(servers []Server) {
 	slices.SortFunc(servers, func(a, b Server) int {
 		return cmp.Or(
@@ -153,9 +153,9 @@
 	return 1
 }
 
-// needsColdServers says whether the model's work needs the cold servers warm: without the
-// largest of those that serve, the rest could not bear lightFactor times the work under
-// way.
+// needsColdServers reports whether the load of the model requires its cold servers to be warm:
+// without the largest available server, the others could not hold lightLoadFactor times the current
+// requests.
 func needsColdServers(servers []Server) bool {
 	requests, totalLimit, largestLimit := 0, 0, 0
 	for _, s := range servers {
--- a/decide/rollout/rollout_test.go
+++ b/decide/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 
 var v2 = Target{Version: "2", Fence: 20}
 
-// fleet returns n warm, busy servers with version 1 over three failure domains.
+// fleet returns n warm, busy servers with version 1 in three failure domains.
 func fleet(n int) []Server {
 	servers := make([]Server, n)
 	for i := range servers {
@@ -17,7 +17,7 @@
 	return servers
 }
 
-// modify returns the fleet modify changes to some servers.
+// modify applies a change to each server and returns them.
 func modify(servers []Server, change func(i int, s *Server)) []Server {
 	for i := range servers {
 		change(i, &servers[i])
@@ -133,8 +133,8 @@
 	}
 }
 
-// A fleet is changed to the end though v3 comes while v2 is being loaded, and at no
-// moment are more than the budget away, or two failure domains.
+// Version 3 is published while version 2 is being loaded. All servers must reach version 3, and at
+// no time may more than MaxUnavailable servers be unavailable or two failure domains load.
 func TestBurstOfPublishes(t *testing.T) {
 	servers := fleet(24)
 	target := v2
@@ -166,7 +166,7 @@
 			}
 		}
 		if unavailable > MaxUnavailable(len(servers)) || len(domains) > 1 {
-			t.Fatalf("round %d: %d away, loading in %v", round, unavailable, domains)
+			t.Fatalf("round %d: %d unavailable, loading in %v", round, unavailable, domains)
 		}
 	}
 	for _, s := range servers {
