--- a/decide/subset/further.go
+++ b/decide/subset/further.go
@@ -5,52 +5,52 @@
 	"slices"
 )
 
-// Further returns the servers that a client does not link to, in the order in which it
+// FallbackOrder returns the servers that a client does not link to, in the order in which it
 // would take them when some of its own are lost: in turns over the failure domains, and
 // within a domain by rendezvous score. Clients of one server that is lost go to different
 // ones, since the score differs by client.
-func Further(client string, servers []Node, own []string) []string {
-	c := newChooser(client, servers, own)
-	further := make([]string, 0, len(c.left))
-	for len(c.left) > 0 {
-		further = append(further, c.next())
+func FallbackOrder(client string, servers []Node, assigned []string) []string {
+	c := newFallbackChooser(client, servers, assigned)
+	order := make([]string, 0, len(c.candidates))
+	for len(c.candidates) > 0 {
+		order = append(order, c.next())
 	}
-	return further
+	return order
 }
 
-// chooser takes one server after another.
-type chooser struct {
-	left  []Node // by score, the highest first
-	taken map[string]int
+// fallbackChooser takes one server after another.
+type fallbackChooser struct {
+	candidates    []Node // by score, the highest first
+	linksByDomain map[string]int
 }
 
-func newChooser(client string, servers []Node, own []string) *chooser {
-	c := &chooser{taken: make(map[string]int)}
+func newFallbackChooser(client string, servers []Node, assigned []string) *fallbackChooser {
+	c := &fallbackChooser{linksByDomain: make(map[string]int)}
 	for _, s := range servers {
-		if slices.Contains(own, s.Name) {
-			c.taken[s.Domain]++
+		if slices.Contains(assigned, s.Name) {
+			c.linksByDomain[s.Domain]++
 			continue
 		}
-		c.left = append(c.left, s)
+		c.candidates = append(c.candidates, s)
 	}
-	of := hash(client)
-	slices.SortFunc(c.left, func(a, b Node) int {
-		x, y := mix(of^hash(a.Name)), mix(of^hash(b.Name))
+	clientHash := hash(client)
+	slices.SortFunc(c.candidates, func(a, b Node) int {
+		x, y := mix(clientHash^hash(a.Name)), mix(clientHash^hash(b.Name))
 		return cmp.Or(cmp.Compare(y, x), cmp.Compare(a.Name, b.Name))
 	})
 	return c
 }
 
 // next takes the best server of a domain of which fewest are taken.
-func (c *chooser) next() string {
+func (c *fallbackChooser) next() string {
 	best := 0
-	for i, s := range c.left {
-		if c.taken[s.Domain] < c.taken[c.left[best].Domain] {
+	for i, s := range c.candidates {
+		if c.linksByDomain[s.Domain] < c.linksByDomain[c.candidates[best].Domain] {
 			best = i
 		}
 	}
-	s := c.left[best]
-	c.left = slices.Delete(c.left, best, best+1)
-	c.taken[s.Domain]++
+	s := c.candidates[best]
+	c.candidates = slices.Delete(c.candidates, best, best+1)
+	c.linksByDomain[s.Domain]++
 	return s.Name
 }
--- a/decide/subset/keeper.go
+++ b/decide/subset/keeper.go
@@ -15,30 +15,30 @@
 	Usable
 	// Silent: the link does not stand, or is not heard.
 	Silent
-	// Out: the server takes no work, and the client has been told so: it is marked out,
+	// Unavailable: the server takes no work, and the client has been told so: it is marked out,
 	// or it stops.
-	Out
+	Unavailable
 )
 
 const (
-	// settle is how long a server may be silent before it counts as lost: longer than a
+	// lostAfter is how long a server may be silent before it counts as lost: longer than a
 	// link takes to be made, or a link that went silent to be dialled anew, on a busy
 	// machine. With the silence that makes a link suspect, 0.6 s, it is 1.6 s.
-	settle = time.Second
-	// hold is how long all own servers must be there before the further ones are let go,
+	lostAfter = time.Second
+	// fallbackHold is how long all own servers must be there before the further ones are let go,
 	// and how long a further one that was lost is not tried again. A domain that comes
 	// back comes back cold, and its load shifts over 10 s; let go sooner, the further
 	// ones would be missed in that time.
-	hold = 30 * time.Second
-	// report is how long a link stands before the first report of its server is surely
+	fallbackHold = 30 * time.Second
+	// firstReportDelay is how long a link stands before the first firstReportDelay of its server is surely
 	// there, by which work is placed: two heartbeats and some.
-	report = 500 * time.Millisecond
-	// handover is how long a server that is not the client's own any more is used on, for
+	firstReportDelay = 500 * time.Millisecond
+	// maxHandover is how long a server that is not the client's own any more is used on, for
 	// want of those that are.
-	handover = 5 * time.Second
+	maxHandover = 5 * time.Second
 )
 
-// Keeper keeps one client linked to enough servers of one offer while some are lost.
+// LinkSelector keeps one client linked to enough servers of one offer while some are lost.
 //
 // Load: a failure domain is taken out or dies, and with it a third of the servers, or
 // half of those that a client happens to have. Harm prevented: the client is left with
@@ -49,161 +49,161 @@
 // The limit is as many further ones as own ones: with more, a client that sees nobody for
 // a fault of its own would dial everybody. They come one after another in an order of
 // each client's own, so that the load of those lost is spread over all that are left.
-type Keeper struct {
-	own, order []string
-	further    []string
-	// lost is since when a server has been silent; skip until when a further one is not
+type LinkSelector struct {
+	assigned, fallbackOrder []string
+	fallbacks               []string
+	// silentSince is since when a server has been silent; skipUntil until when a further one is not
 	// tried.
-	lost, skip map[string]time.Duration
-	// whole is since when all own servers are there; negative while they are not.
-	whole time.Duration
-	// old are servers that were own before the last Set, used until the links to the new
+	silentSince, skipUntil map[string]time.Duration
+	// completeSince is since when all own servers are there; negative while they are not.
+	completeSince time.Duration
+	// previous are servers that were own before the last Set, used until the links to the new
 	// ones stand; since is the first look at them, stood since when all own links stand.
 	//
 	// Load: one entry is replaced, and others' subsets move with it. Harm prevented: an
 	// entry with few links drops those it has and refuses all work until the new ones
 	// stand.
-	old          []string
-	since, stood time.Duration
-	pending      bool
+	previous                   []string
+	handoverStart, linkedSince time.Duration
+	hasPendingLink             bool
 }
 
-// NewKeeper returns a keeper without servers.
-func NewKeeper() *Keeper {
-	return &Keeper{lost: make(map[string]time.Duration), skip: make(map[string]time.Duration), whole: -1, stood: -1}
+// NewLinkSelector returns a keeper without servers.
+func NewLinkSelector() *LinkSelector {
+	return &LinkSelector{silentSince: make(map[string]time.Duration), skipUntil: make(map[string]time.Duration), completeSince: -1, linkedSince: -1}
 }
 
-// Set takes the client's own servers, by [Assign], and the others by [Further].
+// SetServers takes the client's own servers, by [Assign], and the others by [FallbackOrder].
 // Further ones that are linked are kept unless they have become own, or are gone.
-func (k *Keeper) Set(own, order []string) {
-	was := append(slices.Clone(k.own), k.old...)
-	k.old = slices.DeleteFunc(was, func(vm string) bool { return !slices.Contains(order, vm) })
-	k.since, k.stood = -1, -1
-	k.own, k.order = own, order
-	k.further = slices.DeleteFunc(k.further, func(vm string) bool { return !slices.Contains(order, vm) })
-	known := func(vm string) bool { return slices.Contains(own, vm) || slices.Contains(order, vm) }
-	for vm := range k.lost {
-		if !known(vm) {
-			delete(k.lost, vm)
+func (s *LinkSelector) SetServers(assigned, fallbackOrder []string) {
+	previous := append(slices.Clone(s.assigned), s.previous...)
+	s.previous = slices.DeleteFunc(previous, func(vm string) bool { return !slices.Contains(fallbackOrder, vm) })
+	s.handoverStart, s.linkedSince = -1, -1
+	s.assigned, s.fallbackOrder = assigned, fallbackOrder
+	s.fallbacks = slices.DeleteFunc(s.fallbacks, func(vm string) bool { return !slices.Contains(fallbackOrder, vm) })
+	isKnown := func(vm string) bool { return slices.Contains(assigned, vm) || slices.Contains(fallbackOrder, vm) }
+	for vm := range s.silentSince {
+		if !isKnown(vm) {
+			delete(s.silentSince, vm)
 		}
 	}
-	for vm := range k.skip {
-		if !known(vm) {
-			delete(k.skip, vm)
+	for vm := range s.skipUntil {
+		if !isKnown(vm) {
+			delete(s.skipUntil, vm)
 		}
 	}
 }
 
-// Tick returns the servers to link to: the own ones, and further ones while too many of
+// Update returns the servers to link to: the own ones, and further ones while too many of
 // those are lost.
-func (k *Keeper) Tick(now time.Duration, health func(vm string) Health) []string {
-	good := 0
-	for _, vm := range k.own {
-		if !k.isLost(now, vm, health(vm)) {
-			good++
+func (s *LinkSelector) Update(now time.Duration, health func(vm string) Health) []string {
+	healthy := 0
+	for _, vm := range s.assigned {
+		if !s.isLost(now, vm, health(vm)) {
+			healthy++
 		}
 	}
-	k.dropLost(now, health)
-	k.letGo(now, good)
-	if 4*(good+len(k.further)) < 3*len(k.own) {
-		k.take(now, good, health)
+	s.dropLostFallbacks(now, health)
+	s.releaseFallbacks(now, healthy)
+	if 4*(healthy+len(s.fallbacks)) < 3*len(s.assigned) {
+		s.addFallbacks(now, healthy, health)
 	}
-	k.handOver(now, health)
-	k.pending = slices.ContainsFunc(slices.Concat(k.own, k.further), func(vm string) bool {
-		return k.mayCome(now, vm, health(vm))
+	s.dropPrevious(now, health)
+	s.hasPendingLink = slices.ContainsFunc(slices.Concat(s.assigned, s.fallbacks), func(vm string) bool {
+		return s.isPending(now, vm, health(vm))
 	})
-	return slices.Concat(k.own, k.further, k.old)
+	return slices.Concat(s.assigned, s.fallbacks, s.previous)
 }
 
-// Pending says that a server is to be linked, as of the last Tick, and that its link may
+// HasPendingLink says that a server is to be linked, as of the last Tick, and that its link may
 // stand at any moment.
-func (k *Keeper) Pending() bool { return k.pending }
+func (s *LinkSelector) HasPendingLink() bool { return s.hasPendingLink }
 
-// mayCome says that a server has no link, and has not been waited for for long.
-func (k *Keeper) mayCome(now time.Duration, vm string, h Health) bool {
-	since, silent := k.lost[vm]
-	return (h == Silent || h == Unknown) && (!silent || now-since < settle)
+// isPending says that a server has no link, and has not been waited for for long.
+func (s *LinkSelector) isPending(now time.Duration, vm string, h Health) bool {
+	since, silent := s.silentSince[vm]
+	return (h == Silent || h == Unknown) && (!silent || now-since < lostAfter)
 }
 
-// handOver lets go of the old servers once all own ones are linked and have reported, or
+// dropPrevious lets go of the old servers once all own ones are linked and have reported, or
 // the time for it is over.
-func (k *Keeper) handOver(now time.Duration, health func(vm string) Health) {
-	if len(k.old) == 0 {
+func (s *LinkSelector) dropPrevious(now time.Duration, health func(vm string) Health) {
+	if len(s.previous) == 0 {
 		return
 	}
-	if k.since < 0 {
-		k.since = now
+	if s.handoverStart < 0 {
+		s.handoverStart = now
 	}
-	stand := !slices.ContainsFunc(k.own, func(vm string) bool { return health(vm) != Usable })
+	allLinked := !slices.ContainsFunc(s.assigned, func(vm string) bool { return health(vm) != Usable })
 	switch {
-	case !stand:
-		k.stood = -1
-	case k.stood < 0:
-		k.stood = now
+	case !allLinked:
+		s.linkedSince = -1
+	case s.linkedSince < 0:
+		s.linkedSince = now
 	}
-	if stand && now-k.stood >= report || now-k.since >= handover {
-		k.old = nil
+	if allLinked && now-s.linkedSince >= firstReportDelay || now-s.handoverStart >= maxHandover {
+		s.previous = nil
 		return
 	}
-	k.old = slices.DeleteFunc(k.old, func(vm string) bool { return health(vm) != Usable || slices.Contains(k.further, vm) })
+	s.previous = slices.DeleteFunc(s.previous, func(vm string) bool { return health(vm) != Usable || slices.Contains(s.fallbacks, vm) })
 }
 
-// Whole is how many servers there are for each that the client links to.
-func (k *Keeper) Whole() float64 {
-	linked := len(k.own) + len(k.further)
+// ServersPerLink is how many servers there are for each that the client links to.
+func (s *LinkSelector) ServersPerLink() float64 {
+	linked := len(s.assigned) + len(s.fallbacks)
 	if linked == 0 {
 		return 1
 	}
-	return float64(len(k.own)+len(k.order)) / float64(linked)
+	return float64(len(s.assigned)+len(s.fallbackOrder)) / float64(linked)
 }
 
 // isLost notes how long a server has been silent.
-func (k *Keeper) isLost(now time.Duration, vm string, h Health) bool {
+func (s *LinkSelector) isLost(now time.Duration, vm string, h Health) bool {
 	if h != Silent {
-		delete(k.lost, vm)
-		return h == Out
+		delete(s.silentSince, vm)
+		return h == Unavailable
 	}
-	since, silent := k.lost[vm]
+	since, silent := s.silentSince[vm]
 	if !silent {
-		k.lost[vm] = now
+		s.silentSince[vm] = now
 		return false
 	}
-	return now-since >= settle
+	return now-since >= lostAfter
 }
 
-// dropLost lets go of further servers that are lost too.
-func (k *Keeper) dropLost(now time.Duration, health func(vm string) Health) {
-	k.further = slices.DeleteFunc(k.further, func(vm string) bool {
-		if !k.isLost(now, vm, health(vm)) {
+// dropLostFallbacks lets go of further servers that are lost too.
+func (s *LinkSelector) dropLostFallbacks(now time.Duration, health func(vm string) Health) {
+	s.fallbacks = slices.DeleteFunc(s.fallbacks, func(vm string) bool {
+		if !s.isLost(now, vm, health(vm)) {
 			return false
 		}
-		delete(k.lost, vm)
-		k.skip[vm] = now + hold
+		delete(s.silentSince, vm)
+		s.skipUntil[vm] = now + fallbackHold
 		return true
 	})
 }
 
-// letGo lets go of the further servers once all own ones have been there for long enough.
-func (k *Keeper) letGo(now time.Duration, good int) {
+// releaseFallbacks lets go of the further servers once all own ones have been there for long enough.
+func (s *LinkSelector) releaseFallbacks(now time.Duration, healthy int) {
 	switch {
-	case good < len(k.own):
-		k.whole = -1
-	case k.whole < 0:
-		k.whole = now
-	case now-k.whole >= hold:
-		k.further = nil
+	case healthy < len(s.assigned):
+		s.completeSince = -1
+	case s.completeSince < 0:
+		s.completeSince = now
+	case now-s.completeSince >= fallbackHold:
+		s.fallbacks = nil
 	}
 }
 
-// take adds further servers until there are as many as the client's own.
-func (k *Keeper) take(now time.Duration, good int, health func(vm string) Health) {
-	for _, vm := range k.order {
-		if good+len(k.further) >= len(k.own) {
+// addFallbacks adds further servers until there are as many as the client's own.
+func (s *LinkSelector) addFallbacks(now time.Duration, healthy int, health func(vm string) Health) {
+	for _, vm := range s.fallbackOrder {
+		if healthy+len(s.fallbacks) >= len(s.assigned) {
 			return
 		}
-		if now < k.skip[vm] || slices.Contains(k.further, vm) || health(vm) == Out {
+		if now < s.skipUntil[vm] || slices.Contains(s.fallbacks, vm) || health(vm) == Unavailable {
 			continue
 		}
-		k.further = append(k.further, vm)
+		s.fallbacks = append(s.fallbacks, vm)
 	}
 }
--- a/decide/subset/keeper_test.go
+++ b/decide/subset/keeper_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-const tick = 200 * time.Millisecond
+const updateInterval = 200 * time.Millisecond
 
-// play runs a keeper for some time, and returns the servers wanted at the end and the
+// runSelector runs a keeper for some time, and returns the servers wanted at the end and the
 // most that were wanted at once.
-func play(k *Keeper, from, to time.Duration, health func(string) Health) (wanted []string, most int) {
-	for now := from; now < to; now += tick {
-		wanted = k.Tick(now, health)
-		most = max(most, len(wanted))
+func runSelector(k *LinkSelector, from, to time.Duration, health func(string) Health) (links []string, maxLinks int) {
+	for now := from; now < to; now += updateInterval {
+		links = k.Update(now, health)
+		maxLinks = max(maxLinks, len(links))
 	}
-	return wanted, most
+	return links, maxLinks
 }
 
 func domainOf(servers []Node) map[string]string {
@@ -31,50 +31,50 @@
 // Every entry has as many links that work as before within two seconds, at no time more
 // than twice as many, and the domain's load is spread over all that are left. Half a
 // minute after the return all is as it was.
-func TestADomainThatIsLostLeavesLinksEnough(t *testing.T) {
+func TestLostDomainIsReplacedByFallbacks(t *testing.T) {
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	const k = 4
 	links, domains := Assign(clients, servers, k), domainOf(servers)
-	for _, how := range []Health{Out, Silent} {
+	for _, lostHealth := range []Health{Unavailable, Silent} {
 		for d := range 3 {
-			gone := fmt.Sprint("domain-", d)
+			lostDomain := fmt.Sprint("domain-", d)
 			health := func(vm string) Health {
-				if domains[vm] == gone {
-					return how
+				if domains[vm] == lostDomain {
+					return lostHealth
 				}
 				return Usable
 			}
 			count := make(map[string]int)
 			for _, c := range clients {
-				keeper := NewKeeper()
+				keeper := NewLinkSelector()
 				own := links[c.Name]
-				keeper.Set(own, Further(c.Name, servers, own))
-				play(keeper, 0, time.Second, func(string) Health { return Usable })
-				wanted, most := play(keeper, time.Second, 3*time.Second, health)
+				keeper.SetServers(own, FallbackOrder(c.Name, servers, own))
+				runSelector(keeper, 0, time.Second, func(string) Health { return Usable })
+				wanted, most := runSelector(keeper, time.Second, 3*time.Second, health)
 				good := 0
 				for _, vm := range wanted {
-					if domains[vm] != gone {
+					if domains[vm] != lostDomain {
 						good++
 						count[vm]++
 					}
 				}
 				if 4*good < 3*k || most > 2*k {
-					t.Fatalf("%s without %s (%v): %d links that work of %d wanted", c.Name, gone, how, good, most)
+					t.Fatalf("%s without %s (%v): %d links that work of %d wanted", c.Name, lostDomain, lostHealth, good, most)
 				}
-				back, _ := play(keeper, 3*time.Second, 3*time.Second+hold+2*tick, func(string) Health { return Usable })
+				back, _ := runSelector(keeper, 3*time.Second, 3*time.Second+fallbackHold+2*updateInterval, func(string) Health { return Usable })
 				if !slices.Equal(back, own) {
-					t.Fatalf("%s after the return of %s: %v, want %v", c.Name, gone, back, own)
+					t.Fatalf("%s after the return of %s: %v, want %v", c.Name, lostDomain, back, own)
 				}
 			}
 			low, high := len(clients), 0
 			for _, s := range servers {
-				if s.Domain != gone {
+				if s.Domain != lostDomain {
 					low, high = min(low, count[s.Name]), max(high, count[s.Name])
 				}
 			}
-			t.Logf("%s lost (%v): the others have from %d to %d entries", gone, how, low, high)
+			t.Logf("%s lost (%v): the others have from %d to %d entries", lostDomain, lostHealth, low, high)
 			if low == 0 || high > 3*98*k/62 {
-				t.Errorf("%s lost (%v): the others have from %d to %d entries", gone, how, low, high)
+				t.Errorf("%s lost (%v): the others have from %d to %d entries", lostDomain, lostHealth, low, high)
 			}
 		}
 	}
@@ -83,13 +83,13 @@
 // Links flap: one own server is silent for half a second again and again, as on a busy
 // machine. No further link is made. One that is gone for good is no reason either while
 // three of four are left.
-func TestFlappingLinksMakeNoFurtherOnes(t *testing.T) {
+func TestFlappingLinksAddNoFallbacks(t *testing.T) {
 	own, order := []string{"a", "b", "c", "d"}, []string{"e", "f", "g", "h", "i"}
-	k := NewKeeper()
-	k.Set(own, order)
-	for now := time.Duration(0); now < 20*time.Second; now += tick {
+	k := NewLinkSelector()
+	k.SetServers(own, order)
+	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
 		flaps := now%time.Second < 600*time.Millisecond
-		wanted := k.Tick(now, func(vm string) Health {
+		wanted := k.Update(now, func(vm string) Health {
 			if vm == "a" || flaps {
 				return Silent
 			}
@@ -103,24 +103,24 @@
 
 // Nobody answers: the fault is this client's own. It asks for twice its own servers at
 // most at any moment, and tries none of the further ones again within half a minute.
-func TestAClientThatSeesNobodyDialsFew(t *testing.T) {
+func TestIsolatedClientDialsFewServers(t *testing.T) {
 	_, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	own := []string{"vm-0000", "vm-0001", "vm-0002", "vm-0003"}
-	k := NewKeeper()
-	k.Set(own, Further("entry-0000", servers, own))
+	k := NewLinkSelector()
+	k.SetServers(own, FallbackOrder("entry-0000", servers, own))
 	tried := make(map[string]int)
-	was := own
-	for now := time.Duration(0); now < 20*time.Second; now += tick {
-		wanted := k.Tick(now, func(string) Health { return Silent })
+	previous := own
+	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
+		wanted := k.Update(now, func(string) Health { return Silent })
 		if len(wanted) > 2*len(own) {
 			t.Fatalf("%d wanted", len(wanted))
 		}
 		for _, vm := range wanted {
-			if !slices.Contains(was, vm) {
+			if !slices.Contains(previous, vm) {
 				tried[vm]++
 			}
 		}
-		was = wanted
+		previous = wanted
 	}
 	for vm, n := range tried {
 		if n > 1 {
@@ -132,34 +132,34 @@
 // A client's subset moves to servers that it has no link to yet. It keeps the old ones until
 // the new ones are linked and have reported; not one that is out, nor for longer than a
 // handover.
-func TestOldServersServeUntilTheNewOnesDo(t *testing.T) {
+func TestPreviousServersAreKeptUntilNewOnesReport(t *testing.T) {
 	states := map[string]Health{"a": Usable, "b": Usable, "c": Silent, "d": Silent}
 	health := func(vm string) Health { return states[vm] }
-	k := NewKeeper()
-	k.Set([]string{"a", "b"}, []string{"c", "d"})
-	k.Tick(0, health)
-	k.Set([]string{"c", "d"}, []string{"a", "b"})
+	k := NewLinkSelector()
+	k.SetServers([]string{"a", "b"}, []string{"c", "d"})
+	k.Update(0, health)
+	k.SetServers([]string{"c", "d"}, []string{"a", "b"})
 	check := func(now time.Duration, when string, want ...string) {
 		t.Helper()
-		if got := k.Tick(now, health); !slices.Equal(got, want) {
+		if got := k.Update(now, health); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
-	check(tick, "no new link stands", "c", "d", "a", "b")
-	if !k.Pending() {
+	check(updateInterval, "no new link stands", "c", "d", "a", "b")
+	if !k.HasPendingLink() {
 		t.Error("no link is pending")
 	}
-	states["b"] = Out
-	check(2*tick, "an old one is out", "c", "d", "a")
+	states["b"] = Unavailable
+	check(2*updateInterval, "an old one is out", "c", "d", "a")
 	states["c"], states["d"] = Usable, Usable
-	check(3*tick, "the new links stand", "c", "d", "a")
-	check(3*tick+report, "they have reported", "c", "d")
-	if k.Pending() {
+	check(3*updateInterval, "the new links stand", "c", "d", "a")
+	check(3*updateInterval+firstReportDelay, "they have reported", "c", "d")
+	if k.HasPendingLink() {
 		t.Error("a link is pending")
 	}
 	states["b"] = Usable
 	states["c"] = Silent
-	k.Set([]string{"a", "c"}, []string{"b", "d"})
+	k.SetServers([]string{"a", "c"}, []string{"b", "d"})
 	check(time.Minute, "moved on", "a", "c", "d")
-	check(time.Minute+handover, "for too long", "a", "c", "b")
+	check(time.Minute+maxHandover, "for too long", "a", "c", "b")
 }
--- a/decide/subset/level.go
+++ b/decide/subset/level.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// spread is the most by which two servers may differ in their clients. With 1, half as
+// maxClientSpread is the most by which two servers may differ in their clients. With 1, half as
 // many links again moved in trials when a VM was replaced; with 3, some servers had two
 // thirds of the mean, and their limits would stand unused at the peak.
-const spread = 2
+const maxClientSpread = 2
 
-// level moves links from the servers with most clients to those with fewest, until no
+// balance moves links from the servers with most clients to those with fewest, until no
 // two differ by more than the spread. Rooms alone leave some servers with too few: the room
 // rounded up is more than there are links, and the last clients find it in few servers.
-func (a *assignment) level() {
+func (a *assignment) balance() {
 	for {
 		least, most := a.extremes()
-		level := most.clients-least.clients <= spread
+		isBalanced := most.clients-least.clients <= maxClientSpread
 		if least.clients == 0 {
 			// A server without a client gets no work at all.
-			level = most.clients <= 1
+			isBalanced = most.clients <= 1
 		}
-		if level || !a.move(most, least) {
+		if isBalanced || !a.move(most, least) {
 			return
 		}
 	}
@@ -44,7 +44,7 @@
 func (a *assignment) move(from, to *server) bool {
 	var best *client
 	for _, c := range a.clients {
-		if c.has(from) && !c.has(to) && (best == nil || c.movesBefore(best, from, to)) {
+		if c.has(from) && !c.has(to) && (best == nil || c.isBetterMove(best, from, to)) {
 			best = c
 		}
 	}
@@ -52,13 +52,13 @@
 		return false
 	}
 	best.servers[slices.Index(best.servers, from)] = to
-	from.add(best, -1)
-	to.add(best, 1)
+	from.addLinks(best, -1)
+	to.addLinks(best, 1)
 	return true
 }
 
-func (c *client) movesBefore(other *client, from, to *server) bool {
-	if x, y := c.narrows(from, to), other.narrows(from, to); x != y {
+func (c *client) isBetterMove(other *client, from, to *server) bool {
+	if x, y := c.reducesDomainSpread(from, to), other.reducesDomainSpread(from, to); x != y {
 		return y
 	}
 	if x, y := score(c, to), score(other, to); x != y {
@@ -67,8 +67,8 @@
 	return c.name < other.name
 }
 
-// narrows says that the move would take the client's last link to a failure domain, or
+// reducesDomainSpread says that the move would take the client's last link to a failure domain, or
 // make its domains less even.
-func (c *client) narrows(from, to *server) bool {
-	return from.domain != to.domain && c.taken[to.domain] >= c.taken[from.domain]
+func (c *client) reducesDomainSpread(from, to *server) bool {
+	return from.domain != to.domain && c.linksByDomain[to.domain] >= c.linksByDomain[from.domain]
 }
--- a/decide/subset/subset.go
+++ b/decide/subset/subset.go
@@ -35,10 +35,10 @@
 		return links
 	}
 	a := newAssignment(clients, servers, len(clients)*k)
-	for _, node := range ordered(clients) {
+	for _, node := range sortClients(clients) {
 		a.clients = append(a.clients, a.choose(node, k))
 	}
-	a.level()
+	a.balance()
 	for _, c := range a.clients {
 		for _, s := range c.servers {
 			links[c.name] = append(links[c.name], s.Name)
@@ -47,97 +47,97 @@
 	return links
 }
 
-// Of returns the choice of one client in [Assign], nil for a client not in the list.
-func Of(client string, clients, servers []Node, k int) []string {
+// ForClient returns the choice of one client in [Assign], nil for a client not in the list.
+func ForClient(client string, clients, servers []Node, k int) []string {
 	return Assign(clients, servers, k)[client]
 }
 
-// ordered returns the clients in the order in which they choose. It is the same for
+// sortClients returns the clients in the order in which they choose. It is the same for
 // all processes, whatever the order of their lists, and one client more or less leaves
 // the order of the others.
-func ordered(clients []Node) []Node {
-	all := slices.Clone(clients)
-	slices.SortFunc(all, func(a, b Node) int {
+func sortClients(clients []Node) []Node {
+	sorted := slices.Clone(clients)
+	slices.SortFunc(sorted, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(hash(a.Name), hash(b.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	return all
+	return sorted
 }
 
 // server is one server with the clients that it has so far, in all and by the failure
 // domain of the client.
 type server struct {
 	Node
-	hash     uint64
-	domain   int
-	clients  int
-	byDomain []int
-	score    uint64 // for the client that is choosing
+	hash            uint64
+	domain          int
+	clients         int
+	clientsByDomain []int
+	score           uint64 // for the client that is choosing
 }
 
 // client is one client with its choice.
 type client struct {
-	name    string
-	hash    uint64
-	domain  int
-	servers []*server
-	taken   []int // servers by domain
+	name          string
+	hash          uint64
+	domain        int
+	servers       []*server
+	linksByDomain []int // servers by domain
 }
 
 func (c *client) has(s *server) bool { return slices.Contains(c.servers, s) }
 
 // assignment is the state while clients choose one after another.
 type assignment struct {
-	servers []*server
-	clients []*client
-	domains map[string]int // numbers
-	room    int            // of a server: the mean number of clients, rounded up
+	servers       []*server
+	clients       []*client
+	domainIndex   map[string]int // numbers
+	targetClients int            // of a server: the mean number of clients, rounded up
 }
 
 // newAssignment has no links yet; there will be so many.
 func newAssignment(clients, servers []Node, links int) *assignment {
-	a := &assignment{domains: make(map[string]int), room: ceil(links, len(servers))}
+	a := &assignment{domainIndex: make(map[string]int), targetClients: ceilDiv(links, len(servers))}
 	for _, n := range append(slices.Clone(clients), servers...) {
-		if _, known := a.domains[n.Domain]; !known {
-			a.domains[n.Domain] = len(a.domains)
+		if _, known := a.domainIndex[n.Domain]; !known {
+			a.domainIndex[n.Domain] = len(a.domainIndex)
 		}
 	}
 	for _, n := range servers {
 		a.servers = append(a.servers, &server{
-			Node: n, hash: hash(n.Name), domain: a.domains[n.Domain], byDomain: make([]int, len(a.domains)),
+			Node: n, hash: hash(n.Name), domain: a.domainIndex[n.Domain], clientsByDomain: make([]int, len(a.domainIndex)),
 		})
 	}
 	return a
 }
 
-func ceil(a, b int) int { return (a + b - 1) / b }
+func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
 // choose takes k servers for a client.
 func (a *assignment) choose(node Node, k int) *client {
 	c := &client{
-		name: node.Name, hash: hash(node.Name), domain: a.domains[node.Domain], taken: make([]int, len(a.domains)),
+		name: node.Name, hash: hash(node.Name), domain: a.domainIndex[node.Domain], linksByDomain: make([]int, len(a.domainIndex)),
 	}
 	for _, s := range a.servers {
 		s.score = score(c, s)
 	}
 	for len(c.servers) < k {
-		best := a.best(c)
-		best.add(c, 1)
+		best := a.bestServer(c)
+		best.addLinks(c, 1)
 		c.servers = append(c.servers, best)
 	}
 	return c
 }
 
-// add counts a link between a client and a server, or takes it back.
-func (s *server) add(c *client, n int) {
+// addLinks counts a link between a client and a server, or takes it back.
+func (s *server) addLinks(c *client, n int) {
 	s.clients += n
-	s.byDomain[c.domain] += n
-	c.taken[s.domain] += n
+	s.clientsByDomain[c.domain] += n
+	c.linksByDomain[s.domain] += n
 }
 
 func score(c *client, s *server) uint64 { return mix(c.hash ^ s.hash) }
 
-// best returns the server that the client takes next.
-func (a *assignment) best(c *client) *server {
+// bestServer returns the server that the client takes next.
+func (a *assignment) bestServer(c *client) *server {
 	var best *server
 	for _, s := range a.servers {
 		if (best == nil || a.prefers(c, s, best)) && !c.has(s) {
@@ -155,13 +155,13 @@
 // Room goes before domains: a server over its room would have more clients than all
 // others for good, while a client with two servers in one domain still has others.
 func (a *assignment) prefers(c *client, s, other *server) bool {
-	if x, y := s.clients < a.room, other.clients < a.room; x != y {
+	if x, y := s.clients < a.targetClients, other.clients < a.targetClients; x != y {
 		return x
 	}
-	if x, y := c.taken[s.domain], c.taken[other.domain]; x != y {
+	if x, y := c.linksByDomain[s.domain], c.linksByDomain[other.domain]; x != y {
 		return x < y
 	}
-	if x, y := s.byDomain[c.domain], other.byDomain[c.domain]; x != y {
+	if x, y := s.clientsByDomain[c.domain], other.clientsByDomain[c.domain]; x != y {
 		return x < y
 	}
 	if s.score != other.score {
--- a/decide/subset/subset_test.go
+++ b/decide/subset/subset_test.go
@@ -16,8 +16,8 @@
 	return all
 }
 
-// clientsOf counts the clients of each server.
-func clientsOf(links map[string][]string) map[string]int {
+// countClients counts the clients of each server.
+func countClients(links map[string][]string) map[string]int {
 	count := make(map[string]int)
 	for _, servers := range links {
 		for _, s := range servers {
@@ -27,8 +27,8 @@
 	return count
 }
 
-// moved counts the links of clients in both that are in only one of the two.
-func moved(before, after map[string][]string) int {
+// countMoved counts the links of clients in both that are in only one of the two.
+func countMoved(before, after map[string][]string) int {
 	n := 0
 	for client, servers := range after {
 		old, ok := before[client]
@@ -56,7 +56,7 @@
 			seen[s][client.Domain] = true
 		}
 	}
-	lacking, count := 0, clientsOf(links)
+	lacking, count := 0, countClients(links)
 	for _, s := range servers {
 		if count[s.Name] > domains && len(seen[s.Name]) < domains {
 			lacking++
@@ -88,7 +88,7 @@
 			for _, s := range servers {
 				domains[s.Name] = s.Domain
 			}
-			count := clientsOf(links)
+			count := countClients(links)
 			low, high := c.clients, 0
 			for _, s := range servers {
 				low, high = min(low, count[s.Name]), max(high, count[s.Name])
@@ -114,7 +114,7 @@
 			if lacking > c.servers/20 {
 				t.Errorf("%d of %d servers lack clients of a failure domain", lacking, c.servers)
 			}
-			if high-low > spread {
+			if high-low > maxClientSpread {
 				t.Errorf("servers have from %d to %d clients, mean %.2f", low, high, mean)
 			}
 			if narrow > c.clients/20 {
@@ -126,7 +126,7 @@
 
 // A server is replaced by another, as happens 1,400 times a day. Its own links must
 // move, and few besides: each moved link is a handshake, and work that waits for it.
-func TestFewLinksMove(t *testing.T) {
+func TestFewLinksMoveWhenServerIsReplaced(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	const k = 4
@@ -136,7 +136,7 @@
 	for i := range replacements {
 		servers[rng.IntN(len(servers))].Name = fmt.Sprint("new-", i)
 		after := Assign(clients, servers, k)
-		sum += moved(before, after)
+		sum += countMoved(before, after)
 		before = after
 	}
 	mean, own := float64(sum)/replacements, float64(98*k)/62
@@ -147,7 +147,7 @@
 }
 
 // A client is replaced: the links of others move only where its going makes room.
-func TestFewLinksMoveForAClient(t *testing.T) {
+func TestFewLinksMoveWhenClientIsReplaced(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	const k = 4
@@ -157,7 +157,7 @@
 	for i := range replacements {
 		clients[rng.IntN(len(clients))].Name = fmt.Sprint("new-", i)
 		after := Assign(clients, servers, k)
-		sum += moved(before, after)
+		sum += countMoved(before, after)
 		before = after
 	}
 	mean := float64(sum) / replacements
@@ -180,12 +180,12 @@
 	}
 }
 
-func TestNothingToChoose(t *testing.T) {
+func TestAssignWithoutServersOrClient(t *testing.T) {
 	clients := nodes("entry", 3, 1)
-	if got := Of("entry-0001", clients, nil, 4); len(got) != 0 {
+	if got := ForClient("entry-0001", clients, nil, 4); len(got) != 0 {
 		t.Errorf("no servers: %v", got)
 	}
-	if got := Of("stranger", clients, nodes("vm", 3, 1), 2); got != nil {
+	if got := ForClient("stranger", clients, nodes("vm", 3, 1), 2); got != nil {
 		t.Errorf("not in the list: %v", got)
 	}
 }
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -42,7 +42,7 @@
 	// vms is the list of VMs that the choice was made from.
 	vms     []platform.VM
 	agents  map[string]platform.VM
-	keepers map[string]*subset.Keeper
+	keepers map[string]*subset.LinkSelector
 	// unnamed are agents of which the list does not say what they offer.
 	unnamed map[string]bool
 	wanted  map[string]bool
@@ -59,7 +59,7 @@
 		per:     per,
 		spares:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
 		agents:  make(map[string]platform.VM),
-		keepers: make(map[string]*subset.Keeper),
+		keepers: make(map[string]*subset.LinkSelector),
 		wanted:  make(map[string]bool),
 		spare:   make(map[string]time.Duration),
 		uses:    make(map[string]int),
@@ -190,11 +190,11 @@
 	}
 	for offer, agents := range offers {
 		servers := inRegion(agents, region)
-		own := subset.Of(l.self.GetVm(), entries, servers, l.per)
+		own := subset.ForClient(l.self.GetVm(), entries, servers, l.per)
 		if l.keepers[offer] == nil {
-			l.keepers[offer] = subset.NewKeeper()
+			l.keepers[offer] = subset.NewLinkSelector()
 		}
-		l.keepers[offer].Set(own, subset.Further(l.self.GetVm(), servers, own))
+		l.keepers[offer].SetServers(own, subset.FallbackOrder(l.self.GetVm(), servers, own))
 		// Wanted at once: with nothing wanted until the next tick, a process that has
 		// just started would take itself for linked.
 		for _, vm := range own {
@@ -254,7 +254,7 @@
 		l.wanted[vm] = true
 	}
 	for _, keeper := range l.keepers {
-		for _, vm := range keeper.Tick(now, health) {
+		for _, vm := range keeper.Update(now, health) {
 			l.wanted[vm] = true
 		}
 	}
@@ -320,7 +320,7 @@
 	if keeper == nil {
 		return false
 	}
-	if keeper.Pending() {
+	if keeper.HasPendingLink() {
 		return true
 	}
 	for vm := range l.wanted {
@@ -340,7 +340,7 @@
 	if keeper == nil {
 		return 1
 	}
-	return keeper.Whole()
+	return keeper.ServersPerLink()
 }
 
 // idle says that no request is at an agent, or waits for it.
--- a/internal/entry/links_test.go
+++ b/internal/entry/links_test.go
@@ -134,7 +134,7 @@
 	perOne := proto.CloneOf(testLinks)
 	perOne.AgentsPerOffer = 1
 	live.offer = ""
-	vms := subset.Of("e1", []subset.Node{{Name: "e1"}}, []subset.Node{{Name: "b2"}, {Name: "b3"}}, 1)
+	vms := subset.ForClient("e1", []subset.Node{{Name: "e1"}}, []subset.Node{{Name: "b2"}, {Name: "b3"}}, 1)
 	if vms[0] == "b2" {
 		dead.vm = "b3"
 	}
--- a/internal/entry/linkuse.go
+++ b/internal/entry/linkuse.go
@@ -57,7 +57,7 @@
 	peer := state.Peers[vm]
 	switch {
 	case e.links.out(state, vm), peer != nil && peer.Draining:
-		return subset.Out
+		return subset.Unavailable
 	case peer != nil && !peer.Session.Suspect():
 		return subset.Usable
 	}
--- a/internal/entry/presence_test.go
+++ b/internal/entry/presence_test.go
@@ -22,7 +22,7 @@
 	stopping := &member.Peer{Hello: hello, Draining: true}
 	health := func(vm string) subset.Health {
 		if vm == own {
-			return subset.Out
+			return subset.Unavailable
 		}
 		return subset.Silent
 	}
@@ -35,7 +35,7 @@
 			t.Errorf("%s: %+v while a link is on its way", offer, r)
 		}
 	}
-	out := func(string) subset.Health { return subset.Out }
+	out := func(string) subset.Health { return subset.Unavailable }
 	l.tick(time.Minute, map[string]bool{own: true}, out)
 	if r := d.rooms(time.Minute, 1)["model:m"]; r.presence != admit.Unavailable {
 		t.Errorf("%+v with all agents out", r)
--- a/test/subset_test.go
+++ b/test/subset_test.go
@@ -233,7 +233,7 @@
 			engines = append(engines, subset.Node{Name: m.VM, Domain: m.Domain})
 		}
 	}
-	return subset.Of(entry, entries, engines, 2)
+	return subset.ForClient(entry, entries, engines, 2)
 }
 
 // mover finds an entry, a VM whose coming moves its subset, and the agent that it leaves.
