--- a/decide/subset/further.go
+++ b/decide/subset/further.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// FallbackOrder returns the servers that a client does not link to, in the order in which it
-// would take them when some of its own are lost: in turns over the failure domains, and
-// within a domain by rendezvous score. Clients of one server that is lost go to different
-// ones, since the score differs by client.
+// FallbackOrder returns the servers that are not assigned to a client, in the order in which they
+// replace lost ones. The order alternates between failure domains, and within a domain it follows
+// the rendezvous score. The score differs between clients, so that the clients of a lost server
+// move to different ones.
 func FallbackOrder(client string, servers []Node, assigned []string) []string {
 	c := newFallbackChooser(client, servers, assigned)
 	order := make([]string, 0, len(c.candidates))
@@ -18,9 +18,9 @@
 	return order
 }
 
-// fallbackChooser takes one server after another.
+// fallbackChooser chooses one server after another.
 type fallbackChooser struct {
-	candidates    []Node // by score, the highest first
+	candidates    []Node // by descending score
 	linksByDomain map[string]int
 }
 
@@ -41,7 +41,7 @@
 	return c
 }
 
-// next takes the best server of a domain of which fewest are taken.
+// next removes and returns the best candidate from the failure domain with the fewest links.
 func (c *fallbackChooser) next() string {
 	best := 0
 	for i, s := range c.candidates {
--- a/decide/subset/hash.go
+++ b/decide/subset/hash.go
@@ -1,7 +1,7 @@
 package subset
 
-// FNV-1a, 64 bits. The choice must be the same in every process and every version, so
-// the seeded hashes of the standard library do not serve.
+// FNV-1a with 64 bits. All processes and versions must make the same choice, which rules out the
+// seeded hashes of the standard library.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
@@ -15,8 +15,8 @@
 	return mix(h)
 }
 
-// mix spreads the bits of a hash (the finalizer of SplitMix64): names that differ in
-// one digit would else have scores in nearly the same order.
+// mix is the finalizer of SplitMix64. Without it, names that differ in one digit have scores in
+// nearly the same order.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/decide/subset/keeper.go
+++ b/decide/subset/keeper.go
@@ -5,76 +5,77 @@
 	"time"
 )
 
-// Health is what a client knows of one server.
+// Health is what a client knows about one server.
 type Health int
 
 const (
-	// Unknown: there is no link, and nothing speaks against one.
+	// Unknown means that there is no link and no known reason against one.
 	Unknown Health = iota
-	// Usable: the link stands and carries work.
+	// Usable means that the link is established and carries work.
 	Usable
-	// Silent: the link does not stand, or is not heard.
+	// Silent means that the link is not established, or nothing is received on it.
 	Silent
-	// Unavailable: the server takes no work, and the client has been told so: it is marked out,
-	// or it stops.
+	// Unavailable means that the server has told the client that it takes no work: it is marked
+	// out, or it is stopping.
 	Unavailable
 )
 
 const (
-	// lostAfter is how long a server may be silent before it counts as lost: longer than a
-	// link takes to be made, or a link that went silent to be dialled anew, on a busy
-	// machine. With the silence that makes a link suspect, 0.6 s, it is 1.6 s.
+	// lostAfter is how long a server may be silent before it counts as lost. It is longer than it
+	// takes to establish a link, or to redial a link that went silent, on a busy machine. Together
+	// with the 0.6 s of silence after which a link is suspect, it is 1.6 s.
 	lostAfter = time.Second
-	// fallbackHold is how long all own servers must be there before the further ones are let go,
-	// and how long a further one that was lost is not tried again. A domain that comes
-	// back comes back cold, and its load shifts over 10 s; let go sooner, the further
-	// ones would be missed in that time.
+	// fallbackHold is how long all assigned servers must be healthy before the fallbacks are
+	// released, and how long a lost fallback is not tried again. A failure domain returns cold and
+	// its load shifts back over 10 s; the fallbacks are still needed in that time.
 	fallbackHold = 30 * time.Second
-	// firstReportDelay is how long a link stands before the first firstReportDelay of its server is surely
-	// there, by which work is placed: two heartbeats and some.
+	// firstReportDelay is how long a link must be established until the first report of its server,
+	// which placement needs, is certain to have arrived: slightly more than two heartbeats.
 	firstReportDelay = 500 * time.Millisecond
-	// maxHandover is how long a server that is not the client's own any more is used on, for
-	// want of those that are.
+	// maxHandover is how long a previously assigned server is still used while newly assigned ones
+	// are not ready.
 	maxHandover = 5 * time.Second
 )
 
-// LinkSelector keeps one client linked to enough servers of one offer while some are lost.
+// LinkSelector selects the servers of one offer that a client links to, and replaces lost ones.
 //
-// Load: a failure domain is taken out or dies, and with it a third of the servers, or
-// half of those that a client happens to have. Harm prevented: the client is left with
-// one or two links, its work queues there and is refused, while servers that it is not
-// linked to stand idle. With less than three quarters of its servers it takes further
-// ones until it has as many as before.
+// When a failure domain is taken out or dies, a client loses a third of its servers, or half if
+// they are distributed unfavourably. With one or two links left, its requests would queue there and
+// be refused, while servers without a link to it are idle. With less than three quarters of its
+// assigned servers healthy, the client adds fallbacks until it has as many as before.
 //
-// The limit is as many further ones as own ones: with more, a client that sees nobody for
-// a fault of its own would dial everybody. They come one after another in an order of
-// each client's own, so that the load of those lost is spread over all that are left.
+// There are at most as many fallbacks as assigned servers: without this limit, a client that
+// reaches nobody because of a fault of its own would dial every server. Each client has its own
+// order of fallbacks, so that the load of lost servers is spread over all that remain.
 type LinkSelector struct {
 	assigned, fallbackOrder []string
 	fallbacks               []string
-	// silentSince is since when a server has been silent; skipUntil until when a further one is not
-	// tried.
+	// silentSince is the time since which a server has been silent, and skipUntil the time until
+	// which a fallback is not tried.
 	silentSince, skipUntil map[string]time.Duration
-	// completeSince is since when all own servers are there; negative while they are not.
+	// completeSince is the time since which all assigned servers are healthy; negative if they are
+	// not.
 	completeSince time.Duration
-	// previous are servers that were own before the last Set, used until the links to the new
-	// ones stand; since is the first look at them, stood since when all own links stand.
+	// previous holds servers that were assigned before the last SetServers, which are used until
+	// the links to the new ones are established. handoverStart is the time of the first Update
+	// after SetServers, and linkedSince the time since which all assigned servers have been usable;
+	// both are negative if unset.
 	//
-	// Load: one entry is replaced, and others' subsets move with it. Harm prevented: an
-	// entry with few links drops those it has and refuses all work until the new ones
-	// stand.
+	// When one entry is replaced, the subsets of others change too. An entry with few links that
+	// dropped them at once would refuse all requests until the new links are established.
 	previous                   []string
 	handoverStart, linkedSince time.Duration
 	hasPendingLink             bool
 }
 
-// NewLinkSelector returns a keeper without servers.
+// NewLinkSelector returns a LinkSelector without servers.
 func NewLinkSelector() *LinkSelector {
 	return &LinkSelector{silentSince: make(map[string]time.Duration), skipUntil: make(map[string]time.Duration), completeSince: -1, linkedSince: -1}
 }
 
-// SetServers takes the client's own servers, by [Assign], and the others by [FallbackOrder].
-// Further ones that are linked are kept unless they have become own, or are gone.
+// SetServers sets the client's assigned servers, from [Assign], and the others, from
+// [FallbackOrder]. Current fallbacks are kept unless they are now assigned or do not exist any
+// more.
 func (s *LinkSelector) SetServers(assigned, fallbackOrder []string) {
 	previous := append(slices.Clone(s.assigned), s.previous...)
 	s.previous = slices.DeleteFunc(previous, func(vm string) bool { return !slices.Contains(fallbackOrder, vm) })
@@ -94,8 +95,8 @@
 	}
 }
 
-// Update returns the servers to link to: the own ones, and further ones while too many of
-// those are lost.
+// Update returns the servers to link to: the assigned ones, fallbacks while too many of them are
+// lost, and previous ones during a handover.
 func (s *LinkSelector) Update(now time.Duration, health func(vm string) Health) []string {
 	healthy := 0
 	for _, vm := range s.assigned {
@@ -115,18 +116,18 @@
 	return slices.Concat(s.assigned, s.fallbacks, s.previous)
 }
 
-// HasPendingLink says that a server is to be linked, as of the last Tick, and that its link may
-// stand at any moment.
+// HasPendingLink reports whether, as of the last Update, the link to an assigned server or a
+// fallback is about to be established.
 func (s *LinkSelector) HasPendingLink() bool { return s.hasPendingLink }
 
-// isPending says that a server has no link, and has not been waited for for long.
+// isPending reports whether a server has no link and has been silent for less than lostAfter.
 func (s *LinkSelector) isPending(now time.Duration, vm string, h Health) bool {
 	since, silent := s.silentSince[vm]
 	return (h == Silent || h == Unknown) && (!silent || now-since < lostAfter)
 }
 
-// dropPrevious lets go of the old servers once all own ones are linked and have reported, or
-// the time for it is over.
+// dropPrevious removes the previous servers once all assigned ones are linked and have reported, or
+// after maxHandover.
 func (s *LinkSelector) dropPrevious(now time.Duration, health func(vm string) Health) {
 	if len(s.previous) == 0 {
 		return
@@ -148,7 +149,7 @@
 	s.previous = slices.DeleteFunc(s.previous, func(vm string) bool { return health(vm) != Usable || slices.Contains(s.fallbacks, vm) })
 }
 
-// ServersPerLink is how many servers there are for each that the client links to.
+// ServersPerLink is the ratio of all servers to those that the client links to.
 func (s *LinkSelector) ServersPerLink() float64 {
 	linked := len(s.assigned) + len(s.fallbacks)
 	if linked == 0 {
@@ -157,7 +158,7 @@
 	return float64(len(s.assigned)+len(s.fallbackOrder)) / float64(linked)
 }
 
-// isLost notes how long a server has been silent.
+// isLost reports whether a server is lost, and records since when it has been silent.
 func (s *LinkSelector) isLost(now time.Duration, vm string, h Health) bool {
 	if h != Silent {
 		delete(s.silentSince, vm)
@@ -171,7 +172,7 @@
 	return now-since >= lostAfter
 }
 
-// dropLostFallbacks lets go of further servers that are lost too.
+// dropLostFallbacks removes fallbacks that are lost as well.
 func (s *LinkSelector) dropLostFallbacks(now time.Duration, health func(vm string) Health) {
 	s.fallbacks = slices.DeleteFunc(s.fallbacks, func(vm string) bool {
 		if !s.isLost(now, vm, health(vm)) {
@@ -183,7 +184,8 @@
 	})
 }
 
-// releaseFallbacks lets go of the further servers once all own ones have been there for long enough.
+// releaseFallbacks removes all fallbacks once all assigned servers have been healthy for
+// fallbackHold.
 func (s *LinkSelector) releaseFallbacks(now time.Duration, healthy int) {
 	switch {
 	case healthy < len(s.assigned):
@@ -195,7 +197,7 @@
 	}
 }
 
-// addFallbacks adds further servers until there are as many as the client's own.
+// addFallbacks adds fallbacks until the client has as many servers as are assigned to it.
 func (s *LinkSelector) addFallbacks(now time.Duration, healthy int, health func(vm string) Health) {
 	for _, vm := range s.fallbackOrder {
 		if healthy+len(s.fallbacks) >= len(s.assigned) {
--- a/decide/subset/keeper_test.go
+++ b/decide/subset/keeper_test.go
@@ -9,8 +9,8 @@
 
 const updateInterval = 200 * time.Millisecond
 
-// runSelector runs a keeper for some time, and returns the servers wanted at the end and the
-// most that were wanted at once.
+// runSelector updates a LinkSelector for some time. It returns the servers selected at the end and
+// the largest number selected at once.
 func runSelector(k *LinkSelector, from, to time.Duration, health func(string) Health) (links []string, maxLinks int) {
 	for now := from; now < to; now += updateInterval {
 		links = k.Update(now, health)
@@ -27,10 +27,10 @@
 	return of
 }
 
-// At the size to design for, each domain in turn is lost, told or silent, and returns.
-// Every entry has as many links that work as before within two seconds, at no time more
-// than twice as many, and the domain's load is spread over all that are left. Half a
-// minute after the return all is as it was.
+// At the design size, each failure domain in turn becomes unavailable or silent, and returns.
+// Within two seconds every entry must have at least three quarters of its usable links, at no time
+// more than twice as many, with the load of the domain spread over all remaining servers. Half a
+// minute after the return, the original links are back.
 func TestLostDomainIsReplacedByFallbacks(t *testing.T) {
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	const k = 4
@@ -46,22 +46,22 @@
 			}
 			count := make(map[string]int)
 			for _, c := range clients {
-				keeper := NewLinkSelector()
+				selector := NewLinkSelector()
 				own := links[c.Name]
-				keeper.SetServers(own, FallbackOrder(c.Name, servers, own))
-				runSelector(keeper, 0, time.Second, func(string) Health { return Usable })
-				wanted, most := runSelector(keeper, time.Second, 3*time.Second, health)
-				good := 0
-				for _, vm := range wanted {
+				selector.SetServers(own, FallbackOrder(c.Name, servers, own))
+				runSelector(selector, 0, time.Second, func(string) Health { return Usable })
+				links, maxLinks := runSelector(selector, time.Second, 3*time.Second, health)
+				usable := 0
+				for _, vm := range links {
 					if domains[vm] != lostDomain {
-						good++
+						usable++
 						count[vm]++
 					}
 				}
-				if 4*good < 3*k || most > 2*k {
-					t.Fatalf("%s without %s (%v): %d links that work of %d wanted", c.Name, lostDomain, lostHealth, good, most)
+				if 4*usable < 3*k || maxLinks > 2*k {
+					t.Fatalf("%s without %s (%v): %d usable links of %d selected", c.Name, lostDomain, lostHealth, usable, maxLinks)
 				}
-				back, _ := runSelector(keeper, 3*time.Second, 3*time.Second+fallbackHold+2*updateInterval, func(string) Health { return Usable })
+				back, _ := runSelector(selector, 3*time.Second, 3*time.Second+fallbackHold+2*updateInterval, func(string) Health { return Usable })
 				if !slices.Equal(back, own) {
 					t.Fatalf("%s after the return of %s: %v, want %v", c.Name, lostDomain, back, own)
 				}
@@ -80,29 +80,29 @@
 	}
 }
 
-// Links flap: one own server is silent for half a second again and again, as on a busy
-// machine. No further link is made. One that is gone for good is no reason either while
-// three of four are left.
+// Links flap: the assigned servers are silent for half a second again and again, as on a busy
+// machine. No fallback may be added, also with one server permanently lost while three of four
+// remain.
 func TestFlappingLinksAddNoFallbacks(t *testing.T) {
 	own, order := []string{"a", "b", "c", "d"}, []string{"e", "f", "g", "h", "i"}
 	k := NewLinkSelector()
 	k.SetServers(own, order)
 	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
 		flaps := now%time.Second < 600*time.Millisecond
-		wanted := k.Update(now, func(vm string) Health {
+		links := k.Update(now, func(vm string) Health {
 			if vm == "a" || flaps {
 				return Silent
 			}
 			return Usable
 		})
-		if len(wanted) != len(own) {
-			t.Fatalf("%v at %v", wanted, now)
+		if len(links) != len(own) {
+			t.Fatalf("%v at %v", links, now)
 		}
 	}
 }
 
-// Nobody answers: the fault is this client's own. It asks for twice its own servers at
-// most at any moment, and tries none of the further ones again within half a minute.
+// No server answers because of a fault of the client itself. At any moment it may select at most
+// twice its assigned servers, and within half a minute it must not try a lost fallback again.
 func TestIsolatedClientDialsFewServers(t *testing.T) {
 	_, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	own := []string{"vm-0000", "vm-0001", "vm-0002", "vm-0003"}
@@ -111,16 +111,16 @@
 	tried := make(map[string]int)
 	previous := own
 	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
-		wanted := k.Update(now, func(string) Health { return Silent })
-		if len(wanted) > 2*len(own) {
-			t.Fatalf("%d wanted", len(wanted))
+		links := k.Update(now, func(string) Health { return Silent })
+		if len(links) > 2*len(own) {
+			t.Fatalf("%d servers selected", len(links))
 		}
-		for _, vm := range wanted {
+		for _, vm := range links {
 			if !slices.Contains(previous, vm) {
 				tried[vm]++
 			}
 		}
-		previous = wanted
+		previous = links
 	}
 	for vm, n := range tried {
 		if n > 1 {
@@ -129,9 +129,9 @@
 	}
 }
 
-// A client's subset moves to servers that it has no link to yet. It keeps the old ones until
-// the new ones are linked and have reported; not one that is out, nor for longer than a
-// handover.
+// A client's subset changes to servers without a link yet. The client must keep the previous
+// servers until the new ones are linked and have reported, but not those that are unavailable, and
+// none for longer than maxHandover.
 func TestPreviousServersAreKeptUntilNewOnesReport(t *testing.T) {
 	states := map[string]Health{"a": Usable, "b": Usable, "c": Silent, "d": Silent}
 	health := func(vm string) Health { return states[vm] }
@@ -145,14 +145,14 @@
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
-	check(updateInterval, "no new link stands", "c", "d", "a", "b")
+	check(updateInterval, "no new link is established", "c", "d", "a", "b")
 	if !k.HasPendingLink() {
 		t.Error("no link is pending")
 	}
 	states["b"] = Unavailable
-	check(2*updateInterval, "an old one is out", "c", "d", "a")
+	check(2*updateInterval, "a previous one is unavailable", "c", "d", "a")
 	states["c"], states["d"] = Usable, Usable
-	check(3*updateInterval, "the new links stand", "c", "d", "a")
+	check(3*updateInterval, "the new links are established", "c", "d", "a")
 	check(3*updateInterval+firstReportDelay, "they have reported", "c", "d")
 	if k.HasPendingLink() {
 		t.Error("a link is pending")
@@ -160,6 +160,6 @@
 	states["b"] = Usable
 	states["c"] = Silent
 	k.SetServers([]string{"a", "c"}, []string{"b", "d"})
-	check(time.Minute, "moved on", "a", "c", "d")
-	check(time.Minute+maxHandover, "for too long", "a", "c", "b")
+	check(time.Minute, "another change", "a", "c", "d")
+	check(time.Minute+maxHandover, "after maxHandover", "a", "c", "b")
 }
--- a/decide/subset/level.go
+++ b/decide/subset/level.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// maxClientSpread is the most by which two servers may differ in their clients. With 1, half as
-// many links again moved in trials when a VM was replaced; with 3, some servers had two
-// thirds of the mean, and their limits would stand unused at the peak.
+// maxClientSpread is the largest allowed difference between the client counts of two servers. With
+// 1, half as many links more move when a VM is replaced; with 3, some servers have two thirds of
+// the mean, so that part of their limits is unused at the peak.
 const maxClientSpread = 2
 
-// balance moves links from the servers with most clients to those with fewest, until no
-// two differ by more than the spread. Rooms alone leave some servers with too few: the room
-// rounded up is more than there are links, and the last clients find it in few servers.
+// balance moves links from the servers with the most clients to those with the fewest, until no two
+// differ by more than maxClientSpread. This is needed because targetClients is rounded up: its sum
+// is more than the number of links, and the servers chosen last may get too few clients.
 func (a *assignment) balance() {
 	for {
 		least, most := a.extremes()
@@ -24,8 +24,8 @@
 	}
 }
 
-// extremes returns the server with fewest clients and the one with most; of equals the
-// one of lowest hash, which does not depend on the order of the list.
+// extremes returns the servers with the fewest and the most clients. Ties go to the lowest hash,
+// which does not depend on the order of the list.
 func (a *assignment) extremes() (least, most *server) {
 	least, most = a.servers[0], a.servers[0]
 	for _, s := range a.servers[1:] {
@@ -39,8 +39,8 @@
 	return least, most
 }
 
-// move gives a client of one server to another. Of the clients that would not lose a
-// failure domain, it is the one that scores the other server highest.
+// move moves one client from a server to another. It prefers clients that keep their links spread
+// over failure domains, and among those the one with the highest score for the new server.
 func (a *assignment) move(from, to *server) bool {
 	var best *client
 	for _, c := range a.clients {
@@ -67,8 +67,8 @@
 	return c.name < other.name
 }
 
-// reducesDomainSpread says that the move would take the client's last link to a failure domain, or
-// make its domains less even.
+// reducesDomainSpread reports whether the move would remove the client's last link to a failure
+// domain, or distribute its links less evenly over domains.
 func (c *client) reducesDomainSpread(from, to *server) bool {
 	return from.domain != to.domain && c.linksByDomain[to.domain] >= c.linksByDomain[from.domain]
 }
--- a/decide/subset/subset.go
+++ b/decide/subset/subset.go
@@ -1,11 +1,11 @@
-// Package subset chooses which links a client makes when there are too many servers
-// to link to all of them: which agents an entry dials for a model, for example. All
-// processes that see the same lists make the same choice, without a message.
+// Package subset chooses the servers that a client links to when there are too many to link to all
+// of them, such as the agents that an entry dials for a model. All processes that see the same
+// lists make the same choice without communication.
 //
-// The choice is made for the load of many clients with about as much work each, and
-// of VMs that come and go all day. Without balance, servers with few clients stand
-// idle while those with many are full, however well each client places its work;
-// without stability, each VM that is replaced cuts links all over the system.
+// Many clients with about the same load share the servers, and VMs come and go all day. The choice
+// is balanced, since otherwise servers with few clients are idle while those with many are full,
+// however well each client places its requests. It is also stable, since otherwise every replaced
+// VM cuts links throughout the system.
 package subset
 
 import (
@@ -13,21 +13,21 @@
 	"slices"
 )
 
-// Node is one VM on either side of the links.
+// Node is a VM on either side of the links.
 type Node struct {
 	Name   string
 	Domain string // failure domain
 }
 
-// Assign returns, for each client by name, the names of the servers that it links to:
-// k of them, or all if there are not as many. No two servers differ by more than two
-// in their clients, and none is left without while another has two.
+// Assign returns the names of the servers that each client links to, by the name of the client: k
+// servers, or all if there are fewer. The client counts of two servers differ by at most two, and
+// no server is without a client while another has two.
 //
-// The clients choose in an order of their own by hash. Each takes the servers for
-// which its rendezvous score is highest among those that still have room, from the
-// failure domains that it has fewest of. Then servers that were left with too few get
-// clients of those with most. A VM that comes or goes moves the links that it had
-// itself and those that the changed room pushes on.
+// Clients choose one after another in an order given by a hash. Each takes the servers with the
+// highest rendezvous scores among those below the target number of clients, from the failure
+// domains to which it has the fewest links. Afterwards, servers with too few clients get some from
+// those with the most. A VM that comes or goes changes its own links and those displaced by the new
+// target number.
 func Assign(clients, servers []Node, k int) map[string][]string {
 	k = min(k, len(servers))
 	links := make(map[string][]string, len(clients))
@@ -47,14 +47,14 @@
 	return links
 }
 
-// ForClient returns the choice of one client in [Assign], nil for a client not in the list.
+// ForClient returns the choice of one client from [Assign], or nil if the client is not in the
+// list.
 func ForClient(client string, clients, servers []Node, k int) []string {
 	return Assign(clients, servers, k)[client]
 }
 
-// sortClients returns the clients in the order in which they choose. It is the same for
-// all processes, whatever the order of their lists, and one client more or less leaves
-// the order of the others.
+// sortClients returns the clients in the order in which they choose. The order does not depend on
+// the order of the list, and adding or removing a client leaves the order of the others unchanged.
 func sortClients(clients []Node) []Node {
 	sorted := slices.Clone(clients)
 	slices.SortFunc(sorted, func(a, b Node) int {
@@ -63,24 +63,24 @@
 	return sorted
 }
 
-// server is one server with the clients that it has so far, in all and by the failure
-// domain of the client.
+// server is a server with the number of clients assigned so far, in total and by failure domain of
+// the client.
 type server struct {
 	Node
 	hash            uint64
 	domain          int
 	clients         int
 	clientsByDomain []int
-	score           uint64 // for the client that is choosing
+	score           uint64 // for the client that is choosing now
 }
 
-// client is one client with its choice.
+// client is a client with its chosen servers.
 type client struct {
 	name          string
 	hash          uint64
 	domain        int
 	servers       []*server
-	linksByDomain []int // servers by domain
+	linksByDomain []int // number of chosen servers by failure domain
 }
 
 func (c *client) has(s *server) bool { return slices.Contains(c.servers, s) }
@@ -89,11 +89,12 @@
 type assignment struct {
 	servers       []*server
 	clients       []*client
-	domainIndex   map[string]int // numbers
-	targetClients int            // of a server: the mean number of clients, rounded up
+	domainIndex   map[string]int // index of each failure domain by name
+	targetClients int            // mean number of clients per server, rounded up
 }
 
-// newAssignment has no links yet; there will be so many.
+// newAssignment returns an assignment without links. The argument links is the number of links to
+// be made.
 func newAssignment(clients, servers []Node, links int) *assignment {
 	a := &assignment{domainIndex: make(map[string]int), targetClients: ceilDiv(links, len(servers))}
 	for _, n := range append(slices.Clone(clients), servers...) {
@@ -111,7 +112,7 @@
 
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
-// choose takes k servers for a client.
+// choose chooses k servers for a client.
 func (a *assignment) choose(node Node, k int) *client {
 	c := &client{
 		name: node.Name, hash: hash(node.Name), domain: a.domainIndex[node.Domain], linksByDomain: make([]int, len(a.domainIndex)),
@@ -127,7 +128,7 @@
 	return c
 }
 
-// addLinks counts a link between a client and a server, or takes it back.
+// addLinks adds n to the number of links between a client and a server; n is 1 or -1.
 func (s *server) addLinks(c *client, n int) {
 	s.clients += n
 	s.clientsByDomain[c.domain] += n
@@ -136,7 +137,7 @@
 
 func score(c *client, s *server) uint64 { return mix(c.hash ^ s.hash) }
 
-// bestServer returns the server that the client takes next.
+// bestServer returns the next server for a client.
 func (a *assignment) bestServer(c *client) *server {
 	var best *server
 	for _, s := range a.servers {
@@ -147,13 +148,14 @@
 	return best
 }
 
-// prefers says whether a client takes s before another server: one with room before
-// one without, a domain with fewer links of this client before one with more, a server
-// with fewer clients of this one's domain before one with more, and then the higher
-// score. So neither side hangs on one failure domain.
+// prefers reports whether a client takes s before another server. The criteria, in this order, are:
+// fewer than targetClients clients, fewer links of this client to the server's failure domain,
+// fewer clients of this client's failure domain at the server, and a higher score. Neither side
+// therefore depends on a single failure domain.
 //
-// Room goes before domains: a server over its room would have more clients than all
-// others for good, while a client with two servers in one domain still has others.
+// The number of clients comes before failure domains: a server above the target would permanently
+// have more clients than all others, while a client with two servers in one domain still has
+// servers in others.
 func (a *assignment) prefers(c *client, s, other *server) bool {
 	if x, y := s.clients < a.targetClients, other.clients < a.targetClients; x != y {
 		return x
--- a/decide/subset/subset_test.go
+++ b/decide/subset/subset_test.go
@@ -27,7 +27,7 @@
 	return count
 }
 
-// countMoved counts the links of clients in both that are in only one of the two.
+// countMoved counts the links in after that are not in before, for clients in both.
 func countMoved(before, after map[string][]string) int {
 	n := 0
 	for client, servers := range after {
@@ -44,8 +44,8 @@
 	return n
 }
 
-// serversLacking counts the servers that have clients enough for all failure domains,
-// and lack one.
+// serversLacking counts the servers without clients of some failure domain although they have more
+// clients than there are domains.
 func serversLacking(links map[string][]string, clients, servers []Node, domains int) int {
 	seen := make(map[string]map[string]bool)
 	for _, client := range clients {
@@ -124,8 +124,8 @@
 	}
 }
 
-// A server is replaced by another, as happens 1,400 times a day. Its own links must
-// move, and few besides: each moved link is a handshake, and work that waits for it.
+// A server is replaced, as happens 1,400 times a day. Its own links must move, and few others: each
+// moved link costs a handshake and delays requests that wait for it.
 func TestFewLinksMoveWhenServerIsReplaced(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
@@ -146,7 +146,7 @@
 	}
 }
 
-// A client is replaced: the links of others move only where its going makes room.
+// A client is replaced. Links of other clients may move only to servers that lost a client.
 func TestFewLinksMoveWhenClientIsReplaced(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
@@ -190,8 +190,8 @@
 	}
 }
 
-// BenchmarkAssign is what a change of the list costs a process: one model of one
-// region at the size to design for.
+// BenchmarkAssign measures the cost of a changed list for one process, with one model of one region
+// at the size that the system is designed for.
 func BenchmarkAssign(b *testing.B) {
 	clients, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	b.ReportAllocs()
