--- a/decide/subset/keeper_test.go
+++ b/decide/subset/keeper_test.go
@@ -50,9 +50,9 @@
 				own := links[c.Name]
 				selector.SetServers(own, FallbackOrder(c.Name, servers, own))
 				runSelector(selector, 0, time.Second, func(string) Health { return Usable })
-				links, maxLinks := runSelector(selector, time.Second, 3*time.Second, health)
+				selected, maxLinks := runSelector(selector, time.Second, 3*time.Second, health)
 				usable := 0
-				for _, vm := range links {
+				for _, vm := range selected {
 					if domains[vm] != lostDomain {
 						usable++
 						count[vm]++
