--- a/decide/balance/balance_test.go
+++ b/decide/balance/balance_test.go
@@ -11,20 +11,20 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run is the same; "make explore" takes another.
+// The seed is fixed so that every run is the same; "make explore" uses another.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
 }
 
-// popularityOf is a Zipf popularity in a seeded order.
-func popularityOf(seed uint64, experts int, exponent float64) []float64 {
+// zipfPopularity returns a Zipf popularity in a seeded random order.
+func zipfPopularity(seed uint64, experts int, exponent float64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := make([]float64, experts)
 	sum := 0.0
-	for i, at := range rng.Perm(experts) {
-		p[at] = math.Pow(float64(i+1), -exponent)
-		sum += p[at]
+	for i, expert := range rng.Perm(experts) {
+		p[expert] = math.Pow(float64(i+1), -exponent)
+		sum += p[expert]
 	}
 	for i := range p {
 		p[i] /= sum
@@ -32,8 +32,8 @@
 	return p
 }
 
-// Whatever the popularity, every expert keeps a replica and no placement is worse
-// than the one before: an expert without a replica would leave its tokens nowhere.
+// Guards against placements that lose an expert's last replica, or that are worse than the one
+// before, for any popularity. The tokens of an expert without a replica could not be processed.
 func TestPlacementsStayComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		experts := rapid.IntRange(1, 24).Draw(t, "experts")
@@ -58,7 +58,7 @@
 				t.Fatalf("%d moves, at most %d allowed", n, moves)
 			}
 			p = Repack(better, Demand{Popularity: popularity}, 1, moves)
-			full, err := Full(Demand{Popularity: popularity}, ranks, slots)
+			full, err := PlaceFromScratch(Demand{Popularity: popularity}, ranks, slots)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,10 +71,9 @@
 	})
 }
 
-// The group's steps get longer after a move that was meant to shorten them. One rank
-// holds two replicas of an expert; another replica of it is given up, and the rank takes
-// over the tokens twice, while the search had counted them once. Found by
-// TestPlacementsStayComplete with -rapid.seed=2303731226942751282.
+// Guards against a move that makes the group's steps longer. One rank holds two replicas of an
+// expert; another replica is dropped, and the rank takes over the load twice, while the search
+// counted it once. Found by TestPlacementsStayComplete with -rapid.seed=2303731226942751282.
 func TestImproveCountsTwoReplicasOnOneRank(t *testing.T) {
 	p, err := NewPlacement(5, 3, 3)
 	if err != nil {
@@ -88,15 +87,15 @@
 	}
 }
 
-// The hottest experts change at once, and the whole group waits for the ranks that
-// hold the new ones. The balancer must be back under a skew of 1.1 after a few
-// decisions, with far fewer loads than a fresh placement.
+// The hottest experts change abruptly, and the whole group waits for the ranks that hold the new
+// ones. After a few decisions the skew must be below 1.1 again, with fewer loads than a placement
+// from scratch.
 func TestBalancerFollowsSuddenSwap(t *testing.T) {
-	old, swapped := popularityOf(1, 256, 0.8), popularityOf(1, 256, 0.8)
+	old, swapped := zipfPopularity(1, 256, 0.8), zipfPopularity(1, 256, 0.8)
 	rand.New(rand.NewPCG(2, 0)).Shuffle(16, func(i, j int) {
 		swapped[i*16], swapped[j*16] = swapped[j*16], swapped[i*16]
 	})
-	start, err := Full(Demand{Popularity: old}, 256, 2)
+	start, err := PlaceFromScratch(Demand{Popularity: old}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,20 +112,20 @@
 			break
 		}
 	}
-	fresh, _ := Full(Demand{Popularity: swapped}, 256, 2)
+	fresh, _ := PlaceFromScratch(Demand{Popularity: swapped}, 256, 2)
 	if b.Stretch() >= 1.1 || now > 6*time.Second {
 		t.Errorf("skew %.3f at %v", b.Stretch(), now)
 	}
 	if all := Moves(start, fresh); moves > all {
-		t.Errorf("%d moves, a fresh placement takes %d", moves, all)
+		t.Errorf("%d moves, a placement from scratch takes %d", moves, all)
 	}
 }
 
-// Popularity stands still and only the counts are noisy. Nothing may be moved: each
-// load takes from the steps, and buys nothing.
-func TestBalancerRidesOutNoise(t *testing.T) {
-	popularity := popularityOf(3, 256, 0.8)
-	start, err := Full(Demand{Popularity: popularity}, 256, 2)
+// Popularity is constant and only the counts are noisy. Loading experts for noise delays the steps
+// and gains nothing.
+func TestBalancerIgnoresNoise(t *testing.T) {
+	popularity := zipfPopularity(3, 256, 0.8)
+	start, err := PlaceFromScratch(Demand{Popularity: popularity}, 256, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,11 +151,11 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, swap := range []bool{false, true} {
 		b.Run(fmt.Sprintf("swap=%v", swap), func(b *testing.B) {
-			old, next := popularityOf(1, 256, 0.8), popularityOf(1, 256, 0.8)
+			old, next := zipfPopularity(1, 256, 0.8), zipfPopularity(1, 256, 0.8)
 			if swap {
-				next = popularityOf(5, 256, 0.8)
+				next = zipfPopularity(5, 256, 0.8)
 			}
-			start, err := Full(Demand{Popularity: old}, 256, 2)
+			start, err := PlaceFromScratch(Demand{Popularity: old}, 256, 2)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -169,10 +168,10 @@
 	}
 }
 
-// One expert on one rank with two slots: the second slot has nothing better to hold
-// than a copy. A slot left empty made the search for moves fail. Found by the property
+// Guards against a slot that stays empty, which made the search for moves fail. One expert on one
+// rank with two slots: the second slot can only hold another replica of it. Found by the property
 // test with seed 12523085495416364986.
-func TestMoreSlotsThanUse(t *testing.T) {
+func TestMoreSlotsThanUsefulReplicas(t *testing.T) {
 	p, err := NewPlacement(1, 1, 2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/fate.go
+++ b/internal/gateway/fate.go
@@ -37,15 +37,15 @@
 	s.own = max(s.own-1, 0)
 	switch what {
 	case fateServed:
-		f.judge.Served(id)
+		f.judge.RecordSuccess(id)
 		if s.work == 0 {
 			s.work = took
 		}
 		s.work += (took - s.work) / workWeight
 	case fateFailed:
-		f.ejected(s, "it fails requests", f.judge.Failed(id, now))
+		f.ejected(s, "it fails requests", f.judge.RecordFailure(id, now))
 	case fateUnreachable:
-		f.ejected(s, "it cannot be reached", f.judge.Unreachable(id, now))
+		f.ejected(s, "it cannot be reached", f.judge.RecordUnreachable(id, now))
 	case fateRefused, fateUnknown:
 	}
 	f.table.Ended(id, now, place.Outcome{
@@ -73,14 +73,14 @@
 func (f *fleet) first(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(service).First()
+	f.budget(service).CountRequest()
 }
 
 // again says whether one more attempt for a request of a service may be made.
 func (f *fleet) again(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.budget(service).Retry()
+	return f.budget(service).SpendRetry()
 }
 
 func (f *fleet) budget(service string) *place.RetryBudget {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -24,10 +24,10 @@
 	})
 }
 
-func entries(n, concurrency int) []registry.Entry {
-	var out []registry.Entry
+func entries(n, concurrency int) []registry.Registration {
+	var out []registry.Registration
 	for i := range n {
-		out = append(out, registry.Entry{Server: registry.Server{
+		out = append(out, registry.Registration{Server: registry.Server{
 			ID: fmt.Sprint("i-", i), Service: "app", Address: fmt.Sprintf("10.0.0.%d:80", i+1), Concurrency: concurrency,
 		}})
 	}
@@ -278,7 +278,7 @@
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
 	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	f.judge.Unreachable("i-0", 0)
+	f.judge.RecordUnreachable("i-0", 0)
 	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
 	if id, code := f.pickFor(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
