--- a/decide/loadtest/agent.go
+++ b/decide/loadtest/agent.go
@@ -23,12 +23,12 @@
 
 // gapObserver is a limiter that also observes the gaps between the parts of a stream.
 type gapObserver interface {
-	Gap(now, gap time.Duration, p *cold.Pace)
+	ObserveGap(now, gap time.Duration, p *cold.Stream)
 }
 
 // queueReturner is a limiter that reports when queued requests should be returned to the entries.
 type queueReturner interface {
-	Fallen() bool
+	IsFarOverLimit() bool
 }
 
 // agent fronts one backend server.
@@ -125,12 +125,12 @@
 	if !ok {
 		return nil
 	}
-	var pace cold.Pace
+	var pace cold.Stream
 	var last time.Duration
 	return func() {
 		now := a.clock.now
 		if last > 0 {
-			p.Gap(now, now-last, &pace)
+			p.ObserveGap(now, now-last, &pace)
 		}
 		last = now
 	}
@@ -145,7 +145,7 @@
 		delete(a.queued, item.ID)
 		t.handleRefusal(api.ResultCode_DEADLINE_UNREACHABLE)
 	}
-	if f, ok := a.limit.(queueReturner); ok && f.Fallen() {
+	if f, ok := a.limit.(queueReturner); ok && f.IsFarOverLimit() {
 		a.returnQueued()
 	}
 	for a.queue.Len() > 0 && a.limit.TryStart(now) {
--- a/decide/loadtest/subset.go
+++ b/decide/loadtest/subset.go
@@ -59,19 +59,19 @@
 }
 
 // capacityShare returns the entry's share of the slots that it sees.
-func (e *entry) capacityShare(now time.Duration) admit.Parts {
+func (e *entry) capacityShare(now time.Duration) admit.EntryCapacity {
 	table, ok := e.table.(*place.Table)
 	if e.run.setup.SubsetSize == 0 || !ok {
 		entries := len(e.run.entries)
 		free, capacity := e.table.Slots(offerKey, now)
-		return admit.Parts{Slots: admit.Part(e.running, free, capacity, entries), Total: capacity, Entries: entries}
+		return admit.EntryCapacity{Slots: admit.EntrySlots(e.running, free, capacity, entries), Total: capacity, Entries: entries}
 	}
 	if e.run.entriesPerServer == nil {
 		e.run.entriesPerServer = e.run.setup.countEntriesPerServer()
 	}
-	var servers []admit.Room
+	var servers []admit.BackendCapacity
 	for _, r := range table.SlotsByServer(offerKey, now) {
-		servers = append(servers, admit.Room{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesPerServer[r.VM]})
+		servers = append(servers, admit.BackendCapacity{Limit: r.Limit, Free: r.Free, Entries: e.run.entriesPerServer[r.VM]})
 	}
-	return admit.PartOf(e.running, servers, float64(len(e.run.vms))/float64(e.run.setup.SubsetSize))
+	return admit.SubsetCapacity(e.running, servers, float64(len(e.run.vms))/float64(e.run.setup.SubsetSize))
 }
