--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -36,14 +36,14 @@
 	if size := proto.Size(rec); size > MaxRecordBytes {
 		return &RefusedError{Reason: fmt.Sprintf("the record takes %d bytes; at most %d are accepted", size, MaxRecordBytes)}
 	}
-	return checkBodyOf(v, rec)
+	return checkRecordBody(v, rec)
 }
 
-// checkBodyOf decides on a record by the view alone. Each check that reads the
+// checkRecordBody decides on a record by the view alone. Each check that reads the
 // view reads only the list or mark that the base covers. So a duplicate of a
 // refused change is refused for ever, even after its verdict was forgotten: either
 // its base is still current and all it is judged by is unchanged, or it conflicts.
-func checkBodyOf(v *View, rec *api.Record) error {
+func checkRecordBody(v *View, rec *api.Record) error {
 	switch body := rec.GetBody().(type) {
 	case *api.Record_List:
 		return checkList(v, body.List)
@@ -98,11 +98,11 @@
 		return nil, errors.New("the change is empty")
 	}
 	touched := make(map[string]bool, len(change.GetSet())+len(change.GetRemoved()))
-	claim := func(full string) error {
-		if touched[full] {
-			return errors.Errorf("section %q stands twice in the change", clip(full))
+	addTouched := func(fullName string) error {
+		if touched[fullName] {
+			return errors.Errorf("section %q stands twice in the change", truncate(fullName))
 		}
-		touched[full] = true
+		touched[fullName] = true
 		return nil
 	}
 	for _, section := range change.GetSet() {
@@ -110,18 +110,18 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := checkBody(k, section); err != nil {
+		if err := checkSectionBody(k, section); err != nil {
 			return nil, errors.Wrapf(err, "section %q", section.GetName())
 		}
-		if err := claim(section.GetName()); err != nil {
+		if err := addTouched(section.GetName()); err != nil {
 			return nil, err
 		}
 	}
-	for _, full := range change.GetRemoved() {
-		if _, _, err := splitSection(change.GetList(), full); err != nil {
+	for _, fullName := range change.GetRemoved() {
+		if _, _, err := splitSection(change.GetList(), fullName); err != nil {
 			return nil, err
 		}
-		if err := claim(full); err != nil {
+		if err := addTouched(fullName); err != nil {
 			return nil, err
 		}
 	}
@@ -129,16 +129,16 @@
 }
 
 func checkRemoved(v *View, change *api.ListChange) error {
-	for _, full := range change.GetRemoved() {
-		if !v.has(full) {
-			return errors.Errorf("section %q is removed but not in the list", full)
+	for _, fullName := range change.GetRemoved() {
+		if !v.hasSection(fullName) {
+			return errors.Errorf("section %q is removed but not in the list", fullName)
 		}
 	}
 	return nil
 }
 
-func (v *View) has(full string) bool {
-	k, name, err := splitSection(ListOf(full), full)
+func (v *View) hasSection(fullName string) bool {
+	k, name, err := splitSection(ListOf(fullName), fullName)
 	if err != nil {
 		return false
 	}
@@ -167,8 +167,8 @@
 			}
 			owners[key] = section.GetName()
 			owner, ok := v.owners[key]
-			if full := kindCustomer.section(owner); ok && !touched[full] {
-				return errors.Errorf("key %s stands at %q and at %q", key, full, section.GetName())
+			if fullName := kindCustomer.fullName(owner); ok && !touched[fullName] {
+				return errors.Errorf("key %s stands at %q and at %q", key, fullName, section.GetName())
 			}
 		}
 	}
--- a/coord/config/cow.go
+++ b/coord/config/copyonwrite.go
@@ -2,21 +2,21 @@
 
 import "maps"
 
-// cow is a map that is copied before a change only if a View shares it. Records
+// copyOnWrite is a map that is copied before a change only if a View shares it. Records
 // folded in one batch so cost one copy, and a view costs none by itself.
-type cow[K comparable, V any] struct {
+type copyOnWrite[K comparable, V any] struct {
 	entries map[K]V
 	shared  bool
 }
 
 // share returns the map for reading; it is never changed from then on.
-func (c *cow[K, V]) share() map[K]V {
+func (c *copyOnWrite[K, V]) share() map[K]V {
 	c.shared = true
 	return c.entries
 }
 
 // edit returns the map for changing.
-func (c *cow[K, V]) edit() map[K]V {
+func (c *copyOnWrite[K, V]) edit() map[K]V {
 	switch {
 	case c.entries == nil:
 		c.entries = make(map[K]V)
--- a/coord/config/example_test.go
+++ b/coord/config/example_test.go
@@ -33,7 +33,7 @@
 		verdict, _ := fold.Verdict(id)
 		fmt.Println(verdict.GetAuthor(), "accepted:", verdict.GetAccepted())
 	}
-	fmt.Println("a VM of the domain is out:", fold.View().VMOut("vm-1", "a"))
+	fmt.Println("a VM of the domain is out:", fold.View().VMOutOfService("vm-1", "a"))
 	// Output:
 	// pat accepted: true
 	// sam accepted: false
--- a/coord/config/fold.go
+++ b/coord/config/fold.go
@@ -18,8 +18,8 @@
 	ErrBadSnapshot = errors.New("snapshot damaged")
 )
 
-// nothing is the offset before the first record.
-const nothing = int64(-1)
+// noOffset is the offset before the first record.
+const noOffset = int64(-1)
 
 // MaxMarks bounds the marks kept: past it, the oldest mark that brought its target
 // back is forgotten, and its target is as one that was never marked. Marks that
@@ -30,23 +30,23 @@
 // deterministic: equal records give equal state, snapshots and verdicts at every
 // process.
 type Fold struct {
-	applied   int64
-	plansAt   int64
-	usesAt    int64
-	customers cow[string, *api.Customer]
-	owners    cow[string, string]
-	plans     cow[string, *api.Plan]
-	services  cow[string, *api.Service]
-	models    cow[string, *api.Model]
-	marks     cow[markKey, *api.MarkState]
-	verdicts  *verdicts
-	snapshot  int64 // offset of the newest snapshot seen in the log
-	view      *View // nil once something changed
+	applied      int64
+	plansOffset  int64
+	usesOffset   int64
+	customers    copyOnWrite[string, *api.Customer]
+	keyOwners    copyOnWrite[string, string]
+	plans        copyOnWrite[string, *api.Plan]
+	services     copyOnWrite[string, *api.Service]
+	models       copyOnWrite[string, *api.Model]
+	marks        copyOnWrite[markKey, *api.MarkState]
+	verdicts     *verdicts
+	lastSnapshot int64 // offset of the newest snapshot seen in the log
+	view         *View // nil once something changed
 }
 
 // NewFold returns the fold of no record.
 func NewFold() *Fold {
-	return &Fold{applied: nothing, plansAt: nothing, usesAt: nothing, snapshot: nothing, verdicts: newVerdicts()}
+	return &Fold{applied: noOffset, plansOffset: noOffset, usesOffset: noOffset, lastSnapshot: noOffset, verdicts: newVerdicts()}
 }
 
 // Applied returns the last offset folded in, -1 for none.
@@ -54,24 +54,24 @@
 
 // LastSnapshot returns the offset of the newest snapshot in the log, as far as this
 // process can tell, -1 for none. It is no part of the state: see SnapshotDue.
-func (f *Fold) LastSnapshot() int64 { return f.snapshot }
+func (f *Fold) LastSnapshot() int64 { return f.lastSnapshot }
 
 // Verdict returns what was decided on a change. The newest 4096 are kept.
 func (f *Fold) Verdict(changeID string) (*api.Verdict, bool) { return f.verdicts.get(changeID) }
 
 // VerdictAt returns what was decided on the record at an offset: it tells who made
 // the list or the mark that stands. The newest 4096 are kept.
-func (f *Fold) VerdictAt(offset int64) (*api.Verdict, bool) { return f.verdicts.at(offset) }
+func (f *Fold) VerdictAt(offset int64) (*api.Verdict, bool) { return f.verdicts.atOffset(offset) }
 
 // View returns the configuration in force. It is the same until the next record.
 func (f *Fold) View() *View {
 	if f.view == nil {
 		f.view = &View{
 			applied:   f.applied,
-			plansAt:   f.plansAt,
-			usesAt:    f.usesAt,
+			plansAt:   f.plansOffset,
+			usesAt:    f.usesOffset,
 			customers: f.customers.share(),
-			owners:    f.owners.share(),
+			owners:    f.keyOwners.share(),
 			plans:     f.plans.share(),
 			services:  f.services.share(),
 			models:    f.models.share(),
@@ -81,14 +81,14 @@
 	return f.view
 }
 
-// peek is View without sharing: for a look that ends before the next change.
-func (f *Fold) peek() *View {
+// unsharedView is View without sharing: for a look that ends before the next change.
+func (f *Fold) unsharedView() *View {
 	return &View{
 		applied:   f.applied,
-		plansAt:   f.plansAt,
-		usesAt:    f.usesAt,
+		plansAt:   f.plansOffset,
+		usesAt:    f.usesOffset,
 		customers: f.customers.entries,
-		owners:    f.owners.entries,
+		owners:    f.keyOwners.entries,
 		plans:     f.plans.entries,
 		services:  f.services.entries,
 		models:    f.models.entries,
@@ -115,15 +115,15 @@
 		f.refuse(offset, &api.Record{}, "the record cannot be read")
 		return nil
 	}
-	f.decide(offset, rec, len(data))
+	f.evaluate(offset, rec, len(data))
 	return nil
 }
 
-// decide gives the verdict on a record and changes the state if it is accepted.
-func (f *Fold) decide(offset int64, rec *api.Record, size int) {
+// evaluate gives the verdict on a record and changes the state if it is accepted.
+func (f *Fold) evaluate(offset int64, rec *api.Record, size int) {
 	if rec.GetSnapshot() != nil {
 		// Folding from the start has all that a snapshot says.
-		f.snapshot = offset
+		f.lastSnapshot = offset
 		return
 	}
 	if !validChangeID(rec.GetChangeId()) {
@@ -139,14 +139,14 @@
 		f.refuse(offset, rec, fmt.Sprintf("the record takes more than %d bytes", MaxRecordBytes))
 		return
 	}
-	verdict := &api.Verdict{ChangeId: rec.GetChangeId(), Offset: offset, Author: clip(rec.GetAuthor())}
-	err := checkBodyOf(f.peek(), rec)
+	verdict := &api.Verdict{ChangeId: rec.GetChangeId(), Offset: offset, Author: truncate(rec.GetAuthor())}
+	err := checkRecordBody(f.unsharedView(), rec)
 	var conflict *ConflictError
 	switch {
 	case err == nil:
 		verdict.Accepted = true
 		verdict.Current = offset
-		f.take(offset, rec)
+		f.applyAccepted(offset, rec)
 	case errors.As(err, &conflict):
 		verdict.Current = conflict.Current
 	default:
@@ -162,20 +162,20 @@
 	if !validChangeID(id) {
 		id = fmt.Sprintf("@%d", offset)
 	}
-	f.verdicts.add(&api.Verdict{ChangeId: id, Offset: offset, Author: clip(rec.GetAuthor()), Reason: reason})
+	f.verdicts.add(&api.Verdict{ChangeId: id, Offset: offset, Author: truncate(rec.GetAuthor()), Reason: reason})
 }
 
-// take changes the state by an accepted record.
-func (f *Fold) take(offset int64, rec *api.Record) {
+// applyAccepted changes the state by an accepted record.
+func (f *Fold) applyAccepted(offset int64, rec *api.Record) {
 	switch body := rec.GetBody().(type) {
 	case *api.Record_List:
-		f.takeList(offset, body.List)
+		f.applyList(offset, body.List)
 	case *api.Record_Mark:
-		f.takeMark(offset, body.Mark)
+		f.applyMark(offset, body.Mark)
 	}
 }
 
-func (f *Fold) takeMark(offset int64, mark *api.Mark) {
+func (f *Fold) applyMark(offset int64, mark *api.Mark) {
 	marks := f.marks.edit()
 	marks[markKey{mark.GetTarget(), mark.GetName()}] = &api.MarkState{
 		Target: mark.GetTarget(),
@@ -184,12 +184,12 @@
 		Offset: offset,
 	}
 	if len(marks) > MaxMarks {
-		forgetOldest(marks)
+		deleteOldestInService(marks)
 	}
 }
 
-// forgetOldest drops the oldest mark that holds nothing out.
-func forgetOldest(marks map[markKey]*api.MarkState) {
+// deleteOldestInService drops the oldest mark that holds nothing out.
+func deleteOldestInService(marks map[markKey]*api.MarkState) {
 	var oldest *api.MarkState
 	for _, mark := range marks {
 		if !mark.GetOut() && (oldest == nil || mark.GetOffset() < oldest.GetOffset()) {
@@ -201,30 +201,30 @@
 	}
 }
 
-func (f *Fold) takeList(offset int64, change *api.ListChange) {
+func (f *Fold) applyList(offset int64, change *api.ListChange) {
 	if change.GetList() == api.ListName_LIST_PLANS {
-		f.plansAt = offset
+		f.plansOffset = offset
 	} else {
-		f.usesAt = offset
+		f.usesOffset = offset
 	}
 	// Keys move between customers in one change, so all old ones go first.
 	for _, section := range change.GetSet() {
-		f.drop(section.GetName())
+		f.removeSection(section.GetName())
 	}
-	for _, full := range change.GetRemoved() {
-		f.drop(full)
+	for _, fullName := range change.GetRemoved() {
+		f.removeSection(fullName)
 	}
 	for _, section := range change.GetSet() {
-		f.put(section)
+		f.addSection(section)
 	}
 }
 
-// drop removes a section, if it is there. Its name was checked.
-func (f *Fold) drop(full string) {
-	k, name, _ := splitSection(ListOf(full), full)
+// removeSection removes a section, if it is there. Its name was checked.
+func (f *Fold) removeSection(fullName string) {
+	k, name, _ := splitSection(ListOf(fullName), fullName)
 	switch k {
 	case kindCustomer:
-		owners := f.owners.edit()
+		owners := f.keyOwners.edit()
 		for _, key := range f.customers.entries[name].GetKeySha256() {
 			delete(owners, key)
 		}
@@ -238,13 +238,13 @@
 	}
 }
 
-// put adds a section. It was checked.
-func (f *Fold) put(section *api.Section) {
+// addSection adds a section. It was checked.
+func (f *Fold) addSection(section *api.Section) {
 	_, name, _ := splitSection(ListOf(section.GetName()), section.GetName())
 	switch body := section.GetBody().(type) {
 	case *api.Section_Customer:
 		f.customers.edit()[name] = body.Customer
-		owners := f.owners.edit()
+		owners := f.keyOwners.edit()
 		for _, key := range body.Customer.GetKeySha256() {
 			owners[key] = name
 		}
--- a/coord/config/fold_test.go
+++ b/coord/config/fold_test.go
@@ -99,7 +99,7 @@
 	if got, _ := f.View().Plan("gold"); got.GetShare() != 2 {
 		t.Errorf("share %v, want the winner's 2", got.GetShare())
 	}
-	if !f.View().VMOut("vm1", "b") || f.View().VMOut("vm1", "a") {
+	if !f.View().VMOutOfService("vm1", "b") || f.View().VMOutOfService("vm1", "a") {
 		t.Error("failure domain b must be out, and a not")
 	}
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestRecordsWrongInThemselvesAreRefused(t *testing.T) {
+func TestInvalidRecordsAreRefused(t *testing.T) {
 	badKey := customer("a", "k")
 	badKey.GetCustomer().KeySha256 = []string{strings.ToUpper(keyOf("k"))}
 	badWeight := customer("a", "k")
@@ -270,7 +270,7 @@
 	if got := len(f.View().Marks()); got != MaxMarks {
 		t.Errorf("%d marks kept, want %d", got, MaxMarks)
 	}
-	if !f.View().VMOut("held-out", "a") || f.View().MarkOffset(onVM, "vm0") != -1 {
+	if !f.View().VMOutOfService("held-out", "a") || f.View().MarkOffset(onVM, "vm0") != -1 {
 		t.Error("want the oldest in-service mark forgotten and the out mark kept")
 	}
 	if _, ok := f.Verdict("held"); ok {
--- a/coord/config/history_test.go
+++ b/coord/config/history_test.go
@@ -20,10 +20,10 @@
 // is fixed.
 func TestRacingPublishersSeeOneVersionedRegister(t *testing.T) {
 	const (
-		rounds  = 120
-		behind  = 3 // rounds after which every member has caught up
-		lag     = 40 * time.Millisecond
-		members = 4
+		rounds        = 120
+		catchUpRounds = 3 // rounds after which every member has caught up
+		lag           = 40 * time.Millisecond
+		members       = 4
 	)
 	random := rand.New(rand.NewPCG(6, 1))
 	var log [][]byte
@@ -31,8 +31,8 @@
 	for i := range folds {
 		folds[i] = config.NewFold()
 	}
-	catchUp := func(i, to int) {
-		for f := folds[i]; f.Applied()+1 < int64(to); {
+	catchUp := func(member, end int) {
+		for f := folds[member]; f.Applied()+1 < int64(end); {
 			if err := f.Apply(f.Applied()+1, log[f.Applied()+1]); err != nil {
 				t.Fatal(err)
 			}
@@ -45,9 +45,9 @@
 		for operator := range 1 + random.IntN(3) {
 			id := fmt.Sprintf("c%d-%d", round, operator)
 			log = append(log, change(t, id, base))
-			judge := random.IntN(members)
-			catchUp(judge, len(log))
-			verdict, _ := folds[judge].Verdict(id)
+			reader := random.IntN(members)
+			catchUp(reader, len(log))
+			verdict, _ := folds[reader].Verdict(id)
 			outcome := history.Conflict
 			if verdict.GetAccepted() {
 				outcome = history.Accepted
@@ -57,18 +57,18 @@
 			})
 		}
 		for i, fold := range folds {
-			if random.IntN(2) == 0 || (round+i)%behind == 0 {
+			if random.IntN(2) == 0 || (round+i)%catchUpRounds == 0 {
 				catchUp(i, len(log))
 			}
 			at := now + lag*3/4
 			h.Reads = append(h.Reads, history.Read{Process: i, Call: at, Return: at, Offset: fold.View().ListOffset(api.ListName_LIST_USES)})
 		}
 	}
-	if err := h.Check((behind+1)*lag, 10*time.Second); err != nil {
+	if err := h.Check((catchUpRounds+1)*lag, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	h.Publishes[rounds/2].Offset++
-	if err := h.Check((behind+1)*lag, 10*time.Second); !errors.Is(err, history.ErrIllegal) {
+	if err := h.Check((catchUpRounds+1)*lag, 10*time.Second); !errors.Is(err, history.ErrIllegal) {
 		t.Errorf("a history with one verdict altered: %v", err)
 	}
 }
--- a/coord/config/property_test.go
+++ b/coord/config/property_test.go
@@ -56,7 +56,7 @@
 			rec := drawRecord(rt, f)
 			offset := f.Applied() + 1
 			_, known := f.Verdict(rec.GetChangeId())
-			foretold := CheckChange(f.View(), rec)
+			checked := CheckChange(f.View(), rec)
 			if err := f.Apply(offset, marshal(t, rec)); err != nil {
 				rt.Fatal(err)
 			}
@@ -64,13 +64,13 @@
 			if rec.GetSnapshot() != nil || known {
 				continue
 			}
-			if verdict.GetAccepted() != (foretold == nil) || verdict.GetOffset() != offset {
-				rt.Fatalf("foretold %v, verdict %v", foretold, verdict)
+			if verdict.GetAccepted() != (checked == nil) || verdict.GetOffset() != offset {
+				rt.Fatalf("foretold %v, verdict %v", checked, verdict)
 			}
 			if !verdict.GetAccepted() {
 				continue
 			}
-			if before, taken := winners[baseOf(rec)]; taken {
+			if before, won := winners[baseOf(rec)]; won {
 				rt.Fatalf("base %s won at %d and at %d", baseOf(rec), before, offset)
 			}
 			winners[baseOf(rec)] = offset
@@ -98,10 +98,10 @@
 // fakeLog is the platform's log with its limited retention, and what the fold of
 // all of it was after each record.
 type fakeLog struct {
-	first   int64
-	records []*api.LogRecord
-	whole   *Fold
-	states  [][]byte
+	firstRetained int64
+	records       []*api.LogRecord
+	fold          *Fold
+	states        [][]byte
 }
 
 func (l *fakeLog) next() int64 { return int64(len(l.records)) }
@@ -113,36 +113,36 @@
 	}
 	offset := l.next()
 	l.records = append(l.records, &api.LogRecord{Offset: offset, Data: data})
-	if err := l.whole.Apply(offset, data); err != nil {
+	if err := l.fold.Apply(offset, data); err != nil {
 		t.Fatal(err)
 	}
 	l.states = append(l.states, nil)
-	l.states[offset], _ = proto.MarshalOptions{Deterministic: true}.Marshal(l.whole.Snapshot())
+	l.states[offset], _ = proto.MarshalOptions{Deterministic: true}.Marshal(l.fold.Snapshot())
 }
 
-// answer is an answer of the log on its way, with what the tail was at the request.
-type answer struct {
-	read    LogRead
-	expired bool
-	first   int64
-	tail    int64
+// logAnswer is an logAnswer of the log on its way, with what the tail was at the request.
+type logAnswer struct {
+	response      LogResponse
+	expired       bool
+	firstRetained int64
+	tail          int64
 }
 
-func (l *fakeLog) read(from int64, limit int) answer {
-	if from < l.first {
-		return answer{expired: true, first: l.first}
+func (l *fakeLog) read(from int64, limit int) logAnswer {
+	if from < l.firstRetained {
+		return logAnswer{expired: true, firstRetained: l.firstRetained}
 	}
 	start := min(from, l.next())
 	end := min(start+int64(limit), l.next())
-	return answer{read: LogRead{From: from, Records: l.records[start:end], Next: l.next()}, tail: l.next() - 1}
+	return logAnswer{response: LogResponse{From: from, Records: l.records[start:end], Next: l.next()}, tail: l.next() - 1}
 }
 
-func deliver(t *rapid.T, r *Reader, a answer) {
+func deliver(t *rapid.T, r *Reader, a logAnswer) {
 	if a.expired {
-		r.Expired(a.first)
+		r.HandleExpired(a.firstRetained)
 		return
 	}
-	if p := r.Log(a.read); p.AtTail && r.fold.Applied() < a.tail {
+	if p := r.HandleLog(a.response); p.AtTail && r.fold.Applied() < a.tail {
 		t.Fatalf("at the tail with %d of %d", r.fold.Applied(), a.tail)
 	}
 }
@@ -152,27 +152,27 @@
 // hear each other, and are replaced; answers come late, twice and out of order.
 func TestPropertyReadersNeverFoldAcrossAGap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := &fakeLog{whole: NewFold()}
+		l := &fakeLog{fold: NewFold()}
 		members := []*Reader{NewReader(NewFold()), NewReader(NewFold())}
-		inFlight := make([][]answer, len(members))
+		inFlight := make([][]logAnswer, len(members))
 		applied := []int64{-1, -1}
-		pick := func(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "member") }
+		drawMember := func(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "member") }
 		fromPeer := func(t *rapid.T, i int) {
-			reply := members[1-i].Answer(members[i].fold.Applied())
-			if _, err := members[i].Peer(proto.CloneOf(reply)); err != nil {
+			reply := members[1-i].RecordsAfter(members[i].fold.Applied())
+			if _, err := members[i].HandlePeer(proto.CloneOf(reply)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"append": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "records") {
-					l.append(t, drawRecord(t, l.whole))
+					l.append(t, drawRecord(t, l.fold))
 				}
 			},
-			"expire": func(t *rapid.T) { l.first = rapid.Int64Range(l.first, l.next()).Draw(t, "first") },
+			"expire": func(t *rapid.T) { l.firstRetained = rapid.Int64Range(l.firstRetained, l.next()).Draw(t, "first") },
 			"ask": func(t *rapid.T) {
-				i := pick(t)
-				ask := members[i].Next()
+				i := drawMember(t)
+				ask := members[i].NextFetch()
 				if ask.Source == FromPeer {
 					fromPeer(t, i)
 					return
@@ -180,21 +180,21 @@
 				inFlight[i] = append(inFlight[i], l.read(ask.From, rapid.IntRange(1, 6).Draw(t, "limit")))
 			},
 			"deliver": func(t *rapid.T) {
-				i := pick(t)
+				i := drawMember(t)
 				if len(inFlight[i]) == 0 {
 					t.Skip("nothing in flight")
 				}
 				deliver(t, members[i], rapid.SampledFrom(inFlight[i]).Draw(t, "answer"))
 			},
 			"prompt": func(t *rapid.T) {
-				if m := members[pick(t)]; m.Next().Source == FromLog {
-					deliver(t, m, l.read(m.Next().From, rapid.IntRange(1, 6).Draw(t, "limit")))
+				if m := members[drawMember(t)]; m.NextFetch().Source == FromLog {
+					deliver(t, m, l.read(m.NextFetch().From, rapid.IntRange(1, 6).Draw(t, "limit")))
 				}
 			},
-			"push": func(t *rapid.T) { fromPeer(t, pick(t)) },
-			"fail": func(t *rapid.T) { members[pick(t)].LogFailed() },
+			"push": func(t *rapid.T) { fromPeer(t, drawMember(t)) },
+			"fail": func(t *rapid.T) { members[drawMember(t)].HandleLogFailure() },
 			"replace": func(t *rapid.T) {
-				i := pick(t)
+				i := drawMember(t)
 				members[i], applied[i], inFlight[i] = NewReader(NewFold()), -1, nil
 			},
 			"": func(t *rapid.T) {
@@ -223,20 +223,20 @@
 	forecast := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: &api.Snapshot{Through: 9}}})
 	good := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: f.Snapshot()}})
 	r := NewReader(NewFold())
-	r.Expired(2)
-	if got := r.Next(); got != (Ask{Source: FromLog, From: 2}) {
+	r.HandleExpired(2)
+	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) {
 		t.Fatalf("asks %v", got)
 	}
-	r.Log(LogRead{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}}, Next: 3})
-	if got := r.Next(); got.Source != FromPeer || r.fold.Applied() != -1 {
+	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}}, Next: 3})
+	if got := r.NextFetch(); got.Source != FromPeer || r.fold.Applied() != -1 {
 		t.Fatalf("after a snapshot that does not cover the gap: asks %v, applied %d", got, r.fold.Applied())
 	}
-	r.PeerFailed()
-	r.Log(LogRead{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: forecast}, {Offset: 3, Data: good}}, Next: 4})
-	if got := r.Next(); got != (Ask{Source: FromLog, From: 2}) || r.fold.Applied() != 1 {
+	r.HandlePeerFailure()
+	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: forecast}, {Offset: 3, Data: good}}, Next: 4})
+	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) || r.fold.Applied() != 1 {
 		t.Fatalf("after the snapshot: asks %v, applied %d", got, r.fold.Applied())
 	}
-	p := r.Log(LogRead{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}, {Offset: 3, Data: good}}, Next: 4})
+	p := r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}, {Offset: 3, Data: good}}, Next: 4})
 	if !p.AtTail || r.fold.Applied() != 3 || r.fold.LastSnapshot() != 3 {
 		t.Errorf("progress %+v, applied %d", p, r.fold.Applied())
 	}
@@ -255,7 +255,7 @@
 			t.Errorf("damaged snapshot: %v, applied %d", err, f.Applied())
 		}
 	}
-	if err := f.Load(ahead.Snapshot()); err != nil || f.Applied() != 1 || !f.View().VMOut("vm1", "") {
+	if err := f.Load(ahead.Snapshot()); err != nil || f.Applied() != 1 || !f.View().VMOutOfService("vm1", "") {
 		t.Errorf("newer snapshot: %v, applied %d", err, f.Applied())
 	}
 	if err := f.Load(older); !errors.Is(err, ErrOlder) || f.Applied() != 1 {
@@ -270,19 +270,19 @@
 		records[i] = &api.LogRecord{Offset: int64(i), Data: data}
 	}
 	ahead := NewReader(NewFold())
-	ahead.Log(LogRead{Records: records[:3], Next: 3})
+	ahead.HandleLog(LogResponse{Records: records[:3], Next: 3})
 	r := NewReader(NewFold())
-	r.Log(LogRead{Records: records[:1], Next: 1})
-	if _, err := r.Peer(&api.LogRecords{Snapshot: ahead.Answer(-2).GetSnapshot(), Records: records[3:]}); err != nil {
+	r.HandleLog(LogResponse{Records: records[:1], Next: 1})
+	if _, err := r.HandlePeer(&api.LogRecords{Snapshot: ahead.RecordsAfter(-2).GetSnapshot(), Records: records[3:]}); err != nil {
 		t.Fatal(err)
 	}
 	for after, want := range map[int64]int{-1: 0, 0: 0, 1: 0, 2: 2, 3: 1} {
-		got := r.Answer(after)
+		got := r.RecordsAfter(after)
 		if len(got.GetRecords()) != want || (got.GetSnapshot() == nil) != (want > 0) {
 			t.Errorf("after %d: %d records, snapshot through %d", after, len(got.GetRecords()), got.GetSnapshot().GetThrough())
 		}
 	}
-	if got := r.Answer(4); len(got.GetRecords()) != 0 || got.GetSnapshot() != nil {
+	if got := r.RecordsAfter(4); len(got.GetRecords()) != 0 || got.GetSnapshot() != nil {
 		t.Errorf("a peer with as much got %v", got)
 	}
 }
--- a/coord/config/reader.go
+++ b/coord/config/reader.go
@@ -16,15 +16,15 @@
 	FromPeer
 )
 
-// Ask is what to fetch next.
-type Ask struct {
+// Fetch is what to fetch next.
+type Fetch struct {
 	Source Source
 	// From is the first offset wanted. Of a peer, ask for what comes after From-1.
 	From int64
 }
 
-// LogRead is an answer of the platform's log.
-type LogRead struct {
+// LogResponse is an answer of the platform's log.
+type LogResponse struct {
 	// From is the offset that was asked for.
 	From int64
 	// Records holds the records from From on, in order and without gaps.
@@ -47,81 +47,81 @@
 // the log has dropped records that the fold lacks, the reader never folds across
 // the gap: it looks for a snapshot that covers it, in the log and at peers.
 type Reader struct {
-	fold   *Fold
-	recent recent
+	fold  *Fold
+	cache recordCache
 
-	// While scanning, first is the first offset that the log still holds and cursor
+	// While isScanning, first is the first offset that the log still holds and cursor
 	// the next one to look at.
-	scanning bool
-	first    int64
-	cursor   int64
+	isScanning    bool
+	firstRetained int64
+	scanOffset    int64
 
-	askPeer bool
+	isPeerNext bool
 
 	// The newest answer to a peer that was too far behind for records.
-	snapshot *api.Snapshot
+	cachedSnapshot *api.Snapshot
 }
 
 // NewReader returns a reader that feeds the fold.
 func NewReader(fold *Fold) *Reader { return &Reader{fold: fold} }
 
-// Next returns what to fetch next. It stays the same until an answer was taken.
-func (r *Reader) Next() Ask {
-	r.leaveScan()
+// NextFetch returns what to fetch next. It stays the same until an answer was taken.
+func (r *Reader) NextFetch() Fetch {
+	r.endScanIfCovered()
 	switch {
-	case r.askPeer:
-		return Ask{Source: FromPeer, From: r.fold.Applied() + 1}
-	case r.scanning:
-		return Ask{Source: FromLog, From: r.cursor}
+	case r.isPeerNext:
+		return Fetch{Source: FromPeer, From: r.fold.Applied() + 1}
+	case r.isScanning:
+		return Fetch{Source: FromLog, From: r.scanOffset}
 	}
-	return Ask{Source: FromLog, From: r.fold.Applied() + 1}
+	return Fetch{Source: FromLog, From: r.fold.Applied() + 1}
 }
 
-// leaveScan ends the search for a snapshot once the fold reaches the records that
+// endScanIfCovered ends the search for a snapshot once the fold reaches the records that
 // the log still holds, whoever brought it there.
-func (r *Reader) leaveScan() {
-	if r.scanning && r.fold.Applied()+1 >= r.first {
-		r.scanning = false
-		r.askPeer = false
+func (r *Reader) endScanIfCovered() {
+	if r.isScanning && r.fold.Applied()+1 >= r.firstRetained {
+		r.isScanning = false
+		r.isPeerNext = false
 	}
 }
 
-// Log takes an answer of the log.
-func (r *Reader) Log(read LogRead) Progress {
+// HandleLog takes an answer of the log.
+func (r *Reader) HandleLog(response LogResponse) Progress {
 	before := r.fold.Applied()
-	r.leaveScan()
-	if r.scanning {
-		r.scan(read)
+	r.endScanIfCovered()
+	if r.isScanning {
+		r.scan(response)
 	} else {
-		r.applyAll(read.Records)
+		r.applyAll(response.Records)
 	}
 	applied := r.fold.Applied()
 	return Progress{
 		Advanced: applied > before,
 		// A log that answers with less than is applied has told of its past.
-		AtTail: !r.scanning && read.Next == applied+1,
+		AtTail: !r.isScanning && response.Next == applied+1,
 	}
 }
 
-// Expired takes the log's answer that the offset asked for is gone; first is the
+// HandleExpired takes the log's answer that the offset asked for is gone; first is the
 // first one that it still holds.
-func (r *Reader) Expired(first int64) {
-	if r.fold.Applied()+1 >= first {
+func (r *Reader) HandleExpired(firstRetained int64) {
+	if r.fold.Applied()+1 >= firstRetained {
 		return // An answer to an older request.
 	}
-	r.scanning = true
-	r.first = first
-	r.cursor = first
+	r.isScanning = true
+	r.firstRetained = firstRetained
+	r.scanOffset = firstRetained
 }
 
-// LogFailed says that the log gave no answer: a peer is asked before the log is
+// HandleLogFailure says that the log gave no answer: a peer is asked before the log is
 // tried again.
-func (r *Reader) LogFailed() { r.askPeer = true }
+func (r *Reader) HandleLogFailure() { r.isPeerNext = true }
 
-// Peer takes an answer or a push of a peer. A damaged snapshot gives
+// HandlePeer takes an answer or a push of a peer. A damaged snapshot gives
 // ErrBadSnapshot and changes nothing.
-func (r *Reader) Peer(reply *api.LogRecords) (Progress, error) {
-	r.askPeer = false
+func (r *Reader) HandlePeer(reply *api.LogRecords) (Progress, error) {
+	r.isPeerNext = false
 	before := r.fold.Applied()
 	var err error
 	if s := reply.GetSnapshot(); s.GetThrough() > before && s != nil {
@@ -131,8 +131,8 @@
 	return Progress{Advanced: r.fold.Applied() > before}, err
 }
 
-// PeerFailed says that the peer asked gave no answer: the log comes next.
-func (r *Reader) PeerFailed() { r.askPeer = false }
+// HandlePeerFailure says that the peer asked gave no answer: the log comes next.
+func (r *Reader) HandlePeerFailure() { r.isPeerNext = false }
 
 // applyAll folds records up to the first one that does not follow.
 func (r *Reader) applyAll(records []*api.LogRecord) {
@@ -143,56 +143,56 @@
 		if errors.Is(r.fold.Apply(rec.GetOffset(), rec.GetData()), ErrGap) {
 			return
 		}
-		r.recent.add(rec)
+		r.cache.add(rec)
 	}
 }
 
 // scan looks through records past a gap for a snapshot that covers it. Nothing is
 // folded: the records in between would give a state that no other process has.
-func (r *Reader) scan(read LogRead) {
-	if read.From != r.cursor {
+func (r *Reader) scan(response LogResponse) {
+	if response.From != r.scanOffset {
 		return
 	}
-	for _, rec := range read.Records {
-		if rec.GetOffset() != r.cursor {
+	for _, rec := range response.Records {
+		if rec.GetOffset() != r.scanOffset {
 			break
 		}
-		r.cursor++
-		if r.load(rec) {
-			r.leaveScan()
+		r.scanOffset++
+		if r.loadSnapshot(rec) {
+			r.endScanIfCovered()
 			return
 		}
 	}
-	if r.cursor >= read.Next || len(read.Records) == 0 {
+	if r.scanOffset >= response.Next || len(response.Records) == 0 {
 		// No snapshot in the log covers the gap: ask a peer, then look again, as
 		// members append snapshots from time to time.
-		r.askPeer = true
-		r.cursor = r.first
+		r.isPeerNext = true
+		r.scanOffset = r.firstRetained
 	}
 }
 
-// load loads the snapshot in a record if it reaches up to the records that the log
+// loadSnapshot loads the snapshot in a record if it reaches up to the records that the log
 // still holds and is no forecast.
-func (r *Reader) load(rec *api.LogRecord) bool {
-	s := snapshotIn(rec.GetData())
-	if s == nil || s.GetThrough()+1 < r.first || s.GetThrough() >= rec.GetOffset() {
+func (r *Reader) loadSnapshot(rec *api.LogRecord) bool {
+	s := decodeSnapshot(rec.GetData())
+	if s == nil || s.GetThrough()+1 < r.firstRetained || s.GetThrough() >= rec.GetOffset() {
 		return false
 	}
 	return r.fold.Load(s) == nil
 }
 
-// Answer returns what a peer lacks after an offset: records, a snapshot when they
+// RecordsAfter returns what a peer lacks after an offset: records, a snapshot when they
 // are not kept, or neither when it has as much. The caller adds its knowledge.
-func (r *Reader) Answer(after int64) *api.LogRecords {
+func (r *Reader) RecordsAfter(after int64) *api.LogRecords {
 	applied := r.fold.Applied()
 	if after >= applied {
 		return &api.LogRecords{}
 	}
-	if records := r.recent.after(after, applied); records != nil {
+	if records := r.cache.recordsAfter(after, applied); records != nil {
 		return &api.LogRecords{Records: records}
 	}
-	if r.snapshot == nil || r.snapshot.GetThrough() != applied {
-		r.snapshot = r.fold.Snapshot()
+	if r.cachedSnapshot == nil || r.cachedSnapshot.GetThrough() != applied {
+		r.cachedSnapshot = r.fold.Snapshot()
 	}
-	return &api.LogRecords{Snapshot: r.snapshot}
+	return &api.LogRecords{Snapshot: r.cachedSnapshot}
 }
--- a/coord/config/section.go
+++ b/coord/config/section.go
@@ -25,21 +25,21 @@
 	sha256HexLen = 64
 )
 
-// kind is the first word of a section's name.
-type kind string
+// sectionKind is the first word of a section's name.
+type sectionKind string
 
 const (
-	kindCustomer kind = "customer"
-	kindPlan     kind = "plan"
-	kindService  kind = "service"
-	kindModel    kind = "model"
+	kindCustomer sectionKind = "customer"
+	kindPlan     sectionKind = "plan"
+	kindService  sectionKind = "service"
+	kindModel    sectionKind = "model"
 )
 
-// section returns the full name of a section of this kind.
-func (k kind) section(name string) string { return string(k) + " " + name }
+// fullName returns the full name of a fullName of this kind.
+func (k sectionKind) fullName(name string) string { return string(k) + " " + name }
 
 // list returns the list that sections of this kind belong to.
-func (k kind) list() api.ListName {
+func (k sectionKind) list() api.ListName {
 	switch k {
 	case kindCustomer:
 		return api.ListName_LIST_PLANS
@@ -52,22 +52,22 @@
 // ListOf returns the list in which a section of this name stands, LIST_UNSPECIFIED
 // for a name of no known kind.
 func ListOf(section string) api.ListName {
-	word, _, _ := strings.Cut(section, " ")
-	return kind(word).list()
+	kindName, _, _ := strings.Cut(section, " ")
+	return sectionKind(kindName).list()
 }
 
 // splitSection takes the full name of a section apart and checks it for a list.
-func splitSection(list api.ListName, full string) (kind, string, error) {
-	word, name, found := strings.Cut(full, " ")
-	k := kind(word)
+func splitSection(list api.ListName, fullName string) (sectionKind, string, error) {
+	kindName, name, found := strings.Cut(fullName, " ")
+	k := sectionKind(kindName)
 	switch {
 	case !found || k.list() == api.ListName_LIST_UNSPECIFIED:
-		return "", "", errors.Errorf("section %q: a name reads customer, plan, service or model, and then the name", clip(full))
+		return "", "", errors.Errorf("section %q: a name reads customer, plan, service or model, and then the name", truncate(fullName))
 	case k.list() != list:
-		return "", "", errors.Errorf("section %q does not belong in this list", clip(full))
+		return "", "", errors.Errorf("section %q does not belong in this list", truncate(fullName))
 	}
 	if err := checkName(name); err != nil {
-		return "", "", errors.Wrapf(err, "section %q", clip(full))
+		return "", "", errors.Wrapf(err, "section %q", truncate(fullName))
 	}
 	return k, name, nil
 }
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// checkBody checks that a section has the body that its name promises, and that
+// checkSectionBody checks that a section has the body that its name promises, and that
 // the body can be worked with.
-func checkBody(k kind, section *api.Section) error {
+func checkSectionBody(k sectionKind, section *api.Section) error {
 	switch body := section.GetBody().(type) {
 	case *api.Section_Customer:
 		if k == kindCustomer && body.Customer != nil {
@@ -120,7 +120,7 @@
 	}
 	for _, key := range customer.GetKeySha256() {
 		if !isSHA256Hex(key) {
-			return errors.Errorf("key %q is not a SHA-256 in lower-case hex", clip(key))
+			return errors.Errorf("key %q is not a SHA-256 in lower-case hex", truncate(key))
 		}
 	}
 	if err := checkName(customer.GetPlan()); err != nil {
@@ -135,21 +135,21 @@
 	return checkCount("burst", customer.GetBurst())
 }
 
-// maxNumber is above every limit in the schema; it keeps infinities and values
+// maxValue is above every limit in the schema; it keeps infinities and values
 // whose sums overflow out of shares.
-const maxNumber = 1e12
+const maxValue = 1e12
 
 // checkNumber refuses what would poison every share it is summed into: NaN fails
 // both comparisons.
 func checkNumber(field string, value float64) error {
-	if value >= 0 && value <= maxNumber {
+	if value >= 0 && value <= maxValue {
 		return nil
 	}
 	return errors.Errorf("%s is %v; it must be a number of 0 or more", field, value)
 }
 
 func checkCount(field string, value int64) error {
-	if value >= 0 && value <= maxNumber {
+	if value >= 0 && value <= maxValue {
 		return nil
 	}
 	return errors.Errorf("%s is %d; it must be 0 or more", field, value)
@@ -167,11 +167,11 @@
 	return true
 }
 
-// clip keeps texts from a record short in reasons.
-func clip(text string) string {
-	const longest = 64
-	if len(text) <= longest {
+// truncate keeps texts from a record short in reasons.
+func truncate(text string) string {
+	const maxBytes = 64
+	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:longest], "") + "..."
+	return strings.ToValidUTF8(text[:maxBytes], "") + "..."
 }
--- a/coord/config/snapshot.go
+++ b/coord/config/snapshot.go
@@ -12,7 +12,7 @@
 // Snapshot returns the whole state, the same at every process that has applied as
 // much. Its parts are shared with the fold and must not be changed.
 func (f *Fold) Snapshot() *api.Snapshot {
-	view := f.peek()
+	view := f.unsharedView()
 	return &api.Snapshot{
 		Through: f.applied,
 		Lists: []*api.ListState{
@@ -20,7 +20,7 @@
 			listState(view, api.ListName_LIST_USES),
 		},
 		Marks:    view.Marks(),
-		Verdicts: slices.Clone(f.verdicts.order),
+		Verdicts: slices.Clone(f.verdicts.ordered),
 	}
 }
 
@@ -39,62 +39,62 @@
 		return nil
 	}
 	loaded := NewFold()
-	if err := loaded.fill(proto.CloneOf(s)); err != nil {
+	if err := loaded.loadAll(proto.CloneOf(s)); err != nil {
 		return errors.Wrap(ErrBadSnapshot, err.Error())
 	}
 	*f = *loaded
 	return nil
 }
 
-func (f *Fold) fill(s *api.Snapshot) error {
+func (f *Fold) loadAll(s *api.Snapshot) error {
 	f.applied = s.GetThrough()
-	f.snapshot = s.GetThrough()
+	f.lastSnapshot = s.GetThrough()
 	for _, list := range s.GetLists() {
-		if err := f.fillList(list); err != nil {
+		if err := f.loadList(list); err != nil {
 			return err
 		}
 	}
-	if err := f.fillMarks(s.GetMarks()); err != nil {
+	if err := f.loadMarks(s.GetMarks()); err != nil {
 		return err
 	}
-	return f.fillVerdicts(s.GetVerdicts())
+	return f.loadVerdicts(s.GetVerdicts())
 }
 
-// fillList takes a list in by the checks that a first publish of it would pass.
-func (f *Fold) fillList(list *api.ListState) error {
-	if list.GetOffset() < nothing || list.GetOffset() > f.applied {
+// loadList takes a list in by the checks that a first publish of it would pass.
+func (f *Fold) loadList(list *api.ListState) error {
+	if list.GetOffset() < noOffset || list.GetOffset() > f.applied {
 		return errors.Errorf("list at offset %d", list.GetOffset())
 	}
 	if len(list.GetSections()) == 0 {
-		return f.fillEmptyList(list)
+		return f.loadEmptyList(list)
 	}
-	change := &api.ListChange{List: list.GetList(), Base: nothing, Set: list.GetSections()}
-	if err := checkList(f.peek(), change); err != nil {
+	change := &api.ListChange{List: list.GetList(), Base: noOffset, Set: list.GetSections()}
+	if err := checkList(f.unsharedView(), change); err != nil {
 		return err
 	}
-	if list.GetOffset() == nothing {
+	if list.GetOffset() == noOffset {
 		return errors.New("list with sections that was never published")
 	}
-	f.takeList(list.GetOffset(), change)
+	f.applyList(list.GetOffset(), change)
 	return nil
 }
 
-func (f *Fold) fillEmptyList(list *api.ListState) error {
+func (f *Fold) loadEmptyList(list *api.ListState) error {
 	switch list.GetList() {
 	case api.ListName_LIST_PLANS:
-		f.plansAt = list.GetOffset()
+		f.plansOffset = list.GetOffset()
 	case api.ListName_LIST_USES:
-		f.usesAt = list.GetOffset()
+		f.usesOffset = list.GetOffset()
 	default:
 		return errors.New("list without a name")
 	}
 	return nil
 }
 
-func (f *Fold) fillMarks(marks []*api.MarkState) error {
+func (f *Fold) loadMarks(marks []*api.MarkState) error {
 	for _, mark := range marks {
-		first := &api.Mark{Target: mark.GetTarget(), Name: mark.GetName(), Out: mark.GetOut(), Base: nothing}
-		if err := checkMark(f.peek(), first); err != nil {
+		change := &api.Mark{Target: mark.GetTarget(), Name: mark.GetName(), Out: mark.GetOut(), Base: noOffset}
+		if err := checkMark(f.unsharedView(), change); err != nil {
 			return err
 		}
 		if mark.GetOffset() < 0 || mark.GetOffset() > f.applied {
@@ -105,18 +105,18 @@
 	return nil
 }
 
-func (f *Fold) fillVerdicts(all []*api.Verdict) error {
-	if len(all) > MaxVerdicts {
-		return errors.Errorf("%d verdicts", len(all))
+func (f *Fold) loadVerdicts(verdicts []*api.Verdict) error {
+	if len(verdicts) > MaxVerdicts {
+		return errors.Errorf("%d verdicts", len(verdicts))
 	}
-	before := nothing
-	for _, verdict := range all {
-		if verdict.GetOffset() <= before || verdict.GetOffset() > f.applied {
-			return errors.Errorf("verdict at offset %d after %d", verdict.GetOffset(), before)
+	previousOffset := noOffset
+	for _, verdict := range verdicts {
+		if verdict.GetOffset() <= previousOffset || verdict.GetOffset() > f.applied {
+			return errors.Errorf("verdict at offset %d after %d", verdict.GetOffset(), previousOffset)
 		}
-		before = verdict.GetOffset()
+		previousOffset = verdict.GetOffset()
 		if _, known := f.verdicts.get(verdict.GetChangeId()); known || verdict.GetChangeId() == "" {
-			return errors.Errorf("verdict on %q twice or without an id", clip(verdict.GetChangeId()))
+			return errors.Errorf("verdict on %q twice or without an id", truncate(verdict.GetChangeId()))
 		}
 		f.verdicts.add(verdict)
 	}
--- a/coord/config/verdicts.go
+++ b/coord/config/verdicts.go
@@ -14,8 +14,8 @@
 
 // verdicts keeps the newest verdicts, by change id and in order.
 type verdicts struct {
-	byID  map[string]*api.Verdict
-	order []*api.Verdict // oldest first
+	byID    map[string]*api.Verdict
+	ordered []*api.Verdict // oldest first
 }
 
 func newVerdicts() *verdicts { return &verdicts{byID: make(map[string]*api.Verdict)} }
@@ -25,24 +25,24 @@
 	return verdict, ok
 }
 
-// at returns the verdict on the record at an offset.
-func (v *verdicts) at(offset int64) (*api.Verdict, bool) {
-	i, found := slices.BinarySearchFunc(v.order, offset, func(verdict *api.Verdict, offset int64) int {
+// atOffset returns the verdict on the record atOffset an offset.
+func (v *verdicts) atOffset(offset int64) (*api.Verdict, bool) {
+	i, found := slices.BinarySearchFunc(v.ordered, offset, func(verdict *api.Verdict, offset int64) int {
 		return cmp.Compare(verdict.GetOffset(), offset)
 	})
 	if !found {
 		return nil, false
 	}
-	return v.order[i], true
+	return v.ordered[i], true
 }
 
 func (v *verdicts) add(verdict *api.Verdict) {
 	v.byID[verdict.GetChangeId()] = verdict
-	v.order = append(v.order, verdict)
-	if len(v.order) <= MaxVerdicts {
+	v.ordered = append(v.ordered, verdict)
+	if len(v.ordered) <= MaxVerdicts {
 		return
 	}
-	delete(v.byID, v.order[0].GetChangeId())
-	v.order[0] = nil
-	v.order = v.order[1:]
+	delete(v.byID, v.ordered[0].GetChangeId())
+	v.ordered[0] = nil
+	v.ordered = v.ordered[1:]
 }
--- a/coord/config/view.go
+++ b/coord/config/view.go
@@ -90,13 +90,13 @@
 // Models returns all models by name. The map must not be changed.
 func (v *View) Models() map[string]*api.Model { return v.models }
 
-// VMOut tells whether operators have taken a VM, or the failure domain it stands
+// VMOutOfService tells whether operators have taken a VM, or the failure domain it stands
 // in, out of service.
-func (v *View) VMOut(vm, failureDomain string) bool {
-	return v.out(api.MarkTarget_TARGET_VM, vm) || v.out(api.MarkTarget_TARGET_DOMAIN, failureDomain)
+func (v *View) VMOutOfService(vm, failureDomain string) bool {
+	return v.isMarkedOut(api.MarkTarget_TARGET_VM, vm) || v.isMarkedOut(api.MarkTarget_TARGET_DOMAIN, failureDomain)
 }
 
-func (v *View) out(target api.MarkTarget, name string) bool {
+func (v *View) isMarkedOut(target api.MarkTarget, name string) bool {
 	return v.marks[markKey{target, name}].GetOut()
 }
 
@@ -121,18 +121,18 @@
 	case api.ListName_LIST_PLANS:
 		sections = make([]*api.Section, 0, len(v.customers))
 		for name, body := range v.customers {
-			sections = append(sections, &api.Section{Name: kindCustomer.section(name), Body: &api.Section_Customer{Customer: body}})
+			sections = append(sections, &api.Section{Name: kindCustomer.fullName(name), Body: &api.Section_Customer{Customer: body}})
 		}
 	case api.ListName_LIST_USES:
 		sections = make([]*api.Section, 0, len(v.plans)+len(v.services)+len(v.models))
 		for name, body := range v.plans {
-			sections = append(sections, &api.Section{Name: kindPlan.section(name), Body: &api.Section_Plan{Plan: body}})
+			sections = append(sections, &api.Section{Name: kindPlan.fullName(name), Body: &api.Section_Plan{Plan: body}})
 		}
 		for name, body := range v.services {
-			sections = append(sections, &api.Section{Name: kindService.section(name), Body: &api.Section_Service{Service: body}})
+			sections = append(sections, &api.Section{Name: kindService.fullName(name), Body: &api.Section_Service{Service: body}})
 		}
 		for name, body := range v.models {
-			sections = append(sections, &api.Section{Name: kindModel.section(name), Body: &api.Section_Model{Model: body}})
+			sections = append(sections, &api.Section{Name: kindModel.fullName(name), Body: &api.Section_Model{Model: body}})
 		}
 	}
 	slices.SortFunc(sections, func(a, b *api.Section) int { return cmp.Compare(a.Name, b.Name) })
--- a/coord/fresh/property_test.go
+++ b/coord/fresh/property_test.go
@@ -141,9 +141,9 @@
 	}
 	for i, p := range w.processes {
 		if slices.Contains(w.newList(), p.vm) {
-			w.acceptance.Expect(p.vm, p.role)
+			w.acceptance.ExpectMember(p.vm, p.role)
 		} else if i == w.gone {
-			w.acceptance.Gone(p.vm)
+			w.acceptance.RemoveMember(p.vm)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	p, at, applied, of := w.processes[i], w.now, w.processes[i].applied, w.acceptance
 	return func() {
 		if of != nil && slices.Contains(w.newList(), p.vm) {
-			of.Member(p.vm, p.role, applied, at)
+			of.UpdateMember(p.vm, p.role, applied, at)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	w.tail++
 	w.acceptance = config.NewAcceptance(w.tail, limit, w.now)
 	for _, p := range w.processes[:w.listed] {
-		w.acceptance.Expect(p.vm, p.role)
+		w.acceptance.ExpectMember(p.vm, p.role)
 	}
 }
 
--- a/coord/purity_test.go
+++ b/coord/purity_test.go
@@ -15,14 +15,14 @@
 
 const module = "github.com/apricothub/apricothub/"
 
-// ours are the packages that coord/ and decide/ may import of this module.
-var ours = []string{module + "api", module + "coord/", module + "decide/"}
+// allowedImports are the packages that coord/ and decide/ may import of this module.
+var allowedImports = []string{module + "api", module + "coord/", module + "decide/"}
 
-// impure are packages that bring sockets, files or processes.
-var impure = []string{"net", "net/http", "os", "os/exec", "syscall"}
+// forbiddenImports are packages that bring sockets, files or processes.
+var forbiddenImports = []string{"net", "net/http", "os", "os/exec", "syscall"}
 
-// clocks are the functions of package time that read or use a clock.
-var clocks = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
+// clockFunctions are the functions of package time that read or use a clock.
+var clockFunctions = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
 
 // Whoever embeds the parts brings the clock, the sockets and the goroutines. A part
 // that had its own could not be driven through every order of events in a test.
@@ -49,7 +49,7 @@
 	}
 	for _, spec := range file.Imports {
 		name := strings.Trim(spec.Path.Value, `"`)
-		if slices.Contains(impure, name) || strings.HasPrefix(name, module) && !isOurs(name) {
+		if slices.Contains(forbiddenImports, name) || strings.HasPrefix(name, module) && !isAllowed(name) {
 			t.Errorf("%s imports %s", path, name)
 		}
 	}
@@ -58,7 +58,7 @@
 		case *ast.GoStmt:
 			t.Errorf("%s starts a goroutine", path)
 		case *ast.SelectorExpr:
-			if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(clocks, n.Sel.Name) {
+			if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(clockFunctions, n.Sel.Name) {
 				t.Errorf("%s uses time.%s", path, n.Sel.Name)
 			}
 		}
@@ -66,6 +66,6 @@
 	})
 }
 
-func isOurs(name string) bool {
-	return slices.ContainsFunc(ours, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
+func isAllowed(name string) bool {
+	return slices.ContainsFunc(allowedImports, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
 }
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		out := mark.GetOut()
-		switch before := was.VMOut("", mark.GetName()); {
+		switch before := was.VMOutOfService("", mark.GetName()); {
 		case out && !before:
 			d.shifter.Leave(now, mark.GetName())
 		case !out && before:
@@ -175,7 +175,7 @@
 		}
 		domain := peer.Hello.GetFailureDomain()
 		weight := 1.0
-		if d.view.VMOut(vm, domain) {
+		if d.view.VMOutOfService(vm, domain) {
 			weight = 0
 		}
 		servers = append(servers, place.Server{VM: vm, Domain: domain, Offers: offers(status), Weight: weight})
@@ -392,7 +392,7 @@
 func (d *directory) expected(offer string) bool {
 	for vm, status := range d.status {
 		peer := d.peers[vm]
-		if peer == nil || peer.Draining || !d.links.forWork(vm) || d.view.VMOut(vm, peer.Hello.GetFailureDomain()) {
+		if peer == nil || peer.Draining || !d.links.forWork(vm) || d.view.VMOutOfService(vm, peer.Hello.GetFailureDomain()) {
 			continue
 		}
 		if slices.Contains(offers(status), offer) {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -203,7 +203,7 @@
 		if hello.GetRole() != api.Role_ROLE_ENTRY || !peer.Ready || !peer.Usable() {
 			continue
 		}
-		if state.View.VMOut(vm, hello.GetFailureDomain()) {
+		if state.View.VMOutOfService(vm, hello.GetFailureDomain()) {
 			continue
 		}
 		answer.Addresses = append(answer.Addresses, address{Address: hello.GetPublicAddress(), Weight: 1})
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -303,7 +303,7 @@
 // the control goroutine, the only one that writes the agents, and needs no lock.
 func (l *links) out(state *member.State, vm string) bool {
 	listed, ok := l.agents[vm]
-	return !ok || listed.State == platform.StateLeaving || state.View.VMOut(vm, listed.FailureDomain)
+	return !ok || listed.State == platform.StateLeaving || state.View.VMOutOfService(vm, listed.FailureDomain)
 }
 
 // pending says that a link to an agent for an offer may stand at any moment: one is being
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -62,7 +62,7 @@
 	}
 	for vm, peer := range state.Peers {
 		if peer.Hello.GetRole() == api.Role_ROLE_ENTRY && peer.Ready && peer.Usable() &&
-			!state.View.VMOut(vm, peer.Hello.GetFailureDomain()) && vm < e.self.GetVm() {
+			!state.View.VMOutOfService(vm, peer.Hello.GetFailureDomain()) && vm < e.self.GetVm() {
 			return false
 		}
 	}
--- a/internal/member/changes.go
+++ b/internal/member/changes.go
@@ -77,21 +77,21 @@
 	listed := make(map[string]bool, len(n.vms))
 	for _, vm := range n.vms {
 		listed[vm.ID] = true
-		acceptance.Expect(vm.ID, roleOf(vm))
+		acceptance.ExpectMember(vm.ID, roleOf(vm))
 	}
 	for vm := range n.gone {
-		acceptance.Gone(vm)
+		acceptance.RemoveMember(vm)
 	}
 	if self := n.options.Self; listed[self.GetVm()] {
-		acceptance.Member(self.GetVm(), self.GetRole(), n.fold.Applied(), now)
+		acceptance.UpdateMember(self.GetVm(), self.GetRole(), n.fold.Applied(), now)
 	}
 	for vm, p := range n.byVM {
 		switch {
 		case !p.heard:
 		case !listed[vm] && p.applied >= acceptance.Offset():
-			acceptance.Gone(vm)
+			acceptance.RemoveMember(vm)
 		default:
-			acceptance.Member(vm, p.shown.Hello.GetRole(), p.applied, p.said)
+			acceptance.UpdateMember(vm, p.shown.Hello.GetRole(), p.applied, p.said)
 		}
 	}
 }
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -91,7 +91,7 @@
 
 // sendRecords answers a peer's fetch, or pushes what the peer lacks.
 func (n *Node) sendRecords(p *peer, after int64) {
-	answer := n.reader.Answer(after)
+	answer := n.reader.RecordsAfter(after)
 	if len(answer.GetRecords()) == 0 && answer.GetSnapshot() == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 	for _, record := range m.GetRecords() {
 		from.held = max(from.held, record.GetOffset())
 	}
-	progress, err := n.reader.Peer(m)
+	progress, err := n.reader.HandlePeer(m)
 	if err != nil {
 		_ = n.logger.Log("msg", "A peer sent what cannot be folded.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
 	}
@@ -142,10 +142,10 @@
 func (n *Node) followLog(ctx context.Context) error {
 	follower := logFollower{node: n, limit: readLimit}
 	for ctx.Err() == nil {
-		var ask config.Ask
+		var ask config.Fetch
 		var rest, wait time.Duration
 		if !n.Do(func() {
-			ask = n.reader.Next()
+			ask = n.reader.NextFetch()
 			rest, wait = n.restFor(ask, clock.Now()), n.wait()
 		}) {
 			break
@@ -164,7 +164,7 @@
 }
 
 // read makes one read.
-func (f *logFollower) read(ctx context.Context, ask config.Ask, wait time.Duration) {
+func (f *logFollower) read(ctx context.Context, ask config.Fetch, wait time.Duration) {
 	n := f.node
 	// The answer proves what the tail was at some time after this moment.
 	sent := clock.Now()
@@ -174,7 +174,7 @@
 	case err == nil:
 		n.Do(func() { n.takeBatch(sent, ask.From, batch) })
 	case errors.As(err, &expired):
-		n.Do(func() { n.reader.Expired(expired.First) })
+		n.Do(func() { n.reader.HandleExpired(expired.First) })
 	default:
 		f.failed(ctx, sent, err)
 		return
@@ -192,7 +192,7 @@
 	}
 	f.failing = true
 	n.Do(func() {
-		n.reader.LogFailed()
+		n.reader.HandleLogFailure()
 		if n.logFailing == 0 {
 			n.logFailing = sent
 		}
@@ -202,9 +202,9 @@
 
 // pace waits when a read has brought nothing: a log that does not hold its answer
 // back, or that has no snapshot for a gap, would otherwise be asked without a pause.
-func (f *logFollower) pace(ctx context.Context, ask config.Ask, sent time.Duration) {
-	var next config.Ask
-	f.node.Do(func() { next = f.node.reader.Next() })
+func (f *logFollower) pace(ctx context.Context, ask config.Fetch, sent time.Duration) {
+	var next config.Fetch
+	f.node.Do(func() { next = f.node.reader.NextFetch() })
 	if next != ask && next.Source == config.FromLog {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 func (n *Node) takeBatch(sent time.Duration, from int64, batch *platform.Batch) {
-	progress := n.reader.Log(config.LogRead{From: from, Records: batch.LogRecords(), Next: batch.Next})
+	progress := n.reader.HandleLog(config.LogResponse{From: from, Records: batch.LogRecords(), Next: batch.Next})
 	if progress.AtTail {
 		n.fresh.Applied(n.fold.Applied())
 		n.fresh.Tail(sent)
@@ -234,7 +234,7 @@
 			}
 		}
 		if best == nil {
-			n.reader.PeerFailed()
+			n.reader.HandlePeerFailure()
 			return
 		}
 		asked = true
@@ -246,8 +246,8 @@
 	}
 	sleep(ctx, refetchAfter)
 	n.Do(func() {
-		if n.reader.Next().Source == config.FromPeer {
-			n.reader.PeerFailed()
+		if n.reader.NextFetch().Source == config.FromPeer {
+			n.reader.HandlePeerFailure()
 		}
 	})
 }
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -32,7 +32,7 @@
 	change.asked = now
 	asked := map[string]bool{"": true}
 	for _, vm := range missing {
-		entry := n.reporters.Of(vm)
+		entry := n.reporters.ReporterOf(vm)
 		if asked[entry] {
 			continue
 		}
@@ -51,7 +51,7 @@
 // reachAgents sees to it that the agents that this entry reports for are linked while
 // somebody asks: where there are more agents than links, some have no entry at all.
 func (n *Node) reachAgents() {
-	for _, agent := range n.reporters.Agents(n.options.Self.GetVm()) {
+	for _, agent := range n.reporters.AgentsOf(n.options.Self.GetVm()) {
 		n.options.Hooks.Reach(agent)
 	}
 }
@@ -63,18 +63,18 @@
 	}
 	n.reachAgents()
 	limit := millis(n.options.Links.GetFreshnessMs())
-	holders := n.reporters.Report(n.options.Self.GetVm(), offset, limit, clock.Now(), n.word)
+	holders := n.reporters.BuildHolders(n.options.Self.GetVm(), offset, limit, clock.Now(), n.word)
 	p.shown.Session.Post(&api.Control{Body: &api.Control_Holders{Holders: holders}})
 }
 
 // word is what the process on a VM last said of itself over the newest link to it. A new
 // process has a new link, on which nothing was said yet.
-func (n *Node) word(vm string) (config.Word, bool) {
+func (n *Node) word(vm string) (config.AppliedReport, bool) {
 	p := n.byVM[vm]
 	if p == nil || !p.heard {
-		return config.Word{}, false
+		return config.AppliedReport{}, false
 	}
-	return config.Word{Applied: p.applied, At: p.said}, true
+	return config.AppliedReport{Applied: p.applied, NotBefore: p.said}, true
 }
 
 // takeHolders takes what another entry reports. A link keeps the order of messages, so
@@ -86,7 +86,7 @@
 		return
 	}
 	for _, change := range n.followed {
-		change.acceptance.Report(n.reporters, entry, holders, p.said, n.hears)
+		change.acceptance.ApplyHolders(n.reporters, entry, holders, p.said, n.hears)
 	}
 }
 
--- a/internal/member/holders_test.go
+++ b/internal/member/holders_test.go
@@ -24,7 +24,7 @@
 		return &peer{shown: &Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}}, heard: heard, applied: 5, said: now}
 	}
 	n.byVM["a1"] = on("a1", api.Role_ROLE_AGENT, true)
-	if w, ok := n.word("a1"); !ok || w != (config.Word{Applied: 5, At: now}) {
+	if w, ok := n.word("a1"); !ok || w != (config.AppliedReport{Applied: 5, NotBefore: now}) {
 		t.Errorf("of a1: %v, %v", w, ok)
 	}
 	n.byVM["a1"] = on("a1", api.Role_ROLE_AGENT, false)
@@ -32,10 +32,10 @@
 		t.Error("a new process has the word of its predecessor")
 	}
 	delete(n.byVM, "a1")
-	report := n.reporters.Report("e2", 5, time.Second, now, func(string) (config.Word, bool) { return config.Word{Applied: 5, At: now}, true })
+	report := n.reporters.BuildHolders("e2", 5, time.Second, now, func(string) (config.AppliedReport, bool) { return config.AppliedReport{Applied: 5, NotBefore: now}, true })
 	missing := func(from *peer) int {
 		change := &followed{acceptance: config.NewAcceptance(5, time.Second, now)}
-		change.acceptance.Expect("a1", api.Role_ROLE_AGENT)
+		change.acceptance.ExpectMember("a1", api.Role_ROLE_AGENT)
 		n.followed["c"] = change
 		n.takeHolders(from, report)
 		_, missing := change.acceptance.State(now)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -303,7 +303,7 @@
 		VMs:        n.vms,
 		Draining:   n.draining,
 		Linked:     n.linked,
-		Out:        view.VMOut(self.GetVm(), self.GetFailureDomain()) || n.leaving[self.GetVm()],
+		Out:        view.VMOutOfService(self.GetVm(), self.GetFailureDomain()) || n.leaving[self.GetVm()],
 	}
 	n.state.Store(state)
 	n.logMode(old, state)
--- a/internal/member/readers.go
+++ b/internal/member/readers.go
@@ -39,7 +39,7 @@
 // size designed for, where a few dozen say as much: their evidence goes with heartbeats,
 // and what they find with pushes. A process reads by itself while it is behind, and when
 // the evidence of others grows old: the loss of all readers costs nobody the service.
-func (n *Node) restFor(ask config.Ask, now time.Duration) time.Duration {
+func (n *Node) restFor(ask config.Fetch, now time.Duration) time.Duration {
 	applied := n.fold.Applied()
 	if n.reading || n.logFailing != 0 || ask.From != applied+1 || n.behind(applied) {
 		return 0
