--- a/internal/member/holders_test.go
+++ b/internal/member/holders_test.go
@@ -32,7 +32,9 @@
 		t.Error("a new process has the word of its predecessor")
 	}
 	delete(n.byVM, "a1")
-	report := n.reporters.BuildHolders("e2", 5, time.Second, now, func(string) (config.AppliedReport, bool) { return config.AppliedReport{Applied: 5, NotBefore: now}, true })
+	report := n.reporters.BuildHolders("e2", 5, time.Second, now, func(string) (config.AppliedReport, bool) {
+		return config.AppliedReport{Applied: 5, NotBefore: now}, true
+	})
 	missing := func(from *peer) int {
 		change := &followed{acceptance: config.NewAcceptance(5, time.Second, now)}
 		change.acceptance.ExpectMember("a1", api.Role_ROLE_AGENT)
