--- a/coord/fresh/bench_test.go
+++ b/coord/fresh/bench_test.go
@@ -9,8 +9,8 @@
 // BenchmarkHeartbeatAtSize is what one heartbeat costs an entry that hears 490
 // entries and a share of 3,700 agents, while the log answers and while it is out.
 func BenchmarkHeartbeatAtSize(b *testing.B) {
-	for _, out := range []bool{false, true} {
-		b.Run(fmt.Sprint("outage=", out), func(b *testing.B) {
+	for _, logOut := range []bool{false, true} {
+		b.Run(fmt.Sprint("outage=", logOut), func(b *testing.B) {
 			vms := make([]string, 490+3700)
 			for i := range vms {
 				vms[i] = fmt.Sprint("vm", i)
@@ -18,16 +18,16 @@
 			t := New("vm0", limit)
 			t.SetEntries(vms[:490])
 			t.SetMembers(vms)
-			t.Applied(5)
-			t.Tail(0)
+			t.SetApplied(5)
+			t.ConfirmTail(0)
 			now := time.Duration(0)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 200 * time.Millisecond / 800
-				if !out {
-					t.Tail(now)
+				if !logOut {
+					t.ConfirmTail(now)
 				}
-				t.Heard(vms[1+i%800], now, silent(5), 5)
+				t.HandleKnowledge(vms[1+i%800], now, knowledgeWithoutEvidence(5), 5)
 				t.State(now)
 				t.ServesUntil(now)
 			}
@@ -53,8 +53,8 @@
 			t.SetEntries(entries)
 			t.SetMembers(vms)
 			t.SetDomains(domains)
-			t.Applied(5)
-			t.Tail(0)
+			t.SetApplied(5)
+			t.ConfirmTail(0)
 			byDomain := make(map[string]uint32)
 			for i := range 12 {
 				byDomain[fmt.Sprint("domain", i)] = uint32(listed / 14)
@@ -63,16 +63,16 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += limit / 112
-				k := silent(5)
+				k := knowledgeWithoutEvidence(5)
 				vm := vms[1+i%8]
 				if i%56 >= 8 {
 					vm = vms[len(vms)-1-i%48]
 					k.CountedBy = vms[i%8]
 				}
-				t.Heard(vm, now, k, 5)
+				t.HandleKnowledge(vm, now, k, 5)
 				t.State(now)
 				if i%56 < 8 {
-					t.Counted(vm, now, counted(5, 500+int64(i%56), byDomain), 5)
+					t.HandleCounts(vm, now, domainCounts(5, 500+int64(i%56), byDomain), 5)
 				}
 				t.State(now)
 				t.ServesUntil(now)
--- a/coord/fresh/example_test.go
+++ b/coord/fresh/example_test.go
@@ -18,12 +18,12 @@
 	tracker := fresh.New("entry-1", limit)
 	tracker.SetMembers([]string{"entry-1", "entry-2", "entry-3"})
 	tracker.SetEntries([]string{"entry-1", "entry-2", "entry-3"})
-	tracker.Applied(7)
-	tracker.Tail(1 * time.Second)
+	tracker.SetApplied(7)
+	tracker.ConfirmTail(1 * time.Second)
 	fmt.Println(tracker.State(2 * time.Second))
 
 	for at := 2 * time.Second; at <= 8*time.Second; at += time.Second {
-		tracker.Heard("entry-2", at, &api.Knowledge{Applied: 7, EvidenceAgeMs: at.Milliseconds() - 1000, Ready: true}, 7)
+		tracker.HandleKnowledge("entry-2", at, &api.Knowledge{Applied: 7, EvidenceAgeMs: at.Milliseconds() - 1000, Ready: true}, 7)
 	}
 	fmt.Println(tracker.State(8 * time.Second))
 	fmt.Println(tracker.State(20 * time.Second))
@@ -36,17 +36,17 @@
 // An entry hears only one other of seven. That one has heard, or been told of, enough
 // members of three failure domains that hold no more: five of seven are a majority and
 // the one more that counts of others need.
-func ExampleTracker_Counted() {
+func ExampleTracker_HandleCounts() {
 	tracker := fresh.New("entry-1", 2*time.Second)
 	domains := map[string]string{
 		"entry-1": "a", "entry-2": "a", "entry-3": "a", "entry-4": "b", "entry-5": "b", "entry-6": "c", "entry-7": "c",
 	}
 	tracker.SetEntries(slices.Collect(maps.Keys(domains)))
 	tracker.SetDomains(domains)
-	tracker.Applied(7)
-	tracker.Tail(0)
+	tracker.SetApplied(7)
+	tracker.ConfirmTail(0)
 	fmt.Println(tracker.State(8 * time.Second))
-	tracker.Counted("entry-2", 8*time.Second, &api.Counts{Applied: 7, Domains: []*api.DomainCount{
+	tracker.HandleCounts("entry-2", 8*time.Second, &api.Counts{Applied: 7, Domains: []*api.DomainCount{
 		{Domain: "a", Entries: 2, EntriesAgeMs: 200, Members: 2, MembersAgeMs: 200},
 		{Domain: "b", Entries: 2, EntriesAgeMs: 900, Members: 2, MembersAgeMs: 900},
 		{Domain: "c", Entries: 1, EntriesAgeMs: 400, Members: 1, MembersAgeMs: 400},
--- a/coord/fresh/until.go
+++ b/coord/fresh/servesuntil.go
@@ -10,5 +10,5 @@
 	if !t.State(now).Serves() {
 		return now - 1
 	}
-	return max(t.tail, t.quorum) + t.limit
+	return max(t.tailEvidence, t.quorumEvidence) + t.limit
 }
--- a/coord/fresh/tracker.go
+++ b/coord/fresh/tracker.go
@@ -45,51 +45,51 @@
 	never = time.Duration(-1)
 	// noAge is never in a message.
 	noAge = int64(-1)
-	// nothing is the offset before the first record.
-	nothing = int64(-1)
-	// settleMargin is the part of the freshness limit by which a new process waits
+	// noOffset is the offset before the first record.
+	noOffset = int64(-1)
+	// settleMarginDivisor is the part of the freshness limit by which a new process waits
 	// longer than an acknowledgement lasts, for clocks that run at unequal rates.
-	settleMargin = 4
+	settleMarginDivisor = 4
 )
 
 // peer is what was last heard from another member.
 type peer struct {
-	at          time.Duration
+	notBefore   time.Duration
 	applied     int64
 	initialized bool
-	named       string // the entry that counts it, of an agent
+	countedBy   string // the entry that counts it, of an agent
 }
 
 // Tracker weighs the evidence of one process. It is not safe for concurrent use.
 type Tracker struct {
-	self    string
-	limit   time.Duration
-	applied int64
-	tail    time.Duration
-	quorum  time.Duration
-	entries map[string]bool
-	members map[string]bool
-	heard   map[string]peer
-	started bool
-	counts  counts
-	naming  naming
+	self           string
+	limit          time.Duration
+	applied        int64
+	tailEvidence   time.Duration
+	quorumEvidence time.Duration
+	entries        map[string]bool
+	members        map[string]bool
+	peers          map[string]peer
+	isInitialized  bool
+	counts         counts
+	counting       countingState
 }
 
 // New returns the tracker of the process on a VM, which has just started at time
 // zero and knows nothing. The limit is the age past which evidence does not count.
 func New(self string, limit time.Duration) *Tracker {
 	return &Tracker{
-		self:    self,
-		limit:   limit,
-		applied: nothing,
-		tail:    never,
-		quorum:  never,
-		heard:   make(map[string]peer),
+		self:           self,
+		limit:          limit,
+		applied:        noOffset,
+		tailEvidence:   never,
+		quorumEvidence: never,
+		peers:          make(map[string]peer),
 		counts: counts{
-			entries: make(map[string]front),
-			members: make(map[string]front),
-			flocks:  make(map[string]flock),
-			slack:   slackLeast,
+			entries:     make(map[string]countFront),
+			members:     make(map[string]countFront),
+			agentCounts: make(map[string]agentCount),
+			minSlack:    minSlack,
 		},
 	}
 }
@@ -102,7 +102,7 @@
 	if len(vms) > 0 {
 		t.entries = setOf(vms)
 	}
-	t.forget()
+	t.removeUnlisted()
 }
 
 // SetMembers gives entries and agents together, as the VM list shows them live. A
@@ -113,7 +113,7 @@
 	if len(vms) > 0 {
 		t.members = setOf(vms)
 	}
-	t.forget()
+	t.removeUnlisted()
 }
 
 func setOf(vms []string) map[string]bool {
@@ -124,30 +124,30 @@
 	return set
 }
 
-// forget drops what was heard from VMs that no longer count.
-func (t *Tracker) forget() {
-	t.counts.changed = true
-	for vm := range t.heard {
+// removeUnlisted drops what was heard from VMs that no longer count.
+func (t *Tracker) removeUnlisted() {
+	t.counts.isStale = true
+	for vm := range t.peers {
 		if !t.entries[vm] && !t.members[vm] {
-			delete(t.heard, vm)
+			delete(t.peers, vm)
 		}
 	}
 }
 
-// Applied says how far the process has applied the log. Call it after each change.
-func (t *Tracker) Applied(applied int64) {
+// SetApplied says how far the process has applied the log. Call it after each change.
+func (t *Tracker) SetApplied(applied int64) {
 	t.applied = max(t.applied, applied)
 }
 
-// Tail says that the process's own fetch showed it to have applied all of the log.
+// ConfirmTail says that the process's own fetch showed it to have applied all of the log.
 // The time is when that request was SENT: an answer that was long on its way, or
 // lay in a socket while the process was paused, tells of the past.
-func (t *Tracker) Tail(at time.Duration) {
-	t.tail = max(t.tail, at)
-	t.start()
+func (t *Tracker) ConfirmTail(sentAt time.Duration) {
+	t.tailEvidence = max(t.tailEvidence, sentAt)
+	t.updateInitialized()
 }
 
-// Heard takes what another member says of itself in a heartbeat, an answer or a
+// HandleKnowledge takes what another member says of itself in a heartbeat, an answer or a
 // push. The time is one before which the member CANNOT have said it: when the
 // newest of our heartbeats that it echoes was sent, or the request it answers. A
 // message that echoes nothing yet is not to be given. Taking the time of arrival
@@ -155,52 +155,52 @@
 //
 // Evidence of a member that has applied more than ownApplied does not count: it is
 // evidence for changes that this process lacks.
-func (t *Tracker) Heard(vm string, at time.Duration, k *api.Knowledge, ownApplied int64) {
-	t.Applied(ownApplied)
+func (t *Tracker) HandleKnowledge(vm string, notBefore time.Duration, k *api.Knowledge, ownApplied int64) {
+	t.SetApplied(ownApplied)
 	if k == nil || vm == t.self {
 		return
 	}
 	if t.entries[vm] || t.members[vm] {
-		if known, ok := t.heard[vm]; !ok || at >= known.at {
-			t.heard[vm] = peer{at: at, applied: k.GetApplied(), initialized: k.GetInitialized(), named: k.GetCountedBy()}
+		if known, ok := t.peers[vm]; !ok || notBefore >= known.notBefore {
+			t.peers[vm] = peer{notBefore: notBefore, applied: k.GetApplied(), initialized: k.GetInitialized(), countedBy: k.GetCountedBy()}
 		}
 	}
 	if k.GetApplied() > t.applied {
 		return
 	}
-	t.tail = max(t.tail, since(at, k.GetEvidenceAgeMs()))
-	t.quorum = max(t.quorum, since(at, k.GetQuorumAgeMs()))
-	t.start()
+	t.tailEvidence = max(t.tailEvidence, evidenceTime(notBefore, k.GetEvidenceAgeMs()))
+	t.quorumEvidence = max(t.quorumEvidence, evidenceTime(notBefore, k.GetQuorumAgeMs()))
+	t.updateInitialized()
 }
 
-// since returns the time of evidence that was age old when a message was sent, at
+// evidenceTime returns the time of evidence that was age old when a message was sent, at
 // the earliest at the given time.
-func since(at time.Duration, ageMs int64) time.Duration {
+func evidenceTime(notBefore time.Duration, ageMs int64) time.Duration {
 	if ageMs < 0 {
 		return never
 	}
-	return at - time.Duration(ageMs)*time.Millisecond
+	return notBefore - time.Duration(ageMs)*time.Millisecond
 }
 
-// quorumAt returns the newest time as of which a majority is known to hold no more
+// newestQuorum returns the newest time as of which a majority is known to hold no more
 // than this process, never if there is none. It counts this process itself as
 // heard now. What others have counted is looked at when it has not heard enough itself.
-func (t *Tracker) quorumAt(now time.Duration) time.Duration {
-	if t.behind(now) {
+func (t *Tracker) newestQuorum(now time.Duration) time.Duration {
+	if t.isBehind(now) {
 		return never
 	}
 	heard := max(t.majorityAt(t.entries, now), t.majorityAt(t.members, now))
 	if heard != never && now-heard <= t.limit/4 {
 		return heard
 	}
-	return max(heard, t.countedAt(now))
+	return max(heard, t.countedMajorityAt(now))
 }
 
-// behind tells whether a member that was heard lately has applied more. Such a
+// isBehind tells whether a member that was heard lately has applied more. Such a
 // change may not be accepted yet, but it is known: it gets applied first.
-func (t *Tracker) behind(now time.Duration) bool {
-	for _, p := range t.heard {
-		if p.applied > t.applied && now-p.at <= t.limit {
+func (t *Tracker) isBehind(now time.Duration) bool {
+	for _, p := range t.peers {
+		if p.applied > t.applied && now-p.notBefore <= t.limit {
 			return true
 		}
 	}
@@ -216,16 +216,16 @@
 // one moment in which all are isolated at once would last until the log is back.
 func (t *Tracker) majorityAt(set map[string]bool, now time.Duration) time.Duration {
 	needed := len(set)/2 + 1
-	if len(set) == 0 || len(t.heard)+1 < needed {
+	if len(set) == 0 || len(t.peers)+1 < needed {
 		return never // Who hears few must not pay for all that are listed.
 	}
-	times := make([]time.Duration, 0, len(t.heard)+1)
-	if set[t.self] && t.started {
+	times := make([]time.Duration, 0, len(t.peers)+1)
+	if set[t.self] && t.isInitialized {
 		times = append(times, now)
 	}
-	for vm, p := range t.heard {
+	for vm, p := range t.peers {
 		if set[vm] && p.initialized && p.applied <= t.applied {
-			times = append(times, p.at)
+			times = append(times, p.notBefore)
 		}
 	}
 	if len(times) < needed {
@@ -235,51 +235,51 @@
 	return times[len(times)-needed]
 }
 
-// start ends Starting once the evidence is newer than any acknowledgement that a
+// updateInitialized ends Starting once the evidence is newer than any acknowledgement that a
 // predecessor on this VM may have given.
 //
 // The predecessor may have acknowledged a change and died. Its word counts towards
 // acceptance for as long as the limit; should this process have declared itself
 // initialized on what others knew before the acceptance, a majority without the
-// change could go on. Tail evidence from after our start covers it, as the change
+// change could go on. Tail evidence from after our updateInitialized covers it, as the change
 // stood in the log before it was acknowledged. Quorum evidence covers it from the
-// limit after our start on: the change has been accepted by then, or never will be
+// limit after our updateInitialized on: the change has been accepted by then, or never will be
 // on the predecessor's word.
-func (t *Tracker) start() {
-	if t.tail >= 0 || t.quorum >= t.settle() {
-		t.started = true
+func (t *Tracker) updateInitialized() {
+	if t.tailEvidence >= 0 || t.quorumEvidence >= t.settleTime() {
+		t.isInitialized = true
 	}
 }
 
-func (t *Tracker) settle() time.Duration { return t.limit + t.limit/settleMargin }
+func (t *Tracker) settleTime() time.Duration { return t.limit + t.limit/settleMarginDivisor }
 
 // State returns whether the process may take new work at a time.
 func (t *Tracker) State(now time.Duration) State {
-	t.weigh(now)
+	t.updateQuorumEvidence(now)
 	switch {
-	case !t.started:
+	case !t.isInitialized:
 		return Starting
-	case t.holds(t.tail, now):
+	case t.isCurrent(t.tailEvidence, now):
 		return Fresh
-	case t.holds(t.quorum, now):
+	case t.isCurrent(t.quorumEvidence, now):
 		return Outage
 	}
 	return Isolated
 }
 
-// weigh takes the newest quorum evidence from what was heard, once other evidence
+// updateQuorumEvidence takes the newest quorum evidence from what was heard, once other evidence
 // grows old. It looks through all that was heard, which at thousands of members is
 // too much for each heartbeat. It begins well before the tail evidence has run out:
 // agents, which hear too few members themselves, need an entry's by then.
-func (t *Tracker) weigh(now time.Duration) {
-	if t.started && (now-t.tail <= t.limit/2 || now-t.quorum <= t.limit/4) {
+func (t *Tracker) updateQuorumEvidence(now time.Duration) {
+	if t.isInitialized && (now-t.tailEvidence <= t.limit/2 || now-t.quorumEvidence <= t.limit/4) {
 		return
 	}
-	t.quorum = max(t.quorum, t.quorumAt(now))
-	t.start()
+	t.quorumEvidence = max(t.quorumEvidence, t.newestQuorum(now))
+	t.updateInitialized()
 }
 
-func (t *Tracker) holds(evidence, now time.Duration) bool {
+func (t *Tracker) isCurrent(evidence, now time.Duration) bool {
 	return evidence != never && now-evidence <= t.limit
 }
 
@@ -287,37 +287,37 @@
 // message BEFORE it calls this, so that the receiver cannot take it for newer than
 // it is.
 func (t *Tracker) Knowledge(now time.Duration, applied int64) *api.Knowledge {
-	t.Applied(applied)
+	t.SetApplied(applied)
 	serves := t.State(now).Serves()
 	return &api.Knowledge{
 		Applied:       applied,
-		EvidenceAgeMs: age(t.tail, now),
+		EvidenceAgeMs: evidenceAgeMs(t.tailEvidence, now),
 		Ready:         serves,
-		Initialized:   t.started,
-		QuorumAgeMs:   age(t.quorum, now),
-		CountedBy:     t.name(now),
+		Initialized:   t.isInitialized,
+		QuorumAgeMs:   evidenceAgeMs(t.quorumEvidence, now),
+		CountedBy:     t.countingEntry(now),
 	}
 }
 
-// age returns the age of evidence in milliseconds, rounded up.
-func age(evidence, now time.Duration) int64 {
+// evidenceAgeMs returns the evidenceAgeMs of evidence in milliseconds, rounded up.
+func evidenceAgeMs(evidence, now time.Duration) int64 {
 	if evidence == never {
 		return noAge
 	}
 	return int64((now - evidence + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Until returns the time after which the state changes if nothing more is heard,
+// TimeToStateChange returns the time after which the state changes if nothing more is heard,
 // zero if it stays. For Starting it is the least time until an outage of the log
 // could let the process begin.
-func (t *Tracker) Until(now time.Duration) time.Duration {
+func (t *Tracker) TimeToStateChange(now time.Duration) time.Duration {
 	switch t.State(now) {
 	case Starting:
-		return max(t.settle()-now, 0)
+		return max(t.settleTime()-now, 0)
 	case Fresh:
-		return t.tail + t.limit - now + 1
+		return t.tailEvidence + t.limit - now + 1
 	case Outage:
-		return t.quorum + t.limit - now + 1
+		return t.quorumEvidence + t.limit - now + 1
 	}
 	return 0
 }
--- a/coord/fresh/tracker_test.go
+++ b/coord/fresh/tracker_test.go
@@ -22,23 +22,23 @@
 	t := New("e1", limit)
 	t.SetEntries(entries)
 	t.SetMembers(members)
-	t.Applied(5)
-	t.Tail(0)
+	t.SetApplied(5)
+	t.ConfirmTail(0)
 	return t
 }
 
-// silent is what a member knows that has had no evidence for long.
-func silent(applied int64) *api.Knowledge {
+// knowledgeWithoutEvidence is what a member knows that has had no evidence for long.
+func knowledgeWithoutEvidence(applied int64) *api.Knowledge {
 	return &api.Knowledge{Applied: applied, EvidenceAgeMs: noAge, QuorumAgeMs: noAge, Initialized: true}
 }
 
 func hearAll(t *Tracker, at time.Duration, applied int64, vms ...string) {
 	for _, vm := range vms {
-		t.Heard(vm, at, silent(applied), t.applied)
+		t.HandleKnowledge(vm, at, knowledgeWithoutEvidence(applied), t.applied)
 	}
 }
 
-func check(t *testing.T, tracker *Tracker, now time.Duration, want State) {
+func checkState(t *testing.T, tracker *Tracker, now time.Duration, want State) {
 	t.Helper()
 	if got := tracker.State(now); got != want {
 		t.Errorf("at %v: %v, want %v", now, got, want)
@@ -48,21 +48,21 @@
 func TestStateOfARunningProcess(t *testing.T) {
 	const now = 10 * time.Second
 	for _, test := range []struct {
-		name string
-		news func(*Tracker)
-		want State
+		name    string
+		receive func(*Tracker)
+		want    State
 	}{
 		{"no news", func(*Tracker) {}, Isolated},
-		{"own fetch", func(f *Tracker) { f.Tail(now - limit) }, Fresh},
-		{"own fetch sent too long ago", func(f *Tracker) { f.Tail(now - limit - 1) }, Isolated},
+		{"own fetch", func(f *Tracker) { f.ConfirmTail(now - limit) }, Fresh},
+		{"own fetch sent too long ago", func(f *Tracker) { f.ConfirmTail(now - limit - 1) }, Isolated},
 		{"a peer's fetch and its age", func(f *Tracker) {
-			f.Heard("a1", now-500*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 1500, QuorumAgeMs: noAge}, 5)
+			f.HandleKnowledge("a1", now-500*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 1500, QuorumAgeMs: noAge}, 5)
 		}, Fresh},
 		{"a peer's fetch, too old with its age", func(f *Tracker) {
-			f.Heard("a1", now-500*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 1501, QuorumAgeMs: noAge}, 5)
+			f.HandleKnowledge("a1", now-500*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 1501, QuorumAgeMs: noAge}, 5)
 		}, Isolated},
 		{"a peer's fetch of changes not applied here", func(f *Tracker) {
-			f.Heard("a1", now, &api.Knowledge{Applied: 6, EvidenceAgeMs: 0, QuorumAgeMs: 0}, 5)
+			f.HandleKnowledge("a1", now, &api.Knowledge{Applied: 6, EvidenceAgeMs: 0, QuorumAgeMs: 0}, 5)
 		}, Isolated},
 		{"a majority of entries, itself counted", func(f *Tracker) { hearAll(f, now-limit, 5, "e2", "e3") }, Outage},
 		{"a minority of entries", func(f *Tracker) { hearAll(f, now, 5, "e2") }, Isolated},
@@ -77,21 +77,21 @@
 		}, Isolated},
 		{"a majority, caught up with the one ahead", func(f *Tracker) {
 			hearAll(f, now, 6, "e4")
-			f.Applied(6)
+			f.SetApplied(6)
 			hearAll(f, now, 5, "e2")
 		}, Outage},
 		{"a majority of members, few entries", func(f *Tracker) { hearAll(f, now, 5, "a1", "a2", "a3", "a4", "e2") }, Outage},
 		{"replaced members do not count", func(f *Tracker) {
-			replaced := silent(5)
+			replaced := knowledgeWithoutEvidence(5)
 			replaced.Initialized = false
-			f.Heard("e2", now, replaced, 5)
-			f.Heard("e3", now, replaced, 5)
+			f.HandleKnowledge("e2", now, replaced, 5)
+			f.HandleKnowledge("e3", now, replaced, 5)
 		}, Isolated},
 		{"strangers do not count", func(f *Tracker) { hearAll(f, now, 5, "x1", "x2", "x3", "x4", "x5", "x6") }, Isolated},
 		{"a peer's majority and its age", func(f *Tracker) {
-			k := silent(5)
+			k := knowledgeWithoutEvidence(5)
 			k.QuorumAgeMs = 1999
-			f.Heard("x1", now, k, 5)
+			f.HandleKnowledge("x1", now, k, 5)
 		}, Outage},
 		{"most VMs have left the list", func(f *Tracker) {
 			f.SetEntries([]string{"e1", "e2"})
@@ -105,8 +105,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			tracker := running()
-			test.news(tracker)
-			check(t, tracker, now, test.want)
+			test.receive(tracker)
+			checkState(t, tracker, now, test.want)
 		})
 	}
 }
@@ -114,27 +114,27 @@
 // What the callers see: through a weekend on which the log, the VM list and all
 // entries but one are out, the one that is left goes on for as long as the agents
 // live. Counting only entries, it would refuse all work until Monday.
-func TestLastEntryGoesOnWithTheAgents(t *testing.T) {
+func TestLastEntryServesWithAMajorityOfMembers(t *testing.T) {
 	tracker := running()
 	for now := time.Duration(0); now < 48*time.Hour; now += 10 * time.Minute {
 		hearAll(tracker, now, 5, "a1", "a2", "a3", "a4", "a5")
-		check(t, tracker, now+limit, map[bool]State{true: Fresh, false: Outage}[now == 0])
+		checkState(t, tracker, now+limit, map[bool]State{true: Fresh, false: Outage}[now == 0])
 	}
 }
 
 // What the caller sees: a request to a process that was paused across a change is
 // refused as not run. The process wakes with messages in its sockets from before
 // the pause and reads them first; each echoes a heartbeat sent before the pause.
-func TestPausedProcessFindsItselfStale(t *testing.T) {
+func TestPausedProcessIsIsolated(t *testing.T) {
 	const woken = 60 * time.Second
 	tracker := running()
-	check(t, tracker, woken, Isolated)
+	checkState(t, tracker, woken, Isolated)
 	hearAll(tracker, 100*ms, 5, "e2", "e3", "e4", "e5")
-	check(t, tracker, woken, Isolated)
-	tracker.Tail(200 * ms)
-	check(t, tracker, woken, Isolated)
+	checkState(t, tracker, woken, Isolated)
+	tracker.ConfirmTail(200 * ms)
+	checkState(t, tracker, woken, Isolated)
 	hearAll(tracker, woken, 6, "e2", "e3", "e4")
-	check(t, tracker, woken, Isolated)
+	checkState(t, tracker, woken, Isolated)
 }
 
 // What the callers see: a new process serves at once when the log answers, and in
@@ -148,28 +148,28 @@
 		return tracker
 	}
 	fetched := start()
-	check(t, fetched, 0, Starting)
-	fetched.Tail(0)
-	check(t, fetched, 0, Fresh)
+	checkState(t, fetched, 0, Starting)
+	fetched.ConfirmTail(0)
+	checkState(t, fetched, 0, Fresh)
 
 	told := start()
-	told.Heard("e2", 10*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
-	check(t, told, 10*ms, Starting) // Evidence from before the start.
-	told.Heard("e2", 20*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
-	check(t, told, 20*ms, Fresh)
+	told.HandleKnowledge("e2", 10*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
+	checkState(t, told, 10*ms, Starting) // Evidence from before the start.
+	told.HandleKnowledge("e2", 20*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
+	checkState(t, told, 20*ms, Fresh)
 
 	outage := start()
-	settled := outage.Until(0)
+	settled := outage.TimeToStateChange(0)
 	hearAll(outage, settled, 5, "e2", "e3", "e4")
-	check(t, outage, settled, Starting) // What they know is not applied yet.
+	checkState(t, outage, settled, Starting) // What they know is not applied yet.
 	outage = start()
-	outage.Applied(5)
+	outage.SetApplied(5)
 	hearAll(outage, settled-1, 5, "e2", "e3", "e4")
-	check(t, outage, settled, Starting)
+	checkState(t, outage, settled, Starting)
 	hearAll(outage, settled, 5, "e2", "e3")
-	check(t, outage, settled, Starting) // Not counting itself yet, two are too few.
+	checkState(t, outage, settled, Starting) // Not counting itself yet, two are too few.
 	hearAll(outage, settled, 5, "e4")
-	check(t, outage, settled, Outage)
+	checkState(t, outage, settled, Outage)
 }
 
 func TestKnowledgeAndUntil(t *testing.T) {
@@ -180,12 +180,12 @@
 		t.Errorf("knowledge %v", got)
 	}
 	for _, want := range []State{Fresh, Outage, Isolated} {
-		check(t, tracker, 0, Fresh)
+		checkState(t, tracker, 0, Fresh)
 		now := map[State]time.Duration{Fresh: 0, Outage: limit + 1, Isolated: limit + 700*ms + 1}[want]
-		check(t, tracker, now, want)
-		if left := tracker.Until(now); want != Isolated {
-			check(t, tracker, now+left-1, want)
-			check(t, tracker, now+left, want+1)
+		checkState(t, tracker, now, want)
+		if left := tracker.TimeToStateChange(now); want != Isolated {
+			checkState(t, tracker, now+left-1, want)
+			checkState(t, tracker, now+left, want+1)
 		} else if left != 0 {
 			t.Errorf("isolated, but changes in %v by itself", left)
 		}
--- a/internal/measure/slopes/decisions.go
+++ b/internal/measure/slopes/decisions.go
@@ -64,8 +64,8 @@
 	now := time.Second
 	return timed(5*n, func(i int) {
 		now += time.Duration(float64(time.Second) / (todayBeat * float64(n)))
-		t.Tail(now)
-		t.Heard(names[i%n], now, knowledge, 1<<20)
+		t.ConfirmTail(now)
+		t.HandleKnowledge(names[i%n], now, knowledge, 1<<20)
 		t.State(now)
 		t.ServesUntil(now)
 	})
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -189,9 +189,9 @@
 	}
 	t.SetEntries(vms[:max(1, n/9)])
 	t.SetMembers(vms)
-	t.Tail(0)
+	t.ConfirmTail(0)
 	for _, vm := range vms {
-		t.Heard(vm, time.Second, heartbeat().GetHeartbeat().GetKnowledge(), 1<<20)
+		t.HandleKnowledge(vm, time.Second, heartbeat().GetHeartbeat().GetKnowledge(), 1<<20)
 	}
 	return t
 }
--- a/internal/member/counts.go
+++ b/internal/member/counts.go
@@ -20,7 +20,7 @@
 //
 // Agents get none: they live on the evidence of their entries.
 func (n *Node) sendCounts(now time.Duration) {
-	if n.options.Self.GetRole() != api.Role_ROLE_ENTRY || !n.fresh.Counting(now) {
+	if n.options.Self.GetRole() != api.Role_ROLE_ENTRY || !n.fresh.NeedsCounts(now) {
 		return
 	}
 	every := millis(n.options.Links.GetFreshnessMs()) / countsPart
@@ -28,7 +28,7 @@
 		return
 	}
 	n.countsSent = now
-	n.fresh.Applied(n.fold.Applied())
+	n.fresh.SetApplied(n.fold.Applied())
 	counts := n.fresh.Counts(now)
 	if counts == nil {
 		return
@@ -47,7 +47,7 @@
 		return // Nothing says yet how old they may be.
 	}
 	before := n.fresh.State(clock.Now())
-	n.fresh.Counted(p.shown.Hello.GetVm(), p.said, counts, n.fold.Applied())
+	n.fresh.HandleCounts(p.shown.Hello.GetVm(), p.said, counts, n.fold.Applied())
 	if n.fresh.State(clock.Now()) != before {
 		n.publish()
 	}
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -67,7 +67,7 @@
 		p.heard = true
 		changed = changed || p.ready != knowledge.GetReady()
 		p.ready = knowledge.GetReady()
-		n.fresh.Heard(p.shown.Hello.GetVm(), said, knowledge, n.fold.Applied())
+		n.fresh.HandleKnowledge(p.shown.Hello.GetVm(), said, knowledge, n.fold.Applied())
 	}
 	n.fetchFrom(p, knowledge.GetApplied())
 	p.draining = beat.GetDraining()
@@ -120,7 +120,7 @@
 	if !more {
 		return
 	}
-	n.fresh.Applied(n.fold.Applied())
+	n.fresh.SetApplied(n.fold.Applied())
 	n.publish()
 	for _, p := range n.byVM {
 		if has := max(p.applied, p.held); p.heard && has < n.fold.Applied() {
@@ -214,8 +214,8 @@
 func (n *Node) takeBatch(sent time.Duration, from int64, batch *platform.Batch) {
 	progress := n.reader.HandleLog(config.LogResponse{From: from, Records: batch.LogRecords(), Next: batch.Next})
 	if progress.AtTail {
-		n.fresh.Applied(n.fold.Applied())
-		n.fresh.Tail(sent)
+		n.fresh.SetApplied(n.fold.Applied())
+		n.fresh.ConfirmTail(sent)
 	}
 	n.logFailing = 0
 	n.advanced(progress.Advanced)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -310,7 +310,7 @@
 	// In an outage of the log evidence comes from peers alone, over several links for who
 	// hears few of them. With the long interval each would add its own age, and the sum is
 	// past the freshness limit.
-	if n.fresh.Counting(now) || old != nil && state.tells(old) {
+	if n.fresh.NeedsCounts(now) || old != nil && state.tells(old) {
 		n.link.Pacer.Hurry()
 	}
 	if n.options.Hooks.Changed != nil && (old == nil || old.View != view) {
