--- a/coord/config/acceptance.go
+++ b/coord/config/acceptance.go
@@ -7,15 +7,15 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// AcceptanceState says how far a change has come.
+// AcceptanceState is the stage that a published change has reached.
 type AcceptanceState int
 
 const (
-	// Pending: too few members have shown that they hold the change.
+	// Pending means that too few members have shown that they hold the change.
 	Pending AcceptanceState = iota
-	// Accepted: the change can no longer be lost sight of.
+	// Accepted means that enough members hold the change that it cannot be lost.
 	Accepted
-	// InForce: every live member has applied the change.
+	// InForce means that every live member has applied the change.
 	InForce
 )
 
@@ -29,16 +29,16 @@
 	return "pending"
 }
 
-// Acceptance follows one change that stands in the log until all members hold it.
+// Acceptance tracks one change in the log until all members have applied it.
 //
-// A change is accepted once every live entry holds it or, when one of them stays
-// silent past the freshness limit, a majority does; in either case also a majority
-// of all members. Package fresh lets a process go on in an outage of the log by
-// hearing either of these majorities, and both meet both kinds of acceptance in
-// at least one member.
+// A change is accepted once every live entry holds it or, when an entry stays silent past the
+// freshness limit, once a majority of the entries does. In either case a majority of all members
+// must hold it too. In an outage of the log, package fresh lets a process continue when it hears
+// from either of these majorities. Each of them has at least one member in common with both kinds
+// of acceptance, so an accepted change is always seen.
 //
-// Waiting for every live entry guards against replacement: members keep nothing
-// on disk, so a bare majority can be replaced by processes that know nothing.
+// Requiring every live entry protects against replacement of processes. Members store nothing on
+// disk, so a bare majority could be replaced by processes that don't know the change.
 type Acceptance struct {
 	offset     int64
 	freshness  time.Duration
@@ -54,8 +54,8 @@
 	reporter  string // the entry that reported it; empty for the member itself
 }
 
-// NewAcceptance follows the change at an offset, from the time it was seen in the
-// log. Freshness is the limit that members keep to.
+// NewAcceptance tracks the change at offset. Now is the time at which the change was seen in the
+// log, and freshness is the freshness limit of the members.
 func NewAcceptance(offset int64, freshness, now time.Duration) *Acceptance {
 	return &Acceptance{
 		offset:     offset,
@@ -65,17 +65,17 @@
 	}
 }
 
-// ExpectMember names a member of the VM list. Until it is heard it counts as missing.
+// ExpectMember adds a member of the VM list. The member counts as missing until it reports.
 func (a *Acceptance) ExpectMember(vm string, role api.Role) {
 	if _, ok := a.members[vm]; !ok {
 		a.members[vm] = &memberAck{role: role, applied: noOffset}
 	}
 }
 
-// UpdateMember takes what a member says of itself. The time is one on the caller's clock
-// before which the member cannot have said it: when the newest heartbeat that it
-// echoes was sent, or the request it answers. What was said earlier than what is
-// known is ignored.
+// UpdateMember records the offset that a member reports to have applied. The member cannot have
+// sent the report before notBefore, a time on the caller's clock: when the newest heartbeat that
+// the report echoes was sent, or the request that it answers. A report older than the recorded one
+// is ignored.
 func (a *Acceptance) UpdateMember(vm string, role api.Role, applied int64, notBefore time.Duration) {
 	if known, ok := a.members[vm]; ok && notBefore < known.notBefore {
 		return
@@ -83,14 +83,14 @@
 	a.members[vm] = &memberAck{role: role, applied: applied, notBefore: notBefore}
 }
 
-// Offset is that of the change.
+// Offset returns the offset of the change.
 func (a *Acceptance) Offset() int64 { return a.offset }
 
-// RemoveMember says that the VM list no longer holds a VM.
+// RemoveMember removes a VM that is no longer on the VM list.
 func (a *Acceptance) RemoveMember(vm string) { delete(a.members, vm) }
 
-// State returns how far the change has come, and the live members that have not
-// shown that they hold it. What was reached once stays reached.
+// State returns the stage that the change has reached, and the live members that have not shown
+// that they hold it. The stage never goes back.
 func (a *Acceptance) State(now time.Duration) (AcceptanceState, []string) {
 	var entries, holdingEntries, holding int
 	missing := make([]string, 0)
@@ -125,10 +125,10 @@
 	return a.state, missing
 }
 
-// holdsChange counts a member only while its word is fresh. The member may since have
-// been replaced by a process that knows nothing; that one takes no part in any
-// majority until it has been up for longer than the limit (see fresh.Tracker), by
-// which time it can only learn of the change from the others.
+// holdsChange reports whether a member holds the change according to a report within the freshness
+// limit. The member may since have been replaced by a process that doesn't know the change. The new
+// process takes part in no majority until it has run for longer than the limit (see fresh.Tracker),
+// and by then it can only have learned of the change from the others.
 func (a *Acceptance) holdsChange(ack *memberAck, now time.Duration) bool {
 	return ack.applied >= a.offset && now-ack.notBefore <= a.freshness
 }
--- a/coord/config/acceptance_test.go
+++ b/coord/config/acceptance_test.go
@@ -11,9 +11,9 @@
 
 const freshnessLimit = 2 * time.Second
 
-// What the operator sees: "accepted" only once no few faults can make the members
-// forget the change, "in force" once all have it. Four entries and three agents;
-// who holds the change, and when that was last heard, decides.
+// A change must be accepted only once a few faults cannot make the members forget it, and in force
+// only once all members hold it. The state of four entries and three agents depends on which of
+// them hold the change and when they last reported it.
 func TestAcceptance(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -30,7 +30,7 @@
 		{"a silent entry is passed over at the limit", []string{"e1", "e2", "e3", "a1"}, freshnessLimit, freshnessLimit, nil, Accepted},
 		{"half of the entries is no majority", []string{"e1", "e2", "a1", "a2", "a3"}, freshnessLimit, freshnessLimit, nil, Pending},
 		{"entries' majority, not the members'", []string{"e1", "e2", "e3"}, freshnessLimit, freshnessLimit, nil, Pending},
-		{"word older than the limit", []string{"e1", "e2", "e3", "a1", "a2"}, 0, freshnessLimit + 1, nil, Pending},
+		{"report older than the limit", []string{"e1", "e2", "e3", "a1", "a2"}, 0, freshnessLimit + 1, nil, Pending},
 		{"a silent entry has gone", []string{"e1", "e2", "e3", "a1"}, 0, 0, []string{"e4"}, Accepted},
 		{"all that are left", []string{"e1", "e2", "a1"}, 0, 0, []string{"e3", "e4", "a2", "a3"}, InForce},
 	} {
@@ -57,9 +57,9 @@
 	}
 }
 
-// What the operator sees: no "accepted" on the word of a process that is no more.
-// An entry holds the change and says so; its VM is replaced; the new process says
-// that it has nothing; a late copy of the old word arrives after that.
+// A change must not be accepted on the report of a process that no longer runs. An entry reports
+// that it holds the change, its VM is replaced, the new process reports that it holds nothing, and
+// then a delayed copy of the old report arrives.
 func TestAcceptanceForgetsReportOfReplacedMember(t *testing.T) {
 	a := NewAcceptance(7, freshnessLimit, 0)
 	for _, vm := range []string{"e1", "e2", "e3"} {
@@ -77,12 +77,12 @@
 		t.Errorf("got %v, want accepted", got)
 	}
 	if got, _ := a.State(9 * freshnessLimit); got != Accepted {
-		t.Errorf("got %v: what was accepted stays so", got)
+		t.Errorf("got %v: an accepted change must stay accepted", got)
 	}
 }
 
-// What the operators see: the log is not flooded with snapshots, and the last one
-// never expires, whichever entries are dead.
+// Entries must not flood the log with snapshots, and the last snapshot must never expire, whichever
+// entries are dead.
 func TestSnapshotsAreSpreadOverEntries(t *testing.T) {
 	for _, test := range []struct {
 		applied, lastSnapshot, interval int64
@@ -104,7 +104,7 @@
 	}
 	for position, want := range []time.Duration{8 * time.Minute, 9 * time.Minute, 10 * time.Minute} {
 		if SnapshotDueByAge(want-1, 8*time.Minute, position) || !SnapshotDueByAge(want, 8*time.Minute, position) {
-			t.Error(fmt.Sprint("rank ", position, " is not due at ", want))
+			t.Error(fmt.Sprint("position ", position, " does not become due at ", want))
 		}
 	}
 }
--- a/coord/config/bench_test.go
+++ b/coord/config/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// customersAtSize is the number of teams to design for.
+// customersAtSize is the number of teams in a deployment of the intended size.
 const customersAtSize = 7300
 
 func foldAtSize(b *testing.B) *Fold {
@@ -20,8 +20,8 @@
 	return foldOf(b, listRecord("start", plansList, -1, set...))
 }
 
-// BenchmarkChangeAtSize is what one change of one customer costs a member that
-// routes by the view after each record.
+// BenchmarkChangeAtSize measures one change of one customer in a member that takes a new View after
+// each record.
 func BenchmarkChangeAtSize(b *testing.B) {
 	f := foldAtSize(b)
 	b.ReportAllocs()
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkSnapshotAtSize is the cost of one snapshot, marshalled, and loaded again.
+// BenchmarkSnapshotAtSize measures taking, marshalling and loading a snapshot.
 func BenchmarkSnapshotAtSize(b *testing.B) {
 	f := foldAtSize(b)
 	b.ReportAllocs()
--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -9,11 +9,11 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// ConflictError says that another change was accepted first.
+// ConflictError means that another change to the same list or mark was accepted first.
 type ConflictError struct {
-	// What was to be changed, for people.
+	// What names the list or mark that was to be changed, for operators.
 	What string
-	// Base is the offset that the change was made from, Current the one in force.
+	// Base is the offset that the change was made from, Current the offset in force.
 	Base, Current int64
 }
 
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("%s stands at offset %d, not at %d that the change was made from", e.What, e.Current, e.Base)
 }
 
-// RefusedError says that a record is wrong in itself.
+// RefusedError means that a record is invalid, whatever its base.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// CheckChange returns what the fold would refuse a change or mark for if it were
-// the next record after the view: a *ConflictError or a *RefusedError. Operators'
-// commands call it before they append, to give the reason without a round trip.
+// CheckChange returns the error for which the fold would refuse a change or mark if it were the
+// next record after the view: a *ConflictError or a *RefusedError. Operators' commands call it
+// before they append, to report the reason without a round trip.
 func CheckChange(v *View, rec *api.Record) error {
 	if !validChangeID(rec.GetChangeId()) {
 		return &RefusedError{Reason: fmt.Sprintf("the change id must have 1 to %d letters, digits or -_.", MaxChangeIDBytes)}
@@ -39,10 +39,10 @@
 	return checkRecordBody(v, rec)
 }
 
-// checkRecordBody decides on a record by the view alone. Each check that reads the
-// view reads only the list or mark that the base covers. So a duplicate of a
-// refused change is refused for ever, even after its verdict was forgotten: either
-// its base is still current and all it is judged by is unchanged, or it conflicts.
+// checkRecordBody checks a record by the view alone. Each check that reads the view reads only the
+// list or mark that the base covers. A duplicate of a refused change is therefore always refused,
+// even after its verdict has been discarded: either its base is still current and nothing that it
+// is checked against has changed, or it conflicts.
 func checkRecordBody(v *View, rec *api.Record) error {
 	switch body := rec.GetBody().(type) {
 	case *api.Record_List:
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// checkSections checks what can be told from the change alone and returns the
-// names that it touches.
+// checkSections checks the sections without the view, and returns the section names that the change
+// touches.
 func checkSections(change *api.ListChange) (map[string]bool, error) {
 	if len(change.GetSet()) == 0 && len(change.GetRemoved()) == 0 {
 		return nil, errors.New("the change is empty")
@@ -156,8 +156,8 @@
 	return ok
 }
 
-// checkKeys refuses a key that two customers would own: its requests would be
-// charged to either, by chance.
+// checkKeys refuses a key that two customers would own. Requests with that key would be charged to
+// either of them at random.
 func checkKeys(v *View, change *api.ListChange, touched map[string]bool) error {
 	owners := make(map[string]string)
 	for _, section := range change.GetSet() {
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// validChangeID accepts what a publisher's random ids are made of. Nothing else
-// may stand as one: ids of refused records that have none begin with "@".
+// validChangeID reports whether an id has only the characters of a publisher's random ids. An "@"
+// is not allowed because the ids made for refused records without a usable id begin with it.
 func validChangeID(id string) bool {
 	if id == "" || len(id) > MaxChangeIDBytes {
 		return false
--- a/coord/config/copyonwrite.go
+++ b/coord/config/copyonwrite.go
@@ -2,20 +2,20 @@
 
 import "maps"
 
-// copyOnWrite is a map that is copied before a change only if a View shares it. Records
-// folded in one batch so cost one copy, and a view costs none by itself.
+// copyOnWrite is a map that is copied before a change only if a View shares it. Records folded in
+// one batch thus cost one copy at most, and a View costs none by itself.
 type copyOnWrite[K comparable, V any] struct {
 	entries map[K]V
 	shared  bool
 }
 
-// share returns the map for reading; it is never changed from then on.
+// share returns the map for reading. The returned map is never changed afterwards.
 func (c *copyOnWrite[K, V]) share() map[K]V {
 	c.shared = true
 	return c.entries
 }
 
-// edit returns the map for changing.
+// edit returns the map for changes.
 func (c *copyOnWrite[K, V]) edit() map[K]V {
 	switch {
 	case c.entries == nil:
--- a/coord/config/example_test.go
+++ b/coord/config/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// Two operators mark the same failure domain from the same state. The log orders the
-// two; every process that folds it comes to the same verdicts.
+// Two operators mark the same failure domain from the same state. The log orders the changes, and
+// every process that folds it reaches the same verdicts.
 func ExampleFold() {
 	mark := func(id, author string, out bool) []byte {
 		data, _ := proto.Marshal(&api.Record{
--- a/coord/config/fold.go
+++ b/coord/config/fold.go
@@ -10,25 +10,24 @@
 )
 
 var (
-	// ErrGap says that a record was offered before those that come before it.
-	ErrGap = errors.New("record beyond the next offset")
-	// ErrOlder says that a snapshot would take the fold back.
+	// ErrGap means that a record was applied before those that precede it.
+	ErrGap = errors.New("record after the next offset")
+	// ErrOlder means that a snapshot would take the fold back.
 	ErrOlder = errors.New("snapshot older than the fold")
-	// ErrBadSnapshot says that a snapshot cannot be the state of any fold.
-	ErrBadSnapshot = errors.New("snapshot damaged")
+	// ErrBadSnapshot means that a snapshot cannot be the state of any fold.
+	ErrBadSnapshot = errors.New("damaged snapshot")
 )
 
 // noOffset is the offset before the first record.
 const noOffset = int64(-1)
 
-// MaxMarks bounds the marks kept: past it, the oldest mark that brought its target
-// back is forgotten, and its target is as one that was never marked. Marks that
-// hold a target out are never forgotten.
+// MaxMarks limits the number of marks kept. Above it, the oldest mark that returned its target to
+// service is discarded, and the target counts as never marked. Marks that keep a target out of
+// service are never discarded.
 const MaxMarks = 8192
 
-// Fold is the state that the records of the log give, applied in order. It is
-// deterministic: equal records give equal state, snapshots and verdicts at every
-// process.
+// Fold is the state that results from applying the records of the log in order. It is
+// deterministic: equal records give equal state, snapshots and verdicts in every process.
 type Fold struct {
 	applied      int64
 	plansOffset  int64
@@ -41,29 +40,30 @@
 	marks        copyOnWrite[markKey, *api.MarkState]
 	verdicts     *verdicts
 	lastSnapshot int64 // offset of the newest snapshot seen in the log
-	view         *View // nil once something changed
+	view         *View // cached, nil after a change
 }
 
-// NewFold returns the fold of no record.
+// NewFold returns a fold with no record applied.
 func NewFold() *Fold {
 	return &Fold{applied: noOffset, plansOffset: noOffset, usesOffset: noOffset, lastSnapshot: noOffset, verdicts: newVerdicts()}
 }
 
-// Applied returns the last offset folded in, -1 for none.
+// Applied returns the last offset applied, -1 for none.
 func (f *Fold) Applied() int64 { return f.applied }
 
-// LastSnapshot returns the offset of the newest snapshot in the log, as far as this
-// process can tell, -1 for none. It is no part of the state: see SnapshotDue.
+// LastSnapshot returns the offset of the newest snapshot in the log that this process knows of, -1
+// for none. It is not part of the replicated state: see SnapshotDue.
 func (f *Fold) LastSnapshot() int64 { return f.lastSnapshot }
 
-// Verdict returns what was decided on a change. The newest 4096 are kept.
+// Verdict returns the verdict on a change. The newest 4096 are kept.
 func (f *Fold) Verdict(changeID string) (*api.Verdict, bool) { return f.verdicts.get(changeID) }
 
-// VerdictAt returns what was decided on the record at an offset: it tells who made
-// the list or the mark that stands. The newest 4096 are kept.
+// VerdictAt returns the verdict on the record at an offset. It tells who made the current list or
+// mark. The newest 4096 are kept.
 func (f *Fold) VerdictAt(offset int64) (*api.Verdict, bool) { return f.verdicts.atOffset(offset) }
 
-// View returns the configuration in force. It is the same until the next record.
+// View returns the configuration in force. It returns the same View until the next record is
+// applied.
 func (f *Fold) View() *View {
 	if f.view == nil {
 		f.view = &View{
@@ -81,7 +81,8 @@
 	return f.view
 }
 
-// unsharedView is View without sharing: for a look that ends before the next change.
+// unsharedView returns a View that does not mark the maps as shared. It must not be used after the
+// next change.
 func (f *Fold) unsharedView() *View {
 	return &View{
 		applied:   f.applied,
@@ -96,22 +97,23 @@
 	}
 }
 
-// Apply folds the record at an offset, a marshalled api.Record. The offset must be
-// the next one: an earlier one is ignored, a later one gives ErrGap and changes
-// nothing. A record that cannot be read or is wrong gets a refused verdict, never
-// an error: a log that holds one would otherwise stop every process.
+// Apply applies the record at an offset, a marshalled api.Record. The offset must be the next one:
+// an earlier one is ignored, a later one returns ErrGap and changes nothing. A record that is
+// invalid or cannot be decoded gets a refused verdict instead of an error, because an error would
+// stop every process that reads the log.
 func (f *Fold) Apply(offset int64, data []byte) error {
 	if offset <= f.applied {
 		return nil
 	}
 	if offset > f.applied+1 {
-		return errors.Wrapf(ErrGap, "offset %d after %d", offset, f.applied)
+		return errors.Wrapf(ErrGap, "record at offset %d, applied offset is %d", offset, f.applied)
 	}
 	f.applied = offset
 	f.view = nil
 	rec := &api.Record{}
 	if err := proto.Unmarshal(data, rec); err != nil {
-		// The text of err differs between builds on purpose, so it stays out.
+		// The text of err differs between builds on purpose. It stays out of the reason, which must
+		// be the same in every process.
 		f.refuse(offset, &api.Record{}, "the record cannot be read")
 		return nil
 	}
@@ -119,10 +121,10 @@
 	return nil
 }
 
-// evaluate gives the verdict on a record and changes the state if it is accepted.
+// evaluate gives the verdict on a record and changes the state if the record is accepted.
 func (f *Fold) evaluate(offset int64, rec *api.Record, size int) {
 	if rec.GetSnapshot() != nil {
-		// Folding from the start has all that a snapshot says.
+		// The fold already holds everything that the snapshot contains.
 		f.lastSnapshot = offset
 		return
 	}
@@ -132,7 +134,7 @@
 	}
 	if _, known := f.verdicts.get(rec.GetChangeId()); known {
 		// The publisher lost the answer to its append and appended again. The first
-		// verdict stands; judged anew, its own success would read as a conflict.
+		// verdict stands. Evaluated again, the accepted change would conflict with itself.
 		return
 	}
 	if size > MaxRecordBytes {
@@ -155,8 +157,8 @@
 	f.verdicts.add(verdict)
 }
 
-// refuse keeps the verdict on a record that is wrong in itself. One without a
-// usable id is found under "@" and its offset.
+// refuse records the verdict on an invalid record. A record without a usable id is stored under "@"
+// and its offset.
 func (f *Fold) refuse(offset int64, rec *api.Record, reason string) {
 	id := rec.GetChangeId()
 	if !validChangeID(id) {
@@ -188,7 +190,7 @@
 	}
 }
 
-// deleteOldestInService drops the oldest mark that holds nothing out.
+// deleteOldestInService deletes the oldest mark whose target is in service.
 func deleteOldestInService(marks map[markKey]*api.MarkState) {
 	var oldest *api.MarkState
 	for _, mark := range marks {
@@ -207,7 +209,7 @@
 	} else {
 		f.usesOffset = offset
 	}
-	// Keys move between customers in one change, so all old ones go first.
+	// One change can move keys between customers, so the old ones are removed first.
 	for _, section := range change.GetSet() {
 		f.removeSection(section.GetName())
 	}
@@ -219,7 +221,7 @@
 	}
 }
 
-// removeSection removes a section, if it is there. Its name was checked.
+// removeSection removes a section if it exists. The name must be valid.
 func (f *Fold) removeSection(fullName string) {
 	k, name, _ := splitSection(ListOf(fullName), fullName)
 	switch k {
@@ -238,7 +240,7 @@
 	}
 }
 
-// addSection adds a section. It was checked.
+// addSection adds a section that has been checked.
 func (f *Fold) addSection(section *api.Section) {
 	_, name, _ := splitSection(ListOf(section.GetName()), section.GetName())
 	switch body := section.GetBody().(type) {
--- a/coord/config/fold_test.go
+++ b/coord/config/fold_test.go
@@ -58,7 +58,7 @@
 	return data
 }
 
-// foldOf applies records from offset 0 on.
+// foldOf returns a fold with the records applied from offset 0 on.
 func foldOf(t testing.TB, records ...*api.Record) *Fold {
 	t.Helper()
 	f := NewFold()
@@ -70,9 +70,9 @@
 	return f
 }
 
-// What the caller sees: two operators edit the same list at once; one is told that
-// the change is in force, the other that it lost and to what. Both appends reach
-// the log, as the log knows nothing of lists, so the fold decides by the base.
+// Two operators edit the same list at once. One must be told that the change is accepted, the other
+// that it lost and to which change. Both appends reach the log, which doesn't know about lists, so
+// the fold must decide by the base.
 func TestRacingOperatorsGetOneWinnerAndOneConflict(t *testing.T) {
 	f := foldOf(t,
 		listRecord("first", usesList, -1, plan("gold", 1)),
@@ -104,9 +104,8 @@
 	}
 }
 
-// What the caller sees: an operator's append takes effect but its answer is lost,
-// and the command appends again. The operator must be told of the success, not of
-// a conflict with the operator's own change.
+// An operator's append takes effect but the response is lost, and the command appends again. The
+// operator must be told of the success, not of a conflict with the operator's own change.
 func TestSameChangeAppendedTwiceKeepsItsFirstVerdict(t *testing.T) {
 	change := listRecord("once", usesList, -1, plan("gold", 1))
 	f := foldOf(t, change, change)
@@ -214,9 +213,8 @@
 	}
 }
 
-// What the caller sees: nothing, which is the point. Records come twice, late or
-// too early from the log and from several peers; folding one too early would give
-// a state that no other process has.
+// Records arrive twice, late or too early, from the log and from several peers. Applying one too
+// early would give a state that no other process has.
 func TestOffsetsAreFoldedInOrderAndOnce(t *testing.T) {
 	first := marshal(t, listRecord("a", usesList, -1, plan("gold", 1)))
 	second := marshal(t, listRecord("b", usesList, 0, plan("gold", 2)))
@@ -241,7 +239,7 @@
 	f := foldOf(t, listRecord("start", plansList, -1, customer("a", "k1")))
 	before := f.View()
 	if f.View() != before {
-		t.Error("another view though nothing changed")
+		t.Error("View returned a new view without a change")
 	}
 	rec := listRecord("next", plansList, 0, customer("b", "k2"))
 	rec.GetList().Removed = []string{"customer a"}
@@ -271,7 +269,7 @@
 		t.Errorf("%d marks kept, want %d", got, MaxMarks)
 	}
 	if !f.View().VMOutOfService("held-out", "a") || f.View().MarkOffset(onVM, "vm0") != -1 {
-		t.Error("want the oldest in-service mark forgotten and the out mark kept")
+		t.Error("want the oldest in-service mark discarded and the out-of-service mark kept")
 	}
 	if _, ok := f.Verdict("held"); ok {
 		t.Error("a verdict older than the newest 4096 is kept")
--- a/coord/config/fuzz_test.go
+++ b/coord/config/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// FuzzApply offers any bytes as a record after a list and a mark. It must neither
-// panic nor err, and the state must survive a snapshot.
+// FuzzApply applies arbitrary bytes as a record after a list and a mark. Apply must neither panic
+// nor return an error, and the state must survive a snapshot.
 func FuzzApply(f *testing.F) {
 	removal := listRecord("d", plansList, 0)
 	removal.GetList().Removed = []string{"customer a"}
--- a/coord/config/history_test.go
+++ b/coord/config/history_test.go
@@ -14,10 +14,9 @@
 	"github.com/apricothub/apricothub/internal/history"
 )
 
-// What the operators see: three of them race to change one list; each reads the list
-// at some member that lags, publishes from what it read, and learns its verdict from
-// another member. Whatever the order, the list is one versioned register. The seed
-// is fixed.
+// Three operators race to change one list. Each reads the list from a member that lags, publishes a
+// change of what it read, and learns the verdict from another member. In any order, the list must
+// behave as one versioned register. The seed is fixed.
 func TestRacingPublishersSeeOneVersionedRegister(t *testing.T) {
 	const (
 		rounds        = 120
@@ -69,7 +68,7 @@
 	}
 	h.Publishes[rounds/2].Offset++
 	if err := h.Check((catchUpRounds+1)*lag, 10*time.Second); !errors.Is(err, history.ErrIllegal) {
-		t.Errorf("a history with one verdict altered: %v", err)
+		t.Errorf("a history with one altered verdict was accepted: %v", err)
 	}
 }
 
--- a/coord/config/property_test.go
+++ b/coord/config/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// drawRecord draws what racing operators append: few names, few ids, and bases
-// that are mostly current, sometimes of the past and sometimes from nowhere.
+// drawRecord draws a record of racing operators, from few names, few ids, and bases that are mostly
+// current, sometimes old and sometimes invalid.
 func drawRecord(t *rapid.T, f *Fold) *api.Record {
 	view := f.View()
 	id := fmt.Sprint("c", rapid.IntRange(0, 15).Draw(t, "id"))
@@ -38,7 +38,7 @@
 	return listRecord(id, plansList, base(view.ListOffset(plansList)), customer(name, key, name))
 }
 
-// baseOf names the list or mark that a record changes, and the base.
+// baseOf returns the list or mark that a record changes, with the base of the change.
 func baseOf(rec *api.Record) string {
 	if mark := rec.GetMark(); mark != nil {
 		return fmt.Sprint(mark.GetTarget(), mark.GetName(), mark.GetBase())
@@ -46,8 +46,8 @@
 	return fmt.Sprint(rec.GetList().GetList(), rec.GetList().GetBase())
 }
 
-// What the operators see: whatever races, each base has at most one winner, and
-// CheckChange foretells what the fold decides.
+// Of all changes with the same base at most one may be accepted, and CheckChange must predict the
+// decision of the fold.
 func TestPropertyOneWinnerForEachBase(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := NewFold()
@@ -65,13 +65,13 @@
 				continue
 			}
 			if verdict.GetAccepted() != (checked == nil) || verdict.GetOffset() != offset {
-				rt.Fatalf("foretold %v, verdict %v", checked, verdict)
+				rt.Fatalf("CheckChange returned %v, verdict %v", checked, verdict)
 			}
 			if !verdict.GetAccepted() {
 				continue
 			}
 			if before, won := winners[baseOf(rec)]; won {
-				rt.Fatalf("base %s won at %d and at %d", baseOf(rec), before, offset)
+				rt.Fatalf("two changes accepted on base %s, at %d and at %d", baseOf(rec), before, offset)
 			}
 			winners[baseOf(rec)] = offset
 		}
@@ -79,7 +79,7 @@
 	})
 }
 
-// checkOwners checks that the index of keys is that of the customers.
+// checkOwners checks that the index of keys matches the customers.
 func checkOwners(t *rapid.T, v *View) {
 	keys := 0
 	for name, c := range v.Customers() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// fakeLog is the platform's log with its limited retention, and what the fold of
-// all of it was after each record.
+// fakeLog is the platform's log with limited retention. It keeps the fold of all its records and
+// the state after each.
 type fakeLog struct {
 	firstRetained int64
 	records       []*api.LogRecord
@@ -120,7 +120,7 @@
 	l.states[offset], _ = proto.MarshalOptions{Deterministic: true}.Marshal(l.fold.Snapshot())
 }
 
-// logAnswer is an logAnswer of the log on its way, with what the tail was at the request.
+// logAnswer is a response of the log in flight, with the offset of the tail at the request.
 type logAnswer struct {
 	response      LogResponse
 	expired       bool
@@ -143,13 +143,13 @@
 		return
 	}
 	if p := r.HandleLog(a.response); p.AtTail && r.fold.Applied() < a.tail {
-		t.Fatalf("at the tail with %d of %d", r.fold.Applied(), a.tail)
+		t.Fatalf("reader reports the tail with offset %d applied of %d", r.fold.Applied(), a.tail)
 	}
 }
 
-// What the callers see: no two processes ever follow different configurations of
-// the same offset. Two members read a log that expires records and is out at times,
-// hear each other, and are replaced; answers come late, twice and out of order.
+// No two processes may hold different configurations at the same offset. Two members read a log
+// that drops records and is out at times, receive from each other, and are replaced. Responses
+// arrive late, twice and out of order.
 func TestPropertyReadersNeverFoldAcrossAGap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &fakeLog{fold: NewFold()}
@@ -214,9 +214,8 @@
 	})
 }
 
-// What the caller sees: after a night in which all VMs were replaced and most
-// records expired, a new process serves the configuration in force, from the
-// snapshot that some member had appended.
+// All VMs are replaced and most records expire. A new process must serve the configuration in
+// force, from the snapshot that some member has appended.
 func TestNewReaderStartsFromSnapshotInLog(t *testing.T) {
 	f := foldOf(t, listRecord("a", usesList, -1, plan("gold", 1)), listRecord("b", usesList, 0, plan("gold", 2)))
 	old := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: foldOf(t).Snapshot()}})
@@ -225,16 +224,16 @@
 	r := NewReader(NewFold())
 	r.HandleExpired(2)
 	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) {
-		t.Fatalf("asks %v", got)
+		t.Fatalf("next fetch %v", got)
 	}
 	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}}, Next: 3})
 	if got := r.NextFetch(); got.Source != FromPeer || r.fold.Applied() != -1 {
-		t.Fatalf("after a snapshot that does not cover the gap: asks %v, applied %d", got, r.fold.Applied())
+		t.Fatalf("after a snapshot that does not cover the gap: next fetch %v, applied %d", got, r.fold.Applied())
 	}
 	r.HandlePeerFailure()
 	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: forecast}, {Offset: 3, Data: good}}, Next: 4})
 	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) || r.fold.Applied() != 1 {
-		t.Fatalf("after the snapshot: asks %v, applied %d", got, r.fold.Applied())
+		t.Fatalf("after the snapshot: next fetch %v, applied %d", got, r.fold.Applied())
 	}
 	p := r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}, {Offset: 3, Data: good}}, Next: 4})
 	if !p.AtTail || r.fold.Applied() != 3 || r.fold.LastSnapshot() != 3 {
@@ -283,6 +282,6 @@
 		}
 	}
 	if got := r.RecordsAfter(4); len(got.GetRecords()) != 0 || got.GetSnapshot() != nil {
-		t.Errorf("a peer with as much got %v", got)
+		t.Errorf("an up-to-date peer got %v", got)
 	}
 }
--- a/coord/config/reader.go
+++ b/coord/config/reader.go
@@ -6,66 +6,67 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Source says whom to ask next.
+// Source is where to fetch records from.
 type Source int
 
 const (
-	// FromLog asks the platform's log for the records from an offset on.
+	// FromLog reads the platform's log from an offset on.
 	FromLog Source = iota + 1
 	// FromPeer sends api.FetchRecords to a process that has applied more.
 	FromPeer
 )
 
-// Fetch is what to fetch next.
+// Fetch describes the next request for records.
 type Fetch struct {
 	Source Source
-	// From is the first offset wanted. Of a peer, ask for what comes after From-1.
+	// From is the first offset wanted. A peer is asked for the records after From-1.
 	From int64
 }
 
-// LogResponse is an answer of the platform's log.
+// LogResponse is a successful response of the platform's log.
 type LogResponse struct {
-	// From is the offset that was asked for.
+	// From is the requested offset.
 	From int64
 	// Records holds the records from From on, in order and without gaps.
 	Records []*api.LogRecord
-	// Next is the offset that the next append would have got.
+	// Next is the offset that the next append would have received.
 	Next int64
 }
 
-// Progress says what an answer changed.
+// Progress describes the effect of a response.
 type Progress struct {
-	// Advanced says that more is applied than before.
+	// Advanced reports whether the fold applied anything new.
 	Advanced bool
-	// AtTail says that the answer showed all of the log to be applied. It is evidence
-	// as of when the request was sent, however late the answer came.
+	// AtTail reports whether the response showed that the fold has applied the whole log. This
+	// holds as of when the request was sent, however late the response came.
 	AtTail bool
 }
 
-// Reader keeps a fold up to date. It decides what to fetch next and takes answers
-// in whatever order they come: twice, late, or from several sources at once. When
-// the log has dropped records that the fold lacks, the reader never folds across
-// the gap: it looks for a snapshot that covers it, in the log and at peers.
+// Reader keeps a fold up to date. It decides what to fetch next and handles responses that arrive
+// twice, late, out of order or from several sources at once. When the log has dropped records that
+// the fold lacks, the reader never folds across the gap. It looks for a snapshot that covers the
+// gap, in the log and at peers.
 type Reader struct {
 	fold  *Fold
 	cache recordCache
 
-	// While isScanning, first is the first offset that the log still holds and cursor
-	// the next one to look at.
+	// While isScanning, the reader looks for a snapshot in the log. firstRetained is the first
+	// offset that the log still holds, scanOffset the next one to read.
 	isScanning    bool
 	firstRetained int64
 	scanOffset    int64
 
 	isPeerNext bool
 
-	// The newest answer to a peer that was too far behind for records.
+	// cachedSnapshot is the newest snapshot sent to a peer that was too far behind for records.
 	cachedSnapshot *api.Snapshot
 }
 
-// NewReader returns a reader that feeds the fold.
+// NewReader returns a reader that applies records to the fold.
 func NewReader(fold *Fold) *Reader { return &Reader{fold: fold} }
 
-// NextFetch returns what to fetch next. It stays the same until an answer was taken.
+// NextFetch returns what to fetch next. The result changes only after a response or failure was
+// handled.
 func (r *Reader) NextFetch() Fetch {
 	r.endScanIfCovered()
 	switch {
@@ -77,8 +78,8 @@
 	return Fetch{Source: FromLog, From: r.fold.Applied() + 1}
 }
 
-// endScanIfCovered ends the search for a snapshot once the fold reaches the records that
-// the log still holds, whoever brought it there.
+// endScanIfCovered ends the search for a snapshot once the fold reaches the records that the log
+// still holds, whether by a snapshot from the log or from a peer.
 func (r *Reader) endScanIfCovered() {
 	if r.isScanning && r.fold.Applied()+1 >= r.firstRetained {
 		r.isScanning = false
@@ -86,7 +87,7 @@
 	}
 }
 
-// HandleLog takes an answer of the log.
+// HandleLog handles a response of the log.
 func (r *Reader) HandleLog(response LogResponse) Progress {
 	before := r.fold.Applied()
 	r.endScanIfCovered()
@@ -98,28 +99,28 @@
 	applied := r.fold.Applied()
 	return Progress{
 		Advanced: applied > before,
-		// A log that answers with less than is applied has told of its past.
+		// A log that responds with fewer records than are applied reports an old state.
 		AtTail: !r.isScanning && response.Next == applied+1,
 	}
 }
 
-// HandleExpired takes the log's answer that the offset asked for is gone; first is the
-// first one that it still holds.
+// HandleExpired handles the log's response that it no longer holds the requested offset.
+// FirstRetained is the first offset that it holds.
 func (r *Reader) HandleExpired(firstRetained int64) {
 	if r.fold.Applied()+1 >= firstRetained {
-		return // An answer to an older request.
+		return // a response to an older request
 	}
 	r.isScanning = true
 	r.firstRetained = firstRetained
 	r.scanOffset = firstRetained
 }
 
-// HandleLogFailure says that the log gave no answer: a peer is asked before the log is
+// HandleLogFailure handles a request that the log did not answer. A peer is asked before the log is
 // tried again.
 func (r *Reader) HandleLogFailure() { r.isPeerNext = true }
 
-// HandlePeer takes an answer or a push of a peer. A damaged snapshot gives
-// ErrBadSnapshot and changes nothing.
+// HandlePeer handles records that a peer sent, in response to a request or as a push. A damaged
+// snapshot returns ErrBadSnapshot and is not loaded; the records beside it are still applied.
 func (r *Reader) HandlePeer(reply *api.LogRecords) (Progress, error) {
 	r.isPeerNext = false
 	before := r.fold.Applied()
@@ -131,10 +132,10 @@
 	return Progress{Advanced: r.fold.Applied() > before}, err
 }
 
-// HandlePeerFailure says that the peer asked gave no answer: the log comes next.
+// HandlePeerFailure handles a request that the peer did not answer. The log is asked next.
 func (r *Reader) HandlePeerFailure() { r.isPeerNext = false }
 
-// applyAll folds records up to the first one that does not follow.
+// applyAll applies records up to the first gap.
 func (r *Reader) applyAll(records []*api.LogRecord) {
 	for _, rec := range records {
 		if rec.GetOffset() <= r.fold.Applied() {
@@ -147,8 +148,8 @@
 	}
 }
 
-// scan looks through records past a gap for a snapshot that covers it. Nothing is
-// folded: the records in between would give a state that no other process has.
+// scan searches the records after a gap for a snapshot that covers it. It applies none of the
+// records: without those in the gap, they would give a state that no other process has.
 func (r *Reader) scan(response LogResponse) {
 	if response.From != r.scanOffset {
 		return
@@ -164,15 +165,16 @@
 		}
 	}
 	if r.scanOffset >= response.Next || len(response.Records) == 0 {
-		// No snapshot in the log covers the gap: ask a peer, then look again, as
-		// members append snapshots from time to time.
+		// No snapshot in the log covers the gap. Ask a peer, then scan again, because
+		// members append a snapshot from time to time.
 		r.isPeerNext = true
 		r.scanOffset = r.firstRetained
 	}
 }
 
-// loadSnapshot loads the snapshot in a record if it reaches up to the records that the log
-// still holds and is no forecast.
+// loadSnapshot loads the snapshot in a record, if there is one that reaches the records that the
+// log still holds. A snapshot that claims to cover its own offset or later ones is invalid and is
+// not loaded.
 func (r *Reader) loadSnapshot(rec *api.LogRecord) bool {
 	s := decodeSnapshot(rec.GetData())
 	if s == nil || s.GetThrough()+1 < r.firstRetained || s.GetThrough() >= rec.GetOffset() {
@@ -181,8 +183,9 @@
 	return r.fold.Load(s) == nil
 }
 
-// RecordsAfter returns what a peer lacks after an offset: records, a snapshot when they
-// are not kept, or neither when it has as much. The caller adds its knowledge.
+// RecordsAfter returns what a peer lacks that has applied all records up to an offset: the records,
+// a snapshot if the records are not cached, or neither if the peer is up to date. The caller fills
+// in the knowledge.
 func (r *Reader) RecordsAfter(after int64) *api.LogRecords {
 	applied := r.fold.Applied()
 	if after >= applied {
--- a/coord/config/recordcache.go
+++ b/coord/config/recordcache.go
@@ -6,15 +6,13 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Bounds of the records kept for peers. Peers that are further behind get a
-// snapshot.
+// Limits of the records cached for peers. Peers that are further behind get a snapshot.
 const (
 	maxCachedRecords = 1024
 	maxCachedBytes   = 256 << 10
 )
 
-// recordCache keeps the newest records as read, without gaps, for peers that are a
-// little behind.
+// recordCache holds the newest records as read, without gaps, for peers that are slightly behind.
 type recordCache struct {
 	records []*api.LogRecord
 	bytes   int
@@ -22,7 +20,7 @@
 
 func (r *recordCache) add(rec *api.LogRecord) {
 	if n := len(r.records); n > 0 && r.records[n-1].GetOffset()+1 != rec.GetOffset() {
-		// A snapshot was loaded in between: what is older cannot be joined to it.
+		// A snapshot was loaded in between, so the cached records no longer connect.
 		*r = recordCache{}
 	}
 	r.records = append(r.records, rec)
@@ -34,8 +32,8 @@
 	}
 }
 
-// recordsAfter returns the records from recordsAfter+1 up to and with applied, nil if not all of
-// them are kept.
+// recordsAfter returns the records from after+1 up to and including applied, nil if not all of them
+// are cached.
 func (r *recordCache) recordsAfter(after, applied int64) []*api.LogRecord {
 	if len(r.records) == 0 {
 		return nil
@@ -48,7 +46,7 @@
 	return r.records[after+1-first:]
 }
 
-// decodeSnapshot returns the snapshot that a record carries, nil for any other record.
+// decodeSnapshot returns the snapshot in a record, nil if the record holds none.
 func decodeSnapshot(data []byte) *api.Snapshot {
 	rec := &api.Record{}
 	if proto.Unmarshal(data, rec) != nil {
--- a/coord/config/reporters.go
+++ b/coord/config/reporters.go
@@ -10,21 +10,20 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxMissingNames bounds the agents that a report names: what is sent is to stay small when
-// most agents lack a change.
+// maxMissingNames limits the agents that a report names, to keep it small when most agents lack a
+// change.
 const maxMissingNames = 32
 
-// Reporters says which entry reports for each agent, where an entry is not linked to all
-// agents. Each agent has one reporter, which tells others whether the agent holds a
-// record. All processes with the same list of VMs choose the same reporters. A Reporters
-// is immutable; nil has no agents.
+// Reporters assigns each agent the entry that reports for it, where an entry is not linked to all
+// agents. The entry tells the others whether the agent holds a record. All processes with the same
+// VM list choose the same reporters. A Reporters is immutable; a nil one has no agents.
 type Reporters struct {
 	reporterOf map[string]string
 	agentsOf   map[string][]string
 	digest     uint64
 }
 
-// NewReporters takes the entry of each agent, both by VM.
+// NewReporters returns the reporters for a map from the VM of each agent to that of its entry.
 func NewReporters(reporterOf map[string]string) *Reporters {
 	r := &Reporters{reporterOf: reporterOf, agentsOf: make(map[string][]string)}
 	sum := sha256.New()
@@ -45,7 +44,7 @@
 	return r.reporterOf[agent]
 }
 
-// AgentsOf returns the agents that an entry reports for. The caller must not change it.
+// AgentsOf returns the agents that an entry reports for. The caller must not change the slice.
 func (r *Reporters) AgentsOf(entry string) []string {
 	if r == nil {
 		return nil
@@ -53,19 +52,20 @@
 	return r.agentsOf[entry]
 }
 
-// AppliedReport is what an agent said of itself: how far it has applied the log, and a time
-// before which it cannot have said so.
+// AppliedReport is how far an agent reports to have applied the log, and a time before which it
+// cannot have sent the report.
 type AppliedReport struct {
 	Applied   int64
 	NotBefore time.Duration
 }
 
-// BuildHolders tells which of its agents an entry knows to hold the record at an offset. Heard
-// returns the newest word of the process that NOW runs on a VM, false for none: a new
-// process has forgotten what its predecessor held.
+// BuildHolders reports which agents of an entry hold the record at an offset. Latest returns the
+// newest report of the process that now runs on a VM, false for none: a new process doesn't know
+// what its predecessor held.
 //
-// A word older than half of the limit counts as none. The whole report is as old as the
-// oldest word in it, so that one silent agent would make those of all others lapse.
+// A report of an agent that is older than half of the limit is ignored. The age of the result is
+// that of the oldest report in it, so a single silent agent would otherwise make the result expire
+// for all the others.
 func (r *Reporters) BuildHolders(entry string, offset int64, limit, now time.Duration, latest func(vm string) (AppliedReport, bool)) *api.Holders {
 	m := &api.Holders{Offset: offset, Reporters: r.digest}
 	oldest := now
@@ -80,24 +80,23 @@
 			m.Missing = append(m.Missing, agent)
 		}
 	}
-	// Rounded up: rounded down, the words would seem newer than they are.
+	// Rounded up, so that the reports don't seem newer than they are.
 	m.AgeMs = int64((now - oldest + time.Millisecond - 1) / time.Millisecond)
 	return m
 }
 
-// ApplyHolders takes what an entry reports of its agents. The time is one before which the
-// report CANNOT have been sent, as for Member. Own tells the agents that the caller hears
-// itself: what they say goes before what others say of them.
+// ApplyHolders records what an entry reports about its agents. The entry cannot have sent the
+// report before notBefore, as for UpdateMember. HeardDirectly reports whether the caller hears an
+// agent itself; what such an agent reports takes precedence over what others report about it.
 //
-// A report says "all but these". To a process with another list of VMs that would name
-// agents that the sender has never heard of, and "in force" would be told while one lacks
-// the change. Only a report by the same reporters is taken. It also makes sure that each
-// agent is in one report; in two it would still count once, since it is taken by name.
+// A report lists the agents that lack the change, and implies that all others hold it. For a
+// process with another VM list, these others would include agents that the sender doesn't know, and
+// the change would be in force while one of them lacks it. So only a report by the same reporters
+// is accepted. This also puts each agent into one report only; even in two it would count once,
+// since agents are recorded by name.
 //
-// A later report of an entry takes the place of its earlier one, so that the caller must
-// keep the order in which they were sent.
-//
-// A report in which not all missing agents are named shows of nobody that it holds.
+// A later report of an entry replaces its earlier one, so the caller must keep the order in which
+// they were sent. A report that doesn't name all missing agents confirms no agent.
 func (a *Acceptance) ApplyHolders(reporters *Reporters, entry string, m *api.Holders, notBefore time.Duration, heardDirectly func(vm string) bool) {
 	if reporters == nil || m.GetOffset() != a.offset || m.GetReporters() != reporters.digest || notBefore < 0 {
 		return
@@ -119,9 +118,10 @@
 	}
 }
 
-// setReported takes what an entry reports of one agent. Two reports of one entry are dated by
-// one heartbeat and by words of different ages: by these times an agent that was missing
-// would be missing still when the next report no longer names it.
+// setReported records what an entry reports about one agent. Two reports of the same entry can be
+// dated by the same heartbeat but include agents' reports of different ages. They are therefore not
+// compared by time: an agent that was missing would stay missing when the next report no longer
+// names it.
 func (a *Acceptance) setReported(agent string, ack memberAck) {
 	if known, ok := a.members[agent]; ok && known.reporter != ack.reporter && ack.notBefore < known.notBefore {
 		return
--- a/coord/config/reporters_test.go
+++ b/coord/config/reporters_test.go
@@ -11,7 +11,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// delayedReport is a report with a time before which it was not sent.
+// delayedReport is a report in flight, with a time before which it was not sent.
 type delayedReport struct {
 	report    *api.Holders
 	notBefore time.Duration
@@ -24,7 +24,7 @@
 	applied       map[string]int64
 	lastHeld      map[string]time.Duration // when the process on a VM last held the change
 	latest        map[string]map[string]AppliedReport
-	reporterLists map[string]map[string]string // the list of VMs of each entry, as reporters
+	reporterLists map[string]map[string]string // by entry: the reporter of each agent
 	inFlight      map[string][]delayedReport
 	follower      *Acceptance
 }
@@ -45,10 +45,10 @@
 	}
 }
 
-// What the operator sees: an agent is not missing only if the process on its VM held the
-// change within the freshness limit, and so "in force" and "accepted" are true. Lists of
-// VMs differ, with other agents and other reporters; agents are replaced by processes
-// that hold less, links keep the last word of the old one for a while; reports are late.
+// An agent may count as holding the change only if the process on its VM held it within the
+// freshness limit. Otherwise "accepted" and "in force" would be reported too early. VM lists differ
+// in agents and reporters, agents are replaced by processes that hold less, links keep the last
+// report of the old process for a while, and reports are late.
 func TestPropertyNobodyIsReportedThatDoesNotHold(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		entries, agents := []string{"e1", "e2", "e3"}, []string{"a1", "a2"}
@@ -127,13 +127,14 @@
 	})
 }
 
-// hearsDirectly says that the follower hears an agent itself.
+// hearsDirectly reports whether the follower hears an agent itself.
 func (s *reportingCluster) hearsDirectly(agent string) bool {
 	_, ok := s.latest["e1"][agent]
 	return ok
 }
 
-// check feeds the follower as a member does, and looks at whom it takes to hold.
+// check updates the follower as a member does, and checks the agents that it takes to hold the
+// change.
 func (s *reportingCluster) check(rt *rapid.T, agents []string) {
 	for _, agent := range agents {
 		if _, listed := s.reporterLists["e1"][agent]; !listed {
@@ -148,15 +149,16 @@
 	_, missing := s.follower.State(s.now)
 	for agent := range s.reporterLists["e1"] {
 		if !slices.Contains(missing, agent) && s.lastHeld[agent] < s.now-freshnessLimit {
-			rt.Fatalf("%s is not missing at %v, and held the change at %v last", agent, s.now, s.lastHeld[agent])
+			rt.Fatalf("%s is not missing at %v, but last held the change at %v", agent, s.now, s.lastHeld[agent])
 		}
 	}
 }
 
-// An agent is named missing, shows a moment later that it holds, and all is in force with
-// the next report, though that is dated by the same heartbeat and an older word of another
-// agent. It is replaced by a process without the change, and is missing with the report
-// after. What the follower hears itself goes before both.
+// An agent is reported missing and shows a moment later that it holds the change. The next report
+// must put the change in force, although it is dated by the same heartbeat and by an older report
+// of another agent. The agent is then replaced by a process without the change, and the report
+// after that must list it as missing. What the follower hears directly takes precedence over both
+// reports.
 func TestLaterReportReplacesEarlierReport(t *testing.T) {
 	r := NewReporters(map[string]string{"a1": "e2", "a2": "e2"})
 	a := NewAcceptance(1, freshnessLimit, 0)
@@ -178,7 +180,7 @@
 	if got := applyReport(1200*time.Millisecond, none); got != "[]" {
 		t.Errorf("missing %v, want nobody", got)
 	}
-	// The report is as old as its oldest word, 0.3 s, when it was sent after 1 s.
+	// The report was sent after 1 s, when the oldest agent's report in it was 0.3 s old.
 	if _, missing := a.State(700*time.Millisecond + freshnessLimit + 1); len(missing) != 2 {
 		t.Errorf("missing %v past the limit, want both", missing)
 	}
@@ -191,15 +193,15 @@
 		t.Errorf("missing %v, want nobody", got)
 	}
 	if got := applyReport(1901*time.Millisecond, func(vm string) bool { return vm == "a2" }); got != "[a1]" {
-		t.Errorf("missing %v, want a1, whose word is older than half of the limit", got)
+		t.Errorf("missing %v, want a1, whose report is older than half of the limit", got)
 	}
 	if other := NewReporters(map[string]string{"a3": "e2", "a4": "e2"}); other.digest == r.digest {
-		t.Error("the same entry's report on other agents would be taken")
+		t.Error("a report of the same entry on other agents would be accepted")
 	}
 }
 
-// More agents are missing than a report names. None of the reporter's agents may count as
-// holding: those past the bound would.
+// More agents are missing than a report names. None of the reporter's agents may count as holding
+// the change, since those beyond the limit would wrongly count too.
 func TestIncompleteReportConfirmsNoAgent(t *testing.T) {
 	reporterOf := map[string]string{"a": "e2"}
 	for i := range maxMissingNames + 1 {
@@ -208,7 +210,7 @@
 	r := NewReporters(reporterOf)
 	m := r.BuildHolders("e2", 1, freshnessLimit, 0, func(vm string) (AppliedReport, bool) { return AppliedReport{Applied: 1}, vm == "a" })
 	if len(m.GetMissing()) != maxMissingNames || int(m.GetMissingCount()) != maxMissingNames+1 {
-		t.Errorf("%d named of %d", len(m.GetMissing()), m.GetMissingCount())
+		t.Errorf("%d of %d missing agents named", len(m.GetMissing()), m.GetMissingCount())
 	}
 	a := NewAcceptance(1, freshnessLimit, 0)
 	for vm := range reporterOf {
--- a/coord/config/section.go
+++ b/coord/config/section.go
@@ -10,22 +10,22 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Bounds of a change. They are part of the fold: two processes that disagree on
-// one would disagree on verdicts, so they never follow the schema's settings and
-// change only with every process at once.
+// Limits of a change. They are part of the fold: processes with different limits would reach
+// different verdicts. They therefore don't depend on settings, and a change of one must reach all
+// processes at once.
 const (
 	// MaxRecordBytes is the largest change or mark that the fold accepts. The whole
 	// plans list at 7,300 customers takes about 1 MB.
 	MaxRecordBytes = 8 << 20
-	// MaxNameBytes bounds the name of a section or of a mark's target.
+	// MaxNameBytes limits the name of a section or of a mark's target.
 	MaxNameBytes = 128
-	// MaxChangeIDBytes bounds a change id.
+	// MaxChangeIDBytes limits a change id.
 	MaxChangeIDBytes = 64
 
 	sha256HexLen = 64
 )
 
-// sectionKind is the first word of a section's name.
+// sectionKind is the first word of a section name.
 type sectionKind string
 
 const (
@@ -35,7 +35,7 @@
 	kindModel    sectionKind = "model"
 )
 
-// fullName returns the full name of a fullName of this kind.
+// fullName returns the section name for a name of this kind.
 func (k sectionKind) fullName(name string) string { return string(k) + " " + name }
 
 // list returns the list that sections of this kind belong to.
@@ -49,14 +49,13 @@
 	return api.ListName_LIST_UNSPECIFIED
 }
 
-// ListOf returns the list in which a section of this name stands, LIST_UNSPECIFIED
-// for a name of no known kind.
+// ListOf returns the list that holds sections of this name, LIST_UNSPECIFIED for an unknown kind.
 func ListOf(section string) api.ListName {
 	kindName, _, _ := strings.Cut(section, " ")
 	return sectionKind(kindName).list()
 }
 
-// splitSection takes the full name of a section apart and checks it for a list.
+// splitSection splits a section name into kind and name, and checks that it is valid in a list.
 func splitSection(list api.ListName, fullName string) (sectionKind, string, error) {
 	kindName, name, found := strings.Cut(fullName, " ")
 	k := sectionKind(kindName)
@@ -72,7 +71,7 @@
 	return k, name, nil
 }
 
-// checkName refuses names that could not be written into a list and read back.
+// checkName refuses names that cannot be written to a list and read back.
 func checkName(name string) error {
 	switch {
 	case name == "":
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// checkSectionBody checks that a section has the body that its name promises, and that
-// the body can be worked with.
+// checkSectionBody checks that the body of a section is valid and is of the kind that the section's
+// name begins with.
 func checkSectionBody(k sectionKind, section *api.Section) error {
 	switch body := section.GetBody().(type) {
 	case *api.Section_Customer:
@@ -135,11 +134,11 @@
 	return checkCount("burst", customer.GetBurst())
 }
 
-// maxValue is above every limit in the schema; it keeps infinities and values
-// whose sums overflow out of shares.
+// maxValue is above every limit in the schema. It keeps infinities and values whose sums overflow
+// out of shares.
 const maxValue = 1e12
 
-// checkNumber refuses what would poison every share it is summed into: NaN fails
+// checkNumber refuses values that would make every share they are summed into invalid. NaN fails
 // both comparisons.
 func checkNumber(field string, value float64) error {
 	if value >= 0 && value <= maxValue {
@@ -167,7 +166,7 @@
 	return true
 }
 
-// truncate keeps texts from a record short in reasons.
+// truncate limits the length of texts from a record in verdicts and errors.
 func truncate(text string) string {
 	const maxBytes = 64
 	if len(text) <= maxBytes {
--- a/coord/config/snapshot.go
+++ b/coord/config/snapshot.go
@@ -9,8 +9,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Snapshot returns the whole state, the same at every process that has applied as
-// much. Its parts are shared with the fold and must not be changed.
+// Snapshot returns the whole replicated state. It is the same in every process that has applied the
+// same records. Its parts are shared with the fold and must not be changed.
 func (f *Fold) Snapshot() *api.Snapshot {
 	view := f.unsharedView()
 	return &api.Snapshot{
@@ -28,12 +28,12 @@
 	return &api.ListState{List: list, Offset: view.ListOffset(list), Sections: view.Sections(list)}
 }
 
-// Load replaces the state by a snapshot's. It only goes forward: an older snapshot
-// gives ErrOlder, one that cannot be a fold's ErrBadSnapshot, and the fold is left
-// as it was. The snapshot is copied.
+// Load replaces the state by that of a snapshot, which it copies. A snapshot older than the fold
+// returns ErrOlder, one that cannot be the state of any fold ErrBadSnapshot. The fold is unchanged
+// then.
 func (f *Fold) Load(s *api.Snapshot) error {
 	if s.GetThrough() < f.applied {
-		return errors.Wrapf(ErrOlder, "through %d, applied %d", s.GetThrough(), f.applied)
+		return errors.Wrapf(ErrOlder, "snapshot ends at offset %d, applied offset is %d", s.GetThrough(), f.applied)
 	}
 	if s.GetThrough() == f.applied {
 		return nil
@@ -60,10 +60,10 @@
 	return f.loadVerdicts(s.GetVerdicts())
 }
 
-// loadList takes a list in by the checks that a first publish of it would pass.
+// loadList loads a list with the checks that its first publication would have to pass.
 func (f *Fold) loadList(list *api.ListState) error {
 	if list.GetOffset() < noOffset || list.GetOffset() > f.applied {
-		return errors.Errorf("list at offset %d", list.GetOffset())
+		return errors.Errorf("list has invalid offset %d", list.GetOffset())
 	}
 	if len(list.GetSections()) == 0 {
 		return f.loadEmptyList(list)
@@ -73,7 +73,7 @@
 		return err
 	}
 	if list.GetOffset() == noOffset {
-		return errors.New("list with sections that was never published")
+		return errors.New("list has sections but no offset")
 	}
 	f.applyList(list.GetOffset(), change)
 	return nil
@@ -86,7 +86,7 @@
 	case api.ListName_LIST_USES:
 		f.usesOffset = list.GetOffset()
 	default:
-		return errors.New("list without a name")
+		return errors.New("list has no known name")
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 			return err
 		}
 		if mark.GetOffset() < 0 || mark.GetOffset() > f.applied {
-			return errors.Errorf("mark at offset %d", mark.GetOffset())
+			return errors.Errorf("mark has invalid offset %d", mark.GetOffset())
 		}
 		f.marks.edit()[markKey{mark.GetTarget(), mark.GetName()}] = mark
 	}
@@ -107,16 +107,16 @@
 
 func (f *Fold) loadVerdicts(verdicts []*api.Verdict) error {
 	if len(verdicts) > MaxVerdicts {
-		return errors.Errorf("%d verdicts", len(verdicts))
+		return errors.Errorf("too many verdicts: %d", len(verdicts))
 	}
 	previousOffset := noOffset
 	for _, verdict := range verdicts {
 		if verdict.GetOffset() <= previousOffset || verdict.GetOffset() > f.applied {
-			return errors.Errorf("verdict at offset %d after %d", verdict.GetOffset(), previousOffset)
+			return errors.Errorf("verdict has offset %d, out of order after %d or beyond the snapshot", verdict.GetOffset(), previousOffset)
 		}
 		previousOffset = verdict.GetOffset()
 		if _, known := f.verdicts.get(verdict.GetChangeId()); known || verdict.GetChangeId() == "" {
-			return errors.Errorf("verdict on %q twice or without an id", truncate(verdict.GetChangeId()))
+			return errors.Errorf("verdict on change id %q is a duplicate or has no id", truncate(verdict.GetChangeId()))
 		}
 		f.verdicts.add(verdict)
 	}
--- a/coord/config/verdicts.go
+++ b/coord/config/verdicts.go
@@ -7,12 +7,11 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// MaxVerdicts is the number of newest verdicts kept, some seven hours' worth at
-// 13,000 changes a day. It is part of the fold: a change id is known again only
-// within it.
+// MaxVerdicts is the number of newest verdicts kept, about seven hours' worth at 13,000 changes a
+// day. It is part of the fold: a repeated change id is recognized only among these verdicts.
 const MaxVerdicts = 4096
 
-// verdicts keeps the newest verdicts, by change id and in order.
+// verdicts holds the newest verdicts by change id and in order.
 type verdicts struct {
 	byID    map[string]*api.Verdict
 	ordered []*api.Verdict // oldest first
@@ -25,7 +24,7 @@
 	return verdict, ok
 }
 
-// atOffset returns the verdict on the record atOffset an offset.
+// atOffset returns the verdict on the record at an offset.
 func (v *verdicts) atOffset(offset int64) (*api.Verdict, bool) {
 	i, found := slices.BinarySearchFunc(v.ordered, offset, func(verdict *api.Verdict, offset int64) int {
 		return cmp.Compare(verdict.GetOffset(), offset)
--- a/coord/config/view.go
+++ b/coord/config/view.go
@@ -7,14 +7,14 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// markKey names what a mark is about.
+// markKey identifies the target of a mark.
 type markKey struct {
 	target api.MarkTarget
 	name   string
 }
 
-// View is the configuration after one offset. It never changes; the messages it
-// returns are shared and must not be changed either.
+// View is the configuration after the record at one offset. It is immutable; the messages that it
+// returns are shared and must not be changed.
 type View struct {
 	applied   int64
 	plansAt   int64
@@ -27,11 +27,11 @@
 	marks     map[markKey]*api.MarkState
 }
 
-// Applied returns the last offset folded in, -1 for none.
+// Applied returns the last offset applied, -1 for none.
 func (v *View) Applied() int64 { return v.applied }
 
-// ListOffset returns the offset of the accepted change that made the list, -1 for
-// a list that was never published.
+// ListOffset returns the offset of the accepted change that made the current version of a list, -1
+// for a list that was never published.
 func (v *View) ListOffset(list api.ListName) int64 {
 	switch list {
 	case api.ListName_LIST_PLANS:
@@ -90,8 +90,7 @@
 // Models returns all models by name. The map must not be changed.
 func (v *View) Models() map[string]*api.Model { return v.models }
 
-// VMOutOfService tells whether operators have taken a VM, or the failure domain it stands
-// in, out of service.
+// VMOutOfService reports whether operators have taken a VM or its failure domain out of service.
 func (v *View) VMOutOfService(vm, failureDomain string) bool {
 	return v.isMarkedOut(api.MarkTarget_TARGET_VM, vm) || v.isMarkedOut(api.MarkTarget_TARGET_DOMAIN, failureDomain)
 }
@@ -100,8 +99,7 @@
 	return v.marks[markKey{target, name}].GetOut()
 }
 
-// Marks returns all marks, those that brought a target back included, by target
-// and name.
+// Marks returns all marks by target and name, including those that returned a target to service.
 func (v *View) Marks() []*api.MarkState {
 	marks := make([]*api.MarkState, 0, len(v.marks))
 	for _, mark := range v.marks {
@@ -113,8 +111,8 @@
 	return marks
 }
 
-// Sections returns the sections of a list by name. It sorts on each call: at
-// thousands of sections it belongs on an operator's path, not on a caller's.
+// Sections returns the sections of a list by name. It sorts on each call, which is too slow for the
+// request path at thousands of sections.
 func (v *View) Sections(list api.ListName) []*api.Section {
 	var sections []*api.Section
 	switch list {
--- a/coord/purity_test.go
+++ b/coord/purity_test.go
@@ -1,5 +1,5 @@
-// Package coord_test checks what the packages of coord/ and decide/ promise to those
-// who embed them.
+// Package coord_test checks that the packages of coord/ and decide/ stay free of clocks, sockets
+// and goroutines, as their documentation states.
 package coord_test
 
 import (
@@ -15,17 +15,17 @@
 
 const module = "github.com/apricothub/apricothub/"
 
-// allowedImports are the packages that coord/ and decide/ may import of this module.
+// allowedImports are the packages of this module that coord/ and decide/ may import.
 var allowedImports = []string{module + "api", module + "coord/", module + "decide/"}
 
-// forbiddenImports are packages that bring sockets, files or processes.
+// forbiddenImports are packages that give access to sockets, files or processes.
 var forbiddenImports = []string{"net", "net/http", "os", "os/exec", "syscall"}
 
 // clockFunctions are the functions of package time that read or use a clock.
 var clockFunctions = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
 
-// Whoever embeds the parts brings the clock, the sockets and the goroutines. A part
-// that had its own could not be driven through every order of events in a test.
+// The caller provides the clock, the sockets and the goroutines. A package with its own could not
+// be driven through every order of events in a test.
 func TestNoClockSocketOrGoroutine(t *testing.T) {
 	for _, root := range []string{".", "../decide"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
