--- a/coord/fresh/bench_test.go
+++ b/coord/fresh/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkHeartbeatAtSize is what one heartbeat costs an entry that hears 490
-// entries and a share of 3,700 agents, while the log answers and while it is out.
+// BenchmarkHeartbeatAtSize measures one heartbeat in an entry that hears 490 entries and a share of
+// 3,700 agents, with the log available and during an outage.
 func BenchmarkHeartbeatAtSize(b *testing.B) {
 	for _, logOut := range []bool{false, true} {
 		b.Run(fmt.Sprint("outage=", logOut), func(b *testing.B) {
@@ -35,9 +35,9 @@
 	}
 }
 
-// BenchmarkCountsAtSize is what an outage costs an entry of 490 entries and 3,700
-// agents with 56 links: a heartbeat of one of them and its counts, and the state after
-// each. Members that it does not hear cost nothing.
+// BenchmarkCountsAtSize measures an outage in an entry with 56 links among 490 entries and 3,700
+// agents: a heartbeat over one of the links with its counts, and the state after each. Members that
+// the entry doesn't hear must not add to the cost.
 func BenchmarkCountsAtSize(b *testing.B) {
 	for _, listed := range []int{56, 490 + 3700} {
 		b.Run(fmt.Sprint("listed=", listed), func(b *testing.B) {
--- a/coord/fresh/countingentry.go
+++ b/coord/fresh/countingentry.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// countingState is how an agent chooses the entry that counts it.
+// countingState is the entry that an agent has chosen to be counted by.
 type countingState struct {
 	entry     string
-	lastNamed time.Duration // when it was last named
+	lastNamed time.Duration
 }
 
-// countingEntry returns the entry that an agent has itself counted by, empty for none.
+// countingEntry returns the entry that an agent is to be counted by, empty for none.
 //
-// It keeps to one entry, for a count has only numbers: an agent counted by two would be
-// two members in the sum. When that entry is not heard any more, the agent names nobody
-// until every count with its last word in it is past the limit, at all processes; a
-// quarter more for clocks that run at unequal rates.
+// The agent keeps to one entry, because counts are mere numbers: an agent counted by two entries
+// would be two members in the sum. When the entry is no longer heard, the agent names none until
+// every count that includes it by that entry is past the limit in all processes. The wait is a
+// quarter longer than the limit, for clocks that run at unequal rates.
 //
-// A new process need not wait, though it does not know whom its predecessor named. It is
-// counted only once it is initialized: on evidence that the predecessor's word came
-// before, so that a change accepted by then is applied here, or after the same wait.
+// A new process doesn't know which entry its predecessor named, but need not wait. It is counted
+// only once it is initialized: either on evidence newer than the predecessor's last message, so
+// that a change accepted by then is applied here, or after the same wait.
 func (t *Tracker) countingEntry(now time.Duration) string {
 	if t.entries[t.self] || !t.members[t.self] || !t.isInitialized || !t.NeedsCounts(now) {
 		return ""
@@ -44,8 +44,8 @@
 	return ok && t.entries[entry] && now-p.notBefore <= t.limit/2
 }
 
-// pickEntry takes an entry that is heard, by a hash of both names: the agents of one entry
-// spread over all when it is gone.
+// pickEntry picks an entry that is heard, by a hash of both names. When an entry fails, its agents
+// thus spread over all others.
 func (t *Tracker) pickEntry(now time.Duration) string {
 	var bestEntry string
 	var bestScore uint64
--- a/coord/fresh/counts.go
+++ b/coord/fresh/counts.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// maxCountDomains bounds the domains of which counts are kept and sent. Those past it
-	// are left out, which can only make a sum too small.
+	// maxCountDomains limits the domains whose counts are kept and sent. Domains beyond it are left
+	// out, which can only make a sum too small.
 	maxCountDomains = 12
-	// maxFrontCounts bounds the counts kept of one domain: of several, none is both larger
+	// maxFrontCounts limits the counts kept of one domain. Of several counts, none is both larger
 	// and newer than another.
 	maxFrontCounts = 4
-	// slackDivisor is the part of all members, and slackLeast the number, by which a sum
-	// of counts must exceed a majority. The number was counted by another process, from
-	// ITS list of VMs. A VM that this process no longer lists cannot be told apart in
-	// it, and majorities of two lists need not meet. With m members more than a
-	// majority they do, while the lists differ by no more than 2 m VMs. What a process
-	// hears itself it counts by its own list, and needs no slack.
+	// A sum of counts must exceed a majority by at least 1/slackDivisor of all members, and by at
+	// least minSlack. Another process made the counts from its own VM list. A VM that is no longer
+	// on the list of this process cannot be told apart in them, and majorities of two lists need
+	// not have a member in common. With m members more than a majority they do, as long as the
+	// lists differ by at most 2 m VMs. Members that this process hears itself are counted by its
+	// own list and need no slack.
 	slackDivisor = 50
 	minSlack     = 1
-	// recountDivisor is the part of the freshness limit for which own counts are good enough.
+	// recountDivisor sets how long own counts are reused: this fraction of the freshness limit.
 	recountDivisor = 40
 )
 
-// count says that so many distinct members of a failure domain were each heard at a
-// time or later and held no more than its holder.
+// count is a number of distinct members of a failure domain. Each was heard at asOf or later and
+// held no more than the process that keeps the count.
 type count struct {
 	members int
 	asOf    time.Duration
 }
 
-// countFront holds counts of one domain, the newest first, each larger than the one before.
+// countFront holds counts of one domain, newest first, each larger than the one before.
 type countFront []count
 
-// add takes a count. A member may be in several counts of one domain, so that they are
-// never added to each other.
+// add adds a count. A member may be in several counts of one domain, so counts are never summed
+// within a domain.
 func (f countFront) add(c count) countFront {
 	if c.members <= 0 {
 		return f
@@ -57,8 +57,8 @@
 	return f
 }
 
-// dropClosest drops the count that a larger one, hardly older, can stand for. The largest
-// stays; so does a newer one, for when the largest has a dead member in it.
+// dropClosest drops the count that is closest in age to the next larger one, which can replace it.
+// The largest count always stays. Newer ones matter when the largest includes a dead member.
 func (f countFront) dropClosest() countFront {
 	closest := 0
 	for i := range len(f) - 1 {
@@ -69,12 +69,12 @@
 	return slices.Delete(f, closest, closest+1)
 }
 
-// dropOlder drops counts from before a time.
+// dropOlder drops counts from before oldest.
 func (f countFront) dropOlder(oldest time.Duration) countFront {
 	return slices.DeleteFunc(f, func(c count) bool { return c.asOf < oldest })
 }
 
-// largestSince returns the largest count from a time on, else the largest of all.
+// largestSince returns the largest count from a time on, or the largest of all if there is none.
 func (f countFront) largestSince(from time.Duration) count {
 	var largest count
 	for _, c := range f {
@@ -88,29 +88,29 @@
 	return largest
 }
 
-// agentCount is what an entry said of the agents that it counts.
+// agentCount is how many agents an entry reports to count.
 type agentCount struct {
 	agents int
 	asOf   time.Duration
 }
 
-// counts are the counts by failure domain that a process has made or taken.
+// counts holds the counts by failure domain that a process has made or received.
 type counts struct {
 	domainOf     map[string]string     // of entries
-	entries      map[string]countFront // by domain: counts of entries alone
-	members      map[string]countFront // by domain: entries, with the agents that named them
+	entries      map[string]countFront // by domain: counts of entries only
+	members      map[string]countFront // by domain: counts of entries and their agents
 	agentCounts  map[string]agentCount // by entry
-	knownDomains map[string]bool       // the domains of entries
-	minSlack     int                   // the least slack
-	refreshedAt  time.Duration         // when own counts were last made
-	// cachedMajorityAt is the newest time as of which there is one, worked out again when what it
-	// came from has changed.
+	knownDomains map[string]bool       // the domains that have entries
+	minSlack     int                   // lower limit of the slack; see slackDivisor
+	refreshedAt  time.Duration         // when own counts were last refreshed
+	// cachedMajorityAt is the newest time as of which the counts show a majority. It is computed
+	// again when isStale is set, because a count or a VM list has changed.
 	cachedMajorityAt time.Duration
 	isStale          bool
 }
 
-// SetDomains gives the failure domain of each entry of the VM list. Without it, counts
-// of others are neither taken nor made.
+// SetDomains sets the failure domain of each entry of the VM list. Without it, counts are neither
+// made nor accepted from others.
 func (t *Tracker) SetDomains(domainOf map[string]string) {
 	if len(domainOf) == 0 {
 		return
@@ -135,11 +135,11 @@
 	}
 }
 
-// HandleCounts takes counts that an entry has sent. The time is one before which they CANNOT
-// have been sent, as for Heard.
+// HandleCounts records counts that an entry sent. The entry cannot have sent them before notBefore,
+// as for HandleKnowledge.
 //
-// Counts of a sender that has applied more than ownApplied are dropped: the members in
-// them may hold a change that this process lacks, and prove nothing of it.
+// Counts of a sender that has applied more than ownApplied are dropped: the counted members may
+// hold a change that this process lacks, so they don't show that its configuration is current.
 func (t *Tracker) HandleCounts(vm string, notBefore time.Duration, m *api.Counts, ownApplied int64) {
 	t.SetApplied(ownApplied)
 	if m.GetApplied() > t.applied || !t.entries[vm] {
@@ -154,8 +154,8 @@
 	}
 }
 
-// add adds a count to those of its domain. What is counted of a domain that this
-// process does not know is not on its list.
+// add adds a count to those of its domain. Domains unknown to this process are ignored, since their
+// members are not on its VM list.
 func (c *counts) add(byDomain map[string]countFront, domain string, members uint32, asOf time.Duration) {
 	_, exists := byDomain[domain]
 	if !exists && len(byDomain) >= maxCountDomains || !c.knownDomains[domain] || asOf == never {
@@ -165,13 +165,13 @@
 	byDomain[domain] = byDomain[domain].add(count{members: int(members), asOf: asOf})
 }
 
-// NeedsCounts says that counts are worth the bytes: other evidence grows old here.
+// NeedsCounts reports whether counts are worth sending, because other evidence is getting old.
 func (t *Tracker) NeedsCounts(now time.Duration) bool {
 	return !t.isInitialized || now-t.tailEvidence > t.limit/2
 }
 
-// Counts returns what an entry tells other entries of the members it knows of, at most
-// maxCounts domains; nil when there is nothing to tell.
+// Counts returns the members that this process knows of, counted for other entries. It returns at
+// most maxCountDomains domains, and nil if there is nothing to send.
 func (t *Tracker) Counts(now time.Duration) *api.Counts {
 	t.refreshCounts(now)
 	m := &api.Counts{Applied: t.applied}
@@ -202,8 +202,7 @@
 	return m
 }
 
-// refreshCounts makes this process's own counts of what it has heard, and lets go of counts
-// past the limit.
+// refreshCounts counts the members heard by this process and drops counts past the limit.
 func (t *Tracker) refreshCounts(now time.Duration) {
 	t.counts.refreshedAt = now
 	oldest := now - t.limit
@@ -221,11 +220,11 @@
 	}
 }
 
-// heardCounts returns, by domain, the entries that this process hears, and the same with
-// their flocks.
+// heardCounts returns, by domain, the entries that this process hears, and the same entries
+// together with their agents.
 func (t *Tracker) heardCounts(now, oldest time.Duration) (entries, members map[string][]count) {
 	entries, members = make(map[string][]count), make(map[string][]count)
-	add := func(vm string, heardAt time.Duration, agents agentCount) {
+	add := func(vm string, heardAt time.Duration, entryAgents agentCount) {
 		domain := t.counts.domainOf[vm]
 		if domain == "" {
 			return
@@ -234,14 +233,14 @@
 			entries[domain] = append(entries[domain], count{members: 1, asOf: heardAt})
 			members[domain] = append(members[domain], count{members: 1, asOf: heardAt})
 		}
-		if agents.agents > 0 && agents.asOf >= oldest {
-			members[domain] = append(members[domain], count{members: agents.agents, asOf: agents.asOf})
+		if entryAgents.agents > 0 && entryAgents.asOf >= oldest {
+			members[domain] = append(members[domain], count{members: entryAgents.agents, asOf: entryAgents.asOf})
 		}
 	}
 	if t.entries[t.self] {
 		at := now
 		if !t.isInitialized {
-			// It may have forgotten what its predecessor acknowledged.
+			// The process may lack a change that its predecessor acknowledged.
 			at = oldest - 1
 		}
 		add(t.self, at, t.ownAgentCount(now))
@@ -254,7 +253,7 @@
 	return entries, members
 }
 
-// addCumulative adds the counts of a domain as of each time at which a member was heard.
+// addCumulative adds, for each time at which a member was heard, the count of members heard since.
 func (c *counts) addCumulative(byDomain map[string]countFront, domain string, heard []count) {
 	slices.SortFunc(heard, func(a, b count) int { return cmp.Compare(b.asOf, a.asOf) })
 	sum := 0
@@ -264,9 +263,8 @@
 	}
 }
 
-// ownAgentCount returns how many agents that name this entry were heard, as of when. Those
-// not heard for half the limit are left out, where the others would be made older by
-// them than they are.
+// ownAgentCount returns how many agents that name this entry were heard, and as of when. Agents not
+// heard for half the limit are left out, because they would make the whole count that old.
 func (t *Tracker) ownAgentCount(now time.Duration) agentCount {
 	own := agentCount{asOf: now}
 	for vm, p := range t.peers {
@@ -279,10 +277,11 @@
 }
 
 // countedMajorityAt returns the newest time as of which a majority is counted, never if there is
-// none. It makes its own counts anew only now and then: every message of every link asks.
+// none. Own counts are refreshed only at intervals, because this is called for every message of
+// every link.
 //
-// Counts past the limit must not even initialize a process that settles: an agent may
-// name another entry by then, and would be in an old count and in a new one.
+// Counts past the limit must not be used, not even to initialize a new process: an agent may have
+// named another entry since, and would be in both an old and a new count.
 func (t *Tracker) countedMajorityAt(now time.Duration) time.Duration {
 	if len(t.counts.knownDomains) == 0 {
 		return never
@@ -301,9 +300,8 @@
 	return t.counts.cachedMajorityAt
 }
 
-// majorityAt returns the newest time as of which the counts of all domains together are
-// a majority of a set and the slack: of each domain the largest count that is new enough,
-// and of them all the oldest time.
+// majorityAt returns the newest time as of which the counts of all domains add up to a majority of
+// memberCount plus the slack. It uses the largest count of each domain that is new enough.
 func (c *counts) majorityAt(byDomain map[string]countFront, memberCount int) time.Duration {
 	type step struct {
 		domain string
--- a/coord/fresh/counts_test.go
+++ b/coord/fresh/counts_test.go
@@ -9,15 +9,15 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// statement is what a member said at a time of all clocks.
+// statement is what a member sent about itself, at a time that all clocks share.
 type statement struct {
 	at          time.Duration
 	applied     int64
 	initialized bool
 }
 
-// countCluster is a world in which nothing but words and counts travels, so that whoever is
-// counted must have said a word itself.
+// countCluster is a cluster in which processes exchange only counts and knowledge without evidence,
+// so that every counted member must have made a statement itself.
 type countCluster struct {
 	*cluster
 	statements map[string][]statement
@@ -33,7 +33,8 @@
 	return c
 }
 
-// recordStatement writes down what a process says now, and returns it without any evidence.
+// recordStatement records what a process sends about itself now, and returns it without any
+// evidence.
 func (c *countCluster) recordStatement(p *process) *api.Knowledge {
 	k := p.tracker.Knowledge(c.now-p.born, p.applied)
 	k.EvidenceAgeMs, k.QuorumAgeMs = noAge, noAge
@@ -41,7 +42,7 @@
 	return k
 }
 
-// captureHeartbeat captures a heartbeat, with the counts behind it, for now or for later.
+// captureHeartbeat captures a heartbeat followed by counts, to be delivered now or later.
 func (c *countCluster) captureHeartbeat(i, j int) func() {
 	to, from := c.processes[i], c.processes[j]
 	at := c.now - to.born
@@ -61,12 +62,12 @@
 	}
 }
 
-// countStated is how many entries, and how many members, have said since a time that they are
-// initialized and hold no more than an offset.
+// countStated returns how many entries, and how many members, have stated since a time that they
+// are initialized and hold no more than an offset.
 func (c *countCluster) countStated(since time.Duration, offset int64) (entries, members int) {
 	for _, vm := range c.vms[:c.listed] {
-		for _, w := range c.statements[vm] {
-			if w.at < since || !w.initialized || w.applied > offset {
+		for _, s := range c.statements[vm] {
+			if s.at < since || !s.initialized || s.applied > offset {
 				continue
 			}
 			members++
@@ -79,7 +80,7 @@
 	return entries, members
 }
 
-// check compares what each entry could go by with what was said.
+// check compares the majorities that each entry could rely on with the statements made.
 func (c *countCluster) check(t *rapid.T) {
 	for _, p := range c.processes {
 		if p.role != api.Role_ROLE_ENTRY {
@@ -91,21 +92,21 @@
 		counts := &p.tracker.counts
 		if at := counts.majorityAt(counts.entries, len(p.tracker.entries)); at != never && at >= now-limit {
 			if entries, _ := c.countStated(at+p.born, p.applied); entries < len(p.tracker.entries)/2+1 {
-				t.Fatalf("%s at %v has a majority of entries as of %v; %d said so", p.vm, c.now, at+p.born, entries)
+				t.Fatalf("%s at %v has a majority of entries as of %v; %d stated it", p.vm, c.now, at+p.born, entries)
 			}
 		}
 		if at := counts.majorityAt(counts.members, len(p.tracker.members)); at != never && at >= now-limit {
 			if _, members := c.countStated(at+p.born, p.applied); members < len(p.tracker.members)/2+1 {
-				t.Fatalf("%s at %v has a majority of members as of %v; %d said so", p.vm, c.now, at+p.born, members)
+				t.Fatalf("%s at %v has a majority of members as of %v; %d stated it", p.vm, c.now, at+p.born, members)
 			}
 		}
 	}
 }
 
-// What the callers see: nobody serves on a majority that there is not. Words and counts
-// arrive late, twice or never; members are replaced; agents change the entry that counts
-// them; some hold changes that others lack. A sum that reaches a majority must be of so
-// many members that each said so itself, since the time that the sum is dated by.
+// No process may serve on a majority that does not exist. Heartbeats and counts arrive late, twice
+// or never, members are replaced, agents change the entry that counts them, and some members hold
+// changes that others lack. When a sum reaches a majority, that many members must have stated so
+// themselves since the time of the sum.
 func TestPropertyCountsAreOfDistinctMembers(t *testing.T) {
 	setChecks(t, "1000")
 	rapid.Check(t, func(rt *rapid.T) {
@@ -143,7 +144,7 @@
 	})
 }
 
-// domainCounts returns counts of domains, each heard so long ago.
+// domainCounts returns counts of domains, with one age for all.
 func domainCounts(applied int64, ageMs int64, byDomain map[string]uint32) *api.Counts {
 	m := &api.Counts{Applied: applied}
 	for domain, n := range byDomain {
@@ -152,9 +153,9 @@
 	return m
 }
 
-// A process hears one entry and goes on by its counts; each rule that could let it trust
-// too little is a row. One more than a majority is needed: the counts are by another
-// list of VMs, which may hold one that is gone from this one.
+// A process hears one entry and serves by its counts. Each row is a rule without which the process
+// could trust too little evidence. One more than a majority is needed, because the counts are by
+// another VM list, which may hold a VM that is gone from the own list.
 func TestCountsOfOthers(t *testing.T) {
 	const now = 10 * time.Second
 	enough := map[string]uint32{"x": 2, "y": 1, "z": 1}
@@ -188,8 +189,8 @@
 	}
 }
 
-// A new process settles while all counts it has are past the limit. They must not
-// initialize it: an agent may have named another entry since, and be in two of them.
+// A new process has waited long enough, but all its counts are past the limit. They must not
+// initialize it: an agent may have named another entry since, and be in two of the counts.
 func TestStaleCountsDoNotInitialize(t *testing.T) {
 	for age, want := range map[time.Duration]State{0: Outage, limit: Outage, limit + 1: Starting} {
 		tracker := New("e1", limit)
@@ -202,8 +203,8 @@
 	}
 }
 
-// An agent loses the entry that counts it. Another may count it only when all counts by
-// the first are past the limit: before that the agent would be two members in a sum.
+// An agent loses the entry that counts it. Another entry may count it only when all counts by the
+// first are past the limit. Before that, the agent would be two members in a sum.
 func TestAgentWaitsBeforeChangingItsCountingEntry(t *testing.T) {
 	tracker := New("a1", limit)
 	tracker.SetEntries(entries)
@@ -213,7 +214,7 @@
 	first := tracker.Knowledge(2*limit, noOffset).GetCountedBy()
 	other := map[string]string{"e1": "e2", "e2": "e1"}[first]
 	if other == "" {
-		t.Fatalf("named %q", first)
+		t.Fatalf("agent named %q as its counting entry", first)
 	}
 	last := 2 * limit
 	for now := last; now < 6*limit; now += 10 * ms {
@@ -222,15 +223,15 @@
 		case named == first:
 			last = now
 		case named == other && now <= last+limit:
-			t.Fatalf("named another %v after the first", now-last)
+			t.Fatalf("agent named another entry %v after it last named the first", now-last)
 		case named == other:
 			return
 		}
 	}
-	t.Error("no other entry was named")
+	t.Error("agent named no other entry")
 }
 
-// An entry counts an agent that names it, is initialized and holds no more; no other.
+// An entry counts only agents that name it, are initialized and hold no more than the entry.
 func TestEntryCountsOnlyInitializedAgentsThatNameIt(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/coord/fresh/example_test.go
+++ b/coord/fresh/example_test.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/coord/fresh"
 )
 
-// The log goes out. While a majority of the entries is heard, and none of them has
-// applied more, no change can have been accepted, and service goes on. Cut off from
-// them as well, the process cannot know, and refuses new work.
+// The log goes out. While a majority of the entries is heard and none of them has applied more, no
+// change can have been accepted, and the process serves. When it is cut off from them as well, it
+// cannot know, and refuses new work.
 func Example() {
 	const limit = 2 * time.Second
 	tracker := fresh.New("entry-1", limit)
@@ -33,9 +33,9 @@
 	// isolated
 }
 
-// An entry hears only one other of seven. That one has heard, or been told of, enough
-// members of three failure domains that hold no more: five of seven are a majority and
-// the one more that counts of others need.
+// An entry hears only one of six other entries. That one has heard enough members of three failure
+// domains, or received counts of them, that hold no more. Five of seven are a majority and the
+// additional one that counts of others need.
 func ExampleTracker_HandleCounts() {
 	tracker := fresh.New("entry-1", 2*time.Second)
 	domains := map[string]string{
--- a/coord/fresh/property_test.go
+++ b/coord/fresh/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// TestMain fixes the seed of the property tests, unless -rapid.seed names another.
+// TestMain fixes the seed of the property tests, unless -rapid.seed sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if isDefaultSeed = flag.Lookup("rapid.seed").Value.String() == "0"; isDefaultSeed {
@@ -24,10 +24,10 @@
 	os.Exit(m.Run())
 }
 
-// isDefaultSeed says that the seed is the one of CI.
+// isDefaultSeed is true if the fixed seed is in use, as in CI.
 var isDefaultSeed bool
 
-// setChecks sets the number of setChecks of a property whose faults show early, in CI.
+// setChecks sets the number of runs of a property whose faults show early, unless a seed was given.
 func setChecks(t *testing.T, checks string) {
 	if before := flag.Lookup("rapid.checks").Value.String(); isDefaultSeed {
 		_ = flag.Set("rapid.checks", checks)
@@ -35,7 +35,7 @@
 	}
 }
 
-// smallCluster are the VMs of a test: all but the last stand in the VM list at first.
+// smallCluster are the VMs of a test. All but the last are in the VM list at first.
 var smallCluster = []string{"e1", "e2", "e3", "a1", "a2", "e4"}
 
 // process is one incarnation on a VM.
@@ -47,52 +47,50 @@
 	tracker *Tracker
 }
 
-// cluster is a cluster of three entries and two agents with the platform's log, and
-// one change that an observer follows until it is accepted. The VM list changes
-// once: one VM is gone for good, or a fourth entry joins. Each process, and the
-// observer, may learn of that at another time.
+// cluster simulates entries and agents with the platform's log, and one change that an observer
+// follows until it is accepted. The VM list changes once: a VM is removed, or an entry joins. Each
+// process and the observer may learn of that at different times.
 type cluster struct {
 	vms        []string
-	listed     int    // of them at first
-	links      uint64 // the pairs that hear each other, bit by bit
+	listed     int    // how many of vms are listed at first
+	links      uint64 // bit set of the pairs that hear each other
 	minSlack   int    // of counts
 	now        time.Duration
 	tail       int64
 	processes  []*process
 	acceptance *config.Acceptance
 	acceptedAt map[int64]time.Duration
-	delayed    []func() // messages on their way; each may arrive many times
-	removed    int      // the VM that is gone, -1 for none
+	delayed    []func() // messages in flight; each may arrive many times
+	removed    int      // index of the removed VM, -1 for none
 	joined     bool
 }
 
 func newCluster(vms []string) *cluster {
-	w := &cluster{
+	c := &cluster{
 		vms: vms, listed: len(vms) - 1, links: ^uint64(0), minSlack: minSlack, removed: -1,
 		acceptedAt: make(map[int64]time.Duration), processes: make([]*process, len(vms)),
 	}
-	w.replaceAll()
-	return w
+	c.replaceAll()
+	return c
 }
 
-// replaceAll replaces all processes.
-func (w *cluster) replaceAll() {
-	for i := range w.processes {
-		w.replace(i)
+func (c *cluster) replaceAll() {
+	for i := range c.processes {
+		c.replace(i)
 	}
 }
 
-func (w *cluster) replace(i int) {
-	p := &process{vm: w.vms[i], role: api.Role_ROLE_ENTRY, born: w.now, applied: noOffset, tracker: New(w.vms[i], limit)}
-	p.tracker.counts.minSlack = w.minSlack
+func (c *cluster) replace(i int) {
+	p := &process{vm: c.vms[i], role: api.Role_ROLE_ENTRY, born: c.now, applied: noOffset, tracker: New(c.vms[i], limit)}
+	p.tracker.counts.minSlack = c.minSlack
 	if p.vm[0] == 'a' {
 		p.role = api.Role_ROLE_AGENT
 	}
-	p.setVMs(w.vms[:w.listed])
-	w.processes[i] = p
+	p.setVMs(c.vms[:c.listed])
+	c.processes[i] = p
 }
 
-// setVMs gives a process the VM setVMs.
+// setVMs sets the VM list of a process.
 func (p *process) setVMs(members []string) {
 	var entries []string
 	domains := make(map[string]string)
@@ -110,52 +108,52 @@
 	p.tracker.SetDomains(domains)
 }
 
-// currentVMs returns the VM list after its one change.
-func (w *cluster) currentVMs() []string {
-	members := slices.Clone(w.vms[:w.listed])
-	if w.joined {
-		return w.vms
+// currentVMs returns the VM list, after its change if that has been made.
+func (c *cluster) currentVMs() []string {
+	members := slices.Clone(c.vms[:c.listed])
+	if c.joined {
+		return c.vms
 	}
-	if w.removed >= 0 {
-		return slices.Delete(members, w.removed, w.removed+1)
+	if c.removed >= 0 {
+		return slices.Delete(members, c.removed, c.removed+1)
 	}
 	return members
 }
 
-// changeList makes the one change of the list, if it was not made yet.
-func (w *cluster) changeList(t *rapid.T) {
-	if w.joined || w.removed >= 0 {
+// changeList makes the one change of the VM list unless it has been made.
+func (c *cluster) changeList(t *rapid.T) {
+	if c.joined || c.removed >= 0 {
 		return
 	}
-	if change := rapid.IntRange(0, w.listed).Draw(t, "change"); change < w.listed {
-		w.removed = change
+	if change := rapid.IntRange(0, c.listed).Draw(t, "change"); change < c.listed {
+		c.removed = change
 	} else {
-		w.joined = true
+		c.joined = true
 	}
 }
 
-// updateObserver tells the observer of the new list.
-func (w *cluster) updateObserver() {
-	if w.acceptance == nil {
+// updateObserver gives the observer the current VM list.
+func (c *cluster) updateObserver() {
+	if c.acceptance == nil {
 		return
 	}
-	for i, p := range w.processes {
-		if slices.Contains(w.currentVMs(), p.vm) {
-			w.acceptance.ExpectMember(p.vm, p.role)
-		} else if i == w.removed {
-			w.acceptance.RemoveMember(p.vm)
+	for i, p := range c.processes {
+		if slices.Contains(c.currentVMs(), p.vm) {
+			c.acceptance.ExpectMember(p.vm, p.role)
+		} else if i == c.removed {
+			c.acceptance.RemoveMember(p.vm)
 		}
 	}
 }
 
-// captureExchange captures what one process hears from another, for now or for later.
-func (w *cluster) captureExchange(i, j int) func() {
-	to, from := w.processes[i], w.processes[j]
-	at := w.now - to.born
-	k := from.tracker.Knowledge(w.now-from.born, from.applied)
-	counts := from.tracker.Counts(w.now - from.born)
+// captureExchange captures a message from one process to another, to be delivered now or later.
+func (c *cluster) captureExchange(i, j int) func() {
+	to, from := c.processes[i], c.processes[j]
+	at := c.now - to.born
+	k := from.tracker.Knowledge(c.now-from.born, from.applied)
+	counts := from.tracker.Counts(c.now - from.born)
 	return func() {
-		if w.processes[i] != to || w.links&(1<<(8*min(i, j)+max(i, j))) == 0 {
+		if c.processes[i] != to || c.links&(1<<(8*min(i, j)+max(i, j))) == 0 {
 			return
 		}
 		to.applied = max(to.applied, k.GetApplied())
@@ -166,11 +164,11 @@
 	}
 }
 
-func (w *cluster) allVMs() int { return 1<<len(w.vms) - 1 }
+func (c *cluster) allVMs() int { return 1<<len(c.vms) - 1 }
 
-// captureLogRead captures an answer of the log.
-func (w *cluster) captureLogRead(i int) func() {
-	p, at, tail := w.processes[i], w.now-w.processes[i].born, w.tail
+// captureLogRead captures a response of the log.
+func (c *cluster) captureLogRead(i int) func() {
+	p, at, tail := c.processes[i], c.now-c.processes[i].born, c.tail
 	return func() {
 		p.applied = max(p.applied, tail)
 		p.tracker.SetApplied(p.applied)
@@ -180,86 +178,86 @@
 	}
 }
 
-// captureAcknowledgement captures what the observer hears from a process.
-func (w *cluster) captureAcknowledgement(i int) func() {
-	p, at, applied, acceptance := w.processes[i], w.now, w.processes[i].applied, w.acceptance
+// captureAcknowledgement captures what a process reports to the observer.
+func (c *cluster) captureAcknowledgement(i int) func() {
+	p, at, applied, acceptance := c.processes[i], c.now, c.processes[i].applied, c.acceptance
 	return func() {
-		if acceptance != nil && slices.Contains(w.currentVMs(), p.vm) {
+		if acceptance != nil && slices.Contains(c.currentVMs(), p.vm) {
 			acceptance.UpdateMember(p.vm, p.role, applied, at)
 		}
 	}
 }
 
-func (w *cluster) publish() {
-	if _, done := w.acceptedAt[w.tail]; w.acceptance != nil && !done {
+func (c *cluster) publish() {
+	if _, done := c.acceptedAt[c.tail]; c.acceptance != nil && !done {
 		return
 	}
-	w.tail++
-	w.acceptance = config.NewAcceptance(w.tail, limit, w.now)
-	for _, p := range w.processes[:w.listed] {
-		w.acceptance.ExpectMember(p.vm, p.role)
+	c.tail++
+	c.acceptance = config.NewAcceptance(c.tail, limit, c.now)
+	for _, p := range c.processes[:c.listed] {
+		c.acceptance.ExpectMember(p.vm, p.role)
 	}
 }
 
-// captureMessage draws a message of any kind.
-func (w *cluster) captureMessage(t *rapid.T) func() {
-	i, j := rapid.IntRange(0, w.listed).Draw(t, "to"), rapid.IntRange(0, w.listed).Draw(t, "from")
-	if i == w.removed || j == w.removed {
+// captureMessage captures a message of any kind.
+func (c *cluster) captureMessage(t *rapid.T) func() {
+	i, j := rapid.IntRange(0, c.listed).Draw(t, "to"), rapid.IntRange(0, c.listed).Draw(t, "from")
+	if i == c.removed || j == c.removed {
 		t.Skip("gone")
 	}
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
-		return w.captureLogRead(i)
+		return c.captureLogRead(i)
 	case 1:
-		return w.captureAcknowledgement(i)
+		return c.captureAcknowledgement(i)
 	}
-	return w.captureExchange(i, j)
+	return c.captureExchange(i, j)
 }
 
-// drawGroup draws who takes part in something: one side of the cut, the other, all, or
-// any others.
-func (w *cluster) drawGroup(t *rapid.T, cut int) []int {
-	bits := rapid.SampledFrom([]int{cut, cut, w.allVMs() &^ cut, w.allVMs() &^ cut, w.allVMs(), -1}).Draw(t, "island")
+// drawGroup draws the processes that take part in a step: one side of the partition, the other
+// side, all, or any subset.
+func (c *cluster) drawGroup(t *rapid.T, cut int) []int {
+	bits := rapid.SampledFrom([]int{cut, cut, c.allVMs() &^ cut, c.allVMs() &^ cut, c.allVMs(), -1}).Draw(t, "island")
 	if bits < 0 {
-		bits = rapid.IntRange(0, w.allVMs()).Draw(t, "members")
+		bits = rapid.IntRange(0, c.allVMs()).Draw(t, "members")
 	}
 	var indexes []int
-	for i := range w.vms {
-		if bits&(1<<i) != 0 && i != w.removed {
+	for i := range c.vms {
+		if bits&(1<<i) != 0 && i != c.removed {
 			indexes = append(indexes, i)
 		}
 	}
 	return indexes
 }
 
-func (w *cluster) check(t *rapid.T) {
-	if w.acceptance != nil {
-		if state, _ := w.acceptance.State(w.now); state != config.Pending {
-			if _, known := w.acceptedAt[w.tail]; !known {
-				w.acceptedAt[w.tail] = w.now
+func (c *cluster) check(t *rapid.T) {
+	if c.acceptance != nil {
+		if state, _ := c.acceptance.State(c.now); state != config.Pending {
+			if _, known := c.acceptedAt[c.tail]; !known {
+				c.acceptedAt[c.tail] = c.now
 			}
 		}
 	}
-	for offset, at := range w.acceptedAt {
-		for i, p := range w.processes {
-			serves := p.tracker.State(w.now - p.born).Serves()
-			if i != w.removed && w.now > at+limit && serves && p.applied < offset {
-				t.Fatalf("at %v %s serves with offset %d; %d was accepted at %v", w.now, p.vm, p.applied, offset, at)
+	for offset, at := range c.acceptedAt {
+		for i, p := range c.processes {
+			serves := p.tracker.State(c.now - p.born).Serves()
+			if i != c.removed && c.now > at+limit && serves && p.applied < offset {
+				t.Fatalf("at %v %s serves with offset %d; %d was accepted at %v", c.now, p.vm, p.applied, offset, at)
 			}
 		}
 	}
 }
 
-// What the callers see: past the freshness limit after an operator was told
-// "accepted", no process serves without the change. The log is out for some or all,
-// processes see each other in islands, are replaced and forget, or stand still while
-// time goes on; messages and answers of the log arrive late, twice or never.
+// Once the freshness limit has passed after an operator was told "accepted", no process may serve
+// without the change. The log is out for some or all processes, the network is partitioned,
+// processes are replaced and lose their state, or are paused; messages and responses of the log
+// arrive late, twice or never.
 func TestPropertyServingProcessesHoldAcceptedChanges(t *testing.T) {
 	checkCluster(t, smallCluster, false)
 }
 
-// What the callers see: the same where each process hears only some of the others, and
-// goes on by what those have counted.
+// The same holds where each process hears only some of the others and serves by what those have
+// counted.
 func TestPropertyServingByCountsHoldsAcceptedChanges(t *testing.T) {
 	setChecks(t, "1000")
 	checkCluster(t, []string{"e1", "e2", "e3", "e4", "e5", "a1", "a2", "e6"}, true)
@@ -267,64 +265,64 @@
 
 func checkCluster(t *testing.T, vms []string, sparse bool) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newCluster(vms)
+		c := newCluster(vms)
 		listChanges := rapid.Bool().Draw(rt, "list changes")
 		if sparse {
-			w.links = rapid.Uint64().Draw(rt, "links") | rapid.Uint64().Draw(rt, "more links")
+			c.links = rapid.Uint64().Draw(rt, "links") | rapid.Uint64().Draw(rt, "more links")
 			if !listChanges {
-				w.minSlack = 0
+				c.minSlack = 0
 			}
-			w.replaceAll()
+			c.replaceAll()
 		}
-		cut := rapid.IntRange(0, w.allVMs()).Draw(rt, "cut")
+		cut := rapid.IntRange(0, c.allVMs()).Draw(rt, "cut")
 		rt.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
-				w.now += time.Duration(rapid.IntRange(1, 5).Draw(t, "quarters")) * limit / 4
+				c.now += time.Duration(rapid.IntRange(1, 5).Draw(t, "quarters")) * limit / 4
 			},
 			"log": func(t *rapid.T) {
-				for _, i := range w.drawGroup(t, cut) {
-					w.captureLogRead(i)()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureLogRead(i)()
 				}
 			},
 			"peers": func(t *rapid.T) {
-				group := w.drawGroup(t, cut)
+				group := c.drawGroup(t, cut)
 				for _, i := range group {
 					for _, j := range group {
-						w.captureExchange(i, j)()
+						c.captureExchange(i, j)()
 					}
 				}
 			},
 			"acknowledge": func(t *rapid.T) {
-				for _, i := range w.drawGroup(t, cut) {
-					w.captureAcknowledgement(i)()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureAcknowledgement(i)()
 				}
 			},
-			"send": func(t *rapid.T) { w.delayed = append(w.delayed, w.captureMessage(t)) },
+			"send": func(t *rapid.T) { c.delayed = append(c.delayed, c.captureMessage(t)) },
 			"arrive": func(t *rapid.T) {
-				if len(w.delayed) > 0 {
-					rapid.SampledFrom(w.delayed).Draw(t, "message")()
+				if len(c.delayed) > 0 {
+					rapid.SampledFrom(c.delayed).Draw(t, "message")()
 				}
 			},
 			"publish": func(t *rapid.T) {
-				w.publish()
-				for _, i := range w.drawGroup(t, cut) {
-					w.captureLogRead(i)()
+				c.publish()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureLogRead(i)()
 				}
 			},
 			"list": func(t *rapid.T) {
 				if !listChanges {
 					t.Skip("the list stays as it is")
 				}
-				w.changeList(t)
-				for _, i := range w.drawGroup(t, cut) {
-					w.processes[i].setVMs(w.currentVMs())
+				c.changeList(t)
+				for _, i := range c.drawGroup(t, cut) {
+					c.processes[i].setVMs(c.currentVMs())
 				}
 				if rapid.Bool().Draw(t, "observer") {
-					w.updateObserver()
+					c.updateObserver()
 				}
 			},
-			"replace": func(t *rapid.T) { w.replace(rapid.IntRange(0, w.listed).Draw(t, "process")) },
-			"":        w.check,
+			"replace": func(t *rapid.T) { c.replace(rapid.IntRange(0, c.listed).Draw(t, "process")) },
+			"":        c.check,
 		})
 	})
 }
--- a/coord/fresh/tracker.go
+++ b/coord/fresh/tracker.go
@@ -7,20 +7,20 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// State says whether a process may take new work.
+// State is whether a process may take new work, and on what evidence.
 type State int
 
 const (
-	// Starting: the process has not had the configuration since it started. No new
-	// work.
+	// Starting means that the process has not yet had the configuration since it started. It takes
+	// no new work.
 	Starting State = iota
-	// Fresh: the log, or a peer that reads it, shows the configuration to be current.
+	// Fresh means that the log, or a peer that reads it, shows the configuration to be current.
 	Fresh
-	// Outage: the log answers nobody, but a majority of members shows that no change
-	// can have been accepted since. Service goes on.
+	// Outage means that no process can read the log, but a majority of members shows that no change
+	// can have been accepted since. The process takes new work.
 	Outage
-	// Isolated: the process cannot tell whether its configuration is current. No new
-	// work.
+	// Isolated means that the process cannot tell whether its configuration is current. It takes no
+	// new work.
 	Isolated
 )
 
@@ -36,31 +36,31 @@
 	return "isolated"
 }
 
-// Serves tells whether new work may be taken.
+// Serves reports whether the process may take new work.
 func (s State) Serves() bool { return s == Fresh || s == Outage }
 
 const (
-	// never stands for evidence that was never had. Evidence from before the process
-	// started is older still and is treated alike.
+	// never is the time of evidence that does not exist. Evidence from before the process started
+	// has a negative time too and is treated the same way.
 	never = time.Duration(-1)
-	// noAge is never in a message.
+	// noAge is the age of evidence that does not exist, in messages.
 	noAge = int64(-1)
 	// noOffset is the offset before the first record.
 	noOffset = int64(-1)
-	// settleMarginDivisor is the part of the freshness limit by which a new process waits
-	// longer than an acknowledgement lasts, for clocks that run at unequal rates.
+	// settleMarginDivisor sets how much longer than the freshness limit a new process waits, as a
+	// fraction of the limit, for clocks that run at unequal rates.
 	settleMarginDivisor = 4
 )
 
-// peer is what was last heard from another member.
+// peer is the newest knowledge received from another member.
 type peer struct {
 	notBefore   time.Duration
 	applied     int64
 	initialized bool
-	countedBy   string // the entry that counts it, of an agent
+	countedBy   string // for an agent, the entry that counts it
 }
 
-// Tracker weighs the evidence of one process. It is not safe for concurrent use.
+// Tracker holds the evidence of one process. It is not safe for concurrent use.
 type Tracker struct {
 	self           string
 	limit          time.Duration
@@ -75,8 +75,8 @@
 	counting       countingState
 }
 
-// New returns the tracker of the process on a VM, which has just started at time
-// zero and knows nothing. The limit is the age past which evidence does not count.
+// New returns the tracker of the process on a VM that has just started, at time zero, and has no
+// evidence. Evidence older than limit doesn't count.
 func New(self string, limit time.Duration) *Tracker {
 	return &Tracker{
 		self:           self,
@@ -94,10 +94,9 @@
 	}
 }
 
-// SetEntries gives the entries that the VM list shows live; a majority of them is
-// quorum. A VM that leaves the list leaves the count, so that those that are left
-// do not refuse work for ever. An empty list is taken for a fault of the platform
-// and ignored.
+// SetEntries sets the live entries of the VM list, of which a majority is a quorum. A VM that
+// leaves the list is no longer counted, so that the remaining entries don't refuse work forever. An
+// empty list is taken for a fault of the platform and ignored.
 func (t *Tracker) SetEntries(vms []string) {
 	if len(vms) > 0 {
 		t.entries = setOf(vms)
@@ -105,10 +104,10 @@
 	t.removeUnlisted()
 }
 
-// SetMembers gives entries and agents together, as the VM list shows them live. A
-// majority of them is quorum as well: agents hold the configuration too, and when
-// most entries die on a weekend while the log and its list are out, they keep the
-// entries that are left at work. Not calling it leaves only the entries' majority.
+// SetMembers sets the live entries and agents of the VM list together. A majority of them is a
+// quorum too: agents hold the configuration as well. When most entries die while the log and the VM
+// list are out, they let the remaining entries serve. Without SetMembers, only a majority of the
+// entries counts.
 func (t *Tracker) SetMembers(vms []string) {
 	if len(vms) > 0 {
 		t.members = setOf(vms)
@@ -124,7 +123,7 @@
 	return set
 }
 
-// removeUnlisted drops what was heard from VMs that no longer count.
+// removeUnlisted removes peers that are no longer on the VM list.
 func (t *Tracker) removeUnlisted() {
 	t.counts.isStale = true
 	for vm := range t.peers {
@@ -134,27 +133,27 @@
 	}
 }
 
-// SetApplied says how far the process has applied the log. Call it after each change.
+// SetApplied records how far the process has applied the log. It must be called after each change.
 func (t *Tracker) SetApplied(applied int64) {
 	t.applied = max(t.applied, applied)
 }
 
-// ConfirmTail says that the process's own fetch showed it to have applied all of the log.
-// The time is when that request was SENT: an answer that was long on its way, or
-// lay in a socket while the process was paused, tells of the past.
+// ConfirmTail records that a fetch of this process showed that it has applied the whole log. SentAt
+// is when the request was sent: a response that was delayed on the network, or waited in a socket
+// while the process was paused, shows the state of an earlier time.
 func (t *Tracker) ConfirmTail(sentAt time.Duration) {
 	t.tailEvidence = max(t.tailEvidence, sentAt)
 	t.updateInitialized()
 }
 
-// HandleKnowledge takes what another member says of itself in a heartbeat, an answer or a
-// push. The time is one before which the member CANNOT have said it: when the
-// newest of our heartbeats that it echoes was sent, or the request it answers. A
-// message that echoes nothing yet is not to be given. Taking the time of arrival
-// instead would make a process trust, after a pause, what lay in its sockets.
+// HandleKnowledge records what another member reports about itself in a heartbeat, a response or a
+// push. The member cannot have sent it before notBefore: when the newest heartbeat that it echoes
+// was sent by this process, or the request that it answers. Messages that echo nothing yet must not
+// be passed. With the time of arrival instead, a process would trust old messages from its sockets
+// after a pause.
 //
-// Evidence of a member that has applied more than ownApplied does not count: it is
-// evidence for changes that this process lacks.
+// Evidence of a member that has applied more than ownApplied does not count, because it covers
+// changes that this process lacks.
 func (t *Tracker) HandleKnowledge(vm string, notBefore time.Duration, k *api.Knowledge, ownApplied int64) {
 	t.SetApplied(ownApplied)
 	if k == nil || vm == t.self {
@@ -173,8 +172,8 @@
 	t.updateInitialized()
 }
 
-// evidenceTime returns the time of evidence that was age old when a message was sent, at
-// the earliest at the given time.
+// evidenceTime returns the earliest possible time of evidence that had the given age when a message
+// was sent, at notBefore or later.
 func evidenceTime(notBefore time.Duration, ageMs int64) time.Duration {
 	if ageMs < 0 {
 		return never
@@ -182,9 +181,9 @@
 	return notBefore - time.Duration(ageMs)*time.Millisecond
 }
 
-// newestQuorum returns the newest time as of which a majority is known to hold no more
-// than this process, never if there is none. It counts this process itself as
-// heard now. What others have counted is looked at when it has not heard enough itself.
+// newestQuorum returns the newest time as of which a majority is known to hold no more than this
+// process, never if there is none. It counts this process as heard now. Counts of other processes
+// are used only when this process hasn't heard enough members itself.
 func (t *Tracker) newestQuorum(now time.Duration) time.Duration {
 	if t.isBehind(now) {
 		return never
@@ -196,8 +195,8 @@
 	return max(heard, t.countedMajorityAt(now))
 }
 
-// isBehind tells whether a member that was heard lately has applied more. Such a
-// change may not be accepted yet, but it is known: it gets applied first.
+// isBehind reports whether a recently heard member has applied more than this process. That change
+// may not be accepted yet, but it must be applied before quorum evidence can count.
 func (t *Tracker) isBehind(now time.Duration) bool {
 	for _, p := range t.peers {
 		if p.applied > t.applied && now-p.notBefore <= t.limit {
@@ -207,17 +206,17 @@
 	return false
 }
 
-// majorityAt returns the oldest of the newest times at which each of a majority of
-// the set was heard.
+// majorityAt returns the newest time such that a majority of the set was heard at that time or
+// later, never if there is none.
 //
-// Only initialized members count. One that was replaced may have forgotten an
-// accepted change that it helped to accept; until it has learned of it again, its
-// silence on that change proves nothing. Members that are isolated do count, or
-// one moment in which all are isolated at once would last until the log is back.
+// Only initialized members count. A replaced member may lack an accepted change that its
+// predecessor helped to accept. Until it has received the change again, its lack of the change
+// proves nothing. Isolated members do count. Otherwise a moment in which all members are isolated
+// at once would last until the log is back.
 func (t *Tracker) majorityAt(set map[string]bool, now time.Duration) time.Duration {
 	needed := len(set)/2 + 1
 	if len(set) == 0 || len(t.peers)+1 < needed {
-		return never // Who hears few must not pay for all that are listed.
+		return never // avoids work for all listed members when few are heard
 	}
 	times := make([]time.Duration, 0, len(t.peers)+1)
 	if set[t.self] && t.isInitialized {
@@ -235,16 +234,16 @@
 	return times[len(times)-needed]
 }
 
-// updateInitialized ends Starting once the evidence is newer than any acknowledgement that a
+// updateInitialized leaves Starting once the evidence is newer than any acknowledgement that a
 // predecessor on this VM may have given.
 //
-// The predecessor may have acknowledged a change and died. Its word counts towards
-// acceptance for as long as the limit; should this process have declared itself
-// initialized on what others knew before the acceptance, a majority without the
-// change could go on. Tail evidence from after our updateInitialized covers it, as the change
-// stood in the log before it was acknowledged. Quorum evidence covers it from the
-// limit after our updateInitialized on: the change has been accepted by then, or never will be
-// on the predecessor's word.
+// The predecessor may have acknowledged a change and died. Its acknowledgement counts towards
+// acceptance until the limit has passed. If this process declared itself initialized on what others
+// knew before the acceptance, a majority without the change could continue to serve.
+//
+// Tail evidence from after the start covers this, because the change was in the log before it was
+// acknowledged. Quorum evidence covers it from the limit after the start on: by then the change has
+// been accepted, or it never will be by the predecessor's acknowledgement.
 func (t *Tracker) updateInitialized() {
 	if t.tailEvidence >= 0 || t.quorumEvidence >= t.settleTime() {
 		t.isInitialized = true
@@ -267,10 +266,10 @@
 	return Isolated
 }
 
-// updateQuorumEvidence takes the newest quorum evidence from what was heard, once other evidence
-// grows old. It looks through all that was heard, which at thousands of members is
-// too much for each heartbeat. It begins well before the tail evidence has run out:
-// agents, which hear too few members themselves, need an entry's by then.
+// updateQuorumEvidence takes the newest quorum evidence from the peers once other evidence is
+// getting old. It looks at all peers, which is too expensive for each heartbeat with thousands of
+// members. It begins well before the tail evidence expires, because agents hear too few members
+// themselves and need the evidence of an entry by then.
 func (t *Tracker) updateQuorumEvidence(now time.Duration) {
 	if t.isInitialized && (now-t.tailEvidence <= t.limit/2 || now-t.quorumEvidence <= t.limit/4) {
 		return
@@ -283,9 +282,8 @@
 	return evidence != never && now-evidence <= t.limit
 }
 
-// Knowledge returns what to tell others. The caller fills in the echo of the same
-// message BEFORE it calls this, so that the receiver cannot take it for newer than
-// it is.
+// Knowledge returns what to report to others. The caller must fill in the echo of the same message
+// before the call, so that the receiver doesn't date it later than it is.
 func (t *Tracker) Knowledge(now time.Duration, applied int64) *api.Knowledge {
 	t.SetApplied(applied)
 	serves := t.State(now).Serves()
@@ -299,7 +297,7 @@
 	}
 }
 
-// evidenceAgeMs returns the evidenceAgeMs of evidence in milliseconds, rounded up.
+// evidenceAgeMs returns the age of evidence in milliseconds, rounded up.
 func evidenceAgeMs(evidence, now time.Duration) int64 {
 	if evidence == never {
 		return noAge
@@ -307,9 +305,9 @@
 	return int64((now - evidence + time.Millisecond - 1) / time.Millisecond)
 }
 
-// TimeToStateChange returns the time after which the state changes if nothing more is heard,
-// zero if it stays. For Starting it is the least time until an outage of the log
-// could let the process begin.
+// TimeToStateChange returns the time after which the state changes if nothing more is heard, zero
+// if it stays. For Starting it is the least time until the process could start to serve in an
+// outage of the log.
 func (t *Tracker) TimeToStateChange(now time.Duration) time.Duration {
 	switch t.State(now) {
 	case Starting:
--- a/coord/fresh/tracker_test.go
+++ b/coord/fresh/tracker_test.go
@@ -17,7 +17,7 @@
 	members = append([]string{"a1", "a2", "a3", "a4", "a5", "a6"}, entries...)
 )
 
-// running returns a tracker that saw the tail at time zero, with offset 5 applied.
+// running returns a tracker that confirmed the tail at time zero, with offset 5 applied.
 func running() *Tracker {
 	t := New("e1", limit)
 	t.SetEntries(entries)
@@ -27,7 +27,8 @@
 	return t
 }
 
-// knowledgeWithoutEvidence is what a member knows that has had no evidence for long.
+// knowledgeWithoutEvidence returns the knowledge of an initialized member that has had no evidence
+// for long.
 func knowledgeWithoutEvidence(applied int64) *api.Knowledge {
 	return &api.Knowledge{Applied: applied, EvidenceAgeMs: noAge, QuorumAgeMs: noAge, Initialized: true}
 }
@@ -111,9 +112,9 @@
 	}
 }
 
-// What the callers see: through a weekend on which the log, the VM list and all
-// entries but one are out, the one that is left goes on for as long as the agents
-// live. Counting only entries, it would refuse all work until Monday.
+// The log, the VM list and all entries but one are out for a weekend. The remaining entry must
+// serve as long as the agents live. If only entries counted, it would refuse all work until the
+// operators return.
 func TestLastEntryServesWithAMajorityOfMembers(t *testing.T) {
 	tracker := running()
 	for now := time.Duration(0); now < 48*time.Hour; now += 10 * time.Minute {
@@ -122,9 +123,9 @@
 	}
 }
 
-// What the caller sees: a request to a process that was paused across a change is
-// refused as not run. The process wakes with messages in its sockets from before
-// the pause and reads them first; each echoes a heartbeat sent before the pause.
+// A process is paused while a change is made. It must refuse requests as not run when it resumes.
+// It first reads messages from before the pause in its sockets, each of which echoes a heartbeat
+// sent before the pause.
 func TestPausedProcessIsIsolated(t *testing.T) {
 	const woken = 60 * time.Second
 	tracker := running()
@@ -137,10 +138,10 @@
 	checkState(t, tracker, woken, Isolated)
 }
 
-// What the callers see: a new process serves at once when the log answers, and in
-// an outage once a majority has shown it the newest state. It waits longer than the
-// word of its predecessor on this VM lasts: an operator may be told "accepted" on
-// that word, of a change that none of those heard has yet.
+// A new process must serve at once when the log answers, and in an outage once a majority has shown
+// it the newest state. In an outage it must wait until the acknowledgements of its predecessor on
+// this VM have expired: an operator may be told "accepted" on these, for a change that none of the
+// heard members holds yet.
 func TestNewProcessWaitsForTheConfiguration(t *testing.T) {
 	start := func() *Tracker {
 		tracker := New("e1", limit)
@@ -154,20 +155,20 @@
 
 	told := start()
 	told.HandleKnowledge("e2", 10*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
-	checkState(t, told, 10*ms, Starting) // Evidence from before the start.
+	checkState(t, told, 10*ms, Starting) // evidence from before the start
 	told.HandleKnowledge("e2", 20*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
 	checkState(t, told, 20*ms, Fresh)
 
 	outage := start()
 	settled := outage.TimeToStateChange(0)
 	hearAll(outage, settled, 5, "e2", "e3", "e4")
-	checkState(t, outage, settled, Starting) // What they know is not applied yet.
+	checkState(t, outage, settled, Starting) // their changes are not applied yet
 	outage = start()
 	outage.SetApplied(5)
 	hearAll(outage, settled-1, 5, "e2", "e3", "e4")
 	checkState(t, outage, settled, Starting)
 	hearAll(outage, settled, 5, "e2", "e3")
-	checkState(t, outage, settled, Starting) // Not counting itself yet, two are too few.
+	checkState(t, outage, settled, Starting) // two are too few; it does not count itself yet
 	hearAll(outage, settled, 5, "e4")
 	checkState(t, outage, settled, Outage)
 }
@@ -187,7 +188,7 @@
 			checkState(t, tracker, now+left-1, want)
 			checkState(t, tracker, now+left, want+1)
 		} else if left != 0 {
-			t.Errorf("isolated, but changes in %v by itself", left)
+			t.Errorf("isolated, but TimeToStateChange is %v", left)
 		}
 	}
 	got = tracker.Knowledge(9*time.Second, 5)
