--- a/coord/expertmap/coordinator.go
+++ b/coord/expertmap/coordinator.go
@@ -8,63 +8,64 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// CoordinatorConfig says who the coordinator is and how far it plans.
+// CoordinatorConfig identifies a coordinator and sets how far it plans ahead and how often it
+// resends.
 type CoordinatorConfig struct {
 	Group       string
 	VM          string
 	Incarnation string
-	// Members names the VMs whose agents front the ranks of the group.
+	// Members lists the VMs whose agents front the ranks of the group.
 	Members []string
-	// Ahead is how many steps are released ahead of the present one; 256 by default,
-	// some 16 s at 64 ms a step. A longer one stalls less, and a change of the map
+	// LookaheadSteps is how many steps are released ahead of the current one. Default 256, about 16
+	// s at 64 ms a step. With a larger value the ranks stall less often, but a change of the map
 	// takes effect later.
-	Ahead uint64
-	// Retry is the time after which an unanswered message is sent again; 200 ms by
-	// default.
-	Retry time.Duration
-	// Heartbeat is the time between releases that are sent again to all, to notice
-	// an agent that was replaced; 2 s by default.
-	Heartbeat time.Duration
-	// Random spreads the retries of coordinators that race.
+	LookaheadSteps uint64
+	// RetryInterval is the time after which an unanswered message is sent again. Default 200 ms.
+	RetryInterval time.Duration
+	// HeartbeatInterval is the interval at which releases are sent again to all agents, to detect
+	// one that was replaced. Default 2 s.
+	HeartbeatInterval time.Duration
+	// Random provides the jitter in the backoff of coordinators that race.
 	Random *rand.Rand
 }
 
 const (
-	defaultAhead     = 256
-	defaultRetry     = 200 * time.Millisecond
-	defaultHeartbeat = 2 * time.Second
-	// maxDoublings bounds the wait after races lost in a row, at 32 retries.
-	maxDoublings = 5
+	defaultLookaheadSteps    = 256
+	defaultRetryInterval     = 200 * time.Millisecond
+	defaultHeartbeatInterval = 2 * time.Second
+	// maxBackoffDoublings limits the random part of the backoff after lost races, to 32 retry
+	// intervals.
+	maxBackoffDoublings = 5
 )
 
 func (c CoordinatorConfig) withDefaults() CoordinatorConfig {
-	if c.Ahead == 0 {
-		c.Ahead = defaultAhead
+	if c.LookaheadSteps == 0 {
+		c.LookaheadSteps = defaultLookaheadSteps
 	}
-	if c.Retry == 0 {
-		c.Retry = defaultRetry
+	if c.RetryInterval == 0 {
+		c.RetryInterval = defaultRetryInterval
 	}
-	if c.Heartbeat == 0 {
-		c.Heartbeat = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	return c
 }
 
-// Phase is what a coordinator is doing.
+// Phase is the state of a coordinator.
 type Phase int
 
 const (
-	// Idle: not started, or stopped.
+	// Idle means not started, or stopped.
 	Idle Phase = iota
-	// Waiting: it lost a race and waits before it tries again.
+	// Waiting means that it lost a race and backs off before the next ballot.
 	Waiting
-	// Sealing: it asks all agents for their promise.
+	// Sealing means that it asks all agents to promise its ballot.
 	Sealing
-	// Active: it assigns and releases ranges.
+	// Active means that it assigns and releases ranges.
 	Active
 )
 
-// String names the phase for the dump.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"idle", "waiting", "sealing", "active"}[p]
 }
@@ -75,56 +76,56 @@
 	incarnation string
 	given       ranges
 	step        uint64
-	// ackedTo and givenTo are the ends of the steps that the agent holds, and that
-	// its engines do.
-	ackedTo, givenTo uint64
-	loaded           map[uint64]bool
+	// ackedEnd and givenEnd are the ends of the steps that the agent has acknowledged and that its
+	// engines have confirmed.
+	ackedEnd, givenEnd uint64
+	loaded             map[uint64]bool
 }
 
-// Coordinator decides which steps of a group run under which map.
+// Coordinator decides which map each step of a group uses.
 type Coordinator struct {
 	config CoordinatorConfig
 
-	phase   Phase
-	ballot  uint64
-	seen    uint64
-	members map[string]*member
-	// target is the map wanted for steps to come; 0 for the present one.
+	phase         Phase
+	ballot        uint64
+	highestBallot uint64
+	members       map[string]*member
+	// target is the map requested for future steps; 0 for none.
 	target uint64
-	// plan holds the ranges under this ballot. It only grows at its end, and steps
-	// long past are cut off its start.
+	// plan holds the ranges under this ballot. It only grows at its end, and old steps are cut off
+	// its start.
 	plan ranges
 	base uint64
-	// releasedTo is the end of the steps that all agents have acknowledged.
-	releasedTo uint64
-	step       uint64
-
-	losses    int
-	resumeAt  time.Duration
-	sentAt    time.Duration
-	beatAt    time.Duration
-	campaigns int
-	// differences counts seals at which agents told of different maps for a step.
-	differences int
+	// releasedEnd is the end of the steps that all agents have acknowledged.
+	releasedEnd uint64
+	step        uint64
+
+	lostRaces       int
+	backoffUntil    time.Duration
+	lastSentAt      time.Duration
+	lastHeartbeatAt time.Duration
+	campaigns       int
+	// conflictingSeals counts seals at which agents reported different maps for a step.
+	conflictingSeals int
 
 	ready Ready
 }
 
-// CoordinatorStatus is a coordinator's state for the dump.
+// CoordinatorStatus is a snapshot of a coordinator's state.
 type CoordinatorStatus struct {
-	Phase      Phase
-	Ballot     uint64
-	Target     uint64
-	Plan       []Range
-	ReleasedTo uint64
-	Step       uint64
-	// Missing names members that have not answered what was last asked.
+	Phase       Phase
+	Ballot      uint64
+	Target      uint64
+	Plan        []Range
+	ReleasedEnd uint64
+	Step        uint64
+	// Missing lists the members that have not answered the last request.
 	Missing []string
-	// Campaigns counts ballots begun.
+	// Campaigns counts the ballots started.
 	Campaigns int
-	// Differences counts seals at which agents told of different maps for a step. One
-	// now and then is the trace of a restart; more mean that engines differ.
-	Differences int
+	// ConflictingSeals counts seals at which agents reported different maps for a step. An
+	// occasional one results from a restart; more mean that engines differ.
+	ConflictingSeals int
 }
 
 // NewCoordinator returns an idle coordinator.
@@ -132,19 +133,19 @@
 	return &Coordinator{config: config.withDefaults()}
 }
 
-// Start begins a ballot above seen, the highest that the agent beside it has seen.
-func (c *Coordinator) Start(now time.Duration, seen uint64) {
-	c.seen = max(c.seen, seen)
+// Start begins a ballot above highestBallot, the highest that the local agent has seen.
+func (c *Coordinator) Start(now time.Duration, highestBallot uint64) {
+	c.highestBallot = max(c.highestBallot, highestBallot)
 	c.campaign(now)
 }
 
-// Stop ends the coordinator's part. What is released stays released.
+// Stop ends coordination. Ranges already released stay released.
 func (c *Coordinator) Stop() {
 	c.phase = Idle
 }
 
-// SetMembers changes the agents of the group, and seals again. The ranks of a member
-// that left must have ended.
+// SetMembers changes the agents of the group and starts a new ballot. The ranks of a removed member
+// must have ended.
 func (c *Coordinator) SetMembers(now time.Duration, members []string) {
 	c.config.Members = members
 	if c.phase != Idle {
@@ -152,24 +153,24 @@
 	}
 }
 
-// Want asks for a map for steps to come. It takes effect behind the ranges already
-// assigned, once all agents have loaded it.
-func (c *Coordinator) Want(now time.Duration, version uint64) {
+// SetTarget requests a map for future steps. It takes effect after the ranges already assigned,
+// once all agents have loaded it.
+func (c *Coordinator) SetTarget(now time.Duration, version uint64) {
 	c.target = version
 	if c.phase == Active {
 		c.sendLoads()
-		c.extend(now)
+		c.extendPlan(now)
 	}
 }
 
-// Progress says which step the ranks run next.
-func (c *Coordinator) Progress(now time.Duration, step uint64) {
+// SetStep sets the step that the ranks run next.
+func (c *Coordinator) SetStep(now time.Duration, step uint64) {
 	if step <= c.step {
 		return
 	}
 	c.step = step
 	if c.phase == Active {
-		c.extend(now)
+		c.extendPlan(now)
 	}
 }
 
@@ -180,101 +181,101 @@
 	return r
 }
 
-// Status returns the state for the dump.
+// Status returns a snapshot of the state.
 func (c *Coordinator) Status() CoordinatorStatus {
 	s := CoordinatorStatus{
-		Phase:       c.phase,
-		Ballot:      c.ballot,
-		Target:      c.target,
-		Plan:        slices.Clone(c.plan),
-		ReleasedTo:  c.releasedTo,
-		Step:        c.step,
-		Campaigns:   c.campaigns,
-		Differences: c.differences,
+		Phase:            c.phase,
+		Ballot:           c.ballot,
+		Target:           c.target,
+		Plan:             slices.Clone(c.plan),
+		ReleasedEnd:      c.releasedEnd,
+		Step:             c.step,
+		Campaigns:        c.campaigns,
+		ConflictingSeals: c.conflictingSeals,
 	}
 	for _, vm := range c.config.Members {
-		if m := c.members[vm]; m != nil && c.lags(m) {
+		if m := c.members[vm]; m != nil && c.isBehind(m) {
 			s.Missing = append(s.Missing, vm)
 		}
 	}
 	return s
 }
 
-func (c *Coordinator) lags(m *member) bool {
+func (c *Coordinator) isBehind(m *member) bool {
 	switch c.phase {
 	case Sealing:
 		return !m.sealed
 	case Active:
-		return m.ackedTo < c.plan.end() || m.givenTo < c.releasedTo
+		return m.ackedEnd < c.plan.end() || m.givenEnd < c.releasedEnd
 	default:
 		return false
 	}
 }
 
-// Tick sends again what was not answered. Call it a few times in each Retry.
+// Tick resends what was not answered. Call it a few times in each RetryInterval.
 func (c *Coordinator) Tick(now time.Duration) {
 	switch c.phase {
 	case Waiting:
-		if now >= c.resumeAt {
+		if now >= c.backoffUntil {
 			c.campaign(now)
 		}
 	case Sealing:
-		if now-c.sentAt >= c.config.Retry {
+		if now-c.lastSentAt >= c.config.RetryInterval {
 			c.sendSeals(now)
 		}
 	case Active:
-		c.extend(now)
-		if now-c.sentAt >= c.config.Retry {
+		c.extendPlan(now)
+		if now-c.lastSentAt >= c.config.RetryInterval {
 			c.resend(now)
 		}
 	}
 }
 
 func (c *Coordinator) resend(now time.Duration) {
-	c.sentAt = now
-	beat := now-c.beatAt >= c.config.Heartbeat
-	if beat {
-		c.beatAt = now
+	c.lastSentAt = now
+	heartbeatDue := now-c.lastHeartbeatAt >= c.config.HeartbeatInterval
+	if heartbeatDue {
+		c.lastHeartbeatAt = now
 	}
 	for _, vm := range c.config.Members {
 		m := c.members[vm]
-		if m.ackedTo < c.plan.end() {
+		if m.ackedEnd < c.plan.end() {
 			c.sendAssign(vm, m)
 		}
-		if beat || m.givenTo < c.releasedTo {
+		if heartbeatDue || m.givenEnd < c.releasedEnd {
 			c.sendRelease(vm, m)
 		}
 	}
 	c.sendLoads()
 }
 
-// campaign begins a new ballot. All that was learned under the last is dropped:
-// acknowledgements count only together with the promises of the same ballot.
+// campaign begins a new ballot and drops all that was learned under the last one: acknowledgements
+// count only together with the promises of the same ballot.
 func (c *Coordinator) campaign(now time.Duration) {
-	c.seen = max(c.seen, c.ballot) + 1
-	c.ballot = c.seen
+	c.highestBallot = max(c.highestBallot, c.ballot) + 1
+	c.ballot = c.highestBallot
 	c.phase = Sealing
 	c.campaigns++
 	c.members = make(map[string]*member, len(c.config.Members))
 	for _, vm := range c.config.Members {
 		c.members[vm] = &member{loaded: make(map[uint64]bool)}
 	}
-	c.plan, c.releasedTo = nil, 0
+	c.plan, c.releasedEnd = nil, 0
 	c.sendSeals(now)
 }
 
-// lose waits before the next ballot, longer after each race lost in a row, with a
-// random part: two coordinators that answer each other at once would never end.
-func (c *Coordinator) lose(now time.Duration) {
+// backOff waits before the next ballot, longer after each race lost in a row. The random part is
+// needed because two coordinators that retry at the same time would keep defeating each other.
+func (c *Coordinator) backOff(now time.Duration) {
 	c.phase = Waiting
-	spread := float64(uint64(1) << min(c.losses, maxDoublings))
-	c.losses++
-	wait := float64(c.config.Retry) * (1 + spread*c.config.Random.Float64())
-	c.resumeAt = now + time.Duration(wait)
+	jitterRange := float64(uint64(1) << min(c.lostRaces, maxBackoffDoublings))
+	c.lostRaces++
+	backoff := float64(c.config.RetryInterval) * (1 + jitterRange*c.config.Random.Float64())
+	c.backoffUntil = now + time.Duration(backoff)
 }
 
 func (c *Coordinator) sendSeals(now time.Duration) {
-	c.sentAt = now
+	c.lastSentAt = now
 	for _, vm := range c.config.Members {
 		if !c.members[vm].sealed {
 			c.send(vm, &api.GroupMessage{Body: &api.GroupMessage_Seal{Seal: &api.Seal{Ballot: c.ballot}}})
@@ -283,7 +284,7 @@
 }
 
 func (c *Coordinator) sendAssign(vm string, m *member) {
-	planned := c.plan.clip(floorOf(c.step), c.plan.end())
+	planned := c.plan.clip(oldestNeededStep(c.step), c.plan.end())
 	c.send(vm, &api.GroupMessage{Body: &api.GroupMessage_Assign{Assign: &api.Assign{
 		Ballot:      c.ballot,
 		Incarnation: m.incarnation,
@@ -292,7 +293,7 @@
 }
 
 func (c *Coordinator) sendRelease(vm string, m *member) {
-	released := c.plan.clip(floorOf(c.step), c.releasedTo)
+	released := c.plan.clip(oldestNeededStep(c.step), c.releasedEnd)
 	if len(released) == 0 {
 		return
 	}
@@ -303,9 +304,9 @@
 	}}})
 }
 
-// sendLoads asks those that lack the wanted map to load it.
+// sendLoads asks the agents that lack the target map to load it.
 func (c *Coordinator) sendLoads() {
-	if !c.switching() {
+	if !c.isSwitching() {
 		return
 	}
 	for _, vm := range c.config.Members {
