--- a/coord/config/fold.go
+++ b/coord/config/fold.go
@@ -10,68 +10,68 @@
 )
 
 var (
-	// ErrGap says that a record was offered before those that come before it.
-	ErrGap = errors.New("record beyond the next offset")
-	// ErrOlder says that a snapshot would take the fold back.
+	// ErrGap means that a record was applied before those that precede it.
+	ErrGap = errors.New("record after the next offset")
+	// ErrOlder means that a snapshot would take the fold back.
 	ErrOlder = errors.New("snapshot older than the fold")
-	// ErrBadSnapshot says that a snapshot cannot be the state of any fold.
-	ErrBadSnapshot = errors.New("snapshot damaged")
+	// ErrBadSnapshot means that a snapshot cannot be the state of any fold.
+	ErrBadSnapshot = errors.New("damaged snapshot")
 )
 
-// nothing is the offset before the first record.
-const nothing = int64(-1)
+// noOffset is the offset before the first record.
+const noOffset = int64(-1)
 
-// MaxMarks bounds the marks kept: past it, the oldest mark that brought its target
-// back is forgotten, and its target is as one that was never marked. Marks that
-// hold a target out are never forgotten.
+// MaxMarks limits the number of marks kept. Above it, the oldest mark that returned its target to
+// service is discarded, and the target counts as never marked. Marks that keep a target out of
+// service are never discarded.
 const MaxMarks = 8192
 
-// Fold is the state that the records of the log give, applied in order. It is
-// deterministic: equal records give equal state, snapshots and verdicts at every
-// process.
+// Fold is the state that results from applying the records of the log in order. It is
+// deterministic: equal records give equal state, snapshots and verdicts in every process.
 type Fold struct {
-	applied   int64
-	plansAt   int64
-	usesAt    int64
-	customers cow[string, *api.Customer]
-	owners    cow[string, string]
-	plans     cow[string, *api.Plan]
-	services  cow[string, *api.Service]
-	models    cow[string, *api.Model]
-	marks     cow[markKey, *api.MarkState]
-	verdicts  *verdicts
-	snapshot  int64 // offset of the newest snapshot seen in the log
-	view      *View // nil once something changed
+	applied      int64
+	plansOffset  int64
+	usesOffset   int64
+	customers    copyOnWrite[string, *api.Customer]
+	keyOwners    copyOnWrite[string, string]
+	plans        copyOnWrite[string, *api.Plan]
+	services     copyOnWrite[string, *api.Service]
+	models       copyOnWrite[string, *api.Model]
+	marks        copyOnWrite[markKey, *api.MarkState]
+	verdicts     *verdicts
+	lastSnapshot int64 // offset of the newest snapshot seen in the log
+	view         *View // cached, nil after a change
 }
 
-// NewFold returns the fold of no record.
+// NewFold returns a fold with no record applied.
 func NewFold() *Fold {
-	return &Fold{applied: nothing, plansAt: nothing, usesAt: nothing, snapshot: nothing, verdicts: newVerdicts()}
+	return &Fold{applied: noOffset, plansOffset: noOffset, usesOffset: noOffset, lastSnapshot: noOffset, verdicts: newVerdicts()}
 }
 
-// Applied returns the last offset folded in, -1 for none.
+// Applied returns the last offset applied, -1 for none.
 func (f *Fold) Applied() int64 { return f.applied }
 
-// LastSnapshot returns the offset of the newest snapshot in the log, as far as this
-// process can tell, -1 for none. It is no part of the state: see SnapshotDue.
-func (f *Fold) LastSnapshot() int64 { return f.snapshot }
+// LastSnapshot returns the offset of the newest snapshot in the log that this process knows of, -1
+// for none. It is not part of the replicated state: see SnapshotDue.
+func (f *Fold) LastSnapshot() int64 { return f.lastSnapshot }
 
-// Verdict returns what was decided on a change. The newest 4096 are kept.
+// Verdict returns the verdict on a change. The newest 4096 are kept.
 func (f *Fold) Verdict(changeID string) (*api.Verdict, bool) { return f.verdicts.get(changeID) }
 
-// VerdictAt returns what was decided on the record at an offset: it tells who made
-// the list or the mark that stands. The newest 4096 are kept.
-func (f *Fold) VerdictAt(offset int64) (*api.Verdict, bool) { return f.verdicts.at(offset) }
+// VerdictAt returns the verdict on the record at an offset. It tells who made the current list or
+// mark. The newest 4096 are kept.
+func (f *Fold) VerdictAt(offset int64) (*api.Verdict, bool) { return f.verdicts.atOffset(offset) }
 
-// View returns the configuration in force. It is the same until the next record.
+// View returns the configuration in force. It returns the same View until the next record is
+// applied.
 func (f *Fold) View() *View {
 	if f.view == nil {
 		f.view = &View{
 			applied:   f.applied,
-			plansAt:   f.plansAt,
-			usesAt:    f.usesAt,
+			plansAt:   f.plansOffset,
+			usesAt:    f.usesOffset,
 			customers: f.customers.share(),
-			owners:    f.owners.share(),
+			owners:    f.keyOwners.share(),
 			plans:     f.plans.share(),
 			services:  f.services.share(),
 			models:    f.models.share(),
@@ -81,14 +81,15 @@
 	return f.view
 }
 
-// peek is View without sharing: for a look that ends before the next change.
-func (f *Fold) peek() *View {
+// unsharedView returns a View that does not mark the maps as shared. It must not be used after the
+// next change.
+func (f *Fold) unsharedView() *View {
 	return &View{
 		applied:   f.applied,
-		plansAt:   f.plansAt,
-		usesAt:    f.usesAt,
+		plansAt:   f.plansOffset,
+		usesAt:    f.usesOffset,
 		customers: f.customers.entries,
-		owners:    f.owners.entries,
+		owners:    f.keyOwners.entries,
 		plans:     f.plans.entries,
 		services:  f.services.entries,
 		models:    f.models.entries,
@@ -96,34 +97,35 @@
 	}
 }
 
-// Apply folds the record at an offset, a marshalled api.Record. The offset must be
-// the next one: an earlier one is ignored, a later one gives ErrGap and changes
-// nothing. A record that cannot be read or is wrong gets a refused verdict, never
-// an error: a log that holds one would otherwise stop every process.
+// Apply applies the record at an offset, a marshalled api.Record. The offset must be the next one:
+// an earlier one is ignored, a later one returns ErrGap and changes nothing. A record that is
+// invalid or cannot be decoded gets a refused verdict instead of an error, because an error would
+// stop every process that reads the log.
 func (f *Fold) Apply(offset int64, data []byte) error {
 	if offset <= f.applied {
 		return nil
 	}
 	if offset > f.applied+1 {
-		return errors.Wrapf(ErrGap, "offset %d after %d", offset, f.applied)
+		return errors.Wrapf(ErrGap, "record at offset %d, applied offset is %d", offset, f.applied)
 	}
 	f.applied = offset
 	f.view = nil
 	rec := &api.Record{}
 	if err := proto.Unmarshal(data, rec); err != nil {
-		// The text of err differs between builds on purpose, so it stays out.
+		// The text of err differs between builds on purpose. It stays out of the reason, which must
+		// be the same in every process.
 		f.refuse(offset, &api.Record{}, "the record cannot be read")
 		return nil
 	}
-	f.decide(offset, rec, len(data))
+	f.evaluate(offset, rec, len(data))
 	return nil
 }
 
-// decide gives the verdict on a record and changes the state if it is accepted.
-func (f *Fold) decide(offset int64, rec *api.Record, size int) {
+// evaluate gives the verdict on a record and changes the state if the record is accepted.
+func (f *Fold) evaluate(offset int64, rec *api.Record, size int) {
 	if rec.GetSnapshot() != nil {
-		// Folding from the start has all that a snapshot says.
-		f.snapshot = offset
+		// The fold already holds everything that the snapshot contains.
+		f.lastSnapshot = offset
 		return
 	}
 	if !validChangeID(rec.GetChangeId()) {
@@ -132,21 +134,21 @@
 	}
 	if _, known := f.verdicts.get(rec.GetChangeId()); known {
 		// The publisher lost the answer to its append and appended again. The first
-		// verdict stands; judged anew, its own success would read as a conflict.
+		// verdict stands. Evaluated again, the accepted change would conflict with itself.
 		return
 	}
 	if size > MaxRecordBytes {
 		f.refuse(offset, rec, fmt.Sprintf("the record takes more than %d bytes", MaxRecordBytes))
 		return
 	}
-	verdict := &api.Verdict{ChangeId: rec.GetChangeId(), Offset: offset, Author: clip(rec.GetAuthor())}
-	err := checkBodyOf(f.peek(), rec)
+	verdict := &api.Verdict{ChangeId: rec.GetChangeId(), Offset: offset, Author: truncate(rec.GetAuthor())}
+	err := checkRecordBody(f.unsharedView(), rec)
 	var conflict *ConflictError
 	switch {
 	case err == nil:
 		verdict.Accepted = true
 		verdict.Current = offset
-		f.take(offset, rec)
+		f.applyAccepted(offset, rec)
 	case errors.As(err, &conflict):
 		verdict.Current = conflict.Current
 	default:
@@ -155,27 +157,27 @@
 	f.verdicts.add(verdict)
 }
 
-// refuse keeps the verdict on a record that is wrong in itself. One without a
-// usable id is found under "@" and its offset.
+// refuse records the verdict on an invalid record. A record without a usable id is stored under "@"
+// and its offset.
 func (f *Fold) refuse(offset int64, rec *api.Record, reason string) {
 	id := rec.GetChangeId()
 	if !validChangeID(id) {
 		id = fmt.Sprintf("@%d", offset)
 	}
-	f.verdicts.add(&api.Verdict{ChangeId: id, Offset: offset, Author: clip(rec.GetAuthor()), Reason: reason})
+	f.verdicts.add(&api.Verdict{ChangeId: id, Offset: offset, Author: truncate(rec.GetAuthor()), Reason: reason})
 }
 
-// take changes the state by an accepted record.
-func (f *Fold) take(offset int64, rec *api.Record) {
+// applyAccepted changes the state by an accepted record.
+func (f *Fold) applyAccepted(offset int64, rec *api.Record) {
 	switch body := rec.GetBody().(type) {
 	case *api.Record_List:
-		f.takeList(offset, body.List)
+		f.applyList(offset, body.List)
 	case *api.Record_Mark:
-		f.takeMark(offset, body.Mark)
+		f.applyMark(offset, body.Mark)
 	}
 }
 
-func (f *Fold) takeMark(offset int64, mark *api.Mark) {
+func (f *Fold) applyMark(offset int64, mark *api.Mark) {
 	marks := f.marks.edit()
 	marks[markKey{mark.GetTarget(), mark.GetName()}] = &api.MarkState{
 		Target: mark.GetTarget(),
@@ -184,12 +186,12 @@
 		Offset: offset,
 	}
 	if len(marks) > MaxMarks {
-		forgetOldest(marks)
+		deleteOldestInService(marks)
 	}
 }
 
-// forgetOldest drops the oldest mark that holds nothing out.
-func forgetOldest(marks map[markKey]*api.MarkState) {
+// deleteOldestInService deletes the oldest mark whose target is in service.
+func deleteOldestInService(marks map[markKey]*api.MarkState) {
 	var oldest *api.MarkState
 	for _, mark := range marks {
 		if !mark.GetOut() && (oldest == nil || mark.GetOffset() < oldest.GetOffset()) {
@@ -201,30 +203,30 @@
 	}
 }
 
-func (f *Fold) takeList(offset int64, change *api.ListChange) {
+func (f *Fold) applyList(offset int64, change *api.ListChange) {
 	if change.GetList() == api.ListName_LIST_PLANS {
-		f.plansAt = offset
+		f.plansOffset = offset
 	} else {
-		f.usesAt = offset
+		f.usesOffset = offset
 	}
-	// Keys move between customers in one change, so all old ones go first.
+	// One change can move keys between customers, so the old ones are removed first.
 	for _, section := range change.GetSet() {
-		f.drop(section.GetName())
+		f.removeSection(section.GetName())
 	}
-	for _, full := range change.GetRemoved() {
-		f.drop(full)
+	for _, fullName := range change.GetRemoved() {
+		f.removeSection(fullName)
 	}
 	for _, section := range change.GetSet() {
-		f.put(section)
+		f.addSection(section)
 	}
 }
 
-// drop removes a section, if it is there. Its name was checked.
-func (f *Fold) drop(full string) {
-	k, name, _ := splitSection(ListOf(full), full)
+// removeSection removes a section if it exists. The name must be valid.
+func (f *Fold) removeSection(fullName string) {
+	k, name, _ := splitSection(ListOf(fullName), fullName)
 	switch k {
 	case kindCustomer:
-		owners := f.owners.edit()
+		owners := f.keyOwners.edit()
 		for _, key := range f.customers.entries[name].GetKeySha256() {
 			delete(owners, key)
 		}
@@ -238,13 +240,13 @@
 	}
 }
 
-// put adds a section. It was checked.
-func (f *Fold) put(section *api.Section) {
+// addSection adds a section that has been checked.
+func (f *Fold) addSection(section *api.Section) {
 	_, name, _ := splitSection(ListOf(section.GetName()), section.GetName())
 	switch body := section.GetBody().(type) {
 	case *api.Section_Customer:
 		f.customers.edit()[name] = body.Customer
-		owners := f.owners.edit()
+		owners := f.keyOwners.edit()
 		for _, key := range body.Customer.GetKeySha256() {
 			owners[key] = name
 		}
--- a/coord/config/section.go
+++ b/coord/config/section.go
@@ -10,36 +10,36 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Bounds of a change. They are part of the fold: two processes that disagree on
-// one would disagree on verdicts, so they never follow the schema's settings and
-// change only with every process at once.
+// Limits of a change. They are part of the fold: processes with different limits would reach
+// different verdicts. They therefore don't depend on settings, and a change of one must reach all
+// processes at once.
 const (
 	// MaxRecordBytes is the largest change or mark that the fold accepts. The whole
 	// plans list at 7,300 customers takes about 1 MB.
 	MaxRecordBytes = 8 << 20
-	// MaxNameBytes bounds the name of a section or of a mark's target.
+	// MaxNameBytes limits the name of a section or of a mark's target.
 	MaxNameBytes = 128
-	// MaxChangeIDBytes bounds a change id.
+	// MaxChangeIDBytes limits a change id.
 	MaxChangeIDBytes = 64
 
 	sha256HexLen = 64
 )
 
-// kind is the first word of a section's name.
-type kind string
+// sectionKind is the first word of a section name.
+type sectionKind string
 
 const (
-	kindCustomer kind = "customer"
-	kindPlan     kind = "plan"
-	kindService  kind = "service"
-	kindModel    kind = "model"
+	kindCustomer sectionKind = "customer"
+	kindPlan     sectionKind = "plan"
+	kindService  sectionKind = "service"
+	kindModel    sectionKind = "model"
 )
 
-// section returns the full name of a section of this kind.
-func (k kind) section(name string) string { return string(k) + " " + name }
+// fullName returns the section name for a name of this kind.
+func (k sectionKind) fullName(name string) string { return string(k) + " " + name }
 
 // list returns the list that sections of this kind belong to.
-func (k kind) list() api.ListName {
+func (k sectionKind) list() api.ListName {
 	switch k {
 	case kindCustomer:
 		return api.ListName_LIST_PLANS
@@ -49,30 +49,29 @@
 	return api.ListName_LIST_UNSPECIFIED
 }
 
-// ListOf returns the list in which a section of this name stands, LIST_UNSPECIFIED
-// for a name of no known kind.
+// ListOf returns the list that holds sections of this name, LIST_UNSPECIFIED for an unknown kind.
 func ListOf(section string) api.ListName {
-	word, _, _ := strings.Cut(section, " ")
-	return kind(word).list()
+	kindName, _, _ := strings.Cut(section, " ")
+	return sectionKind(kindName).list()
 }
 
-// splitSection takes the full name of a section apart and checks it for a list.
-func splitSection(list api.ListName, full string) (kind, string, error) {
-	word, name, found := strings.Cut(full, " ")
-	k := kind(word)
+// splitSection splits a section name into kind and name, and checks that it is valid in a list.
+func splitSection(list api.ListName, fullName string) (sectionKind, string, error) {
+	kindName, name, found := strings.Cut(fullName, " ")
+	k := sectionKind(kindName)
 	switch {
 	case !found || k.list() == api.ListName_LIST_UNSPECIFIED:
-		return "", "", errors.Errorf("section %q: a name reads customer, plan, service or model, and then the name", clip(full))
+		return "", "", errors.Errorf("section %q: a name reads customer, plan, service or model, and then the name", truncate(fullName))
 	case k.list() != list:
-		return "", "", errors.Errorf("section %q does not belong in this list", clip(full))
+		return "", "", errors.Errorf("section %q does not belong in this list", truncate(fullName))
 	}
 	if err := checkName(name); err != nil {
-		return "", "", errors.Wrapf(err, "section %q", clip(full))
+		return "", "", errors.Wrapf(err, "section %q", truncate(fullName))
 	}
 	return k, name, nil
 }
 
-// checkName refuses names that could not be written into a list and read back.
+// checkName refuses names that cannot be written to a list and read back.
 func checkName(name string) error {
 	switch {
 	case name == "":
@@ -90,9 +89,9 @@
 	return nil
 }
 
-// checkBody checks that a section has the body that its name promises, and that
-// the body can be worked with.
-func checkBody(k kind, section *api.Section) error {
+// checkSectionBody checks that the body of a section is valid and is of the kind that the section's
+// name begins with.
+func checkSectionBody(k sectionKind, section *api.Section) error {
 	switch body := section.GetBody().(type) {
 	case *api.Section_Customer:
 		if k == kindCustomer && body.Customer != nil {
@@ -120,7 +119,7 @@
 	}
 	for _, key := range customer.GetKeySha256() {
 		if !isSHA256Hex(key) {
-			return errors.Errorf("key %q is not a SHA-256 in lower-case hex", clip(key))
+			return errors.Errorf("key %q is not a SHA-256 in lower-case hex", truncate(key))
 		}
 	}
 	if err := checkName(customer.GetPlan()); err != nil {
@@ -135,21 +134,21 @@
 	return checkCount("burst", customer.GetBurst())
 }
 
-// maxNumber is above every limit in the schema; it keeps infinities and values
-// whose sums overflow out of shares.
-const maxNumber = 1e12
+// maxValue is above every limit in the schema. It keeps infinities and values whose sums overflow
+// out of shares.
+const maxValue = 1e12
 
-// checkNumber refuses what would poison every share it is summed into: NaN fails
+// checkNumber refuses values that would make every share they are summed into invalid. NaN fails
 // both comparisons.
 func checkNumber(field string, value float64) error {
-	if value >= 0 && value <= maxNumber {
+	if value >= 0 && value <= maxValue {
 		return nil
 	}
 	return errors.Errorf("%s is %v; it must be a number of 0 or more", field, value)
 }
 
 func checkCount(field string, value int64) error {
-	if value >= 0 && value <= maxNumber {
+	if value >= 0 && value <= maxValue {
 		return nil
 	}
 	return errors.Errorf("%s is %d; it must be 0 or more", field, value)
@@ -167,11 +166,11 @@
 	return true
 }
 
-// clip keeps texts from a record short in reasons.
-func clip(text string) string {
-	const longest = 64
-	if len(text) <= longest {
+// truncate limits the length of texts from a record in verdicts and errors.
+func truncate(text string) string {
+	const maxBytes = 64
+	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:longest], "") + "..."
+	return strings.ToValidUTF8(text[:maxBytes], "") + "..."
 }
--- a/coord/fresh/property_test.go
+++ b/coord/fresh/property_test.go
@@ -13,10 +13,10 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// TestMain fixes the seed of the property tests, unless -rapid.seed names another.
+// TestMain fixes the seed of the property tests, unless -rapid.seed sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if fixed = flag.Lookup("rapid.seed").Value.String() == "0"; fixed {
+	if isDefaultSeed = flag.Lookup("rapid.seed").Value.String() == "0"; isDefaultSeed {
 		_ = flag.Set("rapid.seed", "11")
 		_ = flag.Set("rapid.checks", "6000")
 		_ = flag.Set("rapid.steps", "50")
@@ -24,19 +24,19 @@
 	os.Exit(m.Run())
 }
 
-// fixed says that the seed is the one of CI.
-var fixed bool
+// isDefaultSeed is true if the fixed seed is in use, as in CI.
+var isDefaultSeed bool
 
-// runs sets the number of runs of a property whose faults show early, in CI.
-func runs(t *testing.T, checks string) {
-	if before := flag.Lookup("rapid.checks").Value.String(); fixed {
+// setChecks sets the number of runs of a property whose faults show early, unless a seed was given.
+func setChecks(t *testing.T, checks string) {
+	if before := flag.Lookup("rapid.checks").Value.String(); isDefaultSeed {
 		_ = flag.Set("rapid.checks", checks)
 		t.Cleanup(func() { _ = flag.Set("rapid.checks", before) })
 	}
 }
 
-// small are the VMs of a test: all but the last stand in the VM list at first.
-var small = []string{"e1", "e2", "e3", "a1", "a2", "e4"}
+// smallCluster are the VMs of a test. All but the last are in the VM list at first.
+var smallCluster = []string{"e1", "e2", "e3", "a1", "a2", "e4"}
 
 // process is one incarnation on a VM.
 type process struct {
@@ -47,53 +47,51 @@
 	tracker *Tracker
 }
 
-// world is a cluster of three entries and two agents with the platform's log, and
-// one change that an observer follows until it is accepted. The VM list changes
-// once: one VM is gone for good, or a fourth entry joins. Each process, and the
-// observer, may learn of that at another time.
-type world struct {
+// cluster simulates entries and agents with the platform's log, and one change that an observer
+// follows until it is accepted. The VM list changes once: a VM is removed, or an entry joins. Each
+// process and the observer may learn of that at different times.
+type cluster struct {
 	vms        []string
-	listed     int    // of them at first
-	links      uint64 // the pairs that hear each other, bit by bit
-	slack      int    // of counts
+	listed     int    // how many of vms are listed at first
+	links      uint64 // bit set of the pairs that hear each other
+	minSlack   int    // of counts
 	now        time.Duration
 	tail       int64
 	processes  []*process
 	acceptance *config.Acceptance
 	acceptedAt map[int64]time.Duration
-	late       []func() // messages on their way; each may arrive many times
-	gone       int      // the VM that is gone, -1 for none
+	delayed    []func() // messages in flight; each may arrive many times
+	removed    int      // index of the removed VM, -1 for none
 	joined     bool
 }
 
-func newWorld(vms []string) *world {
-	w := &world{
-		vms: vms, listed: len(vms) - 1, links: ^uint64(0), slack: slackLeast, gone: -1,
+func newCluster(vms []string) *cluster {
+	c := &cluster{
+		vms: vms, listed: len(vms) - 1, links: ^uint64(0), minSlack: minSlack, removed: -1,
 		acceptedAt: make(map[int64]time.Duration), processes: make([]*process, len(vms)),
 	}
-	w.begin()
-	return w
+	c.replaceAll()
+	return c
 }
 
-// begin replaces all processes.
-func (w *world) begin() {
-	for i := range w.processes {
-		w.replace(i)
+func (c *cluster) replaceAll() {
+	for i := range c.processes {
+		c.replace(i)
 	}
 }
 
-func (w *world) replace(i int) {
-	p := &process{vm: w.vms[i], role: api.Role_ROLE_ENTRY, born: w.now, applied: nothing, tracker: New(w.vms[i], limit)}
-	p.tracker.counts.slack = w.slack
+func (c *cluster) replace(i int) {
+	p := &process{vm: c.vms[i], role: api.Role_ROLE_ENTRY, born: c.now, applied: noOffset, tracker: New(c.vms[i], limit)}
+	p.tracker.counts.minSlack = c.minSlack
 	if p.vm[0] == 'a' {
 		p.role = api.Role_ROLE_AGENT
 	}
-	p.list(w.vms[:w.listed])
-	w.processes[i] = p
+	p.setVMs(c.vms[:c.listed])
+	c.processes[i] = p
 }
 
-// list gives a process the VM list.
-func (p *process) list(members []string) {
+// setVMs sets the VM list of a process.
+func (p *process) setVMs(members []string) {
 	var entries []string
 	domains := make(map[string]string)
 	for _, vm := range members {
@@ -110,221 +108,221 @@
 	p.tracker.SetDomains(domains)
 }
 
-// newList returns the VM list after its one change.
-func (w *world) newList() []string {
-	members := slices.Clone(w.vms[:w.listed])
-	if w.joined {
-		return w.vms
+// currentVMs returns the VM list, after its change if that has been made.
+func (c *cluster) currentVMs() []string {
+	members := slices.Clone(c.vms[:c.listed])
+	if c.joined {
+		return c.vms
 	}
-	if w.gone >= 0 {
-		return slices.Delete(members, w.gone, w.gone+1)
+	if c.removed >= 0 {
+		return slices.Delete(members, c.removed, c.removed+1)
 	}
 	return members
 }
 
-// changeList makes the one change of the list, if it was not made yet.
-func (w *world) changeList(t *rapid.T) {
-	if w.joined || w.gone >= 0 {
+// changeList makes the one change of the VM list unless it has been made.
+func (c *cluster) changeList(t *rapid.T) {
+	if c.joined || c.removed >= 0 {
 		return
 	}
-	if change := rapid.IntRange(0, w.listed).Draw(t, "change"); change < w.listed {
-		w.gone = change
+	if change := rapid.IntRange(0, c.listed).Draw(t, "change"); change < c.listed {
+		c.removed = change
 	} else {
-		w.joined = true
+		c.joined = true
 	}
 }
 
-// observe tells the observer of the new list.
-func (w *world) observe() {
-	if w.acceptance == nil {
+// updateObserver gives the observer the current VM list.
+func (c *cluster) updateObserver() {
+	if c.acceptance == nil {
 		return
 	}
-	for i, p := range w.processes {
-		if slices.Contains(w.newList(), p.vm) {
-			w.acceptance.Expect(p.vm, p.role)
-		} else if i == w.gone {
-			w.acceptance.Gone(p.vm)
+	for i, p := range c.processes {
+		if slices.Contains(c.currentVMs(), p.vm) {
+			c.acceptance.ExpectMember(p.vm, p.role)
+		} else if i == c.removed {
+			c.acceptance.RemoveMember(p.vm)
 		}
 	}
 }
 
-// exchange captures what one process hears from another, for now or for later.
-func (w *world) exchange(i, j int) func() {
-	to, from := w.processes[i], w.processes[j]
-	at := w.now - to.born
-	k := from.tracker.Knowledge(w.now-from.born, from.applied)
-	counts := from.tracker.Counts(w.now - from.born)
+// captureExchange captures a message from one process to another, to be delivered now or later.
+func (c *cluster) captureExchange(i, j int) func() {
+	to, from := c.processes[i], c.processes[j]
+	at := c.now - to.born
+	k := from.tracker.Knowledge(c.now-from.born, from.applied)
+	counts := from.tracker.Counts(c.now - from.born)
 	return func() {
-		if w.processes[i] != to || w.links&(1<<(8*min(i, j)+max(i, j))) == 0 {
+		if c.processes[i] != to || c.links&(1<<(8*min(i, j)+max(i, j))) == 0 {
 			return
 		}
 		to.applied = max(to.applied, k.GetApplied())
-		to.tracker.Heard(from.vm, at, k, to.applied)
+		to.tracker.HandleKnowledge(from.vm, at, k, to.applied)
 		if counts != nil && from.role == api.Role_ROLE_ENTRY {
-			to.tracker.Counted(from.vm, at, counts, to.applied)
+			to.tracker.HandleCounts(from.vm, at, counts, to.applied)
 		}
 	}
 }
 
-func (w *world) all() int { return 1<<len(w.vms) - 1 }
+func (c *cluster) allVMs() int { return 1<<len(c.vms) - 1 }
 
-// read captures an answer of the log.
-func (w *world) read(i int) func() {
-	p, at, tail := w.processes[i], w.now-w.processes[i].born, w.tail
+// captureLogRead captures a response of the log.
+func (c *cluster) captureLogRead(i int) func() {
+	p, at, tail := c.processes[i], c.now-c.processes[i].born, c.tail
 	return func() {
 		p.applied = max(p.applied, tail)
-		p.tracker.Applied(p.applied)
+		p.tracker.SetApplied(p.applied)
 		if p.applied == tail {
-			p.tracker.Tail(at)
+			p.tracker.ConfirmTail(at)
 		}
 	}
 }
 
-// acknowledge captures what the observer hears from a process.
-func (w *world) acknowledge(i int) func() {
-	p, at, applied, of := w.processes[i], w.now, w.processes[i].applied, w.acceptance
+// captureAcknowledgement captures what a process reports to the observer.
+func (c *cluster) captureAcknowledgement(i int) func() {
+	p, at, applied, acceptance := c.processes[i], c.now, c.processes[i].applied, c.acceptance
 	return func() {
-		if of != nil && slices.Contains(w.newList(), p.vm) {
-			of.Member(p.vm, p.role, applied, at)
+		if acceptance != nil && slices.Contains(c.currentVMs(), p.vm) {
+			acceptance.UpdateMember(p.vm, p.role, applied, at)
 		}
 	}
 }
 
-func (w *world) publish() {
-	if _, done := w.acceptedAt[w.tail]; w.acceptance != nil && !done {
+func (c *cluster) publish() {
+	if _, done := c.acceptedAt[c.tail]; c.acceptance != nil && !done {
 		return
 	}
-	w.tail++
-	w.acceptance = config.NewAcceptance(w.tail, limit, w.now)
-	for _, p := range w.processes[:w.listed] {
-		w.acceptance.Expect(p.vm, p.role)
+	c.tail++
+	c.acceptance = config.NewAcceptance(c.tail, limit, c.now)
+	for _, p := range c.processes[:c.listed] {
+		c.acceptance.ExpectMember(p.vm, p.role)
 	}
 }
 
-// capture draws a message of any kind.
-func (w *world) capture(t *rapid.T) func() {
-	i, j := rapid.IntRange(0, w.listed).Draw(t, "to"), rapid.IntRange(0, w.listed).Draw(t, "from")
-	if i == w.gone || j == w.gone {
+// captureMessage captures a message of any kind.
+func (c *cluster) captureMessage(t *rapid.T) func() {
+	i, j := rapid.IntRange(0, c.listed).Draw(t, "to"), rapid.IntRange(0, c.listed).Draw(t, "from")
+	if i == c.removed || j == c.removed {
 		t.Skip("gone")
 	}
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
-		return w.read(i)
+		return c.captureLogRead(i)
 	case 1:
-		return w.acknowledge(i)
+		return c.captureAcknowledgement(i)
 	}
-	return w.exchange(i, j)
+	return c.captureExchange(i, j)
 }
 
-// island draws who takes part in something: one side of the cut, the other, all, or
-// any others.
-func (w *world) island(t *rapid.T, cut int) []int {
-	bits := rapid.SampledFrom([]int{cut, cut, w.all() &^ cut, w.all() &^ cut, w.all(), -1}).Draw(t, "island")
+// drawGroup draws the processes that take part in a step: one side of the partition, the other
+// side, all, or any subset.
+func (c *cluster) drawGroup(t *rapid.T, cut int) []int {
+	bits := rapid.SampledFrom([]int{cut, cut, c.allVMs() &^ cut, c.allVMs() &^ cut, c.allVMs(), -1}).Draw(t, "island")
 	if bits < 0 {
-		bits = rapid.IntRange(0, w.all()).Draw(t, "members")
+		bits = rapid.IntRange(0, c.allVMs()).Draw(t, "members")
 	}
-	var in []int
-	for i := range w.vms {
-		if bits&(1<<i) != 0 && i != w.gone {
-			in = append(in, i)
+	var indexes []int
+	for i := range c.vms {
+		if bits&(1<<i) != 0 && i != c.removed {
+			indexes = append(indexes, i)
 		}
 	}
-	return in
+	return indexes
 }
 
-func (w *world) check(t *rapid.T) {
-	if w.acceptance != nil {
-		if state, _ := w.acceptance.State(w.now); state != config.Pending {
-			if _, known := w.acceptedAt[w.tail]; !known {
-				w.acceptedAt[w.tail] = w.now
+func (c *cluster) check(t *rapid.T) {
+	if c.acceptance != nil {
+		if state, _ := c.acceptance.State(c.now); state != config.Pending {
+			if _, known := c.acceptedAt[c.tail]; !known {
+				c.acceptedAt[c.tail] = c.now
 			}
 		}
 	}
-	for offset, at := range w.acceptedAt {
-		for i, p := range w.processes {
-			serves := p.tracker.State(w.now - p.born).Serves()
-			if i != w.gone && w.now > at+limit && serves && p.applied < offset {
-				t.Fatalf("at %v %s serves with offset %d; %d was accepted at %v", w.now, p.vm, p.applied, offset, at)
+	for offset, at := range c.acceptedAt {
+		for i, p := range c.processes {
+			serves := p.tracker.State(c.now - p.born).Serves()
+			if i != c.removed && c.now > at+limit && serves && p.applied < offset {
+				t.Fatalf("at %v %s serves with offset %d; %d was accepted at %v", c.now, p.vm, p.applied, offset, at)
 			}
 		}
 	}
 }
 
-// What the callers see: past the freshness limit after an operator was told
-// "accepted", no process serves without the change. The log is out for some or all,
-// processes see each other in islands, are replaced and forget, or stand still while
-// time goes on; messages and answers of the log arrive late, twice or never.
-func TestPropertyWhoServesHasWhatWasAccepted(t *testing.T) {
-	checkWorld(t, small, false)
+// Once the freshness limit has passed after an operator was told "accepted", no process may serve
+// without the change. The log is out for some or all processes, the network is partitioned,
+// processes are replaced and lose their state, or are paused; messages and responses of the log
+// arrive late, twice or never.
+func TestPropertyServingProcessesHoldAcceptedChanges(t *testing.T) {
+	checkCluster(t, smallCluster, false)
 }
 
-// What the callers see: the same where each process hears only some of the others, and
-// goes on by what those have counted.
-func TestPropertyWhoServesByCountsHasWhatWasAccepted(t *testing.T) {
-	runs(t, "1000")
-	checkWorld(t, []string{"e1", "e2", "e3", "e4", "e5", "a1", "a2", "e6"}, true)
+// The same holds where each process hears only some of the others and serves by what those have
+// counted.
+func TestPropertyServingByCountsHoldsAcceptedChanges(t *testing.T) {
+	setChecks(t, "1000")
+	checkCluster(t, []string{"e1", "e2", "e3", "e4", "e5", "a1", "a2", "e6"}, true)
 }
 
-func checkWorld(t *testing.T, vms []string, sparse bool) {
+func checkCluster(t *testing.T, vms []string, sparse bool) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(vms)
+		c := newCluster(vms)
 		listChanges := rapid.Bool().Draw(rt, "list changes")
 		if sparse {
-			w.links = rapid.Uint64().Draw(rt, "links") | rapid.Uint64().Draw(rt, "more links")
+			c.links = rapid.Uint64().Draw(rt, "links") | rapid.Uint64().Draw(rt, "more links")
 			if !listChanges {
-				w.slack = 0
+				c.minSlack = 0
 			}
-			w.begin()
+			c.replaceAll()
 		}
-		cut := rapid.IntRange(0, w.all()).Draw(rt, "cut")
+		cut := rapid.IntRange(0, c.allVMs()).Draw(rt, "cut")
 		rt.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
-				w.now += time.Duration(rapid.IntRange(1, 5).Draw(t, "quarters")) * limit / 4
+				c.now += time.Duration(rapid.IntRange(1, 5).Draw(t, "quarters")) * limit / 4
 			},
 			"log": func(t *rapid.T) {
-				for _, i := range w.island(t, cut) {
-					w.read(i)()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureLogRead(i)()
 				}
 			},
 			"peers": func(t *rapid.T) {
-				in := w.island(t, cut)
-				for _, i := range in {
-					for _, j := range in {
-						w.exchange(i, j)()
+				group := c.drawGroup(t, cut)
+				for _, i := range group {
+					for _, j := range group {
+						c.captureExchange(i, j)()
 					}
 				}
 			},
 			"acknowledge": func(t *rapid.T) {
-				for _, i := range w.island(t, cut) {
-					w.acknowledge(i)()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureAcknowledgement(i)()
 				}
 			},
-			"send": func(t *rapid.T) { w.late = append(w.late, w.capture(t)) },
+			"send": func(t *rapid.T) { c.delayed = append(c.delayed, c.captureMessage(t)) },
 			"arrive": func(t *rapid.T) {
-				if len(w.late) > 0 {
-					rapid.SampledFrom(w.late).Draw(t, "message")()
+				if len(c.delayed) > 0 {
+					rapid.SampledFrom(c.delayed).Draw(t, "message")()
 				}
 			},
 			"publish": func(t *rapid.T) {
-				w.publish()
-				for _, i := range w.island(t, cut) {
-					w.read(i)()
+				c.publish()
+				for _, i := range c.drawGroup(t, cut) {
+					c.captureLogRead(i)()
 				}
 			},
 			"list": func(t *rapid.T) {
 				if !listChanges {
 					t.Skip("the list stays as it is")
 				}
-				w.changeList(t)
-				for _, i := range w.island(t, cut) {
-					w.processes[i].list(w.newList())
+				c.changeList(t)
+				for _, i := range c.drawGroup(t, cut) {
+					c.processes[i].setVMs(c.currentVMs())
 				}
 				if rapid.Bool().Draw(t, "observer") {
-					w.observe()
+					c.updateObserver()
 				}
 			},
-			"replace": func(t *rapid.T) { w.replace(rapid.IntRange(0, w.listed).Draw(t, "process")) },
-			"":        w.check,
+			"replace": func(t *rapid.T) { c.replace(rapid.IntRange(0, c.listed).Draw(t, "process")) },
+			"":        c.check,
 		})
 	})
 }
