--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -9,11 +9,11 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// ConflictError says that another change was accepted first.
+// ConflictError means that another change to the same list or mark was accepted first.
 type ConflictError struct {
-	// What was to be changed, for people.
+	// What names the list or mark that was to be changed, for operators.
 	What string
-	// Base is the offset that the change was made from, Current the one in force.
+	// Base is the offset that the change was made from, Current the offset in force.
 	Base, Current int64
 }
 
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("%s stands at offset %d, not at %d that the change was made from", e.What, e.Current, e.Base)
 }
 
-// RefusedError says that a record is wrong in itself.
+// RefusedError means that a record is invalid, whatever its base.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// CheckChange returns what the fold would refuse a change or mark for if it were
-// the next record after the view: a *ConflictError or a *RefusedError. Operators'
-// commands call it before they append, to give the reason without a round trip.
+// CheckChange returns the error for which the fold would refuse a change or mark if it were the
+// next record after the view: a *ConflictError or a *RefusedError. Operators' commands call it
+// before they append, to report the reason without a round trip.
 func CheckChange(v *View, rec *api.Record) error {
 	if !validChangeID(rec.GetChangeId()) {
 		return &RefusedError{Reason: fmt.Sprintf("the change id must have 1 to %d letters, digits or -_.", MaxChangeIDBytes)}
@@ -36,14 +36,14 @@
 	if size := proto.Size(rec); size > MaxRecordBytes {
 		return &RefusedError{Reason: fmt.Sprintf("the record takes %d bytes; at most %d are accepted", size, MaxRecordBytes)}
 	}
-	return checkBodyOf(v, rec)
+	return checkRecordBody(v, rec)
 }
 
-// checkBodyOf decides on a record by the view alone. Each check that reads the
-// view reads only the list or mark that the base covers. So a duplicate of a
-// refused change is refused for ever, even after its verdict was forgotten: either
-// its base is still current and all it is judged by is unchanged, or it conflicts.
-func checkBodyOf(v *View, rec *api.Record) error {
+// checkRecordBody checks a record by the view alone. Each check that reads the view reads only the
+// list or mark that the base covers. A duplicate of a refused change is therefore always refused,
+// even after its verdict has been discarded: either its base is still current and nothing that it
+// is checked against has changed, or it conflicts.
+func checkRecordBody(v *View, rec *api.Record) error {
 	switch body := rec.GetBody().(type) {
 	case *api.Record_List:
 		return checkList(v, body.List)
@@ -91,18 +91,18 @@
 	return nil
 }
 
-// checkSections checks what can be told from the change alone and returns the
-// names that it touches.
+// checkSections checks the sections without the view, and returns the section names that the change
+// touches.
 func checkSections(change *api.ListChange) (map[string]bool, error) {
 	if len(change.GetSet()) == 0 && len(change.GetRemoved()) == 0 {
 		return nil, errors.New("the change is empty")
 	}
 	touched := make(map[string]bool, len(change.GetSet())+len(change.GetRemoved()))
-	claim := func(full string) error {
-		if touched[full] {
-			return errors.Errorf("section %q stands twice in the change", clip(full))
+	addTouched := func(fullName string) error {
+		if touched[fullName] {
+			return errors.Errorf("section %q stands twice in the change", truncate(fullName))
 		}
-		touched[full] = true
+		touched[fullName] = true
 		return nil
 	}
 	for _, section := range change.GetSet() {
@@ -110,18 +110,18 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := checkBody(k, section); err != nil {
+		if err := checkSectionBody(k, section); err != nil {
 			return nil, errors.Wrapf(err, "section %q", section.GetName())
 		}
-		if err := claim(section.GetName()); err != nil {
+		if err := addTouched(section.GetName()); err != nil {
 			return nil, err
 		}
 	}
-	for _, full := range change.GetRemoved() {
-		if _, _, err := splitSection(change.GetList(), full); err != nil {
+	for _, fullName := range change.GetRemoved() {
+		if _, _, err := splitSection(change.GetList(), fullName); err != nil {
 			return nil, err
 		}
-		if err := claim(full); err != nil {
+		if err := addTouched(fullName); err != nil {
 			return nil, err
 		}
 	}
@@ -129,16 +129,16 @@
 }
 
 func checkRemoved(v *View, change *api.ListChange) error {
-	for _, full := range change.GetRemoved() {
-		if !v.has(full) {
-			return errors.Errorf("section %q is removed but not in the list", full)
+	for _, fullName := range change.GetRemoved() {
+		if !v.hasSection(fullName) {
+			return errors.Errorf("section %q is removed but not in the list", fullName)
 		}
 	}
 	return nil
 }
 
-func (v *View) has(full string) bool {
-	k, name, err := splitSection(ListOf(full), full)
+func (v *View) hasSection(fullName string) bool {
+	k, name, err := splitSection(ListOf(fullName), fullName)
 	if err != nil {
 		return false
 	}
@@ -156,8 +156,8 @@
 	return ok
 }
 
-// checkKeys refuses a key that two customers would own: its requests would be
-// charged to either, by chance.
+// checkKeys refuses a key that two customers would own. Requests with that key would be charged to
+// either of them at random.
 func checkKeys(v *View, change *api.ListChange, touched map[string]bool) error {
 	owners := make(map[string]string)
 	for _, section := range change.GetSet() {
@@ -167,16 +167,16 @@
 			}
 			owners[key] = section.GetName()
 			owner, ok := v.owners[key]
-			if full := kindCustomer.section(owner); ok && !touched[full] {
-				return errors.Errorf("key %s stands at %q and at %q", key, full, section.GetName())
+			if fullName := kindCustomer.fullName(owner); ok && !touched[fullName] {
+				return errors.Errorf("key %s stands at %q and at %q", key, fullName, section.GetName())
 			}
 		}
 	}
 	return nil
 }
 
-// validChangeID accepts what a publisher's random ids are made of. Nothing else
-// may stand as one: ids of refused records that have none begin with "@".
+// validChangeID reports whether an id has only the characters of a publisher's random ids. An "@"
+// is not allowed because the ids made for refused records without a usable id begin with it.
 func validChangeID(id string) bool {
 	if id == "" || len(id) > MaxChangeIDBytes {
 		return false
--- a/decide/admit/pressure.go
+++ b/decide/admit/pressure.go
@@ -2,87 +2,89 @@
 
 import "time"
 
-// pressure tells a lasting overload from a burst.
+// overloadDetector tells a sustained overload from a burst.
 //
-// Load: more than the backend servers can do, for a long time. Harm prevented: a queue
-// that stands. It answers no request more, since what comes in is what goes out,
-// and each of them waits the whole length of it. In a burst the same queue is drained
-// when the burst is over, and what waited in it is answered.
+// In a sustained overload a long queue raises no throughput: as many requests come in as go out,
+// and each waits the whole length of the queue. After a burst the same queue drains, and the
+// requests in it are answered.
 //
-// It is counted for all customers of an entry together: a customer's callers move between
-// entries within seconds, and take what was counted for it alone with them.
-type pressure struct {
-	since          time.Duration
-	asked, refused int
-	spans          int
+// All customers of an entry are counted together: a customer's callers move between entries within
+// seconds, and a count per customer would not follow them.
+type overloadDetector struct {
+	windowStart       time.Duration
+	requests, refused int
+	overloadScore     int
 }
 
 const (
-	// pressureSpan is the time over which refusals are counted: some tens of requests at
-	// an entry.
-	pressureSpan = 2500 * time.Millisecond
-	// heavyPart is the part of the requests refused past which a span counts as
-	// overload. For a little more load than capacity a queue holds, for the time that a
-	// failure domain is out, as many as would be refused otherwise.
-	heavyPart = 0.1
-	// lastingSpans is how many more heavy spans than light ones make an overload lasting.
-	// 10 s are longer than a burst, and than most of its callers take to come back when
-	// they were told: with half the time 219 of 346 of these were served, now nine in ten.
-	// mostSpans is how many are counted, so that a light one by chance does not end it.
-	lastingSpans = 4
-	mostSpans    = 6
+	// overloadWindow is the length of a counting window, which sees some tens of requests at an
+	// entry.
+	overloadWindow = 2500 * time.Millisecond
+	// overloadRefusalRatio is the fraction of refused requests above which a window counts as
+	// overloaded. At a load slightly above capacity, such as while a failure domain is out, the
+	// queue absorbs as many requests as would be refused otherwise.
+	overloadRefusalRatio = 0.1
+	// sustainedOverloadScore is the excess of overloaded windows over others that makes an overload
+	// sustained. Its 10 s are longer than a burst, and than most callers of a burst take to retry
+	// after the time that they were given: with 5 s, 219 of 346 such retries were served, with 10 s
+	// nine in ten. maxOverloadScore limits the excess, and leaves room for a single window below
+	// the ratio by chance.
+	sustainedOverloadScore = 4
+	maxOverloadScore       = 6
 )
 
-// roll ends the span if its time is over.
-func (p *pressure) roll(now time.Duration) {
-	if now-p.since < pressureSpan {
+// rollWindow ends the current window if its time is over.
+func (d *overloadDetector) rollWindow(now time.Duration) {
+	if now-d.windowStart < overloadWindow {
 		return
 	}
-	heavy := float64(p.refused) > heavyPart*float64(p.asked)
+	isOverloaded := float64(d.refused) > overloadRefusalRatio*float64(d.requests)
 	switch {
-	case now-p.since > 2*pressureSpan:
-		p.spans = 0
-	case heavy:
-		p.spans = min(p.spans+1, mostSpans)
+	case now-d.windowStart > 2*overloadWindow:
+		d.overloadScore = 0
+	case isOverloaded:
+		d.overloadScore = min(d.overloadScore+1, maxOverloadScore)
 	default:
-		p.spans = max(p.spans-1, 0)
+		d.overloadScore = max(d.overloadScore-1, 0)
 	}
-	p.since, p.asked, p.refused = now, 0, 0
+	d.windowStart, d.requests, d.refused = now, 0, 0
 }
 
-// count takes in what was decided on one request.
-func (p *pressure) count(now time.Duration, refused bool) {
-	p.roll(now)
-	p.asked++
+// record counts the decision on one request.
+func (d *overloadDetector) record(now time.Duration, refused bool) {
+	d.rollWindow(now)
+	d.requests++
 	if refused {
-		p.refused++
+		d.refused++
 	}
 }
 
-// lasting says that the overload is no burst.
-func (p *pressure) lasting(now time.Duration) bool {
-	p.roll(now)
-	return p.spans >= lastingSpans
+// isSustained reports whether the overload has lasted longer than a burst.
+func (d *overloadDetector) isSustained(now time.Duration) bool {
+	d.rollWindow(now)
+	return d.overloadScore >= sustainedOverloadScore
 }
 
-// withinAllow is the part of its guarantee down to which a customer counts as within its
-// share: one refusal by an agent in a while is no sign that it uses its share elsewhere.
-const withinAllow = 0.6
+// withinShareRatio is the fraction of its full guarantee down to which a customer counts as within
+// its share: a single refusal by an agent does not show that it uses its share through other
+// entries.
+const withinShareRatio = 0.6
 
-// tooLong says whether a customer's request would wait longer than is worth it. One
-// within its share keeps the long queue while another's overload lasts.
+// exceedsMaxWait reports whether a customer's request would wait too long to be queued. A customer
+// within its share keeps the limit MaxWait during a sustained overload of others.
 //
-// In a lasting overload agents often have no place for what was started here, so that it
-// waits again. What is expected counts places that others have taken, and each customer
-// takes itself for the next; the wait of the customer's next request so far does not.
-func (a *Admitter) tooLong(now time.Duration, o *offer, c *customer, wait time.Duration) bool {
-	within := c.allow >= withinAllow && o.entitled(now, c)
-	never := a.cfg.LastingWait == a.cfg.MaxWait
-	if never || within || !o.pressure.lasting(now) {
+// In a sustained overload, agents often have no slot for a request started here, and it is queued
+// again. The expected wait is then too short, since it counts slots that other entries use and
+// treats each customer as the next to be served. The time for which the customer's first queued
+// request has waited has no such error.
+func (a *Admitter) exceedsMaxWait(now time.Duration, o *offer, c *customer, wait time.Duration) bool {
+	isWithinShare := c.guaranteeRatio >= withinShareRatio && o.isGuaranteed(now, c)
+	hasNoOverloadLimit := a.cfg.OverloadMaxWait == a.cfg.MaxWait
+	if hasNoOverloadLimit || isWithinShare || !o.overload.isSustained(now) {
 		return wait > a.cfg.MaxWait
 	}
 	if c.waiting.Len() > 0 {
 		wait = max(wait, now-c.waiting.Top().arrived)
 	}
-	return wait > a.cfg.LastingWait
+	return wait > a.cfg.OverloadMaxWait
 }
--- a/decide/loadtest/entry.go
+++ b/decide/loadtest/entry.go
@@ -34,7 +34,7 @@
 		e.dispatch(r)
 		return
 	}
-	d := e.admitter.Offer(e.run.clock.now, admit.Request{ID: r.id, Customer: r.customer, Offer: offerKey, Deadline: r.deadline})
+	d := e.admitter.Admit(e.run.clock.now, admit.Request{ID: r.id, Customer: r.customer, Offer: offerKey, Deadline: r.deadline})
 	switch d.Action {
 	case admit.Start:
 		r.guaranteed = d.Guaranteed
@@ -50,7 +50,7 @@
 	now := e.run.clock.now
 	vm, code := e.table.Pick(now, place.Request{Offer: offerKey, Avoid: r.tried, TimeLeft: r.deadline - now, RelativeSize: r.size, WithinShare: r.guaranteed})
 	if code != api.ResultCode_OK {
-		if e.admitter == nil || !e.admitter.Postpone(now, r.id) {
+		if e.admitter == nil || !e.admitter.Requeue(now, r.id) {
 			e.refuse(r, code, 0)
 		}
 		return
@@ -101,7 +101,7 @@
 			e.dispatch(t.request)
 			return
 		}
-		if e.admitter != nil && e.admitter.Postpone(e.run.clock.now, t.request.id) {
+		if e.admitter != nil && e.admitter.Requeue(e.run.clock.now, t.request.id) {
 			t.tried = nil
 			return
 		}
@@ -198,7 +198,7 @@
 	}
 	if e.admitter != nil {
 		share := e.capacityShare(now)
-		e.admitter.SetTotal(offerKey, share.Total, share.Entries)
+		e.admitter.SetTotalCapacity(offerKey, share.Total, share.Entries)
 		e.admitter.SetCapacity(offerKey, share.Slots)
 	}
 	e.admitQueued()
--- a/decide/loadtest/first.go
+++ b/decide/loadtest/first.go
@@ -24,7 +24,7 @@
 )
 
 func newFirstVersionLimiter(c cold.Config) *firstVersionLimiter {
-	return &firstVersionLimiter{coldLimit: c.Cold, fullLimit: c.Full, limit: c.Cold}
+	return &firstVersionLimiter{coldLimit: c.ColdLimit, fullLimit: c.FullLimit, limit: c.ColdLimit}
 }
 
 func (f *firstVersionLimiter) TryStart(now time.Duration) bool {
--- a/decide/loadtest/run.go
+++ b/decide/loadtest/run.go
@@ -43,7 +43,7 @@
 	p := CurrentPolicy()
 	p.Name = "own, second version"
 	p.Limiter = func(c cold.Config, now time.Duration) limiter { return limiterWithoutGaps{currentLimiter(c, now)} }
-	p.AdmissionConfig.LastingWait = time.Hour
+	p.AdmissionConfig.OverloadMaxWait = time.Hour
 	p.PlacementConfig.TrustStaleReports = true
 	p.QueueLength = secondVersionQueueLength
 	return p
@@ -189,7 +189,7 @@
 	if r.setup.Policy.Limiter == nil {
 		return &fixedLimiter{full: spec.WarmCapacity}
 	}
-	return r.setup.Policy.Limiter(cold.Config{Cold: spec.ColdCapacity, Full: spec.WarmCapacity}, r.clock.now)
+	return r.setup.Policy.Limiter(cold.Config{ColdLimit: spec.ColdCapacity, FullLimit: spec.WarmCapacity}, r.clock.now)
 }
 
 func (r *Run) report(a *agent) {
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -44,9 +44,9 @@
 		if _, offered := capacities[offer]; offered {
 			continue
 		}
-		capacities[offer] = offerCapacity{presence: admit.Coming}
+		capacities[offer] = offerCapacity{presence: admit.Pending}
 		if now-lastOffered >= vanishedOfferGrace && !d.expectsOfferLocked(offer) {
-			capacities[offer] = offerCapacity{presence: admit.None}
+			capacities[offer] = offerCapacity{presence: admit.Unavailable}
 			delete(d.lastOffered, offer)
 		}
 	}
@@ -58,25 +58,25 @@
 		return d.subsetCapacity(now, offer, entries)
 	}
 	free, capacity := d.table.Slots(offer, now)
-	return offerCapacity{slots: admit.Part(d.inFlight[offer], free, capacity, entries), total: capacity}
+	return offerCapacity{slots: admit.EntrySlots(d.inFlight[offer], free, capacity, entries), total: capacity}
 }
 
 // presence says whether any backend server for an offer may get work; the lock is held.
-func (d *directory) presence(offer string, capacity int) admit.Presence {
+func (d *directory) presence(offer string, capacity int) admit.Availability {
 	switch {
 	case capacity > 0:
-		return admit.Here
+		return admit.Available
 	case d.expectsOfferLocked(offer):
-		return admit.Coming
+		return admit.Pending
 	}
-	return admit.None
+	return admit.Unavailable
 }
 
 // subsetCapacity is the room for an offer when this entry is linked to some agents only: its
 // part of each by what the agent says of its entries. An agent that does not say counts
 // with all live entries. The directory's lock is held.
 func (d *directory) subsetCapacity(now time.Duration, offer string, entries int) offerCapacity {
-	var rooms []admit.Room
+	var rooms []admit.BackendCapacity
 	regionScale := 1.0
 	for _, server := range d.table.SlotsByServer(offer, now) {
 		sharedBy := int(d.status[server.VM].GetEntries())
@@ -84,8 +84,8 @@
 			sharedBy = entries
 		}
 		regionScale = d.links.regionScale(server.VM)
-		rooms = append(rooms, admit.Room{Limit: server.Limit, Free: server.Free, Entries: sharedBy})
+		rooms = append(rooms, admit.BackendCapacity{Limit: server.Limit, Free: server.Free, Entries: sharedBy})
 	}
-	parts := admit.PartOf(d.inFlight[offer], rooms, regionScale)
+	parts := admit.SubsetCapacity(d.inFlight[offer], rooms, regionScale)
 	return offerCapacity{slots: parts.Slots, total: parts.Total, entries: parts.Entries}
 }
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	g.lastID++
 	r.ID = g.lastID
-	decision := g.admitter.Offer(clock.Now(), r)
+	decision := g.admitter.Admit(clock.Now(), r)
 	var decided chan admit.Decision
 	if decision.Action == admit.Wait {
 		decided = g.addWaiter(r.ID)
@@ -91,9 +91,9 @@
 	g := p.gate
 	g.mu.Lock()
 	if absent {
-		g.admitter.Absent(p.offer)
+		g.admitter.MarkPending(p.offer)
 	}
-	if !g.admitter.Postpone(clock.Now(), p.id) {
+	if !g.admitter.Requeue(clock.Now(), p.id) {
 		g.deliverDecisions()
 		g.mu.Unlock()
 		p.ended = true
@@ -139,7 +139,7 @@
 		delete(g.waiters, r.ID)
 		decided <- r.Decision
 	}
-	if at, ok := g.admitter.Wake(now); ok {
+	if at, ok := g.admitter.NextWake(now); ok {
 		g.timer.Reset(max(at-now, time.Millisecond))
 	}
 }
@@ -183,7 +183,7 @@
 	// entries share it; 0 for all live ones.
 	entries int
 	// presence says whether any of them may get work.
-	presence admit.Presence
+	presence admit.Availability
 }
 
 // setCapacities takes the room for each offer, shared by so many entries.
@@ -195,8 +195,8 @@
 		if c.entries > 0 {
 			sharedBy = c.entries
 		}
-		g.admitter.SetPresence(offer, c.presence)
-		g.admitter.SetTotal(offer, c.total, sharedBy)
+		g.admitter.SetAvailability(offer, c.presence)
+		g.admitter.SetTotalCapacity(offer, c.total, sharedBy)
 		g.admitter.SetCapacity(offer, c.slots)
 	}
 	g.deliverDecisions()
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -48,8 +48,8 @@
 	}
 	fence := state.View.ListOffset(api.ListName_LIST_USES)
 	for name, model := range state.View.Models() {
-		want := rollout.Want{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
-		for _, vm := range rollout.Next(e.rollouts.fleet(now, name, want, servers), want) {
+		want := rollout.Target{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
+		for _, vm := range rollout.NextToLoad(e.rollouts.fleet(now, name, want, servers), want) {
 			e.sendLoadOrder(now, vm, name, want)
 		}
 	}
@@ -62,14 +62,14 @@
 	}
 	for vm, peer := range state.Peers {
 		if peer.Hello.GetRole() == api.Role_ROLE_ENTRY && peer.Ready && peer.Usable() &&
-			!state.View.VMOut(vm, peer.Hello.GetFailureDomain()) && vm < e.self.GetVm() {
+			!state.View.VMOutOfService(vm, peer.Hello.GetFailureDomain()) && vm < e.self.GetVm() {
 			return false
 		}
 	}
 	return true
 }
 
-func (e *entry) sendLoadOrder(now time.Duration, vm, model string, want rollout.Want) {
+func (e *entry) sendLoadOrder(now time.Duration, vm, model string, want rollout.Target) {
 	peer, ok := e.directory.agentPeer(vm)
 	if !ok {
 		return
@@ -110,7 +110,7 @@
 
 // fleet returns all servers of a model, with those missing and with those that have been
 // sent an order that no report tells of yet.
-func (r *rolloutState) fleet(now time.Duration, model string, want rollout.Want, servers map[string]map[string]rollout.Server) []rollout.Server {
+func (r *rolloutState) fleet(now time.Duration, model string, want rollout.Target, servers map[string]map[string]rollout.Server) []rollout.Server {
 	var fleet []rollout.Server
 	for vm, vmModel := range r.modelByVM {
 		if vmModel != model {
@@ -121,8 +121,8 @@
 			server = r.lastReported[vm]
 			server.Missing = true
 		}
-		if sent, ok := r.sentOrders[vm]; ok && now-sent.sentAt < orderReportTimeout && !server.Loading && !want.Met(server.Version, server.Adapters) {
-			server.Loading, server.Order = true, sent.fence
+		if sent, ok := r.sentOrders[vm]; ok && now-sent.sentAt < orderReportTimeout && !server.Loading && !want.IsMetBy(server.Version, server.Adapters) {
+			server.Loading, server.OrderFence = true, sent.fence
 		}
 		fleet = append(fleet, server)
 	}
@@ -145,17 +145,17 @@
 			servers[s.GetModel()] = make(map[string]rollout.Server)
 		}
 		servers[s.GetModel()][vm] = rollout.Server{
-			VM:       vm,
-			Domain:   peer.Hello.GetFailureDomain(),
-			Version:  s.GetModelVersion(),
-			Adapters: s.GetAdapters(),
-			Loading:  s.GetLoading(),
-			Order:    s.GetOrderFence(),
-			Cold:     s.GetCold(),
-			Refusing: s.GetRefusing() != api.ResultCode_OK && !s.GetLoading() || peer.Draining,
-			Missing:  peer.Session.Suspect(),
-			Limit:    int(s.GetLimit()),
-			Work:     int(s.GetRunning() + s.GetQueued()),
+			VM:         vm,
+			Domain:     peer.Hello.GetFailureDomain(),
+			Version:    s.GetModelVersion(),
+			Adapters:   s.GetAdapters(),
+			Loading:    s.GetLoading(),
+			OrderFence: s.GetOrderFence(),
+			Cold:       s.GetCold(),
+			Refusing:   s.GetRefusing() != api.ResultCode_OK && !s.GetLoading() || peer.Draining,
+			Missing:    peer.Session.Suspect(),
+			Limit:      int(s.GetLimit()),
+			Requests:   int(s.GetRunning() + s.GetQueued()),
 		}
 	}
 	return servers
