--- a/internal/entry/presence_test.go
+++ b/internal/entry/availability_test.go
@@ -31,13 +31,13 @@
 	d.handleMessage(stopping, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", ModelVersion: "v", Limit: 4, FullLimit: 4}}})
 	capacities := d.capacities(0, 1)
 	for _, offer := range []string{"model:m", "model:m@v"} {
-		if r, ok := capacities[offer]; !ok || r.presence != admit.Pending || r.slots != 0 {
+		if r, ok := capacities[offer]; !ok || r.availability != admit.Pending || r.slots != 0 {
 			t.Errorf("%s: %+v while a link is on its way", offer, r)
 		}
 	}
-	out := func(string) subset.Health { return subset.Unavailable }
-	l.tick(time.Minute, map[string]bool{own: true}, out)
-	if r := d.capacities(time.Minute, 1)["model:m"]; r.presence != admit.Unavailable {
+	unavailable := func(string) subset.Health { return subset.Unavailable }
+	l.tick(time.Minute, map[string]bool{own: true}, unavailable)
+	if r := d.capacities(time.Minute, 1)["model:m"]; r.availability != admit.Unavailable {
 		t.Errorf("%+v with all agents out", r)
 	}
 }
@@ -55,11 +55,11 @@
 	d.capacities(0, 1)
 	d.setPeers(&member.State{})
 	for now, want := range map[time.Duration]admit.Availability{0: admit.Pending, vanishedOfferGrace - 1: admit.Pending} {
-		if r, ok := d.capacities(now, 1)["service:s"]; !ok || r.presence != want || r.total != 0 {
+		if r, ok := d.capacities(now, 1)["service:s"]; !ok || r.availability != want || r.total != 0 {
 			t.Errorf("after %v: %+v", now, r)
 		}
 	}
-	if r, ok := d.capacities(vanishedOfferGrace, 1)["service:s"]; !ok || r.presence != admit.Unavailable {
+	if r, ok := d.capacities(vanishedOfferGrace, 1)["service:s"]; !ok || r.availability != admit.Unavailable {
 		t.Errorf("after %v: %+v", vanishedOfferGrace, r)
 	}
 	if _, ok := d.capacities(time.Minute, 1)["service:s"]; ok {
@@ -67,7 +67,7 @@
 	}
 	d.setPeers(linked)
 	d.handleMessage(peer, report)
-	if r := d.capacities(time.Hour, 1)["service:s"]; r.presence != admit.Available {
+	if r := d.capacities(time.Hour, 1)["service:s"]; r.availability != admit.Available {
 		t.Errorf("when it is back: %+v", r)
 	}
 }
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -22,7 +22,7 @@
 				continue
 			}
 			c := d.capacity(now, offer, entries)
-			c.presence = d.presence(offer, c.total)
+			c.availability = d.availability(offer, c.total)
 			capacities[offer] = c
 		}
 	}
@@ -44,9 +44,9 @@
 		if _, offered := capacities[offer]; offered {
 			continue
 		}
-		capacities[offer] = offerCapacity{presence: admit.Pending}
+		capacities[offer] = offerCapacity{availability: admit.Pending}
 		if now-lastOffered >= vanishedOfferGrace && !d.expectsOfferLocked(offer) {
-			capacities[offer] = offerCapacity{presence: admit.Unavailable}
+			capacities[offer] = offerCapacity{availability: admit.Unavailable}
 			delete(d.lastOffered, offer)
 		}
 	}
@@ -61,8 +61,8 @@
 	return offerCapacity{slots: admit.EntrySlots(d.inFlight[offer], free, capacity, entries), total: capacity}
 }
 
-// presence says whether any backend server for an offer may get work; the lock is held.
-func (d *directory) presence(offer string, capacity int) admit.Availability {
+// availability says whether any backend server for an offer may get work; the lock is held.
+func (d *directory) availability(offer string, capacity int) admit.Availability {
 	switch {
 	case capacity > 0:
 		return admit.Available
@@ -76,16 +76,16 @@
 // part of each by what the agent says of its entries. An agent that does not say counts
 // with all live entries. The directory's lock is held.
 func (d *directory) subsetCapacity(now time.Duration, offer string, entries int) offerCapacity {
-	var rooms []admit.BackendCapacity
-	regionScale := 1.0
+	var backends []admit.BackendCapacity
+	backendsPerLink := 1.0
 	for _, server := range d.table.SlotsByServer(offer, now) {
 		sharedBy := int(d.status[server.VM].GetEntries())
 		if sharedBy == 0 {
 			sharedBy = entries
 		}
-		regionScale = d.links.regionScale(server.VM)
-		rooms = append(rooms, admit.BackendCapacity{Limit: server.Limit, Free: server.Free, Entries: sharedBy})
+		backendsPerLink = d.links.agentsPerLink(server.VM)
+		backends = append(backends, admit.BackendCapacity{Limit: server.Limit, Free: server.Free, Entries: sharedBy})
 	}
-	parts := admit.SubsetCapacity(d.inFlight[offer], rooms, regionScale)
-	return offerCapacity{slots: parts.Slots, total: parts.Total, entries: parts.Entries}
+	capacity := admit.SubsetCapacity(d.inFlight[offer], backends, backendsPerLink)
+	return offerCapacity{slots: capacity.Slots, total: capacity.Total, entries: capacity.Entries}
 }
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -87,10 +87,10 @@
 // requeue gives the right back, since no backend server has room after all, or absent
 // since none may get work at all, and returns when the request may run again, or with the
 // refusal.
-func (p *admission) requeue(ctx context.Context, code api.ResultCode, absent bool) *result.Error {
+func (p *admission) requeue(ctx context.Context, code api.ResultCode, noBackend bool) *result.Error {
 	g := p.gate
 	g.mu.Lock()
-	if absent {
+	if noBackend {
 		g.admitter.MarkPending(p.offer)
 	}
 	if !g.admitter.Requeue(clock.Now(), p.id) {
@@ -182,8 +182,8 @@
 	total int
 	// entries share it; 0 for all live ones.
 	entries int
-	// presence says whether any of them may get work.
-	presence admit.Availability
+	// availability says whether any of them may get work.
+	availability admit.Availability
 }
 
 // setCapacities takes the room for each offer, shared by so many entries.
@@ -195,7 +195,7 @@
 		if c.entries > 0 {
 			sharedBy = c.entries
 		}
-		g.admitter.SetAvailability(offer, c.presence)
+		g.admitter.SetAvailability(offer, c.availability)
 		g.admitter.SetTotalCapacity(offer, c.total, sharedBy)
 		g.admitter.SetCapacity(offer, c.slots)
 	}
--- a/internal/entry/keyquota.go
+++ b/internal/entry/keyquota.go
@@ -43,14 +43,14 @@
 // Entries that have read differently far may judge differently. That changes who may
 // append, never what a key is bound to.
 func (k *keyBinder) checkQuota(c keybind.Customer) *result.Error {
-	room := k.fold.Room()
-	verdict, n := room.Ask(c, k.batcher.Room().Held(c))
+	quota := k.fold.Room()
+	verdict, n := quota.Ask(c, k.batcher.Room().Held(c))
 	switch verdict {
 	case keybind.BeyondShare:
 		k.refusedForSpace = true
 		k.counts.beyond.Inc(1)
-		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", room.Held(c))
-		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.OldestAtMs(c, room.Promise(c, n, k.entries()))), text)
+		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", quota.Held(c))
+		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.OldestAtMs(c, quota.Promise(c, n, k.entries()))), text)
 	case keybind.Full:
 		k.refusedForSpace = true
 		return result.Refuse(api.ResultCode_KEYS_FULL, k.timeUntilReleased(k.fold.FirstAtMs(n)))
@@ -110,14 +110,14 @@
 
 // largestHolders returns the customers that hold most keys; the lock is held.
 func (k *keyBinder) largestHolders() []customerKeys {
-	room := k.fold.Room()
-	all := make([]customerKeys, 0, len(room.Customers()))
-	for c, held := range room.Customers() {
+	quota := k.fold.Room()
+	all := make([]customerKeys, 0, len(quota.Customers()))
+	for c, held := range quota.Customers() {
 		name, ok := k.customerNames[c]
 		if !ok {
 			name = hex.EncodeToString(c[:]) + ", not in the plans"
 		}
-		all = append(all, customerKeys{Customer: name, Held: held, Own: room.Own(c)})
+		all = append(all, customerKeys{Customer: name, Held: held, Own: quota.Own(c)})
 	}
 	slices.SortFunc(all, func(a, b customerKeys) int {
 		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Customer, b.Customer))
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -40,9 +40,9 @@
 
 	mu sync.Mutex
 	// vms is the list of VMs that the choice was made from.
-	vms     []platform.VM
-	agents  map[string]platform.VM
-	subsets map[string]*subset.LinkSelector
+	vms       []platform.VM
+	agents    map[string]platform.VM
+	selectors map[string]*subset.LinkSelector
 	// withoutOffer are agents of which the list does not say what they offer.
 	withoutOffer map[string]bool
 	wanted       map[string]bool
@@ -59,7 +59,7 @@
 		agentsPerOffer: agentsPerOffer,
 		spareRequests:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
 		agents:         make(map[string]platform.VM),
-		subsets:        make(map[string]*subset.LinkSelector),
+		selectors:      make(map[string]*subset.LinkSelector),
 		wanted:         make(map[string]bool),
 		spare:          make(map[string]time.Duration),
 		uses:           make(map[string]int),
@@ -177,27 +177,27 @@
 		}
 		l.agents[vm.ID] = vm
 	}
-	l.chooseSubsets(offers)
+	l.selectAgents(offers)
 }
 
-// chooseSubsets takes the subset for each offer; the lock is held.
-func (l *linkChooser) chooseSubsets(offers map[string][]platform.VM) {
+// selectAgents takes the subset for each offer; the lock is held.
+func (l *linkChooser) selectAgents(offers map[string][]platform.VM) {
 	entries, region := l.regionEntries()
-	for offer := range l.subsets {
+	for offer := range l.selectors {
 		if offers[offer] == nil {
-			delete(l.subsets, offer)
+			delete(l.selectors, offer)
 		}
 	}
 	for offer, agents := range offers {
 		servers := inRegion(agents, region)
-		own := subset.ForClient(l.self.GetVm(), entries, servers, l.agentsPerOffer)
-		if l.subsets[offer] == nil {
-			l.subsets[offer] = subset.NewLinkSelector()
+		chosen := subset.ForClient(l.self.GetVm(), entries, servers, l.agentsPerOffer)
+		if l.selectors[offer] == nil {
+			l.selectors[offer] = subset.NewLinkSelector()
 		}
-		l.subsets[offer].SetServers(own, subset.FallbackOrder(l.self.GetVm(), servers, own))
+		l.selectors[offer].SetServers(chosen, subset.FallbackOrder(l.self.GetVm(), servers, chosen))
 		// Wanted at once: with nothing wanted until the next tick, a process that has
 		// just started would take itself for linked.
-		for _, vm := range own {
+		for _, vm := range chosen {
 			l.wanted[vm] = true
 		}
 	}
@@ -253,8 +253,8 @@
 	for vm := range l.withoutOffer {
 		l.wanted[vm] = true
 	}
-	for _, keeper := range l.subsets {
-		for _, vm := range keeper.Update(now, health) {
+	for _, selector := range l.selectors {
+		for _, vm := range selector.Update(now, health) {
 			l.wanted[vm] = true
 		}
 	}
@@ -299,9 +299,9 @@
 	}
 }
 
-// isOut says that an agent is marked isOut, or that its VM leaves or has left. It is called on
+// isUnavailable says that an agent is marked isUnavailable, or that its VM leaves or has left. It is called on
 // the control goroutine, the only one that writes the agents, and needs no lock.
-func (l *linkChooser) isOut(state *member.State, vm string) bool {
+func (l *linkChooser) isUnavailable(state *member.State, vm string) bool {
 	listed, ok := l.agents[vm]
 	return !ok || listed.State == platform.StateLeaving || state.View.VMOutOfService(vm, listed.FailureDomain)
 }
@@ -316,11 +316,11 @@
 	defer l.mu.Unlock()
 	// The list names the model; a caller may ask for one version of it.
 	offer, _, _ = strings.Cut(offer, "@")
-	keeper := l.subsets[offer]
-	if keeper == nil {
+	selector := l.selectors[offer]
+	if selector == nil {
 		return false
 	}
-	if keeper.HasPendingLink() {
+	if selector.HasPendingLink() {
 		return true
 	}
 	for vm := range l.wanted {
@@ -331,16 +331,16 @@
 	return false
 }
 
-// regionScale is how many agents of the region there are for each that new work may go to, of
+// agentsPerLink is how many agents of the region there are for each that new work may go to, of
 // the offer that the list says an agent makes.
-func (l *linkChooser) regionScale(vm string) float64 {
+func (l *linkChooser) agentsPerLink(vm string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	keeper := l.subsets[l.agents[vm].Offer]
-	if keeper == nil {
+	selector := l.selectors[l.agents[vm].Offer]
+	if selector == nil {
 		return 1
 	}
-	return keeper.ServersPerLink()
+	return selector.ServersPerLink()
 }
 
 // isIdle says that no request is at an agent, or waits for it.
--- a/internal/entry/linkuse.go
+++ b/internal/entry/linkuse.go
@@ -56,7 +56,7 @@
 func (e *entry) agentHealth(state *member.State, vm string) subset.Health {
 	peer := state.Peers[vm]
 	switch {
-	case e.links.isOut(state, vm), peer != nil && peer.Draining:
+	case e.links.isUnavailable(state, vm), peer != nil && peer.Draining:
 		return subset.Unavailable
 	case peer != nil && !peer.Session.Suspect():
 		return subset.Usable
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -48,9 +48,9 @@
 	}
 	fence := state.View.ListOffset(api.ListName_LIST_USES)
 	for name, model := range state.View.Models() {
-		want := rollout.Target{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
-		for _, vm := range rollout.NextToLoad(e.rollouts.fleet(now, name, want, servers), want) {
-			e.sendLoadOrder(now, vm, name, want)
+		target := rollout.Target{Version: model.GetVersion(), Adapters: model.GetAdapters(), Fence: fence}
+		for _, vm := range rollout.NextToLoad(e.rollouts.fleet(now, name, target, servers), target) {
+			e.sendLoadOrder(now, vm, name, target)
 		}
 	}
 }
@@ -69,21 +69,21 @@
 	return true
 }
 
-func (e *entry) sendLoadOrder(now time.Duration, vm, model string, want rollout.Target) {
+func (e *entry) sendLoadOrder(now time.Duration, vm, model string, target rollout.Target) {
 	peer, ok := e.directory.agentPeer(vm)
 	if !ok {
 		return
 	}
-	if sent, ok := e.rollouts.sentOrders[vm]; ok && sent.fence == want.Fence && now-sent.sentAt < orderReportTimeout {
+	if sent, ok := e.rollouts.sentOrders[vm]; ok && sent.fence == target.Fence && now-sent.sentAt < orderReportTimeout {
 		return
 	}
-	e.rollouts.sentOrders[vm] = sentOrder{fence: want.Fence, sentAt: now}
-	_ = e.logger.Log("msg", "A backend server is ordered to load.", "vm", vm, "model", model, "version", want.Version, "fence", want.Fence)
+	e.rollouts.sentOrders[vm] = sentOrder{fence: target.Fence, sentAt: now}
+	_ = e.logger.Log("msg", "A backend server is ordered to load.", "vm", vm, "model", model, "version", target.Version, "fence", target.Fence)
 	peer.Session.Post(&api.Control{Body: &api.Control_Rollout{Rollout: &api.LoadOrder{
 		Model:    model,
-		Version:  want.Version,
-		Adapters: want.Adapters,
-		Fence:    want.Fence,
+		Version:  target.Version,
+		Adapters: target.Adapters,
+		Fence:    target.Fence,
 	}}})
 }
 
@@ -110,7 +110,7 @@
 
 // fleet returns all servers of a model, with those missing and with those that have been
 // sent an order that no report tells of yet.
-func (r *rolloutState) fleet(now time.Duration, model string, want rollout.Target, servers map[string]map[string]rollout.Server) []rollout.Server {
+func (r *rolloutState) fleet(now time.Duration, model string, target rollout.Target, servers map[string]map[string]rollout.Server) []rollout.Server {
 	var fleet []rollout.Server
 	for vm, vmModel := range r.modelByVM {
 		if vmModel != model {
@@ -121,7 +121,7 @@
 			server = r.lastReported[vm]
 			server.Missing = true
 		}
-		if sent, ok := r.sentOrders[vm]; ok && now-sent.sentAt < orderReportTimeout && !server.Loading && !want.IsMetBy(server.Version, server.Adapters) {
+		if sent, ok := r.sentOrders[vm]; ok && now-sent.sentAt < orderReportTimeout && !server.Loading && !target.IsMetBy(server.Version, server.Adapters) {
 			server.Loading, server.OrderFence = true, sent.fence
 		}
 		fleet = append(fleet, server)
--- a/internal/entry/rollout_test.go
+++ b/internal/entry/rollout_test.go
@@ -23,11 +23,11 @@
 		"vm-1": {VM: "vm-1", Version: "1"},
 		"vm-2": {VM: "vm-2", Version: "1"},
 	}}
-	want := rollout.Target{Version: "2", Fence: 5}
+	target := rollout.Target{Version: "2", Fence: 5}
 	loading := func(now time.Duration) int {
 		n := 0
-		for _, s := range r.fleet(now, "m", want, servers) {
-			if s.Loading && s.OrderFence == want.Fence {
+		for _, s := range r.fleet(now, "m", target, servers) {
+			if s.Loading && s.OrderFence == target.Fence {
 				n++
 			}
 		}
@@ -49,7 +49,7 @@
 	delete(servers["m"], "vm-2")
 	r.updateServers(servers, listed)
 	missing := 0
-	for _, s := range r.fleet(0, "m", want, servers) {
+	for _, s := range r.fleet(0, "m", target, servers) {
 		if s.Missing {
 			missing++
 		}
@@ -59,7 +59,7 @@
 	}
 	listed.VMs = listed.VMs[:1]
 	r.updateServers(servers, listed)
-	if fleet := r.fleet(0, "m", want, servers); len(fleet) != 1 {
+	if fleet := r.fleet(0, "m", target, servers); len(fleet) != 1 {
 		t.Errorf("%d servers after one left the list, want 1", len(fleet))
 	}
 }
