--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -20,8 +20,8 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// A streamed answer breaks in the middle. The caller gets the failure as an event and no
-// mark of the end; the dump must tell the same failure, not a fault of the entry.
+// A streamed answer breaks in the middle. The caller must get the failure as an event and no end
+// marker, and the dump must show the same failure, not a fault of the entry.
 func TestBrokenStreamIsRecordedAsAnswerBroken(t *testing.T) {
 	agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/event-stream"), partOf(1, "data: one\n\n"), partOf(3, "data: three\n\n"))
@@ -38,8 +38,8 @@
 	}
 }
 
-// An agent fails while it holds a request that may be repeated; it is sent to another,
-// which refuses it as not run. The caller must not be told that its request has not run.
+// An agent fails while it runs a request that may be repeated, and the next agent refuses it as not
+// run. The caller must not be told that the request has not run.
 func TestNotRunIsSaidOfAllAttempts(t *testing.T) {
 	var agents [2]*fakeAgent
 	script := func(other int) func(*api.Work, *link.Stream) {
@@ -61,9 +61,8 @@
 	}
 }
 
-// What an agent may send by a fault of its own: an end without a head, and a status that
-// HTTP does not have, which net/http answers with a panic. The caller gets a code, and
-// the entry forgets the request.
+// A faulty agent sends an end without a head, or a status that HTTP does not define, at which
+// net/http panics. The caller must get a result code, and nothing may stay counted as in flight.
 func TestMalformedAnswers(t *testing.T) {
 	for name, events := range map[string][]*api.WorkEvent{
 		"no head":         {accepted(), endOf(0, 0)},
@@ -89,8 +88,8 @@
 	}
 }
 
-// Attempts move only while the caller has had nothing, and for a call that runs at most
-// once only after a refusal that says "not run".
+// A request is retried at another agent only while the caller has received nothing, and a call that
+// runs at most once only after a refusal that says "not run".
 func TestRetryOnlyWhileTheCallerHasNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
@@ -140,9 +139,9 @@
 	}
 }
 
-// The link to the agent breaks in the middle of an answer that is not a stream. The entry
-// attaches again at the next part, and the agent begins with the head, as always. The
-// caller must get the parts from before the break too.
+// The link to the agent breaks in the middle of an answer that is not a stream. The entry attaches
+// again at the next part, and the agent sends the head first, as always. The caller must also get
+// the parts from before the break.
 func TestAnAnswerGoesOnOverANewLink(t *testing.T) {
 	var agent *fakeAgent
 	agent = newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
@@ -152,7 +151,7 @@
 	})
 	agent.attached = func(attach *api.Attach, stream *link.Stream) {
 		if attach.GetFrom() != 2 || attach.GetAnswerId() != "vm:1:1" || attach.GetCustomer() != "c" {
-			t.Errorf("attached by %v", attach)
+			t.Errorf("unexpected attach: %v", attach)
 		}
 		send(stream, headOf(200, "text/plain"), partOf(1, "late"), partOf(2, "second"), endOf(2, 12))
 	}
@@ -162,9 +161,9 @@
 	}
 }
 
-// A caller asks for a long stream, and stops reading without closing its connection. Its
-// deadline passes. The request must end then: its place at the gate and at the agent is of
-// use to others, and a planned stop would wait for it.
+// A caller asks for a long stream, and stops reading without closing its connection. The request
+// must end at its deadline: otherwise it holds slots at the gate and at the agent, and a graceful
+// shutdown waits for it.
 func TestACallerThatDoesNotRead(t *testing.T) {
 	agent := newFakeAgent(t, "b1", func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/event-stream"))
@@ -184,18 +183,18 @@
 	body := `{"model":"m","prompt":"p"}`
 	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer %s\r\nApricothub-Deadline-Ms: 200\r\nContent-Length: %d\r\n\r\n%s",
 		completions, testKey, len(body), body)
-	eventually(t, "the request under way", func() bool { return e.directory.dump().InFlight["model:m"] == 1 })
+	eventually(t, "the request in flight", func() bool { return e.directory.dump().InFlight["model:m"] == 1 })
 	began := time.Now()
-	eventually(t, "its end", func() bool { return len(e.directory.dump().InFlight) == 0 })
+	eventually(t, "the end of the request", func() bool { return len(e.directory.dump().InFlight) == 0 })
 	if took := time.Since(began); took > 200*time.Millisecond+2*writeGrace {
-		t.Errorf("it took %v", took)
+		t.Errorf("the request ended after %v", took)
 	}
 }
 
-// A caller has its whole stream with "[DONE]", and hangs up at once, as client libraries
-// do. The agent must hear that the answer is delivered: one that does not keeps the answer
-// as if somebody might come back for it, until its memory for answers is full and it
-// refuses work, and a planned stop waits ten seconds for nobody.
+// A caller reads its whole stream up to "[DONE]" and closes the connection at once, as client
+// libraries do. The agent must still be told that the answer is delivered. Otherwise it keeps the
+// answer for the caller to come back, until its memory for answers is full and it refuses work, and
+// its graceful shutdown waits ten seconds for nobody.
 func TestDeliveredIsSaidOfACallerThatHangsUp(t *testing.T) {
 	const callers, callsEach = 16, 25
 	var delivered atomic.Int32
@@ -217,11 +216,10 @@
 		})
 	}
 	calls.Wait()
-	eventually(t, "word of each delivery", func() bool { return delivered.Load() == agent.works.Load() })
+	eventually(t, "a delivery notice for each answer", func() bool { return delivered.Load() == agent.works.Load() })
 }
 
-// hangUpAtDone streams a completion and closes the connection as soon as its mark of the
-// end has come.
+// hangUpAtDone streams a completion and closes the connection as soon as the end marker arrives.
 func hangUpAtDone(t *testing.T, url string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -239,10 +237,10 @@
 			return
 		}
 	}
-	t.Error("the stream ended without its mark")
+	t.Error("the stream ended without the end marker")
 }
 
-// writeCountingListener counts the writeCountingListener to all connections of a listener.
+// writeCountingListener counts the writes to all its connections.
 type writeCountingListener struct {
 	net.Listener
 	count atomic.Int64
@@ -263,9 +261,9 @@
 	return c.Conn.Write(p)
 }
 
-// A caller hangs up at the last event of a stream, as some client libraries do, and asks
-// again. The end of the HTTP answer comes by the same write, so that its connection is
-// kept: a new one would cost it twice the way to the entry. The agent is told after that.
+// A caller hangs up at the last event of a stream, as some client libraries do, and asks again. The
+// end of the HTTP answer must be sent in the same write as the last event, so that the connection
+// can be kept: a new one costs the caller another round trip. The agent is told after that.
 func TestStreamEndsByOneWrite(t *testing.T) {
 	event := "data: x\n\n"
 	doneReceived := make(chan bool, 1)
@@ -294,7 +292,7 @@
 				t.Error("the agent was not told that the answer is delivered")
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("the agent was told nothing")
+			t.Fatal("the agent received no signal")
 		}
 		if n := count.count.Load(); n != 2 {
 			t.Errorf("%d writes for a token and the end", n)
--- a/internal/entry/availability_test.go
+++ b/internal/entry/availability_test.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// An entry linked to one agent of a model hears that it stops. While the link to the next
-// one is being made, requests for the model, and for a version of it, wait; once nothing
-// is on its way any more, or with the last agent of the model, they are told so.
+// An entry that is linked to one agent of a model learns that the agent is shutting down. While the
+// link to the next one is being made, requests for the model, with or without a version, must wait.
+// Once no link is pending, or with the last agent of the model gone, they must be refused.
 func TestOfferIsExpectedWhileALinkIsDialled(t *testing.T) {
 	l := newTestLinkChooser(1, agentVM("b1", "model:m", "r1"), agentVM("b2", "model:m", "r1"))
 	d := newDirectory(true)
@@ -32,7 +32,7 @@
 	capacities := d.capacities(0, 1)
 	for _, offer := range []string{"model:m", "model:m@v"} {
 		if r, ok := capacities[offer]; !ok || r.availability != admit.Pending || r.slots != 0 {
-			t.Errorf("%s: %+v while a link is on its way", offer, r)
+			t.Errorf("%s: %+v while a link is pending", offer, r)
 		}
 	}
 	unavailable := func(string) subset.Health { return subset.Unavailable }
@@ -42,9 +42,9 @@
 	}
 }
 
-// The only agent of a service is killed, and its link is gone at once. Pushes that were not
-// sent wait a moment, in which a link that was merely broken stands again; then they are
-// told that nobody offers the service, and not only near their deadline.
+// The only agent of a service is killed, and its link is gone at once. Pushes that were not sent
+// must wait for a moment, in which a link that was merely broken is up again. Then they must be
+// refused, instead of shortly before their deadlines.
 func TestRequestsWaitBrieflyForAVanishedOffer(t *testing.T) {
 	d := newDirectory(false)
 	peer := &member.Peer{Hello: &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "1"}}
@@ -63,11 +63,11 @@
 		t.Errorf("after %v: %+v", vanishedOfferGrace, r)
 	}
 	if _, ok := d.capacities(time.Minute, 1)["service:s"]; ok {
-		t.Error("what has vanished is remembered for ever")
+		t.Error("a vanished offer is never removed")
 	}
 	d.setPeers(linked)
 	d.handleMessage(peer, report)
 	if r := d.capacities(time.Hour, 1)["service:s"]; r.availability != admit.Available {
-		t.Errorf("when it is back: %+v", r)
+		t.Errorf("after the server is back: %+v", r)
 	}
 }
--- a/internal/entry/baselines.go
+++ b/internal/entry/baselines.go
@@ -7,30 +7,30 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// baselineTTL is how long what an agent had learned is kept after its last report: the time
-// in which an agent is replaced, and short enough that the mix of prompts is the same.
+// baselineTTL is how long a baseline is kept after the last report with it. It covers the
+// replacement of an agent, and is short enough that the mix of prompts is the same.
 const baselineTTL = 10 * time.Minute
 
-// baselineCache keeps what agents have learned of their backend servers, for the agents that
-// replace them. An agent has no disk, and without it spends half a minute and more at the
-// cold limit of a warm engine.
+// baselineCache keeps what agents have learned about their backend servers, for the agents that
+// replace them. Agents have no disk, and without the baseline a new agent spends half a minute or
+// more at the cold limit of a warm engine.
 type baselineCache struct {
-	byVM map[string]*cachedBaseline // by VM
+	byVM map[string]*cachedBaseline
 }
 
-// cachedBaseline is the last report in which an agent knew the usual.
+// cachedBaseline is the last report in which an agent had a baseline.
 type cachedBaseline struct {
 	status     *api.BackendStatus
 	reportedAt time.Duration
-	// holder is the incarnation that needs it no more: the one that learned it, or one
-	// that was given it.
+	// holder is the incarnation that has the baseline already: the one that learned it, or the last
+	// one that was given it.
 	holder string
 }
 
 func newBaselineCache() *baselineCache { return &baselineCache{byVM: make(map[string]*cachedBaseline)} }
 
-// exchange takes a report. It returns what its agent is to be given, or nil: an agent that
-// knows nothing yet of a backend server that offers what it offered before.
+// exchange records a report. It returns the baseline to give to its agent, or nil. An agent gets
+// one if it has none and its backend server has the same offers as before.
 func (u *baselineCache) exchange(now time.Duration, peer *member.Peer, status *api.BackendStatus) *api.Usual {
 	vm, incarnation := peer.Hello.GetVm(), peer.Hello.GetIncarnation()
 	if status.GetUsual() != nil {
@@ -45,7 +45,7 @@
 	return cached.status.GetUsual()
 }
 
-// removeExpired lets go of what is too old. Agents that live report more often than that.
+// removeExpired removes baselines past baselineTTL. Live agents report more often than that.
 func (u *baselineCache) removeExpired(now time.Duration) {
 	for vm, cached := range u.byVM {
 		if now-cached.reportedAt > baselineTTL {
--- a/internal/entry/baselines_test.go
+++ b/internal/entry/baselines_test.go
@@ -8,8 +8,8 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// What one agent knew is given to the next agent of the same VM, once, while it offers the
-// same; another model's usual would be wrong for it.
+// An agent is replaced by another on the same VM. The baseline must be given to it once, and only
+// with the same offers: that of another model would be wrong.
 func TestBaselineIsGivenToTheNextAgent(t *testing.T) {
 	known := &api.BackendStatus{Model: "m", ModelVersion: "1", Usual: &api.Usual{LatencyUs: 7}}
 	fresh := &api.BackendStatus{Model: "m", ModelVersion: "1"}
@@ -40,6 +40,6 @@
 	}
 	u.removeExpired(2 * baselineTTL)
 	if u.exchange(2*baselineTTL, agent("a", "4"), fresh) != nil {
-		t.Error("given although it is too old")
+		t.Error("an expired baseline was given")
 	}
 }
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -16,8 +16,7 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// A customer invents versions and tickets. Nothing may be kept of them when their
-// requests are over.
+// A customer makes up versions and tickets. Nothing may be kept of them after their requests.
 func TestInventedNamesAreForgotten(t *testing.T) {
 	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
@@ -32,8 +31,8 @@
 	}
 }
 
-// An agent's process is replaced while its old link still stands, as after a pause. What
-// the old one reports and grants must not pass for the new one's.
+// An agent's process is replaced while its old link is still up, as after a pause. Reports and
+// grants of the old process must not be taken for those of the new one.
 func TestReportsOfAReplacedProcessAreIgnored(t *testing.T) {
 	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, _ := startEntry(t, agent)
@@ -43,16 +42,16 @@
 	foreign := &api.TicketBlock{AgentVm: "b2", Incarnation: "1", Count: 10, Key: []byte("k"), LifetimeMs: 1000, ExpiryMs: 1000}
 	e.directory.handleMessage(current, &api.Control{Body: &api.Control_Block{Block: foreign}})
 	if limit := e.directory.backends()[0].Limit; limit != 8 {
-		t.Errorf("limit %d", limit)
+		t.Errorf("limit %d, want 8", limit)
 	}
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
 	if _, ok := e.directory.ticketLifetimes["b2"]; ok {
-		t.Error("an agent granted tickets of another")
+		t.Error("an agent granted tickets of another agent")
 	}
 }
 
-// Agents come and go for months; nothing of those that are gone may stay.
+// Agents come and go for months. Nothing may be kept of those that are gone.
 func TestGoneAgentsAreForgotten(t *testing.T) {
 	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
@@ -61,12 +60,12 @@
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
 	if left := len(e.directory.lastReport) + len(e.directory.ticketLifetimes) + len(e.directory.blockRequestedAt) + len(e.directory.status); left != 0 {
-		t.Errorf("%d entries stay", left)
+		t.Errorf("%d map entries are left", left)
 	}
 }
 
-// Somebody guesses keys. Past a bound an address gets no more tries, whatever key comes,
-// but those callers behind it whose key was good before go on; other addresses too.
+// Somebody guesses keys. Past a limit, an address must be refused with any key, except for the
+// callers behind it whose key was valid before. Other addresses must not be affected.
 func TestGuessingKeysIsBounded(t *testing.T) {
 	g := newGuessLimiter()
 	now := time.Unix(0, 0)
@@ -80,19 +79,19 @@
 		}
 	}
 	if allowed > guessBurst {
-		t.Errorf("%d guesses", allowed)
+		t.Errorf("%d wrong keys allowed", allowed)
 	}
 	if !g.allowValidKey(now, "10.0.0.1", 7) || g.allowValidKey(now, "10.0.0.1", 8) || !g.allowValidKey(now, "10.0.0.2", 8) {
-		t.Error("the wrong callers are refused")
+		t.Error("a known caller or another address is refused, or an unknown caller is not")
 	}
 	if now = now.Add(time.Minute); !g.allowValidKey(now, "10.0.0.1", 8) {
-		t.Error("an address is refused for ever")
+		t.Error("an address is never accepted again")
 	}
 	for i := range 3 * maxTrackedCallers {
 		g.allowValidKey(now, strconv.Itoa(i), 1)
 	}
 	if len(g.knownCallers) > maxTrackedCallers {
-		t.Errorf("%d callers are remembered", len(g.knownCallers))
+		t.Errorf("%d callers are tracked", len(g.knownCallers))
 	}
 
 	_, url := startEntry(t)
@@ -109,14 +108,14 @@
 		limited = limited || resp.StatusCode == http.StatusTooManyRequests && resp.Header.Get("Retry-After") != ""
 	}
 	if !limited {
-		t.Error("a guesser is not limited")
+		t.Error("wrong keys are not limited")
 	}
 }
 
-// An entry is replaced, and a caller asks it for addresses before its first links stand.
-// Nobody else has told it of other entries yet. Named itself, it would get requests and
-// refuse them for lack of backend servers, though other entries have some: the caller must
-// be told that this one is starting, and ask another.
+// A caller asks a replaced entry for addresses before its first links are up, when it does not know
+// other entries yet. If it named itself, it would get requests and refuse them for lack of backend
+// servers, though other entries have some. The caller must be told that it is starting, and ask
+// another.
 func TestAddressesOfAnEntryThatStarts(t *testing.T) {
 	e, _ := startEntry(t)
 	s := *e.node.State()
@@ -127,8 +126,8 @@
 	}
 }
 
-// Callers are told the entries that may take their requests: not one that is draining,
-// out, not ready, suspect or isolated, be it this one.
+// Callers must get the addresses of the entries that accept their requests, without those that are
+// draining, marked out, not ready, suspect or isolated. That applies to the answering entry too.
 func TestAddresses(t *testing.T) {
 	e, url := startEntry(t)
 	state := *e.node.State()
@@ -182,9 +181,9 @@
 		}
 	}
 	session.Close(io.EOF)
-	eventually(t, "suspect", session.Suspect)
+	eventually(t, "a suspect link", session.Suspect)
 	state.Peers = map[string]*member.Peer{"e2": &good}
 	if got, _ := e.listAddresses(&state); len(got.Addresses) != 1 {
-		t.Errorf("a suspect entry is named: %v", got)
+		t.Errorf("a suspect entry is listed: %v", got)
 	}
 }
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -6,12 +6,12 @@
 	"github.com/apricothub/apricothub/decide/admit"
 )
 
-// vanishedOfferGrace is how long an offer is waited for whose last backend server is gone: a
-// link that broke stands again after a dial, 0.3 s after one that failed, and a report.
+// vanishedOfferGrace is how long requests may wait for an offer after its last backend server is
+// gone. It covers a link that broke: a dial, 0.3 s after one that failed, and a report.
 const vanishedOfferGrace = 2 * time.Second
 
-// capacities returns the room for each offer that any backend server makes, or has made a
-// moment ago.
+// capacities returns the capacity for each offer that a backend server has, or had within
+// vanishedOfferGrace.
 func (d *directory) capacities(now time.Duration, entries int) map[string]offerCapacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -30,12 +30,12 @@
 	return capacities
 }
 
-// addVanishedOffers adds the offers that none makes any more. The lock is held.
+// addVanishedOffers adds the offers that no backend server has any more. The lock is held.
 //
-// Load: the only agent of an offer is killed, or all links to its agents break, and the
-// requests that it had not begun go back to the gate. Harm prevented: they are held there
-// until near their deadlines, though nobody is left who could run them; refused at once,
-// none would live through a link that breaks and stands again.
+// When the only agent of an offer is killed or all links to its agents break, the requests that it
+// had not begun are queued again. Without the limit they would wait until close to their deadlines
+// although no server is left. Refused at once, they would fail whenever a link breaks and comes
+// back.
 func (d *directory) addVanishedOffers(now time.Duration, capacities map[string]offerCapacity) {
 	for offer := range capacities {
 		d.lastOffered[offer] = now
@@ -52,7 +52,7 @@
 	}
 }
 
-// capacity is the capacity for one offer; the lock is held.
+// capacity returns the capacity for one offer; the lock is held.
 func (d *directory) capacity(now time.Duration, offer string, entries int) offerCapacity {
 	if !d.links.linksToAll() {
 		return d.subsetCapacity(now, offer, entries)
@@ -61,7 +61,7 @@
 	return offerCapacity{slots: admit.EntrySlots(d.inFlight[offer], free, capacity, entries), total: capacity}
 }
 
-// availability says whether any backend server for an offer may get work; the lock is held.
+// availability says whether any backend server for an offer can get work; the lock is held.
 func (d *directory) availability(offer string, capacity int) admit.Availability {
 	switch {
 	case capacity > 0:
@@ -72,9 +72,9 @@
 	return admit.Unavailable
 }
 
-// subsetCapacity is the room for an offer when this entry is linked to some agents only: its
-// part of each by what the agent says of its entries. An agent that does not say counts
-// with all live entries. The directory's lock is held.
+// subsetCapacity returns the capacity for an offer when this entry has links to a subset of the
+// agents. Its share of each agent follows from the number of entries that the agent reports, or
+// from all live entries if the agent reports none. The directory's lock is held.
 func (d *directory) subsetCapacity(now time.Duration, offer string, entries int) offerCapacity {
 	var backends []admit.BackendCapacity
 	backendsPerLink := 1.0
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -16,9 +16,9 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// directory knows the backend servers this entry has links to: what they offer, how
-// loaded they are, and the tickets they have granted. Traffic and the control
-// goroutine share it under one lock.
+// directory keeps the state of the backend servers that this entry has links to: what they offer,
+// how loaded they are, and the ticket blocks that they have granted. Request handlers and the
+// control goroutine share it under one lock.
 type directory struct {
 	mu               sync.Mutex
 	table            *place.Table
@@ -31,21 +31,21 @@
 	lastSteps        map[string]observedStep // by group
 	inFlight         map[string]int          // own requests in flight, by offer
 	blockRequestedAt map[string]time.Duration
-	// lastOffered is when an offer was last lastOffered by any backend server.
+	// lastOffered is when each offer was last seen at any backend server.
 	lastOffered map[string]time.Duration
-	// ticketLifetimes of the newest block, by agent's VM.
+	// ticketLifetimes are the lifetimes of the newest ticket blocks, by agent's VM.
 	ticketLifetimes map[string]time.Duration
 	view            *config.View
-	// needsVersionOffer names the models that splitModels finds.
+	// needsVersionOffer is the result of modelsNeedingVersionOffer.
 	needsVersionOffer map[string]bool
 	links             *linkChooser
-	// peersChanged is closed and made anew at each change of the links or of what they say.
+	// peersChanged is closed and replaced at each change of the links or of their state.
 	peersChanged chan struct{}
-	// baselines are handed to agents that replace others.
+	// baselines are passed on to agents that replace others on the same VM.
 	baselines *baselineCache
 }
 
-// blockRetryInterval is how long an answer to a request for tickets is waited for.
+// blockRetryInterval is how long to wait for a requested ticket block before requesting it again.
 const blockRetryInterval = 500 * time.Millisecond
 
 // newDirectory returns a directory of all agents, or of a subset of them.
@@ -77,8 +77,8 @@
 
 func adapterOffer(name string) string { return "adapter:" + name }
 
-// offers lists the keys of what a backend server serves. A model is offered by its
-// name and by name and version, so that a caller may ask for either.
+// offers lists the offers of a backend server. A model is offered both by name and by name and
+// version, so that a caller may ask for either.
 func offers(s *api.BackendStatus) []string {
 	if s.GetService() != "" {
 		return []string{serviceOffer(s.GetService())}
@@ -93,7 +93,7 @@
 	return keys
 }
 
-// setPeers takes the links that stand.
+// setPeers sets the agents that this entry has links to.
 func (d *directory) setPeers(state *member.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,8 +118,8 @@
 	d.rebuildTable()
 }
 
-// allReported says that every linked agent has reported: before that its backend server
-// is not among those that may get work.
+// allReported says whether every linked agent has reported. An agent gets no work before its first
+// report.
 func (d *directory) allReported() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,8 +131,8 @@
 	return true
 }
 
-// dropStaleTickets lets go of the tickets of agents that are gone or were replaced. Minted
-// from them, a request would end as "outcome unknown" though nobody ever sent it.
+// dropStaleTickets drops the ticket blocks of agents that are gone or were replaced. With a ticket
+// from such a block, a request would end as "outcome unknown" though it was never sent.
 func (d *directory) dropStaleTickets(previous map[string]*member.Peer) {
 	for vm, old := range previous {
 		current := d.peers[vm]
@@ -143,8 +143,8 @@
 	}
 }
 
-// setView takes the marks of a new configuration. A domain taken out loses its
-// weight at once here: its own agents refuse from the same moment on.
+// setView applies the marks of a new configuration. A failure domain that is marked out loses its
+// weight at once, because its own agents refuse work from the same moment on.
 func (d *directory) setView(now time.Duration, view *config.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,7 +165,7 @@
 	d.rebuildTable()
 }
 
-// rebuildTable gives the table the backend servers that may get work.
+// rebuildTable gives the placement table the backend servers that can get work. The lock is held.
 func (d *directory) rebuildTable() {
 	servers := make([]place.Server, 0, len(d.peers))
 	for vm, peer := range d.peers {
@@ -184,17 +184,17 @@
 	d.needsVersionOffer = modelsNeedingVersionOffer(d.view, d.status)
 }
 
-// handleMessage takes what agents send on the control stream. It says whether a backend
-// server now offers what it did not before, or takes work again: requests that waited
-// for it go to the gate at once, and would be refused there for want of room.
+// handleMessage handles an agent's message on the control stream. It returns true if a backend
+// server has new offers or accepts work again: the gate must know its capacity at once, or it would
+// refuse the requests that waited for it.
 func (d *directory) handleMessage(peer *member.Peer, m *api.Control) bool {
 	now := clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	vm := peer.Hello.GetVm()
 	if current := d.peers[vm]; current == nil || current.Hello.GetIncarnation() != peer.Hello.GetIncarnation() {
-		// An older process of the VM, paused and woken: what it says would be
-		// taken for its successor's.
+		// The message comes from an older process of the VM that was paused and has resumed. It
+		// must not be taken for a message of the process that replaced it.
 		return false
 	}
 	if block := m.GetBlock(); block != nil {
@@ -245,8 +245,8 @@
 	return true
 }
 
-// tick looks for silent links, moves the weights of domains that leave or return,
-// and asks for tickets before they run out.
+// tick marks silent links as suspect, shifts the weights of failure domains that leave or return,
+// and requests ticket blocks before they run out.
 func (d *directory) tick(now time.Duration, state *member.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -264,9 +264,9 @@
 	}
 }
 
-// requestTickets asks an agent for a block of tickets when few are left, unless it was
-// asked a moment ago. An agent that was never asked is asked at once: taken for asked at
-// the process's start, it would leave an entry that has just started without any ticket.
+// requestTickets asks an agent for a ticket block when few tickets are left, unless it was asked
+// within blockRetryInterval. An agent without an entry in blockRequestedAt is asked at once: with a
+// zero time instead, an entry that has just started would wait and have no tickets.
 func (d *directory) requestTickets(now time.Duration, vm string, peer *member.Peer) {
 	requestedAt, requested := d.blockRequestedAt[vm]
 	if !d.minter.Low(now, vm) || requested && now-requestedAt < blockRetryInterval {
@@ -276,7 +276,7 @@
 	peer.Session.Post(&api.Control{Body: &api.Control_BlockRequest{BlockRequest: &api.BlockRequest{}}})
 }
 
-// pick chooses an agent for a request and counts it there.
+// pick selects an agent for a request and counts the request as in flight there.
 func (d *directory) pick(req place.Request) (*member.Peer, api.ResultCode) {
 	now := clock.Now()
 	d.mu.Lock()
@@ -295,7 +295,8 @@
 	return peer, api.ResultCode_OK
 }
 
-// recordStart counts a request that goes to a given agent, such as one with a ticket.
+// recordStart counts a request as in flight at a given agent, such as the one that its ticket
+// names.
 func (d *directory) recordStart(vm, offer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -304,7 +305,7 @@
 	d.links.acquire(vm)
 }
 
-// recordEnd takes back the count of pick or started.
+// recordEnd reverts the count of pick or recordStart and records the outcome.
 func (d *directory) recordEnd(vm, offer string, outcome place.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -313,12 +314,12 @@
 	d.links.release(now, vm)
 	d.inFlight[offer]--
 	if d.inFlight[offer] == 0 {
-		// A caller may name any version.
+		// Callers may ask for any version, so unused offers must not stay in the map.
 		delete(d.inFlight, offer)
 	}
 }
 
-// agentPeer returns the link to an agentPeer's VM.
+// agentPeer returns the link to an agent by its VM.
 func (d *directory) agentPeer(vm string) (*member.Peer, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -326,8 +327,8 @@
 	return peer, ok
 }
 
-// agentDraining says that the agent which a ticket names is stopping or leaving; false
-// without a ticket.
+// agentDraining says whether the agent that a ticket names is shutting down; false without a
+// ticket.
 func (d *directory) agentDraining(t *api.Ticket) bool {
 	if t == nil {
 		return false
@@ -336,12 +337,12 @@
 	return ok && peer.Draining
 }
 
-// withAgentDraining returns a context that also ends when the agent which a ticket names begins
-// to stop; without a ticket, the context given.
+// withAgentDraining returns a context that also ends when the agent that a ticket names starts to
+// shut down. Without a ticket it returns the given context.
 //
-// Load: pushes wait at the gate for room while the one agent that may run them stops.
-// Harm prevented: they wait for longer than the agent lives, and its callers are left not
-// knowing whether their pushes ran. Sent at once, they hear it from the agent itself.
+// Only that agent can run the request or say what became of it. A request that kept waiting at the
+// gate for free slots could outlast the agent, and the caller would never learn whether its push
+// ran.
 func (d *directory) withAgentDraining(ctx context.Context, t *api.Ticket) (context.Context, context.CancelFunc) {
 	if t == nil {
 		return ctx, func() {}
@@ -349,7 +350,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		for {
-			// Asked for before the look: a change between the two must not be missed.
+			// The channel is obtained before the check so that a change in between is not missed.
 			changed := d.peerChanges()
 			if d.agentDraining(t) {
 				cancel()
@@ -372,7 +373,7 @@
 	return d.peersChanged
 }
 
-// hasCapacity says whether any backend server offers the key.
+// hasCapacity says whether any backend server can get work for the offer.
 func (d *directory) hasCapacity(offer string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -380,15 +381,15 @@
 	return capacity > 0
 }
 
-// expectsOffer says whether a backend server that is linked and in service offers the key,
-// even if it may get no work at this moment, or that a link to one is on its way.
+// expectsOffer says whether a linked backend server that is in service has the offer, even if it
+// cannot get work at the moment, or a link to one is being made.
 func (d *directory) expectsOffer(offer string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.expectsOfferLocked(offer)
 }
 
-// expectsOfferLocked is offered with the lock held.
+// expectsOfferLocked is expectsOffer with the lock held.
 func (d *directory) expectsOfferLocked(offer string) bool {
 	for vm, status := range d.status {
 		peer := d.peers[vm]
@@ -402,7 +403,7 @@
 	return d.links.isLinkPending(offer, d.noReportPending)
 }
 
-// mintTicket makes a ticket of an agent for a customer.
+// mintTicket mints a ticket of an agent for a customer.
 func (d *directory) mintTicket(vm, customer string) (*api.Ticket, bool) {
 	now := clock.Now()
 	d.mu.Lock()
@@ -413,19 +414,19 @@
 	}
 	t, ok := d.minter.Mint(now, vm, customer)
 	d.requestTickets(now, vm, peer)
-	// A block that was on its way when its agent was replaced is of no use any more.
+	// A block that was on its way when its agent was replaced is of no use.
 	return t, ok && t.GetIncarnation() == peer.Hello.GetIncarnation()
 }
 
-// ticketLifetime is the time for which a ticket just minted is good at least: blocks are
-// minted from in the first half of their ticketLifetime.
+// ticketLifetime is the least time for which a ticket just minted is valid: tickets are minted only
+// in the first half of their block's lifetime.
 func (d *directory) ticketLifetime(t *api.Ticket) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ticketLifetimes[t.GetAgentVm()] / 2
 }
 
-// countRequest and mayRetry keep the budget for second attempts.
+// countRequest and spendRetry maintain the retry budget.
 func (d *directory) countRequest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// reattachTimeout is how long the link to an agent that holds an answer is waited
-	// for: the time in which a silent link is closed and dialled anew, and some.
+	// reattachTimeout is how long to wait for a new link to an agent that holds an answer. It
+	// covers the time until a silent link is closed and dialled again.
 	reattachTimeout = 4 * time.Second
-	// pollInterval is the time between looks while waiting for one of the above.
+	// pollInterval is the interval of checks while waiting for a link, a ticket block or capacity.
 	pollInterval = 10 * time.Millisecond
-	// maxAttempts bounds the agents that one request is sent to.
+	// maxAttempts limits the attempts of one request.
 	maxAttempts = 4
 )
 
-// attempt is one try to have a request run by one agent.
+// attempt is one attempt to run a request at one agent.
 type attempt struct {
 	req  *request
 	peer *member.Peer
@@ -34,15 +34,15 @@
 	vm   string
 }
 
-// dispatch sends a request to agents until one gives the whole answer, or the request
-// has failed for good. What the caller has had of an answer is never begun anew.
+// dispatch sends a request to agents until one gives the complete answer or the request fails for
+// good. An answer that the caller has received in part is never started over.
 func (e *entry) dispatch(ctx context.Context, req *request, adm *admission, out *output) error {
 	if req.callerTicket != nil {
 		return e.dispatchToTicketAgent(ctx, req, out)
 	}
 	e.directory.countRequest()
 	var tried []string
-	mayHaveRun := false // An attempt may have run.
+	mayHaveRun := false // of any attempt
 	for n := 1; ; n++ {
 		a, refused := e.placeAttempt(ctx, req, adm, tried, n)
 		if refused != nil {
@@ -55,8 +55,8 @@
 		mayHaveRun = mayHaveRun || err.Ran != api.Ran_RAN_NO
 		tried = append(tried, a.vm)
 		if !e.directory.spendRetry() {
-			// The budget for second attempts is spent. What has not run may still
-			// wait at the gate like any other.
+			// The retry budget is spent. A request that has not run may still be queued at the gate
+			// like any other.
 			if err.Ran != api.Ran_RAN_NO {
 				return err
 			}
@@ -69,8 +69,8 @@
 	}
 }
 
-// withEarlierAttempts makes the last attempt's failure true of all attempts: "not run" is not said of
-// a request of which an earlier attempt may have run.
+// withEarlierAttempts adjusts the last attempt's error to all attempts: a request that an earlier
+// attempt may have run must not be reported as "not run".
 func withEarlierAttempts(err *result.Error, mayHaveRun bool) *result.Error {
 	if err == nil || !mayHaveRun || err.Ran != api.Ran_RAN_NO {
 		return err
@@ -80,7 +80,7 @@
 	return &unknown
 }
 
-// asError keeps a nil *result.Error from becoming an error that is not nil.
+// asError converts a nil *result.Error to a nil error.
 func asError(err *result.Error) error {
 	if err == nil {
 		return nil
@@ -88,9 +88,9 @@
 	return err
 }
 
-// canRetry says whether a failed attempt may be followed by another: always only while
-// the caller has had nothing; and for a request that runs at most once only when it
-// certainly has not run.
+// canRetry says whether a failed attempt may be followed by another. The caller must not have
+// received any part of the answer, and a request that runs at most once must be known not to have
+// run.
 func canRetry(ctx context.Context, req *request, out *output, err *result.Error) bool {
 	if ctx.Err() != nil || out.hasBegun() {
 		return false
@@ -105,8 +105,8 @@
 	return true
 }
 
-// placeAttempt chooses the agent, and makes a ticket of it for a request that runs at most
-// once. A request for which there is no room after all goes back to the gate.
+// placeAttempt selects the agent, and mints a ticket of it for a request that runs at most once. A
+// request for which no slot is free after all is queued at the gate again.
 func (e *entry) placeAttempt(ctx context.Context, req *request, adm *admission, tried []string, n int) (*attempt, *result.Error) {
 	deadline := clock.Now() + mintTimeout
 	for {
@@ -129,7 +129,7 @@
 		if a, ok := e.newAttempt(req, peer, n); ok {
 			return a, nil
 		}
-		// The agent's first block of tickets is still on its way.
+		// The agent's first ticket block has not arrived yet.
 		e.directory.recordEnd(peer.Hello.GetVm(), req.offer, place.Outcome{})
 		if clock.Now() > deadline || ctx.Err() != nil {
 			return nil, result.Refuse(api.ResultCode_NO_BACKEND, time.Second)
@@ -138,7 +138,7 @@
 	}
 }
 
-// requeue lets a request wait at the gate for a backend server.
+// requeue queues a request at the gate again until a backend server has a free slot.
 func (e *entry) requeue(ctx context.Context, req *request, adm *admission, code api.ResultCode) *result.Error {
 	return adm.requeue(ctx, code, !e.directory.hasCapacity(req.offer))
 }
@@ -159,7 +159,7 @@
 	return a, ok
 }
 
-// runAttempt has one agent run the request and takes the answer to the output.
+// runAttempt has one agent run the request and passes the answer to the output.
 func (e *entry) runAttempt(ctx context.Context, a *attempt, out *output) *result.Error {
 	started := clock.Now()
 	err := e.checkLink(ctx, a)
@@ -185,14 +185,14 @@
 	return err
 }
 
-// refusesAllWork says that an agent's refusal means that it takes no new work from anybody until
-// it says otherwise in a report.
+// refusesAllWork says whether an agent's refusal means that it refuses all new work until it
+// reports otherwise.
 func refusesAllWork(code api.ResultCode) bool {
 	return code == api.ResultCode_DRAINING || code == api.ResultCode_OUT_OF_SERVICE
 }
 
-// dispatchToTicketAgent sends a request to the one agent that its ticket names. It is sent
-// again there as often as links break: the agent knows the ticket.
+// dispatchToTicketAgent sends a request to the agent that its ticket names. It is sent there again
+// whenever the link breaks, because the agent recognizes the ticket.
 func (e *entry) dispatchToTicketAgent(ctx context.Context, req *request, out *output) error {
 	vm := req.callerTicket.GetAgentVm()
 	e.directory.recordStart(vm, req.offer)
@@ -207,9 +207,8 @@
 	return asError(e.runAttempt(ctx, a, out))
 }
 
-// ticketAgentPeer finds the incarnation that a ticket names. When it cannot be reached
-// nobody can say what became of the ticket: it may have been used through another
-// entry.
+// ticketAgentPeer finds the agent process that a ticket names. If that process cannot be reached,
+// the outcome of the ticket is unknown: it may have been used through another entry.
 func (e *entry) ticketAgentPeer(ctx context.Context, t *api.Ticket) (*member.Peer, error) {
 	peer, ok := e.awaitAgent(ctx, t.GetAgentVm(), t.GetIncarnation(), nil)
 	if !ok {
@@ -218,9 +217,9 @@
 	return peer, nil
 }
 
-// awaitAgent waits for a link to an incarnation of an agent, other than a given one
-// that has failed, and has the agent dialled if this entry is not linked to it. It gives
-// up at once when another incarnation has taken its place. The caller holds the agent.
+// awaitAgent waits for a link to an incarnation of an agent, other than a given link that has
+// failed, and has the agent dialled if there is none. It gives up at once if another incarnation
+// has replaced it. The caller must hold the link with retainLink or a request in flight.
 func (e *entry) awaitAgent(ctx context.Context, vm, incarnation string, failed *link.Session) (*member.Peer, bool) {
 	deadline := clock.Now() + reattachTimeout
 	for {
@@ -236,9 +235,9 @@
 	}
 }
 
-// settlement is what an agent says of a ticket.
+// settlement is what an agent reports about a ticket.
 type settlement struct {
-	// begun says that the run has begun, and its answer can be joined.
+	// begun says that the request runs or has run, and that its answer can be joined.
 	begun bool
 	err   *result.Error
 }
@@ -276,8 +275,8 @@
 	return settlement{err: result.FromRefusal(event.GetRefusal())}
 }
 
-// parseEventID splits an event id: VM, incarnation and number of the answer, and the
-// number of the part.
+// parseEventID splits an event id into the VM, the incarnation, the answer's id, which includes
+// both, and the number of the part.
 func parseEventID(id string) (vm, incarnation, answerID, part string, ok bool) {
 	fields := strings.Split(id, ":")
 	if len(fields) != 4 {
--- a/internal/entry/drain_test.go
+++ b/internal/entry/drain_test.go
@@ -12,9 +12,9 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// An entry is stopped by plan. First its peers hear of it, and callers are no longer sent
-// to it; for as long as callers keep its address it serves them on, also over new
-// connections; then it takes no more, and ends when the last answer is whole.
+// An entry shuts down gracefully. First its peers must learn of it and callers must not be sent to
+// it any more. While callers may keep its address it must serve them, also over new connections.
+// Then it must accept no connections, and end when the last answer is complete.
 func TestGracefulShutdownOrder(t *testing.T) {
 	held := make(chan struct{})
 	var hold atomic.Bool
@@ -35,7 +35,7 @@
 	hold.Store(true)
 	last := make(chan reply, 1)
 	go func() { last <- sendRequest(t, url, completions) }()
-	eventually(t, "a request under way", func() bool { return agent.works.Load() == 1 })
+	eventually(t, "a request in flight", func() bool { return agent.works.Load() == 1 })
 
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -45,12 +45,12 @@
 	}()
 	stopRequested := time.Now()
 	stop()
-	eventually(t, "peers are told", func() bool { return e.node.State().Draining })
+	eventually(t, "the draining state", func() bool { return e.node.State().Draining })
 	http.DefaultClient.CloseIdleConnections()
 	if got := sendRequest(t, url, completions); got.body != "the answer" || !got.closes {
 		t.Errorf("a caller that kept the address: %+v", got)
 	}
-	eventually(t, "the end of new connections", func() bool {
+	eventually(t, "new connections refused", func() bool {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err == nil {
 			_ = conn.Close()
@@ -58,11 +58,11 @@
 		return err != nil
 	})
 	if kept := time.Since(stopRequested); kept < 100*time.Millisecond {
-		t.Errorf("the address was good for %v, less than callers were told", kept)
+		t.Errorf("the address was usable for %v, less than callers were told", kept)
 	}
 	select {
 	case <-stopped:
-		t.Error("it stopped with a request under way")
+		t.Error("the entry stopped with a request in flight")
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(held)
--- a/internal/entry/dump.go
+++ b/internal/entry/dump.go
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// placement is what a dump tells of placing requests.
+// placement is the part of a dump about the placement of requests.
 type placement struct {
 	InFlight map[string]int
 	Suspect  []string
@@ -27,7 +27,7 @@
 	return p
 }
 
-// backends returns what the agents last reported, for operators.
+// backends returns the latest reports of the agents, for operators.
 func (d *directory) backends() []adminapi.Backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,6 @@
-// Package entry is the process on each entry VM that callers reach. It answers which
-// addresses to use, checks plans, decides what runs, waits or is refused, and sends
-// work to the agents of backend servers. It holds nothing that another entry could
-// not do without.
+// Package entry is the process on each entry VM that callers reach. It lists the addresses that
+// callers may use, checks plans, admits, queues or refuses requests, and sends work to the agents
+// of backend servers. It holds no state that other entries depend on.
 package entry
 
 import (
@@ -30,7 +29,7 @@
 	"github.com/apricothub/apricothub/internal/version"
 )
 
-// entry ties callers' requests, the member and the decisions together.
+// entry ties callers' requests, the cluster member and the decision packages together.
 type entry struct {
 	settings     *api.EntrySettings
 	self         *api.Hello
@@ -48,14 +47,15 @@
 	links        *linkChooser
 	logger       log.Logger
 
-	// pendingDone counts the answers of which an agent is still to be told that the caller has
-	// them.
+	// pendingDone counts the complete answers whose agent has yet to be told that they were
+	// delivered.
 	pendingDone sync.WaitGroup
-	// announcedSpare is what agents were announcedSpare of their links, by the control goroutine.
+	// announcedSpare is what each agent was last told about its link: whether it is a spare one.
+	// Only the control goroutine uses it.
 	announcedSpare map[*link.Session]bool
 }
 
-// journalRequests is how many requests of each kind a dump can tell of.
+// journalRequests is the number of requests of each kind that the journal keeps for dumps.
 const journalRequests = 500
 
 // counters are the entry's metrics.
@@ -73,9 +73,9 @@
 	}
 }
 
-// Run serves as an entry until the context ends; then it stops in a planned way: it
-// leaves the list of addresses, serves on while callers keep the old list, and
-// returns when the last request has its answer.
+// Run serves as an entry until the context ends, and then shuts down gracefully: the entry leaves
+// the list of addresses, goes on serving while callers may still use the old list, and returns when
+// the last request is answered.
 func Run(ctx context.Context, settings *api.EntrySettings, logger log.Logger) error {
 	e := newEntry(settings, logger)
 	linkListener, err := net.Listen("tcp", settings.GetListen().GetLink())
@@ -171,8 +171,9 @@
 	return hex.EncodeToString(b)
 }
 
-// shouldDial says that this entry opens the links to agents, all or those that it wants, and
-// to the entries whose names come after its own, so that each pair has one link.
+// shouldDial says whether this entry opens the link to a VM. It dials the agents that it wants
+// links to, and the entries whose names come after its own, so that each pair of entries has one
+// link.
 func (e *entry) shouldDial(vm platform.VM) bool {
 	if vm.Role == platform.RoleBackend {
 		return e.links.isWanted(vm.ID)
@@ -180,18 +181,19 @@
 	return vm.ID > e.self.GetVm()
 }
 
-// applyConfig takes a new configuration to the decisions.
+// applyConfig passes a new configuration to the packages that decide.
 func (e *entry) applyConfig(view *config.View) {
 	shares := e.gate.setPlans(view)
 	e.keys.setShares(shares)
 	if e.node != nil {
-		// The marks may take agents away; the member's own first view has none.
+		// Marks may take agents out of service. The first view comes before the node exists and has
+		// none.
 		e.updateLinks(clock.Now(), e.node.State())
 	}
 	e.directory.setView(clock.Now(), view)
 }
 
-// tick refreshes what decisions go by.
+// tick updates the data that decisions are based on.
 func (e *entry) tick(now time.Duration) {
 	e.maintainLinks(now, e.node.State())
 	state := e.node.State()
@@ -200,21 +202,21 @@
 	e.coordinateRollout(now, state)
 }
 
-// updateCapacities tells the gate what the backend servers have room for.
+// updateCapacities tells the gate the capacity of the backend servers.
 func (e *entry) updateCapacities(now time.Duration) {
 	entries := liveEntries(e.node.State())
 	e.gate.setCapacities(e.directory.capacities(now, entries), entries)
 }
 
-// handleMessage takes an agent's report. What a new one offers is admitted at once: until
-// the next tick its requests would be refused as if nobody offered it.
+// handleMessage handles an agent's message. A new offer is made known to the gate at once: until
+// the next tick, requests for it would be refused as if no backend server offered it.
 func (e *entry) handleMessage(peer *member.Peer, m *api.Control) {
 	if e.directory.handleMessage(peer, m) {
 		e.updateCapacities(clock.Now())
 	}
 }
 
-// liveEntries counts the entries that share the backend servers, this one included.
+// liveEntries counts the entries that share the backend servers, including this one.
 func liveEntries(state *member.State) int {
 	n := 1
 	for _, peer := range state.Peers {
@@ -234,8 +236,8 @@
 	return err
 }
 
-// drainOnStop waits for the planned stop, then for what callers keep, then for the
-// last request.
+// drainOnStop waits for the shutdown signal, then until callers have dropped the old list of
+// addresses, then for the last request.
 func (e *entry) drainOnStop(ctx, workCtx context.Context, server *http.Server) error {
 	select {
 	case <-ctx.Done():
@@ -245,17 +247,17 @@
 	policy := e.settings.GetPolicy()
 	e.node.SetDraining()
 	_ = e.logger.Log("msg", "The entry is stopping. It has left the list of addresses.")
-	// Callers were told to addressKeepMs the addresses this long; and other entries hear of
-	// the stop a heartbeat later.
+	// Callers keep the addresses for the time that they were told, and other entries hear of the
+	// shutdown up to one heartbeat later.
 	addressKeepMs := policy.GetAddressKeepMs() + 2*e.settings.GetLink().GetHeartbeatMs()
 	sleep(workCtx, time.Duration(addressKeepMs)*time.Millisecond)
 	drainCtx, cancel := context.WithTimeout(workCtx, time.Duration(policy.GetDrainMs())*time.Millisecond)
 	defer cancel()
 	if err := server.Shutdown(drainCtx); err != nil {
-		_ = e.logger.Log("msg", "The entry stops with requests under way.", "result", result.Label(api.ResultCode_ANSWER_BROKEN), "err", err)
+		_ = e.logger.Log("msg", "The entry stops with requests in flight.", "result", result.Label(api.ResultCode_ANSWER_BROKEN), "err", err)
 	} else {
-		// An agent that was not told would keep the answer for its caller to come back, and
-		// a planned stop of its own would wait for that.
+		// An agent that is not told of the delivery keeps the answer for its caller to come back,
+		// and its own graceful shutdown would wait for that caller.
 		e.pendingDone.Wait()
 	}
 	_ = e.logger.Log("msg", "The entry has stopped.")
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -14,8 +14,8 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// logRequest logs how a request ended: what was decided on it, and the configuration that was
-// gone by. Requests that need no key, as for addresses, are logged only when they fail.
+// logRequest logs how a request ended, what was decided on it, and the configuration in use.
+// Requests without a key, such as those for addresses, are logged only when they fail.
 func (e *entry) logRequest(record *journal.Record, state *member.State, err error) {
 	fields := logging.Fields(func() []any { return requestFields(record, state, err) })
 	switch {
@@ -26,8 +26,8 @@
 	case err == nil:
 		_ = level.Info(e.logger).Log("msg", "A request was served.", logging.RequestKey, record.Request, logging.FieldsKey, fields)
 	case record.Customer == "":
-		// Whoever reaches the entry can make any number of these. A sentence of their own
-		// keeps them from crowding out those of customers.
+		// Anyone who can reach the entry can cause any number of these. The rate limit is per
+		// sentence, so a separate sentence keeps them from displacing the log lines of customers.
 		_ = level.Warn(e.logger).Log("msg", "A request of no known team was refused.", logging.RequestKey, record.Request,
 			"result", resultLabel(err), logging.FieldsKey, fields)
 	case isFault(err):
@@ -41,7 +41,7 @@
 
 func resultLabel(err error) string { return result.Label(result.From(err).Code) }
 
-// isFault says whether a request failed by a isFault, and nobody can say that it has not run.
+// isFault says whether a request failed because of a fault, so that it may have run.
 func isFault(err error) bool {
 	failed := result.From(err)
 	return failed.Ran != api.Ran_RAN_NO && result.Of(failed.Code).HTTP >= http.StatusInternalServerError
@@ -62,19 +62,19 @@
 	return fields
 }
 
-// logAttempt logs an attempt at an agent that brought no whole answer.
+// logAttempt logs an attempt at an agent that brought no complete answer.
 func (e *entry) logAttempt(a *attempt, err *result.Error) {
 	_ = level.Warn(e.logger).Log("msg", "An attempt came to nothing.", logging.RequestKey, a.work.GetRequestId(),
 		"result", result.Label(err.Code), "vm", a.vm, "text", err.Text, "ran", result.RanName(err.Ran))
 }
 
-// logReattached logs an answer that goes on over another link, after one that broke or went
+// logReattached logs an answer that continues over another link after its link broke or went
 // silent.
 func (e *entry) logReattached(a *attempt) {
-	_ = level.Warn(e.logger).Log("msg", "An answer goes on over another link.", logging.RequestKey, a.work.GetRequestId(), "vm", a.vm)
+	_ = level.Warn(e.logger).Log("msg", "An answer continues over another link.", logging.RequestKey, a.work.GetRequestId(), "vm", a.vm)
 }
 
-// logSettled logs what an agent said of a ticket.
+// logSettled logs what an agent reported about a ticket.
 func (e *entry) logSettled(ctx context.Context, t *api.Ticket, s settlement) {
 	_ = level.Warn(e.logger).Log("msg", "An agent was asked what became of a ticket.", logging.RequestKey, journal.From(ctx).Request,
 		"vm", t.GetAgentVm(), "begun", s.begun, "outcome", resultLabel(s.err), "ran", result.RanName(s.err.Ran))
--- a/internal/entry/events_test.go
+++ b/internal/entry/events_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// A device calls with an old key, to an address that does not exist, with a body that cannot
-// be read. Each refusal names an id that operators find, also before anything else is known
-// of the request; and no two are alike.
+// Callers use an old key, a wrong path or a malformed body. Each refusal must have a unique request
+// id that operators can find, even if nothing else is known of the request.
 func TestEachRefusalNamesTheRequest(t *testing.T) {
 	_, url := startEntry(t, newFakeAgent(t, "b1", wholeAnswer("x")))
 	seen := make(map[string]bool)
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -30,23 +30,22 @@
 
 const testKey = "a customer's key"
 
-// fakeAgent is the other end of a link on loopback: script decides what it does with
-// each piece of work.
+// fakeAgent is the other end of a link on loopback. script handles each piece of work.
 type fakeAgent struct {
 	vm      string
 	address string
 	config  link.Config
 	script  func(work *api.Work, stream *link.Stream)
-	// attached serves a reader that comes back for the rest of an answer.
+	// attached handles a reader that comes back for the rest of an answer.
 	attached        func(attach *api.Attach, stream *link.Stream)
 	status          *api.BackendStatus
 	works           atomic.Int32
 	draining        atomic.Bool
-	frozen          atomic.Bool // no heartbeats
-	heartbeatMissed atomic.Bool // one that was due was not sent
+	frozen          atomic.Bool // sends no heartbeats
+	heartbeatMissed atomic.Bool // while frozen, a heartbeat was due
 	settles         atomic.Int32
 	startedAt       time.Duration
-	// offer is what the list of VMs says; empty for nothing.
+	// offer is the agent's offer on the list of VMs; empty for none.
 	offer string
 
 	mu      sync.Mutex
@@ -156,7 +155,7 @@
 	return &api.WorkEvent{Body: &api.WorkEvent_End{End: &api.End{Parts: parts, Bytes: size}}}
 }
 
-// wholeAnswer gives a wholeAnswer answer.
+// wholeAnswer returns a script that sends a complete answer.
 func wholeAnswer(text string) func(*api.Work, *link.Stream) {
 	return func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/plain"), partOf(1, text), endOf(1, uint64(len(text))))
@@ -164,7 +163,7 @@
 	}
 }
 
-// configRecords returns the log: a customer of a plan with a model and a service.
+// configRecords returns the records of the log: a customer of a plan with a model and a service.
 func configRecords(t testing.TB) []map[string]any {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
@@ -188,13 +187,13 @@
 	return records
 }
 
-// startEntry runs an entry that knows the agents, and returns the URL for callers.
+// startEntry runs an entry that is linked to the agents, and returns its URL for callers.
 func startEntry(t testing.TB, agents ...*fakeAgent) (*entry, string) {
 	t.Helper()
 	return startLinkedEntry(t, testLinks, len(agents), agents...)
 }
 
-// startLinkedEntry runs an entry that links to so many of the agents.
+// startLinkedEntry runs an entry that links to the given number of the agents.
 func startLinkedEntry(t testing.TB, links *api.Links, linked int, agents ...*fakeAgent) (*entry, string) {
 	t.Helper()
 	vms := []platform.VM{{ID: "e1", Role: platform.RoleEntry, FailureDomain: "a"}}
@@ -243,7 +242,7 @@
 		cancel()
 		<-done
 	})
-	eventually(t, "an entry that serves", func() bool {
+	eventually(t, "the entry in service", func() bool {
 		return e.node.State().Unready(clock.Now()) == api.ResultCode_OK && len(e.directory.backends()) == linked
 	})
 	return e, public.URL
@@ -260,15 +259,15 @@
 	}
 }
 
-// reply is what a caller gets.
+// reply is the answer that a caller gets.
 type reply struct {
 	status int
 	result string
 	body   string
 	ran    string
 	cut    bool
-	closes bool // the connection is closed after it
-	// retryAfterMs is when it says to come back.
+	closes bool // the connection is closed after the answer
+	// retryAfterMs is when the caller is told to come back.
 	retryAfterMs int64
 }
 
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// gate admits callers' requests. It gives package admit its time, its lock and its
-// timer, and decides nothing itself.
+// gate admits callers' requests. It supplies package admit with the time, a lock and a timer, and
+// takes no decisions itself.
 type gate struct {
 	mu       sync.Mutex
 	admitter *admit.Admitter
@@ -31,18 +31,18 @@
 	return g
 }
 
-// admission is the right of one request to run.
+// admission is the permission of one request to run.
 type admission struct {
 	gate  *gate
 	id    uint64
 	offer string
 	// withinShare says that the customer is within its share.
 	withinShare bool
-	// ended says that the gate knows nothing of the request any more.
+	// ended says that the gate no longer tracks the request.
 	ended bool
 }
 
-// admit returns when the request may run, or with the refusal.
+// admit returns when the request may run, or with its refusal.
 func (g *gate) admit(ctx context.Context, r admit.Request) (*admission, *result.Error) {
 	g.mu.Lock()
 	g.lastID++
@@ -58,14 +58,14 @@
 	return p, p.awaitDecision(ctx, decision, decided)
 }
 
-// addWaiter makes the channel on which a waiting request hears; the lock is held.
+// addWaiter makes the channel on which a queued request receives its decision; the lock is held.
 func (g *gate) addWaiter(id uint64) chan admit.Decision {
 	decided := make(chan admit.Decision, 1)
 	g.waiters[id] = decided
 	return decided
 }
 
-// awaitDecision takes a decision, which comes over the channel for a request that waits.
+// awaitDecision returns the decision on a request, which comes over the channel if it is queued.
 func (p *admission) awaitDecision(ctx context.Context, decision admit.Decision, decided chan admit.Decision) *result.Error {
 	if decided != nil {
 		select {
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// requeue gives the right back, since no backend server has room after all, or absent
-// since none may get work at all, and returns when the request may run again, or with the
-// refusal.
+// requeue gives the permission back and returns when the request may run again, or with its
+// refusal. It is called when no backend server has a free slot after all; noBackend says that none
+// can get work at all.
 func (p *admission) requeue(ctx context.Context, code api.ResultCode, noBackend bool) *result.Error {
 	g := p.gate
 	g.mu.Lock()
@@ -105,8 +105,7 @@
 	return p.awaitDecision(ctx, admit.Decision{}, decided)
 }
 
-// done ends the request, with the time its work took; zero teaches nothing about the
-// usual time.
+// done ends the request. took is the time of its work, or zero to leave the average time unchanged.
 func (p *admission) done(took time.Duration) {
 	if p.ended {
 		return
@@ -126,8 +125,8 @@
 	g.deliverDecisions()
 }
 
-// deliverDecisions tells the requests that may start, or are refused, now; and sets the timer
-// for the next moment at which one must be refused.
+// deliverDecisions notifies the requests that may start or are refused now, and sets the timer for
+// the next time at which one must be refused.
 func (g *gate) deliverDecisions() {
 	now := clock.Now()
 	for _, r := range g.admitter.Next(now) {
@@ -150,8 +149,7 @@
 	g.deliverDecisions()
 }
 
-// setPlans takes customers and plans from the configuration, and returns the customers'
-// shares.
+// setPlans sets the customers and plans of a configuration and returns the customers' shares.
 func (g *gate) setPlans(view *config.View) map[string]float64 {
 	plans := make([]admit.PlanShare, 0, len(view.Plans()))
 	for name, plan := range view.Plans() {
@@ -174,19 +172,19 @@
 	return admit.Shares(plans, customers)
 }
 
-// offerCapacity is what this entry knows of the backend servers for one offer.
+// offerCapacity is the capacity of the backend servers for one offer.
 type offerCapacity struct {
-	// slots is how many requests this entry may have running.
+	// slots is the number of requests that this entry may have running.
 	slots int
-	// total is what all backend servers can hold for all entries.
+	// total is the capacity of all backend servers for all entries.
 	total int
-	// entries share it; 0 for all live ones.
+	// entries is the number of entries that share the capacity; 0 for all live ones.
 	entries int
-	// availability says whether any of them may get work.
+	// availability says whether any of the backend servers can get work.
 	availability admit.Availability
 }
 
-// setCapacities takes the room for each offer, shared by so many entries.
+// setCapacities sets the capacity for each offer, shared by the given number of entries.
 func (g *gate) setCapacities(capacities map[string]offerCapacity, entries int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -202,7 +200,7 @@
 	g.deliverDecisions()
 }
 
-// gateState is what a dump tells of the gate.
+// gateState is the gate's part of a dump.
 type gateState struct {
 	Waiting  int
 	Admitted uint64
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -10,13 +10,13 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// observedStep is the newest step that is known of a group, and since when.
+// observedStep is the newest known step of a group, and when it was first seen.
 type observedStep struct {
 	step  uint64
 	since time.Duration
 }
 
-// recordStep takes the step of a coordinator's report.
+// recordStep records the step in a coordinator's report.
 func (d *directory) recordStep(now time.Duration, s *api.BackendStatus) {
 	g := s.GetGroupStatus()
 	if g == nil {
@@ -27,9 +27,9 @@
 	}
 }
 
-// groups returns the expert-parallel groups that coordinators report, and those of the
-// platform's list that none reports: when the agent of rank 0 dies its group takes no step,
-// and must not vanish from status and alarms just then.
+// groups returns the expert-parallel groups that coordinators report, and those on the platform's
+// list that none reports. When the agent of rank 0 dies, its group stops and nobody reports it, but
+// it must not disappear from status and alarms.
 func (d *directory) groups(now time.Duration, vms []platform.VM) []adminapi.Group {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -9,9 +9,9 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// The agent of rank 0 dies at night, and with it all that tells of its group, which takes no
-// step from then on. Operators must still see the group, with the step that it stands at, how
-// long, and that one agent is missing; so must they if an engine stalls and all agents answer.
+// The agent of rank 0 dies, so that nobody reports on its group, which takes no steps any more.
+// Status must still show the group, with its last step, how long ago that was, and one missing
+// agent. It must also show a group whose engine stalls while all agents answer.
 func TestAGroupThatStandsStillIsShown(t *testing.T) {
 	d := newDirectory(false)
 	vms := []platform.VM{
@@ -43,6 +43,6 @@
 	}
 	report(13*time.Second, 121)
 	if g := shown(13 * time.Second); g.Coordinator != "p1" || g.StillMs != 0 {
-		t.Errorf("it goes on: %+v", g)
+		t.Errorf("after a new step: %+v", g)
 	}
 }
--- a/internal/entry/guesslimiter.go
+++ b/internal/entry/guesslimiter.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// guessBurst and guessPerSecond bound the wrong keys of one address: enough for a
-	// store whose devices still hold an old key, and at which the search for a key of
-	// a few letters takes years.
+	// guessBurst and guessPerSecond limit the wrong keys from one address. They allow for a store
+	// whose devices still use an old key, and make the search for a key of a few letters take
+	// years.
 	guessBurst     = 100
 	guessPerSecond = 10
-	// guessRetryAfter is when a caller that was refused for its address may come back.
+	// guessRetryAfter is the retry delay for callers that are refused because of their address.
 	guessRetryAfter = time.Second
-	// maxTrackedCallers bounds the addresses remembered, and the good callers.
+	// maxTrackedCallers limits the addresses tracked, and the known callers.
 	maxTrackedCallers = 4096
 )
 
-// guessLimiter bounds the search for customers' keys. An address that sent too many wrong ones
-// gets nothing with a right one either, or the search would go on; but callers whose key
-// was good before go on: a whole store may stand behind one address.
+// guessLimiter limits guessing of customers' keys. An address that sent too many wrong keys is
+// refused with a valid key too, or guessing could continue. Callers whose key was valid before are
+// still accepted, because a whole store may share one address.
 type guessLimiter struct {
 	rates *ratelimit.Keyed
 
@@ -29,7 +29,7 @@
 	knownCallers map[knownCaller]struct{}
 }
 
-// knownCaller is an address and a key, by its hash, that were good together.
+// knownCaller is an address and the hash of a key that was valid from there.
 type knownCaller struct {
 	address string
 	key     uint64
@@ -39,13 +39,13 @@
 	return &guessLimiter{rates: ratelimit.New(maxTrackedCallers), knownCallers: make(map[knownCaller]struct{})}
 }
 
-// allowWrongKey counts a allowWrongKey key; false if the address is past the bound.
+// allowWrongKey counts a wrong key and returns false if the address is past its limit.
 func (g *guessLimiter) allowWrongKey(now time.Time, address string) bool {
 	ok, _ := g.rates.Allow(now, address, guessPerSecond, guessBurst)
 	return ok
 }
 
-// allowValidKey says whether a caller with a right key may go on.
+// allowValidKey says whether a caller with a valid key is accepted.
 func (g *guessLimiter) allowValidKey(now time.Time, address string, key uint64) bool {
 	caller := knownCaller{address, key}
 	g.mu.Lock()
@@ -60,8 +60,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.knownCallers) >= maxTrackedCallers {
-		// They are known again with their next request, but for those behind an
-		// address that is past its bound at this moment.
+		// Callers are added again with their next request, except those behind an address that is
+		// past its limit now.
 		clear(g.knownCallers)
 	}
 	g.knownCallers[caller] = struct{}{}
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -20,7 +20,7 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// handler returns the callers' interface.
+// handler returns the HTTP handler for callers.
 func (e *entry) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/addresses", e.handleMethod(http.MethodGet, e.serveAddresses))
@@ -35,48 +35,47 @@
 	return mux
 }
 
-// handlerFunc serves a request or returns why it did not. It returns errAborted when
-// the answer has begun and cannot be made whole.
+// handlerFunc serves a request or returns why it could not. It returns errAborted when the answer
+// has started and cannot be completed.
 type handlerFunc func(w http.ResponseWriter, r *http.Request) error
 
-// errAborted says that the connection must be cut, so that what was written of the
-// answer cannot pass for the whole.
+// errAborted means that the connection must be cut, so that a partial answer cannot pass for the
+// whole.
 var errAborted = errors.New("the answer was cut short")
 
-// abortedError is errAborted with the failure that cut the answer, which the caller was
-// told in an event; journal and counters tell it too.
+// abortedError is errAborted with its cause, which the caller received as an event. The journal and
+// the counters record the cause.
 type abortedError struct{ cause error }
 
 func (a *abortedError) Error() string { return errAborted.Error() + ": " + a.cause.Error() }
 
-// Is makes it an errAborted.
+// Is makes abortedError match errAborted.
 func (a *abortedError) Is(target error) bool { return target == errAborted }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (a *abortedError) Unwrap() error { return a.cause }
 
-// requestIDBytes is the length of a request's id, bytes, shown as twice as many digits: enough
-// that no two of all entries are alike.
+// requestIDBytes is the length of a request's id before hex encoding, enough to be unique among all
+// entries.
 const requestIDBytes = 12
 
-// writeTimeout bounds the writing of answers that have no deadline of their own.
+// writeTimeout limits the writing of answers that have no deadline of their own.
 const writeTimeout = time.Minute
 
-// handle turns a handler's error into the answer.
+// handle wraps a handler and writes its error as the answer.
 func (e *entry) handle(h handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.counts.requests.Inc(1)
 		state := e.node.State()
 		if state.Draining {
-			// A kept connection would bring its next request to a process that
-			// is about to end.
+			// A kept connection would bring its next request to a process that is about to end.
 			w.Header().Set("Connection", "close")
 		}
-		// A deadline of the request before would hold on a kept connection.
+		// On a kept connection, the write deadline of the previous request would still apply.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 		ctx, record := journal.Begin(r.Context(), clock.Now())
-		// The caller can name the request to operators, who find it in logs and dumps; also one
-		// that is refused before anything is known of it.
+		// The caller can give this id to operators, who find it in logs and dumps. It is set first
+		// so that every refused request has one.
 		record.Request = newID(requestIDBytes)
 		w.Header().Set(headerRequest, record.Request)
 		err := h(w, r.WithContext(ctx))
@@ -97,7 +96,7 @@
 	}
 }
 
-// countResult counts the refusals by their code.
+// countResult counts refusals by result code.
 func (e *entry) countResult(err error) {
 	name := result.Of(result.From(err).Code).Name
 	metrics.GetOrRegisterCounter("entry.results."+name, e.registry).Inc(1)
@@ -113,7 +112,7 @@
 	})
 }
 
-// caller is who sent a request.
+// caller is the sender of a request.
 type caller struct {
 	name     string
 	customer *api.Customer
@@ -121,8 +120,8 @@
 	key      uint64
 }
 
-// authenticate finds the customer by the key, in the configuration in force, unless too
-// many wrong keys came from the caller's address.
+// authenticate finds the customer by its key in the configuration in force, unless too many wrong
+// keys came from the caller's address.
 func (e *entry) authenticate(state *member.State, r *http.Request) (*caller, error) {
 	address, _, _ := net.SplitHostPort(r.RemoteAddr)
 	now := time.Now()
@@ -158,8 +157,8 @@
 	}, nil
 }
 
-// servingState returns the state to serve by, or why this entry takes no work. An entry
-// that is stopping serves on: callers keep its address for a while.
+// servingState returns the state to serve with, or why this entry accepts no work. An entry that is
+// draining still serves, because callers keep its address for a while.
 func (e *entry) servingState() (*member.State, error) {
 	state := e.node.State()
 	switch code := state.Refusing(clock.Now()); code {
@@ -170,7 +169,7 @@
 	}
 }
 
-// addressList is the answer to "which address to use".
+// addressList is the body of the answer of /v1/addresses.
 type addressList struct {
 	Addresses []address `json:"addresses"`
 	KeepMs    int64     `json:"keep_ms"`
@@ -181,8 +180,8 @@
 	Weight  float64 `json:"weight"`
 }
 
-// serveAddresses lists the entries that take requests. No key is needed: a caller
-// must find an entry before it can show one.
+// serveAddresses lists the entries that accept requests. It needs no key, because a caller must
+// find an entry before it can present one.
 func (e *entry) serveAddresses(w http.ResponseWriter, _ *http.Request) error {
 	answer, err := e.listAddresses(e.node.State())
 	if err != nil {
@@ -191,7 +190,7 @@
 	return writeJSON(w, answer)
 }
 
-// listAddresses lists the entries that take requests, as far as a state shows.
+// listAddresses lists the entries that accept requests according to a state.
 func (e *entry) listAddresses(state *member.State) (addressList, error) {
 	answer := addressList{KeepMs: e.settings.GetPolicy().GetAddressKeepMs()}
 	unready := state.Unready(clock.Now())
@@ -210,10 +209,10 @@
 	}
 	if len(answer.Addresses) == 0 {
 		if unready != api.ResultCode_OK && unready != api.ResultCode_DRAINING {
-			// A caller that is sent here would be refused; it has other entries to ask.
+			// This entry would refuse the caller, which has other entries to ask.
 			return addressList{}, result.New(unready)
 		}
-		// Nothing is in service. An entry that answers is of more use than none.
+		// No entry is in service. Naming one that answers is better than naming none.
 		answer.Addresses = []address{{Address: e.self.GetPublicAddress(), Weight: 1}}
 	}
 	return answer, nil
--- a/internal/entry/headers_test.go
+++ b/internal/entry/headers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whoever writes a client has only the page: each header that the entry reads or sets
-// stands there.
+// Authors of clients have only the page for callers. It must name each header that the entry reads
+// or sets.
 func TestEachHeaderIsDocumentedForCallers(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	if err != nil {
@@ -18,7 +18,7 @@
 		headerRequest, headerLastEvent, headerFirstTry, headerKeyLifetime,
 	} {
 		if !strings.Contains(string(page), "`"+header) {
-			t.Errorf("docs/CALLERS.md does not tell of %s", header)
+			t.Errorf("docs/CALLERS.md does not name the header %s", header)
 		}
 	}
 }
--- a/internal/entry/keyquota.go
+++ b/internal/entry/keyquota.go
@@ -14,8 +14,8 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// setShares takes the customers' shares, by which the room for their keys is divided. The
-// control goroutine calls it at each change of the configuration, few of which move shares.
+// setShares sets the customers' shares, which divide the space for bindings. The control goroutine
+// calls it at each change of the configuration, most of which leave the shares alone.
 func (k *keyBinder) setShares(shares map[string]float64) {
 	if k.shares != nil && maps.Equal(shares, k.shares) {
 		return
@@ -34,14 +34,13 @@
 	k.batcher.Room().SetShares(byDigest)
 }
 
-// checkQuota says why a customer can bind no more keys for now; the lock is held.
+// checkQuota returns why a customer cannot bind another key now; the lock is held.
 //
-// Load: a team whose program makes a new key in each try. Harm prevented: it takes the
-// room of all, and others' first deposit of the hour is refused for 20 minutes; or it is
-// told to come back each second, and does. It is told when enough of its own bindings
-// have run out: a wait shorter than that is for nothing. See keybind.Room for the limits.
-// Entries that have read differently far may judge differently. That changes who may
-// append, never what a key is bound to.
+// Without quotas, a team whose program makes a new key for each try would use up the space of all,
+// and other teams' first keys would be refused for 20 minutes. The retry delay is the time until
+// enough of the customer's own bindings are released: with one second, callers would retry each
+// second in vain. keybind.Room has the limits. Entries that have read the stream to different
+// offsets may decide differently, which affects who may append, but never what a key is bound to.
 func (k *keyBinder) checkQuota(c keybind.Customer) *result.Error {
 	quota := k.fold.Room()
 	verdict, n := quota.Ask(c, k.batcher.Room().Held(c))
@@ -59,34 +58,35 @@
 	return nil
 }
 
-// timeUntilReleased is the time until bindings of a record with a wall time are let go.
+// timeUntilReleased returns the time until the bindings of a record with a given wall time are
+// released.
 func (k *keyBinder) timeUntilReleased(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
-	// Records are let go of in steps, and read at the next look at the stream.
+	// Records are released in steps, which take effect with the next read of the stream.
 	maxWait := k.retention + keybind.ReleaseStep(k.retention) + (idlePollFactor+1)*k.poll
 	return min(max(maxWait-age, keyRetryInterval), maxWait)
 }
 
-// keysState is what a dump tells of keys: their digests, never the keys.
+// keysState is the keyBinder's part of a dump. It holds digests of keys, never the keys.
 type keysState struct {
 	Held, Waiting  int
 	Next, Released int64
 	Proven         bool
 	Answers        bool
-	// Lent is how many of Lendable are held beyond the customers' own parts.
+	// Lent is the number of bindings held beyond the customers' own quotas, out of Lendable.
 	Lent, Lendable int
-	// Customers are those that hold most.
+	// Customers are those with the most bindings.
 	Customers []customerKeys
 	Newest    []string
 }
 
-// customerKeys is how many keys of a customer are bound, and how many it is sure of.
+// customerKeys is the number of keys that a customer has bound, and its own quota.
 type customerKeys struct {
 	Customer  string
 	Held, Own int
 }
 
-// maxDumped bounds the keys, and the customers, in a dump.
+// maxDumped limits the keys and the customers in a dump.
 const maxDumped = 20
 
 func (k *keyBinder) dump() keysState {
@@ -108,7 +108,7 @@
 	return s
 }
 
-// largestHolders returns the customers that hold most keys; the lock is held.
+// largestHolders returns the customers with the most bindings; the lock is held.
 func (k *keyBinder) largestHolders() []customerKeys {
 	quota := k.fold.Room()
 	all := make([]customerKeys, 0, len(quota.Customers()))
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -17,72 +17,72 @@
 )
 
 const (
-	// retentionFactor is how often the lifetime that callers are told goes into the time for
-	// which bindings are held. A request that was sent within the lifetime may be under
-	// way for half a lifetime and wait here for another half; then it is dropped. So
-	// whatever is appended for it finds the binding.
+	// retentionFactor is the ratio of the time that bindings are kept to the lifetime that callers
+	// are told. A request sent within the lifetime may take half a lifetime to arrive and wait here
+	// for another half before it is dropped. Anything appended for it therefore still finds the
+	// binding.
 	retentionFactor = 2
-	// maxWaitDivisor is the part of the lifetime for which a request may wait here.
+	// maxWaitDivisor divides the lifetime to give the longest time that a request may wait here.
 	maxWaitDivisor = 2
-	// maxClockSkew is how far the wall clocks of VMs may differ.
+	// maxClockSkew is the largest assumed difference between the wall clocks of VMs.
 	maxClockSkew = time.Minute
-	// appendGrace is how long a binding whose append failed may still turn up: the append
-	// can stand although its answer was lost.
+	// appendGrace is how long to wait for a binding after its append failed: the record may have
+	// been stored although the answer was lost.
 	appendGrace = 300 * time.Millisecond
-	// keyRetryInterval is what callers are told to wait while the stream does not answer, and
-	// the time between tries to append meanwhile.
+	// keyRetryInterval is the retry delay that callers are told while the stream does not answer,
+	// and how long new keys are refused after a failed append.
 	keyRetryInterval = time.Second
 )
 
-// keyBinder binds callers' own keyBinder to tickets, by a stream of the log. Two goroutines, one
-// that reads and one that appends, and those of callers share it under one lock, which
-// nobody holds across a wait.
+// keyBinder binds callers' own keys to tickets through a stream of the log. A reading goroutine, an
+// appending goroutine and the request handlers share it under one lock, which is never held while
+// waiting.
 type keyBinder struct {
 	stream *platform.Client
-	// lifetime is what callers are told; bindings are held for hold.
+	// lifetime is how long callers are told that a key is bound. Bindings are kept for retention.
 	lifetime  time.Duration
 	retention time.Duration
 	poll      time.Duration
-	// keepaliveJitter is this entry's own part of the time before a quiet stream gets a record.
+	// keepaliveJitter is this entry's own delay before it appends a record to a quiet stream.
 	keepaliveJitter time.Duration
-	// entries is the number of live entries.
+	// entries returns the number of live entries.
 	entries func() int
-	// appendInterval is the least time between two appends of this entry.
+	// appendInterval returns the minimum time between two appends of this entry.
 	appendInterval func() time.Duration
 	counts         *keyCounters
 	logger         log.Logger
-	// shares are the customers' as last taken, for the control goroutine alone.
+	// shares are the customers' shares as last set. Only the control goroutine uses them.
 	shares map[string]float64
 
 	mu      sync.Mutex
 	fold    *keybind.Fold
 	ages    *keybind.Ages
 	batcher *keybind.Batcher
-	// customerNames are the customers with shares, by their digests.
+	// customerNames are the names of the customers with shares, by digest.
 	customerNames map[keybind.Customer]string
 	waiting       map[keybind.Key]*keyWait
 	// lastRecord is when the newest record was seen.
 	lastRecord time.Duration
-	// readFailing and appendFailed say that the stream does not answer, and when an
-	// append last failed; 0 once one has worked again.
+	// readFailing says that the stream cannot be read. appendFailedAt is when an append last
+	// failed, 0 after one has succeeded.
 	readFailing    bool
 	appendFailedAt time.Duration
-	// refusedForSpace says that a key was refused for want of room since bindings were last let
-	// go.
+	// refusedForSpace says that a key was refused for lack of space since bindings were last
+	// released.
 	refusedForSpace bool
 
-	// wakeAppender wakes the appender, wakeReader the reader.
+	// wakeAppender wakes the appending goroutine, wakeReader the reading one.
 	wakeAppender, wakeReader chan struct{}
 }
 
-// keyWait is what requests of one key wait for.
+// keyWait is shared by the requests that wait for one key.
 type keyWait struct {
-	// done is closed when the key is bound, or when that cannot be waited for.
+	// done is closed when the key is bound or the wait is abandoned.
 	done    chan struct{}
 	waiters int
 }
 
-// keyCounters are the metrics of keys.
+// keyCounters are the metrics of keyBinder.
 type keyCounters struct {
 	bound, found, appends, failed, beyond metrics.Counter
 	held, lent                            metrics.Gauge
@@ -112,7 +112,7 @@
 		keepaliveJitter: keepaliveJitterOf(e.self.GetVm(), retention),
 		entries:         func() int { return liveEntries(e.node.State()) },
 		appendInterval: func() time.Duration {
-			// All entries together stay below the bound on the log.
+			// All entries together stay below the append limit of the log.
 			return time.Second * time.Duration(liveEntries(e.node.State())) / time.Duration(max(s.GetAppendsPerSecond(), 1))
 		},
 		counts:       newKeyCounters(e.registry),
@@ -126,7 +126,7 @@
 	}
 }
 
-// notify wakes the goroutine that waits on a channel with room for one.
+// notify wakes the goroutine that waits on a channel with a buffer of one.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -134,8 +134,8 @@
 	}
 }
 
-// lookUp returns what a key is bound to, as far as this entry has read. A binding that
-// it holds is the one that all others hold, so it needs no log.
+// lookUp returns what a key is bound to, as far as this entry has read the stream. All entries
+// agree on a binding once it is read, so no access to the log is needed.
 func (k *keyBinder) lookUp(key keybind.Key) (keybind.Binding, bool, *result.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,7 +146,7 @@
 	return b, ok, nil
 }
 
-// isUsable says whether a key is surely bound as this entry holds it.
+// isUsable says whether it is certain that the key is still bound as this entry knows it.
 func (k *keyBinder) isUsable(b keybind.Binding) bool {
 	maxAge := k.retention - k.lifetime/maxWaitDivisor
 	return !b.Unsure && k.confirmed() && b.Current(time.Now().UnixMilli(), maxAge, maxClockSkew)
@@ -156,10 +156,10 @@
 	return k.fold.Proven(time.Now().UnixMilli(), k.retention, maxClockSkew)
 }
 
-// checkReady says why no key can be bound now, before anything was appended.
+// checkReady returns why no key can be bound now, before anything is appended.
 //
-// Load: the log is out for a weekend. Harm prevented: requests that wait for it until
-// their deadline, and fill the entry, while the caller could take a ticket at once.
+// When the log is out for long, requests would otherwise wait for it until their deadlines and fill
+// the entry, although the caller could get a ticket at once.
 func (k *keyBinder) checkReady(c keybind.Customer) *result.Error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -173,9 +173,9 @@
 	return k.checkQuota(c)
 }
 
-// bind has a key bound to a ticket, and returns what it is bound to: another ticket,
-// when another binding of the key stands before it in the log. When it returns an error
-// own.appended says whether the key may be bound later.
+// bind has a key bound to a ticket and returns its binding. That names another ticket if another
+// binding of the key comes first in the log. After an error, own.appended says whether the key may
+// still become bound.
 func (k *keyBinder) bind(ctx context.Context, own *ownKey, t *api.Ticket) (keybind.Binding, *result.Error) {
 	key := own.key
 	wait, b, err := k.joinWait(own, t)
@@ -195,15 +195,15 @@
 	return b, err
 }
 
-// unconfirmedKeyError is what a caller hears whose binding did not turn up.
+// unconfirmedKeyError is the error for a binding that did not turn up in the stream.
 func unconfirmedKeyError() *result.Error {
 	err := result.New(api.ResultCode_LOG_UNAVAILABLE, "The log did not answer in time. The key may be bound or not; come back with the same key.")
 	err.Ran, err.RetryAfter = api.Ran_RAN_UNKNOWN, keyRetryInterval
 	return err
 }
 
-// joinWait makes a request wait for its key, with the others of that key; or returns what
-// the key is bound to by now.
+// joinWait adds a request to those waiting for its key, or returns the binding if there is one by
+// now.
 func (k *keyBinder) joinWait(own *ownKey, t *api.Ticket) (*keyWait, keybind.Binding, *result.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -216,7 +216,7 @@
 		return nil, b, nil
 	}
 	if !k.confirmed() {
-		// Records were lost since the request was let in.
+		// Records were lost after the request was accepted.
 		return nil, keybind.Binding{}, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetryInterval)
 	}
 	if err := k.enqueue(own, t); err != nil {
@@ -234,10 +234,10 @@
 	return wait, keybind.Binding{}, nil
 }
 
-// enqueue has a key's binding appended; the lock is held.
+// enqueue queues a key's binding for the next append; the lock is held.
 func (k *keyBinder) enqueue(own *ownKey, t *api.Ticket) *result.Error {
 	if !k.batcher.Asked(own.key) {
-		// Many requests at once were let in for the last place.
+		// Several requests may have passed checkReady at once when space was left for one key.
 		if err := k.checkQuota(own.customer); err != nil {
 			return err
 		}
@@ -263,7 +263,7 @@
 	}
 }
 
-// releaseWaiters lets those go on who wait for a key; the lock is held.
+// releaseWaiters lets the requests that wait for a key continue; the lock is held.
 func (k *keyBinder) releaseWaiters(key keybind.Key) {
 	if wait := k.waiting[key]; wait != nil {
 		delete(k.waiting, key)
--- a/internal/entry/keystream.go
+++ b/internal/entry/keystream.go
@@ -15,20 +15,19 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// maxRecordsPerRead is how many records one read of the stream asks for: some 3 MB at most.
+// maxRecordsPerRead limits the records of one read of the stream, to about 3 MB.
 const maxRecordsPerRead = 64
 
-// minReadInterval is the least time between two reads while somebody waits: a platform that
-// does not hold its answers back would be asked without a pause.
+// minReadInterval is the minimum time between two reads while requests wait. Without it, a platform
+// that answers reads at once would be polled in a tight loop.
 const minReadInterval = 2 * time.Millisecond
 
-// idlePollFactor is how many times the time between looks at the log goes into that between
-// looks at the stream when nobody waits. A retry whose binding was not read yet costs an
-// append more, and finds it.
+// idlePollFactor is the ratio of the read interval of an idle stream to the poll interval of the
+// log. A retry whose binding has not been read yet costs one more append, and then finds it.
 const idlePollFactor = 4
 
-// errStreamShrank says that the stream ends before what was read of it.
-var errStreamShrank = errors.New("the stream of keys ends before what was read of it")
+// errStreamShrank is returned when the stream ends before the last record that was read.
+var errStreamShrank = errors.New("the stream of keys ends before the last offset that was read")
 
 // readLoop reads the stream until the context ends.
 func (k *keyBinder) readLoop(ctx context.Context) error {
@@ -45,7 +44,7 @@
 	return ctx.Err()
 }
 
-// read makes one read.
+// read reads the stream once.
 func (k *keyBinder) read(ctx context.Context) error {
 	k.mu.Lock()
 	from := k.fold.Next()
@@ -64,7 +63,7 @@
 	return k.apply(batch)
 }
 
-// apply applies what was read.
+// apply applies a batch of records.
 func (k *keyBinder) apply(batch *platform.Batch) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -90,12 +89,12 @@
 	return nil
 }
 
-// restart begins anew at the oldest record kept, after records were lost. Bindings of
-// requests that wait may stand among them: what becomes of these is not known.
+// restart continues at the oldest record kept after records were lost. The lost records may hold
+// bindings of waiting requests, whose outcome is then unknown.
 func (k *keyBinder) restart(first int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_ = k.logger.Log("msg", "Records of keys have expired before they were read. No key is bound until what is left is old enough.", "result", result.Label(api.ResultCode_KEYS_UNPROVEN), "first", first)
+	_ = k.logger.Log("msg", "Records of keys expired before they were read. No keys are bound until the remaining records cover the retention time.", "result", result.Label(api.ResultCode_KEYS_UNPROVEN), "first", first)
 	k.fold.Restart(first)
 	k.batcher.Clear()
 	for key := range k.waiting {
@@ -107,18 +106,18 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.readFailing && ctx.Err() == nil {
-		_ = k.logger.Log("msg", "The stream of keys does not answer.", "result", result.Label(api.ResultCode_LOG_UNAVAILABLE), "err", err)
+		_ = k.logger.Log("msg", "The stream of keys cannot be read.", "result", result.Label(api.ResultCode_LOG_UNAVAILABLE), "err", err)
 	}
 	k.readFailing = true
 	waits := maps.Clone(k.waiting)
 	time.AfterFunc(appendGrace, func() { k.abandonWaits(waits) })
 }
 
-// waitBeforeRead waits before the next read when nobody waits for a key.
+// waitBeforeRead waits until the next read, for longer if no request waits for a key.
 //
-// Load: hundreds of entries that follow the stream. Harm prevented: each append by one
-// would be fetched by each other one by itself, at once, for nobody; and a stream that
-// nobody uses would be asked twice a second by each.
+// With hundreds of entries following the stream, each append by one would otherwise be fetched at
+// once by all others, which do not need it yet, and each entry would poll an unused stream twice a
+// second.
 func (k *keyBinder) waitBeforeRead(ctx context.Context, began time.Duration) {
 	k.mu.Lock()
 	idle := len(k.waiting) == 0
@@ -136,7 +135,7 @@
 	}
 }
 
-// appendLoop appends what waits until the context ends.
+// appendLoop appends queued bindings until the context ends.
 func (k *keyBinder) appendLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		record, wait := k.nextRecord()
@@ -150,7 +149,7 @@
 	return ctx.Err()
 }
 
-// waitForWork waits for something to append, a while at most.
+// waitForWork waits until there is something to append, or for the given time.
 func (k *keyBinder) waitForWork(ctx context.Context, wait time.Duration) {
 	if wait == 0 {
 		wait = k.poll
@@ -164,7 +163,7 @@
 	}
 }
 
-// nextRecord begins an append and returns its record; with none, how long to wait.
+// nextRecord starts an append and returns its record, or how long to wait if none is due.
 func (k *keyBinder) nextRecord() ([]byte, time.Duration) {
 	interval := k.appendInterval()
 	k.mu.Lock()
@@ -176,8 +175,8 @@
 	}
 	record, err := keybind.Record(batch, k.fold.Next(), k.ages.Released(now), time.Now().UnixMilli())
 	if err != nil {
-		// A message of our own that cannot be written is a fault; its keys are lost.
-		_ = k.logger.Log("msg", "A record of keys cannot be written.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
+		// The record cannot be encoded, which is a programming error. Its bindings are lost.
+		_ = k.logger.Log("msg", "A record of keys could not be encoded. Its keys are lost.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
 		k.batcher.Done()
 		return nil, 0
 	}
@@ -185,13 +184,13 @@
 	return record, 0
 }
 
-// keepaliveDue says that the stream has been quiet for so long that a record of no binding
-// is due; the lock is held. Without such records a quiet stream would expire whole, and
-// a new entry could not tell that no binding lives. Entries come at different times, and
-// the first one's record keeps the others from theirs.
+// keepaliveDue says whether the stream has been quiet for so long that a record without bindings is
+// due; the lock is held. Without such records all records of a quiet stream would expire, and a new
+// entry could not tell that no binding is still valid. The jitter makes entries differ, and the
+// record of the first one resets the time of the others.
 //
-// While callers are refused for want of room one is due as soon as it lets something go:
-// they were told to come back then, and nobody else may bind a key for minutes.
+// After a key was refused for lack of space, a record is due as soon as it can release bindings:
+// the callers were told to come back then, and nobody else may append for minutes.
 func (k *keyBinder) keepaliveDue() bool {
 	if k.fold.Next() == 0 || k.readFailing {
 		return false
@@ -202,15 +201,15 @@
 	return clock.Now()-k.lastRecord > k.retention/4+k.keepaliveJitter
 }
 
-// keepaliveJitterOf returns a VM's own part of an eighth of the time that bindings are held.
+// keepaliveJitterOf returns a VM's fixed fraction of an eighth of the retention.
 func keepaliveJitterOf(vm string, retention time.Duration) time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(vm))
 	return time.Duration(h.Sum32()%1024) * (retention / 8) / 1024
 }
 
-// handleAppended takes the end of an append. After a failure those who wait get a moment more:
-// the record may stand, and be read yet.
+// handleAppended handles the result of an append. After a failure, waiting requests get appendGrace
+// more, because the record may have been stored.
 func (k *keyBinder) handleAppended(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -221,7 +220,7 @@
 	}
 	k.counts.failed.Inc(1)
 	if k.appendFailedAt == 0 {
-		_ = k.logger.Log("msg", "Keys cannot be bound.", "result", result.Label(api.ResultCode_LOG_UNAVAILABLE), "err", err)
+		_ = k.logger.Log("msg", "A record of keys could not be appended.", "result", result.Label(api.ResultCode_LOG_UNAVAILABLE), "err", err)
 	}
 	k.appendFailedAt = clock.Now()
 	waits := make(map[keybind.Key]*keyWait)
--- a/internal/entry/linkcheck.go
+++ b/internal/entry/linkcheck.go
@@ -7,13 +7,13 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// checkLink refuses an attempt that may not be repeated when the link has been silent. A
-// link without work beats slowly, and its agent may have been gone for longer than a
-// busy link would leave unnoticed: the request would end as "outcome unknown" for an
-// agent that never had it. Nothing was sent, so it goes to another agent.
+// checkLink refuses an attempt at a request that runs at most once if the link has been silent. An
+// idle link has a longer heartbeat interval, so its agent may be gone for longer than it would go
+// unnoticed on a busy link. The request would then end as "outcome unknown" for an agent that never
+// received it. Since nothing was sent, it can go to another agent.
 //
-// A ticket that the caller holds is not held back: it may have been used before, and
-// "not run" could not be said of it.
+// A request with the caller's ticket is not checked: the ticket may have been used before, and "not
+// run" could not be said of it.
 func (e *entry) checkLink(ctx context.Context, a *attempt) *result.Error {
 	if !a.req.once || a.req.callerTicket != nil || a.peer.Session.Prove(ctx) {
 		return nil
--- a/internal/entry/linkcheck_test.go
+++ b/internal/entry/linkcheck_test.go
@@ -8,9 +8,9 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// An agent behind a link without work stops, without a word, longer ago than a busy link
-// would leave unnoticed, and a caller pushes. The push must not be sent there: it would
-// end as "outcome unknown", though the agent never had it. The caller is told "not run".
+// An agent behind an idle link stops responding, and a caller pushes before the link counts as
+// suspect. The push must not be sent there: it would end as "outcome unknown" though the agent
+// never received it. The caller must be told "not run".
 func TestPushOverASilentIdleLink(t *testing.T) {
 	agent := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { _ = stream.Receive(&api.WorkSignal{}) })
 	e, url := startEntry(t, agent)
@@ -21,9 +21,9 @@
 	time.Sleep(1200 * time.Millisecond) // The link counts as idle.
 	agent.frozen.Store(true)
 	defer agent.frozen.Store(false)
-	eventually(t, "a heartbeat that does not come", agent.heartbeatMissed.Load)
+	eventually(t, "a missed heartbeat", agent.heartbeatMissed.Load)
 	if peer, _ := e.directory.agentPeer("b1"); peer.Session.Suspect() {
-		t.Error("suspect too early")
+		t.Error("the link is suspect too early")
 	}
 	got := sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "1000")
 	if got.status == 200 || got.ran != "no" || agent.works.Load() != 0 {
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// maxSpareLinks bounds the links for which the subset has no use: those dialled for a
-	// ticket or an answer at another agent, and those that have left the subset. It is
-	// about as many as the subset has at the size to design for, so that a store that
-	// comes back through other entries finds room, and a flood of such requests doubles
-	// an entry's links at most.
+	// maxSpareLinks limits the links outside the subset: those dialled for a ticket or an answer at
+	// another agent, and those that have left the subset. It is about the size of the subset at the
+	// design size, so that a store that comes back through other entries finds a link, and a flood
+	// of such requests at most doubles an entry's links.
 	maxSpareLinks = 64
-	// spareIdleTimeout is how long such a link is kept after its last use: callers ask again
-	// within seconds.
+	// spareIdleTimeout is how long a spare link is kept after its last use. Callers retry within
+	// seconds.
 	spareIdleTimeout = 10 * time.Second
-	// unlinkedSpareTimeout is how long an agent is dialled on after the last request gave up
+	// unlinkedSpareTimeout is how long an agent is still dialled after the last request has stopped
 	// waiting for it.
 	unlinkedSpareTimeout = time.Second
 )
 
-// linkChooser decides which agents this entry is linked to, and what for. With no number of
-// agents per offer set it wants all of them, and does nothing else. Traffic and the
-// control goroutine share it under one lock, which is taken inside the directory's.
+// linkChooser decides which agents this entry has links to, and which of them get new work. With
+// agentsPerOffer 0 the entry links to all agents, and there is nothing to decide. Request handlers
+// and the control goroutine share it under one lock, which is taken while that of the directory is
+// held.
 type linkChooser struct {
 	self           *api.Hello
 	agentsPerOffer int
 	spareRequests  metrics.Counter
 
 	mu sync.Mutex
-	// vms is the list of VMs that the choice was made from.
+	// vms is the list of VMs that the subsets were selected from.
 	vms       []platform.VM
 	agents    map[string]platform.VM
 	selectors map[string]*subset.LinkSelector
-	// withoutOffer are agents of which the list does not say what they offer.
+	// withoutOffer are the agents for which the list names no offer.
 	withoutOffer map[string]bool
 	wanted       map[string]bool
-	// spare are the agents that are linked, or dialled, beside those wanted, with the
-	// time of their last use.
+	// spare are the agents outside the subset that are linked or dialled, with the time of their
+	// last use.
 	spare map[string]time.Duration
-	// uses counts the requests at each agent, or waiting for the link to it.
+	// uses counts the requests that are at each agent or wait for the link to it.
 	uses map[string]int
 }
 
@@ -66,10 +66,10 @@
 	}
 }
 
-// linksToAll says that this entry links to every agent.
+// linksToAll says whether this entry links to every agent.
 func (l *linkChooser) linksToAll() bool { return l.agentsPerOffer == 0 }
 
-// isWanted says that a link to an agent is to stand.
+// isWanted says whether there should be a link to an agent.
 func (l *linkChooser) isWanted(vm string) bool {
 	if l.linksToAll() {
 		return true
@@ -80,7 +80,7 @@
 	return spare || l.wanted[vm]
 }
 
-// canGetWork says that new work may go to an agent.
+// canGetWork says whether an agent can get new work.
 func (l *linkChooser) canGetWork(vm string) bool {
 	if l.linksToAll() {
 		return true
@@ -90,8 +90,8 @@
 	return l.wanted[vm]
 }
 
-// acquire counts a request at an agent, or one that waits for the link to it: until it is
-// done the link is not dropped.
+// acquire counts a request that is at an agent or waits for the link to it. The link is not dropped
+// until release.
 func (l *linkChooser) acquire(vm string) {
 	if l.linksToAll() {
 		return
@@ -101,7 +101,7 @@
 	l.uses[vm]++
 }
 
-// release takes back the count of use.
+// release reverts the count of acquire.
 func (l *linkChooser) release(now time.Duration, vm string) {
 	if l.linksToAll() {
 		return
@@ -117,10 +117,10 @@
 	}
 }
 
-// requestSpare asks for a link to an agent outside the subset, for a request that only that agent
-// can answer. It returns true if the agent is to be dialled now; however many requests
-// wait for one agent, it is asked for once. Past the bound the link that has been idle
-// longest gives way; if none is idle the request waits on and may requestSpare again.
+// requestSpare requests a link to an agent outside the subset, for a request that only that agent
+// can answer. It returns true if the agent is to be dialled now, which is once however many
+// requests wait for it. At the limit, the link that has been idle longest is dropped; if none is
+// idle, the request keeps waiting and may ask again.
 func (l *linkChooser) requestSpare(now time.Duration, vm string) bool {
 	if l.linksToAll() {
 		return false
@@ -140,7 +140,7 @@
 	return true
 }
 
-// evictIdlest lets go of the spare link that has been idle longest; the lock is held.
+// evictIdlest drops the spare link that has been idle longest; the lock is held.
 func (l *linkChooser) evictIdlest() bool {
 	var oldest string
 	for vm, lastUse := range l.spare {
@@ -152,7 +152,7 @@
 	return oldest != ""
 }
 
-// setVMs takes the platform's setVMs, and chooses anew if it has changed.
+// setVMs sets the platform's list of VMs, and selects the subsets again if it has changed.
 func (l *linkChooser) setVMs(vms []platform.VM) {
 	if l.linksToAll() {
 		return
@@ -180,7 +180,7 @@
 	l.selectAgents(offers)
 }
 
-// selectAgents takes the subset for each offer; the lock is held.
+// selectAgents selects the subset for each offer; the lock is held.
 func (l *linkChooser) selectAgents(offers map[string][]platform.VM) {
 	entries, region := l.regionEntries()
 	for offer := range l.selectors {
@@ -195,8 +195,8 @@
 			l.selectors[offer] = subset.NewLinkSelector()
 		}
 		l.selectors[offer].SetServers(chosen, subset.FallbackOrder(l.self.GetVm(), servers, chosen))
-		// Wanted at once: with nothing wanted until the next tick, a process that has
-		// just started would take itself for linked.
+		// The agents are wanted at once. If none were until the next tick, a process that has just
+		// started would count as fully linked.
 		for _, vm := range chosen {
 			l.wanted[vm] = true
 		}
@@ -206,8 +206,8 @@
 	}
 }
 
-// regionEntries returns the regionEntries of this one's region, itself among them even before the
-// list has it.
+// regionEntries returns the entries in this entry's region, always including itself, even if the
+// list does not have it yet.
 func (l *linkChooser) regionEntries() (entries []subset.Node, region string) {
 	self := l.self.GetVm()
 	listed := slices.IndexFunc(l.vms, func(vm platform.VM) bool { return vm.ID == self })
@@ -224,8 +224,7 @@
 	return entries, region
 }
 
-// inRegion returns the agents of a region; all of them if it has none: far ones are
-// better than none.
+// inRegion returns the agents of a region, or all agents if the region has none.
 func inRegion(agents []platform.VM, region string) []subset.Node {
 	var near, all []subset.Node
 	for _, vm := range agents {
@@ -241,10 +240,10 @@
 	return all
 }
 
-// tick decides anew which agents to link to. It returns those that are linked and not
-// wanted any more at all, and whether those that may get work have changed. A link that
-// leaves the subset gets no new work from now on and becomes a spare one, which is let go
-// of when its work has ended: it cuts nothing.
+// tick updates which agents to link to. It returns the linked agents that are no longer wanted at
+// all, and whether the set of agents that can get work has changed. A link that leaves the subset
+// gets no new work and becomes a spare one, which is dropped after its work has ended, so no
+// request is cut off.
 func (l *linkChooser) tick(now time.Duration, linked map[string]bool, health func(vm string) subset.Health) (drop []string, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -283,8 +282,8 @@
 	return drop, changed
 }
 
-// expireSpare lets go of the spare links that have been idle for long enough, and of the
-// longest idle ones past the bound; the lock is held.
+// expireSpare drops the spare links that have been idle for long enough, and those above the limit,
+// longest idle first; the lock is held.
 func (l *linkChooser) expireSpare(now time.Duration, linked map[string]bool) {
 	for vm, lastUse := range l.spare {
 		timeout := spareIdleTimeout
@@ -299,22 +298,22 @@
 	}
 }
 
-// isUnavailable says that an agent is marked isUnavailable, or that its VM leaves or has left. It is called on
-// the control goroutine, the only one that writes the agents, and needs no lock.
+// isUnavailable says whether an agent is marked out, or its VM is leaving or has left the list. It
+// is called on the control goroutine, the only one that writes agents, and needs no lock.
 func (l *linkChooser) isUnavailable(state *member.State, vm string) bool {
 	listed, ok := l.agents[vm]
 	return !ok || listed.State == platform.StateLeaving || state.View.VMOutOfService(vm, listed.FailureDomain)
 }
 
-// isLinkPending says that a link to an agent for an offer may stand at any moment: one is being
-// made, or stands and has brought no report yet.
+// isLinkPending says whether a link to an agent for an offer may come up at any moment: it is being
+// made, or is up but has not brought a report yet.
 func (l *linkChooser) isLinkPending(offer string, reported func(vm string) bool) bool {
 	if l.linksToAll() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The list names the model; a caller may ask for one version of it.
+	// The list names the model without its version, which a caller may ask for.
 	offer, _, _ = strings.Cut(offer, "@")
 	selector := l.selectors[offer]
 	if selector == nil {
@@ -331,8 +330,8 @@
 	return false
 }
 
-// agentsPerLink is how many agents of the region there are for each that new work may go to, of
-// the offer that the list says an agent makes.
+// agentsPerLink returns the number of agents in the region for each agent that can get new work,
+// for the offer that the list names for a VM.
 func (l *linkChooser) agentsPerLink(vm string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -343,18 +342,18 @@
 	return selector.ServersPerLink()
 }
 
-// isIdle says that no request is at an agent, or waits for it.
+// isIdle says whether no request is at an agent or waits for it.
 func (l *linkChooser) isIdle(vm string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.uses[vm] == 0
 }
 
-// linkState is what a dump tells of the links to agents.
+// linkState is the part of a dump about links to agents.
 type linkState struct {
-	// PerOffer is the setting; 0 for all agents.
+	// PerOffer is the configured number of agents per offer; 0 for all.
 	PerOffer int
-	// Work are the agents that new work may go to, Spare those linked beside them.
+	// Work are the agents that can get new work, Spare those linked besides.
 	Work, Spare []string
 }
 
--- a/internal/entry/links_test.go
+++ b/internal/entry/links_test.go
@@ -19,7 +19,8 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// newTestLinkChooser is the choice of an entry e1 that links to so many agents of each offer.
+// newTestLinkChooser returns the choice of an entry e1 that links to the given number of agents per
+// offer.
 func newTestLinkChooser(agentsPerOffer int, vms ...platform.VM) *linkChooser {
 	l := newLinkChooser(&api.Hello{Vm: "e1", FailureDomain: "a"}, agentsPerOffer, metrics.NewRegistry())
 	l.setVMs(append(vms, platform.VM{ID: "e1", Role: platform.RoleEntry, FailureDomain: "a", Region: "r1"}))
@@ -34,9 +35,8 @@
 
 func allUsable(string) subset.Health { return subset.Usable }
 
-// An entry links to agents of its own region, to as many of each offer as set, to all of
-// an offer that only other regions have in the same number, and to all agents of which
-// the list does not say what they offer.
+// An entry must link to as many agents of each offer as configured, in its own region if that has
+// any, and to all agents for which the list names no offer.
 func TestLinksFollowTheListOfVMs(t *testing.T) {
 	var vms []platform.VM
 	for i := range 5 {
@@ -52,12 +52,12 @@
 		t.Errorf("linked to %v, want %v", counts, want)
 	}
 	if all := newTestLinkChooser(0, vms...); !all.isWanted("far-0") || !all.canGetWork("far-0") || all.requestSpare(0, "far-0") {
-		t.Error("without a number not all agents are linked for work")
+		t.Error("with no number configured, not all agents are linked for work")
 	}
 }
 
-// An agent leaves the subset while a stream comes from it. It gets no new work from that
-// moment; the link is dropped only when the stream has ended and some time has passed.
+// An agent leaves the subset while it sends a stream. It must get no new work from then on, and its
+// link must be dropped only some time after the stream has ended.
 func TestALinkThatLeavesTheSubsetIsKeptForItsWork(t *testing.T) {
 	l := newTestLinkChooser(1, agentVM("b1", "model:m", "r1"))
 	linked := map[string]bool{"b1": true}
@@ -72,15 +72,15 @@
 	}
 	l.release(time.Hour, "b1")
 	if drop, _ = l.tick(time.Hour+spareIdleTimeout/2, linked, allUsable); len(drop) > 0 {
-		t.Fatal("a link was dropped at once after its work")
+		t.Fatal("a link was dropped right after its work")
 	}
 	if drop, _ = l.tick(time.Hour+spareIdleTimeout, linked, allUsable); !slices.Equal(drop, []string{"b1"}) || l.isWanted("b1") {
 		t.Fatalf("drop %v after the work, want b1", drop)
 	}
 }
 
-// Tickets name more agents than an entry may be linked to beside its subset. The link
-// idle for longest gives way, never one with a request; with all in use a request waits.
+// Tickets name more agents than an entry may link to outside its subset. The link that has been
+// idle longest must be dropped, never one with a request; if all are in use, a request waits.
 func TestSpareLinksAreBounded(t *testing.T) {
 	vms := make([]platform.VM, 0, 2*maxSpareLinks)
 	for i := range 2 * maxSpareLinks {
@@ -90,28 +90,28 @@
 	for i := range maxSpareLinks {
 		l.acquire(vms[i].ID)
 		if !l.requestSpare(time.Duration(i), vms[i].ID) || l.requestSpare(time.Duration(i), vms[i].ID) {
-			t.Fatalf("%s: want it asked for once", vms[i].ID)
+			t.Fatalf("%s: want one request for a link", vms[i].ID)
 		}
 	}
 	if l.requestSpare(time.Second, vms[maxSpareLinks].ID) {
-		t.Fatal("a link beyond the bound while all are in use")
+		t.Fatal("a link above the limit while all are in use")
 	}
 	l.release(2*time.Second, "b007")
 	l.release(time.Second, "b005")
 	if !l.requestSpare(3*time.Second, vms[maxSpareLinks].ID) || l.isWanted("b005") || !l.isWanted("b007") {
-		t.Errorf("want b005 given way, idle for longest: %v", l.dump().Spare)
+		t.Errorf("want b005 dropped, which was idle longest: %v", l.dump().Spare)
 	}
 	if l.requestSpare(0, "not-on-the-list") || l.requestSpare(0, "near") {
-		t.Error("asked for an agent that is not on the list, or is in the subset")
+		t.Error("a spare link for an agent that is not on the list, or is in the subset")
 	}
 	if n := len(l.dump().Spare); n != maxSpareLinks {
 		t.Errorf("%d spare links, want %d", n, maxSpareLinks)
 	}
 }
 
-// A store's retries storm an entry with tickets of one agent that is dead. It is dialled
-// by one at a time, a few times in all, and every caller hears "unknown": nobody can say
-// what became of the tickets.
+// Retries of a store flood an entry with tickets of one agent that is dead. The agent must be
+// dialled a few times only, one dial at a time, and every caller must be told "unknown", because
+// the outcome of the tickets is not known.
 func TestAStormForADeadAgentMakesFewDials(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,10 +160,10 @@
 		})
 	}
 	callers.Wait()
-	// One at a time, 0.3 s apart.
+	// Dials are sequential, 0.3 s apart.
 	maxDials := int32(time.Since(start)/(300*time.Millisecond)) + 2
 	if n := dials.Load(); n == 0 || n > maxDials {
-		t.Errorf("%d dials for %d presses in %v, want 1 to %d", n, requests, time.Since(start), maxDials)
+		t.Errorf("%d dials for %d requests in %v, want 1 to %d", n, requests, time.Since(start), maxDials)
 	}
-	t.Logf("%d dials for %d presses in %v", dials.Load(), requests, time.Since(start))
+	t.Logf("%d dials for %d requests in %v", dials.Load(), requests, time.Since(start))
 }
--- a/internal/entry/linkuse.go
+++ b/internal/entry/linkuse.go
@@ -10,29 +10,29 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// handlePeersChanged takes a change of links or of the list of VMs, on the control goroutine.
+// handlePeersChanged handles a change of the links or of the list of VMs, on the control goroutine.
 func (e *entry) handlePeersChanged(state *member.State) {
 	e.links.setVMs(state.VMs)
-	// Before the directory: from the moment that it has no agent left for an offer on,
-	// the links to further ones must be known to be on their way.
+	// The links go first: when the directory loses the last agent of an offer, the links to
+	// fallback agents must already count as pending.
 	e.updateLinks(clock.Now(), state)
 	e.directory.setPeers(state)
 	e.announceLinkUse(state)
 }
 
-// maintainLinks brings the links to agents to what they should be, once a tick, on the
-// control goroutine.
+// maintainLinks drops the links to agents that are not needed any more, once a tick, on the control
+// goroutine.
 func (e *entry) maintainLinks(now time.Duration, state *member.State) {
 	for _, vm := range e.updateLinks(now, state) {
 		if e.directory.removeIfIdle(vm) {
-			_ = e.logger.Log("msg", "A link to an agent outside the subset is let go of.", "vm", vm)
+			_ = e.logger.Log("msg", "A link to an agent outside the subset is dropped.", "vm", vm)
 			e.node.Drop(vm)
 		}
 	}
 }
 
-// updateLinks decides anew which agents to link to, and returns those that are linked and
-// need not be. It runs on the control goroutine.
+// updateLinks selects again which agents to link to, and returns those that are linked and need not
+// be. It runs on the control goroutine.
 func (e *entry) updateLinks(now time.Duration, state *member.State) (drop []string) {
 	if e.links.linksToAll() {
 		return nil
@@ -52,7 +52,7 @@
 	return drop
 }
 
-// agentHealth is what this entry knows of an agent, for the choice of further ones.
+// agentHealth returns the health of an agent, for the selection of fallback agents.
 func (e *entry) agentHealth(state *member.State, vm string) subset.Health {
 	peer := state.Peers[vm]
 	switch {
@@ -64,8 +64,8 @@
 	return subset.Silent
 }
 
-// announceLinkUse tells agents which links carry new work: they say in their reports how many
-// entries they have, by which each entry knows its part of their room.
+// announceLinkUse tells agents which links carry new work. They report how many entries send them
+// work, from which each entry computes its share of their capacity.
 func (e *entry) announceLinkUse(state *member.State) {
 	if e.links.linksToAll() {
 		return
@@ -84,37 +84,36 @@
 	e.announcedSpare = announced
 }
 
-// requestLink asks for a link to an agent that this entry is not linked to.
+// requestLink requests a link to an agent that this entry has none to.
 func (e *entry) requestLink(vm string) {
 	if e.links.requestSpare(clock.Now(), vm) {
 		e.node.DialMissing()
 	}
 }
 
-// retainLink keeps the link to an agent from being let go of until the function it returns is
-// called.
+// retainLink keeps the link to an agent from being dropped until the returned function is called.
 func (e *entry) retainLink(vm string) (release func()) {
 	e.links.acquire(vm)
 	return func() { e.links.release(clock.Now(), vm) }
 }
 
-// refreshTable takes a change of the agents that may get work.
+// refreshTable updates the placement table after a change of the agents that can get work.
 func (d *directory) refreshTable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rebuildTable()
 }
 
-// noReportPending says that nothing is to be waited for from an agent: there is no link to it, it
-// stops, or it has noReportPending. The directory's lock is held.
+// noReportPending says whether no first report is to be expected from an agent: there is no link to
+// it, it is shutting down, or it has reported. The directory's lock is held.
 func (d *directory) noReportPending(vm string) bool {
 	peer := d.peers[vm]
 	return peer == nil || peer.Draining || d.status[vm] != nil
 }
 
-// removeIfIdle takes an agent out of the directory if no request is at it: from then on nobody
-// finds its link. A request that has counted itself before it looks up the link keeps the
-// link; one that counts itself later finds none, and asks for a new one.
+// removeIfIdle removes an agent from the directory if no request is at it, so that its link cannot
+// be found any more. A request counted before it looks up the link keeps the link; one counted
+// later finds no link and requests a new one.
 func (d *directory) removeIfIdle(vm string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -17,8 +17,8 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// operators shows the entry to operators and takes their changes. It implements
-// admin.Process and admin.Configuration.
+// operators serves the admin interface: it shows the entry's state and accepts changes. It
+// implements admin.Process and admin.Configuration.
 type operators struct{ entry *entry }
 
 func (e *entry) serveAdmin(ctx context.Context) error {
@@ -35,7 +35,7 @@
 	status.Backends = e.directory.backends()
 	var vms []platform.VM
 	if e.settings.GetLink().GetAgentsPerOffer() == 0 {
-		// With a subset of links, coordinators out of it are not missing.
+		// With links to a subset of agents, a coordinator outside it is not missing.
 		vms = e.node.State().VMs
 	}
 	status.Groups = e.directory.groups(clock.Now(), vms)
@@ -103,7 +103,7 @@
 		return result.New(api.ResultCode_BAD_LIST, err.Error())
 	}
 	if _, err := o.entry.platform.Append(ctx, data); err != nil {
-		// The answer may be what was lost: the record may stand in the log.
+		// Only the answer may be lost: the record may be in the log.
 		unknown := result.New(api.ResultCode_LOG_UNAVAILABLE, err.Error())
 		unknown.Ran = api.Ran_RAN_UNKNOWN
 		return unknown
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// checkRecord returns what all members would refuse a record for, before it takes room
-// in the log. A base newer than this entry has applied is no conflict: the entry is
-// behind, and the log decides.
+// checkRecord returns the error with which all members would reject a record, before it takes space
+// in the log. A base newer than this entry has applied is no conflict: the entry is behind, and the
+// log decides.
 func checkRecord(view *config.View, record *api.Record) error {
 	err := config.CheckChange(view, record)
 	var conflict *config.ConflictError
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -8,9 +8,9 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// A mark that every member would refuse must not take room in the log. One whose base
-// is newer than what this entry has applied was read at another entry: it is for the log
-// to decide, and a conflict would be untrue.
+// A mark that every member would reject must not take space in the log. A base newer than this
+// entry has applied was read at another entry: reporting a conflict would be wrong, and the log
+// must decide.
 func TestRecordsAreCheckedBeforeTheAppend(t *testing.T) {
 	view := config.NewFold().View()
 	for name, c := range map[string]struct {
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -15,44 +15,43 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// doneEvent is how a streamed completion ends.
+// doneEvent is the last event of a streamed completion.
 const doneEvent = "data: [DONE]"
 
-// output takes an answer to the caller. A stream of events goes out as it comes; any
-// other answer only when it is whole, so that its failure still has a status of its
-// own and another attempt can take its place.
+// output writes an answer to the caller. A stream of events is written as it arrives. Any other
+// answer is written only when it is complete, so that a failure can still have its own status and
+// another attempt can replace it.
 type output struct {
 	w           http.ResponseWriter
 	control     *http.ResponseController
 	backendHead *api.Head
 	stream      bool
-	started     atomic.Bool // read by the goroutine that notices that the caller has gone
+	started     atomic.Bool // also read by the goroutine that notices that the caller is gone
 	complete    bool
 	unflushed   bool   // something was written and not flushed
-	eventBuffer []byte // used again for each
+	eventBuffer []byte // reused for each event
 	body        bytes.Buffer
 }
 
 // writeGrace is how long after its deadline a request may still write.
 const writeGrace = 2 * time.Second
 
-// newOutput returns the output of a request that has so much time left. Writing ends with
-// it: a caller that stops reading and keeps its connection open would hold its place at
-// the gate and at the agent for ever, and keep the process from stopping.
+// newOutput returns the output of a request with the given time left. Writing ends after that time:
+// a caller that stops reading but keeps its connection open would otherwise hold its slots at the
+// gate and at the agent forever, and keep the process from stopping.
 func newOutput(w http.ResponseWriter, left time.Duration) *output {
 	control := http.NewResponseController(w)
 	_ = control.SetWriteDeadline(time.Now().Add(left + writeGrace))
 	return &output{w: w, control: control}
 }
 
-// hasBegun says that the caller has had something of the answer.
+// hasBegun says whether any part of the answer was sent to the caller.
 func (o *output) hasBegun() bool { return o.started.Load() }
 
-// hasHead says that the status is known.
+// hasHead says whether the status is known.
 func (o *output) hasHead() bool { return o.backendHead != nil }
 
-// reset forgets what an earlier attempt has brought, which the caller has had nothing
-// of.
+// reset discards what an earlier attempt has brought, unless the caller has received part of it.
 func (o *output) reset() {
 	if o.hasBegun() {
 		return
@@ -62,8 +61,8 @@
 	o.stream = false
 }
 
-// setHead takes status and header. The same setHead comes again over each further link of an
-// attempt: the parts before it stay, or the answer would end short and look whole.
+// setHead sets the status and the headers. The same head arrives again over each further link of an
+// attempt. The parts received before are kept, or the answer would be too short and look complete.
 func (o *output) setHead(h *api.Head) {
 	if o.hasHead() {
 		return
@@ -76,7 +75,7 @@
 	}
 }
 
-// writePart takes one new writePart.
+// writePart writes or buffers one new part.
 func (o *output) writePart(answerID string, part *api.Part) error {
 	if !o.stream && !o.hasBegun() {
 		o.body.Write(part.GetData())
@@ -85,7 +84,7 @@
 	o.beginStream()
 	data := part.GetData()
 	if bytes.HasPrefix(data, []byte(doneEvent)) {
-		// The mark that the answer is whole is written when that is known.
+		// The end marker is written by writeEnd, when the answer is known to be complete.
 		return nil
 	}
 	o.eventBuffer = append(o.eventBuffer[:0], "id: "...)
@@ -101,8 +100,8 @@
 	return nil
 }
 
-// flush sends the caller what was written. It is called when no more of the answer is
-// here, so that a token never waits; those that came together go out together.
+// flush sends the caller what was written. It is called when no further event is waiting, so that
+// no token is delayed and events that arrived together are sent together.
 func (o *output) flush() error {
 	if !o.unflushed {
 		return nil
@@ -114,7 +113,7 @@
 	return nil
 }
 
-// beginStream writes the header of a stream.
+// beginStream writes the headers of a stream.
 func (o *output) beginStream() {
 	if o.hasBegun() {
 		return
@@ -133,12 +132,12 @@
 	result.SetHeader(o.w.Header(), api.ResultCode_OK)
 }
 
-// writeEnd writes the mark that the answer is whole, with its count. It goes out with the writeEnd of
-// the HTTP answer, which the library writes next, by one write.
+// writeEnd writes the end marker with the counts of the answer. It is not flushed, so that it is
+// sent in the same write as the end of the HTTP answer, which the library writes next.
 func (o *output) writeEnd(end *api.End) error {
 	streamed := o.stream || o.hasBegun()
 	if !streamed && uint64(o.body.Len()) != end.GetBytes() {
-		// The last guard against an answer that looks whole and is not.
+		// This is the last check against an incomplete answer that looks complete.
 		return result.Newf(api.ResultCode_ANSWER_BROKEN, "Of %d bytes of the answer %d are here.", end.GetBytes(), o.body.Len())
 	}
 	o.complete = true
@@ -158,8 +157,8 @@
 	return nil
 }
 
-// finish ends an answer that failed. One that the caller has had in part gets an
-// event that says so, and its connection is cut without the mark of the end.
+// finish ends an answer that failed. If the caller has received part of it, an error event is
+// written and the connection is cut without the end marker.
 func (o *output) finish(err error) error {
 	if err == nil || o.complete {
 		return nil
@@ -173,7 +172,7 @@
 	return &abortedError{cause: err}
 }
 
-// escapePath writes a decoded path as it stands in a request line.
+// escapePath returns a decoded path as it appears in a request line.
 func escapePath(p string) string {
 	return (&url.URL{Path: p}).EscapedPath()
 }
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// headerFirstTry is the caller's word that it has sent no request under this key yet,
-	// and sends no other one at the same time.
+	// headerFirstTry is the caller's statement that it has sent no request with this key before and
+	// sends no other at the same time.
 	headerFirstTry = "Apricothub-First-Try"
-	// headerKeyLifetime tells callers for how long a key is bound, in milliseconds.
+	// headerKeyLifetime tells callers how long a key is bound, in milliseconds.
 	headerKeyLifetime = "Apricothub-Key-Lifetime-Ms"
-	// ticketPrefix marks what looks like a ticket: it is one, or nothing.
+	// ticketPrefix is the prefix of all tickets. A key that starts with it and is no valid ticket
+	// is refused.
 	ticketPrefix = "t1."
 )
 
-// ownKey is a caller's own key on its way to a ticket.
+// ownKey is a key that the caller made, until it is resolved to a ticket.
 type ownKey struct {
 	key      keybind.Key
 	customer keybind.Customer
 	request  keybind.Request
 	arrived  time.Duration
-	// appended says that a binding may stand in the log.
+	// appended says that a binding may be in the log.
 	appended bool
 }
 
-// readOwnKey takes a key of the caller's own making for a request that runs at most
-// once.
+// readOwnKey reads a caller's own key for a request that runs at most once.
 func readOwnKey(req *request, h http.Header) error {
 	values := h.Values(headerTicket)
 	if len(values) != 1 || !keybind.ValidKey(values[0]) {
@@ -50,11 +50,11 @@
 	return nil
 }
 
-// looksLikeTicket says that a key is a ticket or a spoilt one.
+// looksLikeTicket says whether a key is a ticket, valid or not.
 func looksLikeTicket(text string) bool { return strings.HasPrefix(text, ticketPrefix) }
 
-// hasOwnKey says that a request to a service has a key of the caller's own, whose
-// earlier copies may have run.
+// hasOwnKey says whether a request to a service has a caller's own key, so that earlier copies of
+// it may have run.
 func hasOwnKey(r *http.Request) bool {
 	text := r.Header.Get(headerTicket)
 	if text == "" || !strings.HasPrefix(r.URL.Path, "/services/") {
@@ -64,10 +64,10 @@
 	return err != nil && !looksLikeTicket(text) && keybind.ValidKey(text)
 }
 
-// isFirstTry says that the caller vouches for no earlier copy.
+// isFirstTry says whether the caller states that there is no earlier copy of the request.
 func isFirstTry(h http.Header) bool { return h.Get(headerFirstTry) == "yes" }
 
-// resolveKey takes the ticket that a key is bound to, as far as this entry has read.
+// resolveKey sets the ticket that a key is bound to, as far as this entry has read.
 func (e *entry) resolveKey(w http.ResponseWriter, req *request) error {
 	if req.ownKey == nil {
 		return nil
@@ -78,14 +78,15 @@
 		return err
 	}
 	if !ok {
-		// Said now, a caller is not kept at the gate for a refusal.
+		// A request that would be refused later is refused now instead of waiting at the gate
+		// first.
 		return asError(e.keys.checkReady(req.ownKey.customer))
 	}
 	e.keys.counts.found.Inc(1)
 	return asError(req.useBinding(b))
 }
 
-// useBinding makes a request one that came with the ticket of a binding.
+// useBinding gives the request the ticket that its key is bound to.
 func (r *request) useBinding(b keybind.Binding) *result.Error {
 	if b.Request != r.ownKey.request {
 		return result.New(api.ResultCode_KEY_REUSED)
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// bindKey binds a key that is bound to nothing yet, with the gate's leave: an append
-// for a request that the gate would refuse would be for nothing.
+// bindKey binds a key that is not bound yet. It is called after admission, so that nothing is
+// appended for a request that the gate refuses.
 func (e *entry) bindKey(ctx context.Context, req *request) error {
 	if req.ownKey == nil || req.callerTicket != nil {
 		return nil
@@ -111,9 +112,9 @@
 	if err != nil {
 		return err
 	}
-	// Blocks are minted from in the first half of their lifetime.
+	// Tickets are minted only in the first half of their block's lifetime.
 	if 2*e.directory.ticketLifetime(t) > e.keys.retention {
-		// When its key is let go of the ticket could still run, beside the one that the
+		// After the key is released, the ticket could still run, in addition to the one that the
 		// key is bound to next.
 		return result.New(api.ResultCode_INTERNAL, "A ticket lives longer than its key is bound: ticket-lifetime-ms of the agent is more than twice the lifetime-ms of [keys].")
 	}
@@ -125,10 +126,10 @@
 	return asError(req.useBinding(b))
 }
 
-// unknownOutcomeIfKey keeps "not run" from being said of a request whose key this entry could
-// not resolve. An earlier copy may have bound it and run through another entry: the
-// store would push again under a new key. When the caller vouches that there is none,
-// and nothing was appended, it is true.
+// unknownOutcomeIfKey keeps a request whose key could not be resolved from being reported as "not
+// run". An earlier copy may have bound the key and run through another entry, and the store would
+// push again with a new key. If the caller states that this is its first try and nothing was
+// appended, "not run" is true.
 func unknownOutcomeIfKey(req *request, firstTry bool, err error) error {
 	if err == nil || req.ownKey == nil || req.callerTicket != nil {
 		return err
@@ -139,7 +140,7 @@
 	return withUnknownOutcome(err)
 }
 
-// withUnknownOutcome is an error that does not say "not run".
+// withUnknownOutcome returns the error without the statement that the request was not run.
 func withUnknownOutcome(err error) error {
 	changed := *result.From(err)
 	if changed.Ran != api.Ran_RAN_NO {
--- a/internal/entry/ownkey_test.go
+++ b/internal/entry/ownkey_test.go
@@ -12,10 +12,9 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// A caller sends a push with a key of its own; an earlier copy may have run through
-// another entry. What this entry refuses before it knows what the key is bound to, it
-// must not call "not run", unless the caller vouches for the first try: the caller would
-// take a new key and push twice.
+// A caller sends a push with its own key, of which an earlier copy may have run through another
+// entry. A refusal before the key is resolved must not say "not run" unless the caller states that
+// this is its first try: the caller would take a new key and push twice.
 func TestRefusalsOfOwnKeysAreTrue(t *testing.T) {
 	_, url := startEntry(t, serviceAgent(t, "b1", wholeAnswer("x")))
 	for name, c := range map[string]struct {
@@ -43,7 +42,7 @@
 	}
 }
 
-// holdKeys makes the entry hold so many bindings of a customer, bound a minute ago.
+// holdKeys makes the entry hold n bindings of a customer that were made a minute ago.
 func holdKeys(t *testing.T, e *entry, customer string, n int) {
 	t.Helper()
 	e.keys.mu.Lock()
@@ -60,10 +59,10 @@
 	}
 }
 
-// A team's program makes a new key in each try, as fast as it may, until its bindings
-// fill the room. Another team's deposit, the first in the hour, comes with its own key.
-// It must not be refused for the loud team's sake. The loud team is refused at once, by
-// its own limit, until its oldest bindings run out.
+// A team's program makes a new key for each try until its bindings fill the space. Another team
+// sends its first push in an hour with its own key, which must not be refused because of the first
+// team. The first team must be refused at once by its own quota, until its oldest bindings are
+// released.
 func TestALoudCustomersKeysLeaveRoom(t *testing.T) {
 	e, url := startEntry(t, serviceAgent(t, "b1", wholeAnswer("x")))
 	push := func() reply {
@@ -78,21 +77,21 @@
 	if !strings.Contains(got.result, "OVER_SHARE") || got.ran != "no" {
 		t.Errorf("the loud customer: %+v", got)
 	}
-	// Bindings are held for 20 minutes, and these are a minute old.
+	// Bindings are kept for 20 minutes, and these are a minute old.
 	if wait := got.retryAfterMs / 1000; wait < 18*60 || wait > 21*60 {
-		t.Errorf("told to come back after %d s", wait)
+		t.Errorf("retry after %d s, want about 19 minutes", wait)
 	}
 	state := e.keys.dump()
 	if c := state.Customers[1]; c.Customer != "c" || c.Held != keybind.MaxHeld/2+1 || c.Own != keybind.MaxHeld/2 || state.Lent <= state.Lendable {
-		t.Errorf("the dump tells of %+v", state)
+		t.Errorf("the dump shows %+v", state)
 	}
-	// Nobody else binds a key, and the bindings are as old as they are held: this entry
-	// lets go of them by itself, and does not wait for the next record that somebody needs.
+	// Nobody else binds a key, and the bindings are at the end of their retention. This entry must
+	// release them with a record of its own instead of waiting for the next record of a caller.
 	e.keys.mu.Lock()
 	defer e.keys.mu.Unlock()
 	e.keys.ages = keybind.NewAges(e.keys.retention)
 	e.keys.ages.Saw(clock.Now()-e.keys.retention, 1)
 	if !e.keys.keepaliveDue() {
-		t.Error("callers who were told to come back are refused for want of a record")
+		t.Error("no keepalive record is due although bindings can be released")
 	}
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -17,21 +17,20 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// errLinkBroken says that a stream broke before its end.
-var errLinkBroken = errors.New("the link broke")
+// errLinkBroken is returned when a stream ends before the answer does.
+var errLinkBroken = errors.New("the link broke before the end of the answer")
 
-// maxHTTPStatus is the largest status of an answer. net/http panics at those that HTTP does
-// not have, and the request would stay counted as in flight for ever.
+// maxHTTPStatus is the largest status of an answer. net/http panics at a status that HTTP does not
+// define, and the request would then be counted as in flight forever.
 const maxHTTPStatus = 599
 
-// doneTimeout bounds how long a request goes on to tell its agent that the answer is
-// delivered.
+// doneTimeout limits the time to tell the agent that the answer is delivered.
 const doneTimeout = time.Second
 
-// errNoHead says that an answer began without its status.
+// errNoHead reports an answer that starts without its status.
 var errNoHead = result.New(api.ResultCode_ANSWER_BROKEN, "The answer came without its status.")
 
-// answerRelay is an answer on its way over one link after another.
+// answerRelay passes one answer to the caller, over as many links as it takes.
 type answerRelay struct {
 	entry     *entry
 	attempt   *attempt
@@ -40,17 +39,17 @@
 	answerID  string
 }
 
-// relayAnswer has the attempt's agent run the work and takes its answer to the end. When
-// the link breaks, it goes on over the next one: at the next part once the work was
-// accepted; with the same ticket before that, since the agent knows whether it has
-// begun. Work without a ticket that was not accepted has nothing to go back to.
+// relayAnswer has the agent run the work and relays its answer to the end. When the link breaks, it
+// continues over the next one: with the next part if the work was accepted, otherwise with the same
+// ticket, because the agent knows whether that has started. Work that was not accepted and has no
+// ticket cannot be continued.
 func (e *entry) relayAnswer(ctx context.Context, a *attempt, out *output) *result.Error {
 	out.reset()
 	f := &answerRelay{entry: e, attempt: a, out: out, assembler: answer.NewAssembler(1)}
 	return f.run(ctx, a.peer)
 }
 
-// run takes the answer over one link after another, to its end.
+// run relays the answer over one link after another.
 func (f *answerRelay) run(ctx context.Context, peer *member.Peer) *result.Error {
 	for {
 		err := f.relayOverLink(ctx, peer.Session)
@@ -80,7 +79,7 @@
 	return result.From(err)
 }
 
-// lostError says what an answer is worth whose agent is gone.
+// lostError is the error for an answer whose agent is gone.
 func (f *answerRelay) lostError() *result.Error {
 	if f.attempt.work.GetTicket() != nil {
 		return result.New(api.ResultCode_OUTCOME_UNKNOWN)
@@ -88,7 +87,7 @@
 	return result.New(api.ResultCode_ANSWER_BROKEN, "The backend server went away before the answer was whole.")
 }
 
-// interruptedError says why a request ended early that was under way.
+// interruptedError says why a request in flight ended early.
 func (f *answerRelay) interruptedError(ctx context.Context) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(api.ResultCode_DEADLINE_EXCEEDED)
@@ -96,7 +95,7 @@
 	return result.New(api.ResultCode_ANSWER_BROKEN, "The caller has gone.")
 }
 
-// openMessage is the first message over a link.
+// openMessage is the first message on a stream.
 func (f *answerRelay) openMessage() *api.Open {
 	if f.answerID == "" {
 		work := f.attempt.work
@@ -111,7 +110,7 @@
 	return &api.Open{Body: &api.Open_Attach{Attach: attach}}
 }
 
-// relayOverLink takes the answer as far as one link carries it.
+// relayOverLink relays the answer until it ends or the link breaks.
 func (f *answerRelay) relayOverLink(ctx context.Context, s *link.Session) error {
 	stream, err := s.Open(f.openMessage())
 	if err != nil {
@@ -125,7 +124,7 @@
 			_ = stream.Close()
 		}
 	}()
-	// Receiving empties it first; what it carried stays with whoever kept it.
+	// Receive resets the event first; data that was kept from it stays valid.
 	event := &api.WorkEvent{}
 	for {
 		if err := stream.Receive(event); err != nil {
@@ -135,10 +134,10 @@
 			return errLinkBroken
 		}
 		if event.GetEnd() != nil {
-			// A caller may hang up the moment it reads the mark of the end, before the
-			// agent has been told that it has the answer whole. The agent would keep the
-			// answer for somebody to come back, and a planned stop would wait for it. From
-			// here on only the write's own deadline ends what follows.
+			// A caller may hang up as soon as it reads the end of the stream, before the agent is
+			// told that the answer is delivered. The agent would then keep the answer for the
+			// caller to come back, and its graceful shutdown would wait for that. From here on only
+			// the write deadline ends the request.
 			stop()
 		}
 		whole, err := f.handleEvent(event)
@@ -158,8 +157,8 @@
 	}
 }
 
-// finishStream ends the stream of a whole answer, and tells the agent that the caller has it, once
-// it is written. The agent is told after the caller, whom a slow link must not hold up.
+// finishStream ends the stream of a complete answer and tells the agent that it is delivered, after
+// it is written to the caller. The caller comes first so that a slow link does not delay it.
 func (f *answerRelay) finishStream(ctx context.Context, stream *link.Stream) error {
 	f.entry.pendingDone.Add(1)
 	notifyAgent := func(delivered bool) {
@@ -178,9 +177,9 @@
 	return err
 }
 
-// interrupt ends a stream whose caller has gone or whose time is over. The work is
-// cancelled only if the caller cannot come back for the answer: one that had a part of
-// a stream may go on with Last-Event-ID, and the agent waits a while for that.
+// interrupt ends the stream of a caller that is gone or of a request past its deadline. The work is
+// cancelled only if the caller cannot come back for the answer: with part of a stream it may resume
+// with Last-Event-ID, and the agent keeps the answer for a while.
 func (f *answerRelay) interrupt(ctx context.Context, stream *link.Stream) {
 	if errors.Is(ctx.Err(), context.Canceled) && !f.out.hasBegun() {
 		_ = stream.SetDeadline(time.Now().Add(time.Second))
@@ -189,7 +188,7 @@
 	_ = stream.Close()
 }
 
-// handleEvent takes one event, and says whether it was the end of a whole answer.
+// handleEvent handles one event and returns true at the end of a complete answer.
 func (f *answerRelay) handleEvent(event *api.WorkEvent) (bool, error) {
 	switch body := event.GetBody().(type) {
 	case *api.WorkEvent_Accepted:
@@ -224,7 +223,7 @@
 	return false, nil
 }
 
-// resume goes on with an answer that the caller has had in part, from any entry.
+// resume continues an answer that the caller has received in part, through this or any other entry.
 func (e *entry) resume(w http.ResponseWriter, r *http.Request, req *request, id string) error {
 	vm, incarnation, answerID, part, ok := parseEventID(id)
 	lastPart, err := strconv.ParseUint(part, 10, 63)
--- a/internal/entry/reporters.go
+++ b/internal/entry/reporters.go
@@ -8,15 +8,15 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// chooseReporters chooses the chooseReporters of a list for this entry's settings.
+// chooseReporters returns the reporting entry of each agent on a list, with this entry's settings.
 func (e *entry) chooseReporters(vms []platform.VM) map[string]string {
 	return reportersByAgent(vms, e.links.agentsPerOffer)
 }
 
-// reportersByAgent chooses the entry that reports for each agent, from the list of VMs alone, so
-// that all entries choose alike; nil where each entry hears all agents itself. It is one
-// of the entries that have the agent in their subsets, so that the links which tell it are
-// there already. An agent that is in no subset has one by hash, which dials it when asked.
+// reportersByAgent chooses the entry that reports on each agent. It uses the list of VMs alone, so
+// that all entries choose the same; nil if each entry hears all agents itself. The reporter is one
+// of the entries with the agent in their subsets, because their links exist already. For an agent
+// in no subset it is chosen by hash, and dials the agent when asked.
 func reportersByAgent(vms []platform.VM, agentsPerOffer int) map[string]string {
 	if agentsPerOffer == 0 {
 		return nil
@@ -64,8 +64,8 @@
 	return reporterOf
 }
 
-// highestScored takes the entry of the highest rendezvous score: when one goes, its agents spread
-// over all others, and no other agent moves.
+// highestScored returns the entry with the highest rendezvous hash. When an entry goes, its agents
+// are spread over all others, and no other agent gets another reporter.
 func highestScored(agent string, entries []string) string {
 	var best string
 	var bestScore uint64
@@ -79,8 +79,8 @@
 	return best
 }
 
-// ensureLinked asks for a link to an agent that this entry reports for, or keeps it for as
-// long as after any other use. It runs on the control goroutine.
+// ensureLinked requests a link to an agent that this entry reports on, or renews the time of its
+// last use. It runs on the control goroutine.
 func (e *entry) ensureLinked(vm string) {
 	if e.links.requestSpare(clock.Now(), vm) {
 		e.node.Redial()
--- a/internal/entry/reporters_test.go
+++ b/internal/entry/reporters_test.go
@@ -11,8 +11,8 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// Whatever the order of the list, each agent has the same one reporter: an entry that has
-// the agent in its subset, and for agents that nobody links to any entry of the region.
+// Each agent must have the same single reporter whatever the order of the list: an entry with the
+// agent in its subset, or any entry of the region for agents in no subset.
 func TestEachAgentHasOneReporter(t *testing.T) {
 	var vms []platform.VM
 	for i := range 4 {
@@ -25,7 +25,7 @@
 	want := reportersByAgent(vms, 2)
 	slices.Reverse(vms)
 	if got := reportersByAgent(vms, 2); len(got) != 17 || fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, in another order %v", want, got)
+		t.Errorf("%v, with the list in another order %v", want, got)
 	}
 	linkedBy := make(map[string][]string)
 	for _, entry := range []string{"e0", "e2"} {
@@ -41,6 +41,6 @@
 		}
 	}
 	if reportersByAgent(vms, 0) != nil {
-		t.Error("reporters though all entries hear all agents")
+		t.Error("reporters were chosen although all entries hear all agents")
 	}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -18,7 +18,7 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// Headers of the callers' interface.
+// Headers of the interface for callers.
 const (
 	headerDeadline   = "Apricothub-Deadline"    // RFC 3339, with fractions of a second
 	headerDeadlineMs = "Apricothub-Deadline-Ms" // milliseconds from now
@@ -30,25 +30,25 @@
 	headerLastEvent  = "Last-Event-ID"
 )
 
-// request is a caller's request on its way to a backend server.
+// request is a caller's request until a backend server has answered it.
 type request struct {
 	caller       *caller
 	offer        string
 	adapter      string
 	prefix       uint64
-	relativeSize float64       // expected ratio of the work to the usual; 0 for unknown
-	arrived      time.Duration // on the process's clock, as the deadline
+	relativeSize float64       // expected ratio of the work to the average; 0 for unknown
+	arrived      time.Duration // time since process start, as the deadline
 	deadline     time.Duration
 	work         *api.Work
-	// once says that the request runs at most once. given is the caller's ticket;
-	// without one a ticket is made for each attempt.
+	// once says that the request runs at most once. callerTicket is the ticket that the caller
+	// sent; without it a ticket is minted for each attempt.
 	once         bool
 	callerTicket *api.Ticket
-	// ownKey is the caller's ownKey key; given is its ticket once that is known.
+	// ownKey is the caller's own key. callerTicket is the ticket that it is bound to, once known.
 	ownKey *ownKey
 }
 
-// newRequest reads what completions and calls have in common.
+// newRequest reads the parts that completions and calls have in common.
 func (e *entry) newRequest(w http.ResponseWriter, r *http.Request, state *member.State) (*request, error) {
 	who, err := e.authenticate(state, r)
 	if err != nil {
@@ -88,7 +88,8 @@
 	}, nil
 }
 
-// readDeadline returns the time left until the deadline that the caller names.
+// readDeadline returns the time left until the caller's deadline, or the fallback if the caller
+// sets none.
 func readDeadline(h http.Header, fallback time.Duration) (time.Duration, error) {
 	left := fallback
 	if text := h.Get(headerDeadlineMs); text != "" {
@@ -111,7 +112,7 @@
 	return left, nil
 }
 
-// maxTimeLeft bounds how long one request may be asked to take.
+// maxTimeLeft limits the deadline that a caller may set.
 const maxTimeLeft = time.Hour
 
 func readPriority(h http.Header, plan *api.Plan) (int32, error) {
@@ -126,9 +127,8 @@
 	return int32(min(int64(n), plan.GetPriority())), nil
 }
 
-// notForwarded are the headers that end here: those of one connection, and those
-// that are the entry's own business. A backend server that saw the Idempotency-Key
-// or the caller's key could do nothing right with them.
+// notForwarded are the headers that are not passed on: hop-by-hop headers, and those meant for the
+// entry. A backend server must not act on the Idempotency-Key or see the caller's key.
 var notForwarded = map[string]bool{
 	"Authorization":     true,
 	"Connection":        true,
@@ -165,20 +165,20 @@
 	return headers
 }
 
-// completionBody is what the entry reads of a completion request; the whole goes on
-// to the engine as it came.
+// completionBody is the part of a completion request that the entry reads. The engine gets the body
+// unchanged.
 type completionBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Prompt   json.RawMessage `json:"prompt"`
 	Messages json.RawMessage `json:"messages"`
-	// MaxTokens and MaxCompletionTokens are the two names of one bound.
+	// MaxTokens and MaxCompletionTokens are two names of the same limit.
 	MaxTokens           float64 `json:"max_tokens"`
 	MaxCompletionTokens float64 `json:"max_completion_tokens"`
 }
 
-// prefixBytes is how much of the prompt makes its prefix. Prompts that begin with the
-// same system text share it.
+// prefixBytes is the length of a prompt's prefix. Prompts that begin with the same system text
+// share it.
 const prefixBytes = 256
 
 func (e *entry) readCompletion(req *request, r *http.Request, state *member.State) error {
@@ -196,7 +196,7 @@
 		return err
 	}
 	req.prefix = prefixHash(body)
-	if e.directory.hasCapacity(req.offer) { // A caller may name any version.
+	if e.directory.hasCapacity(req.offer) { // Callers may make up versions; no average is kept for those.
 		req.relativeSize = e.sizes.relativeSize(req.offer, max(body.MaxTokens, body.MaxCompletionTokens))
 	}
 	work := req.work
@@ -205,8 +205,8 @@
 	work.Model = body.Model
 	work.Adapter = req.adapter
 	work.Prefix = req.prefix
-	// A client library may send an Idempotency-Key of its own making; a completion
-	// may be repeated, so only a ticket counts.
+	// A client library may send an Idempotency-Key of its own. A completion may be repeated, so
+	// only a ticket matters.
 	if t, err := ticket.Decode(r.Header.Get(headerTicket)); err == nil {
 		req.once = true
 		req.callerTicket = t
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// chooseModel checks model, version and adapter against the plan and the lists.
+// chooseModel checks the model, version and adapter against the plan and the lists.
 func (e *entry) chooseModel(req *request, h http.Header, name string, state *member.State) error {
 	plan := req.caller.plan
 	model, ok := state.View.Model(name)
@@ -254,8 +254,8 @@
 	return false
 }
 
-// prefixHash is the hash under which engines publish a cached prompt prefix: FNV-1a of
-// its first bytes.
+// prefixHash returns the hash under which engines publish a cached prompt prefix: FNV-1a of its
+// first bytes.
 func prefixHash(body completionBody) uint64 {
 	text := []byte(body.Messages)
 	var prompt string
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -9,22 +9,22 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// orderReportTimeout is how long an agent's report may take to tell of an order sent to it: some
-// reports' time. Until then it counts as loading, or the next tick would choose more.
+// orderReportTimeout is how long an agent may take to report an order that was sent to it, the time
+// of several reports. Until then the agent counts as loading, or the next tick would order more.
 const orderReportTimeout = 2 * time.Second
 
-// sentOrder is an order that reports may not tell of yet.
+// sentOrder is an order that the agent may not have reported yet.
 type sentOrder struct {
 	fence  int64
 	sentAt time.Duration
 }
 
-// rolloutState brings the backend servers to the versions in force. The control goroutine
-// owns it.
+// rolloutState tracks the rollout of model versions to backend servers. The control goroutine owns
+// it.
 type rolloutState struct {
-	sentOrders map[string]sentOrder // by agent's VM
-	// lastReported remembers the model of each backend server that may be ordered, so that
-	// one whose link is gone still counts as one of its model's.
+	sentOrders map[string]sentOrder // by VM
+	// lastReported is the last report of each backend server that takes orders. A server without a
+	// link still counts as one of its model's.
 	lastReported map[string]rollout.Server
 	modelByVM    map[string]string
 }
@@ -33,12 +33,12 @@
 	return rolloutState{sentOrders: make(map[string]sentOrder), lastReported: make(map[string]rollout.Server), modelByVM: make(map[string]string)}
 }
 
-// coordinateRollout sends orders if this entry is the one that drives.
+// coordinateRollout sends load orders if this entry is the coordinator.
 //
-// Nobody agrees on the driver. Two entries may both believe that they are it while links
-// or readiness change; each counts what the agents report, so that until the reports of
-// a second or so tell of the other's orders, more may load at once than the budget, and
-// no longer. Two orders for one agent are one: the fence is the offset of the uses list.
+// Entries do not vote on the coordinator. While links or readiness change, two entries may both act
+// as coordinator. Each counts what agents report, so more servers than the budget allows may load
+// at once for about a second, until the reports show the other's orders. Two orders for one agent
+// have the same effect as one, because the fence is the offset of the uses list.
 func (e *entry) coordinateRollout(now time.Duration, state *member.State) {
 	servers := e.directory.rolloutServers()
 	e.rollouts.updateServers(servers, state)
@@ -55,7 +55,7 @@
 	}
 }
 
-// isRolloutCoordinator says whether this entry has the lowest name of those that serve.
+// isRolloutCoordinator says whether this entry has the lowest name of the entries in service.
 func (e *entry) isRolloutCoordinator(now time.Duration, state *member.State) bool {
 	if state.Unready(now) != api.ResultCode_OK || state.Out {
 		return false
@@ -87,8 +87,8 @@
 	}}})
 }
 
-// updateServers takes what the servers report and forgets those that have left the
-// platform's list.
+// updateServers records what the servers report and forgets those that have left the platform's
+// list.
 func (r *rolloutState) updateServers(servers map[string]map[string]rollout.Server, state *member.State) {
 	listed := make(map[string]bool, len(state.VMs))
 	for _, vm := range state.VMs {
@@ -108,8 +108,8 @@
 	}
 }
 
-// fleet returns all servers of a model, with those missing and with those that have been
-// sent an order that no report tells of yet.
+// fleet returns all servers of a model, including those without a link. Servers with an order that
+// is not reported yet count as loading.
 func (r *rolloutState) fleet(now time.Duration, model string, target rollout.Target, servers map[string]map[string]rollout.Server) []rollout.Server {
 	var fleet []rollout.Server
 	for vm, vmModel := range r.modelByVM {
@@ -129,9 +129,9 @@
 	return fleet
 }
 
-// rolloutServers returns the servers of each model that take orders, by VM. A group of
-// ranks is left out: its engines run one model in lock-step, and to change one of them
-// alone would stop or spoil the others.
+// rolloutServers returns the servers of each model that take load orders, by VM. Groups of ranks
+// take none: their engines run one model in lock-step, and changing one of them alone would stop or
+// corrupt the others.
 func (d *directory) rolloutServers() map[string]map[string]rollout.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,14 +165,14 @@
 	return s.GetModel() != "" && s.GetGroup() == "" && !s.GetFixed()
 }
 
-// offerInForce returns the offer for callers that name no version, and the version that it
-// means; empty for any.
+// offerInForce returns the offer for callers that name no version, and its version, which is empty
+// for any.
 //
-// While a rollout is under way they are served by any version: at its beginning nobody
-// has the new one, and at its end nobody the old one. The same offer serves them before
-// and after it, so that what waits at the gate when a version is published does not wait
-// for one that goes. Only where servers that take no orders hold another version for
-// good does the version in force make an offer of its own.
+// During a rollout these callers are served by any version, because no server has the new version
+// at its beginning and none the old one at its end. The offer is the same before and after, so that
+// requests queued when a version is published do not wait for a version that goes. Only where
+// servers that take no orders keep another version does the version in force get an offer of its
+// own.
 func (d *directory) offerInForce(name string) (offer, version string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,8 +183,8 @@
 	return modelOffer(name), ""
 }
 
-// modelsNeedingVersionOffer finds the models that are served in another version than that in force by
-// servers that take no orders, while all that take orders have it.
+// modelsNeedingVersionOffer finds the models that servers without load orders hold in another
+// version than that in force, while all servers that take orders have it.
 func modelsNeedingVersionOffer(view *config.View, status map[string]*api.BackendStatus) map[string]bool {
 	heldElsewhere := make(map[string]bool)
 	rollingOut := make(map[string]bool)
--- a/internal/entry/rollout_test.go
+++ b/internal/entry/rollout_test.go
@@ -13,9 +13,9 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// A server that was sent an order counts as loading until its report tells of it or has
-// what was ordered, and for some reports' time at most: the order may be lost. One whose
-// link is gone is missing until the platform's list leaves it out.
+// A server that was sent an order must count as loading until its report shows the order or the
+// version, and for orderReportTimeout at most, because the order may be lost. A server without a
+// link must count as missing until it leaves the platform's list.
 func TestFleetOfARollout(t *testing.T) {
 	r := newRolloutState()
 	listed := &member.State{VMs: []platform.VM{{ID: "vm-1"}, {ID: "vm-2"}}}
@@ -39,11 +39,11 @@
 		t.Errorf("%d load just after the order, want 1", n)
 	}
 	if n := loading(time.Second + orderReportTimeout); n != 0 {
-		t.Errorf("%d load though no report tells of it, want none", n)
+		t.Errorf("%d load although no report shows the order, want none", n)
 	}
 	servers["m"]["vm-1"] = rollout.Server{VM: "vm-1", Version: "2"}
 	if n := loading(time.Second + orderReportTimeout/2); n != 0 {
-		t.Errorf("%d load though the report has the version, want none", n)
+		t.Errorf("%d load although the report has the version, want none", n)
 	}
 
 	delete(servers["m"], "vm-2")
@@ -64,8 +64,8 @@
 	}
 }
 
-// Callers that name no version are sent to the version in force only when others are held
-// by servers that will not change, and no rollout is under way.
+// Callers that name no version must be sent to the version in force only if servers that never
+// change hold another one and no rollout is in progress.
 func TestVersionForCallersThatNameNone(t *testing.T) {
 	at := func(version string) *api.BackendStatus {
 		return &api.BackendStatus{Model: "m", ModelVersion: version}
@@ -100,7 +100,7 @@
 	}
 }
 
-// viewWith returns a configuration with a version of the model m.
+// viewWith returns a configuration with the given version of the model m.
 func viewWith(t *testing.T, version string) *config.View {
 	t.Helper()
 	model := &api.Section{Name: "model m", Body: &api.Section_Model{Model: &api.Model{Version: version}}}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -20,7 +20,7 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// serveCompletion serves a model's completion, streamed or whole.
+// serveCompletion serves a completion of a model, streamed or not.
 func (e *entry) serveCompletion(w http.ResponseWriter, r *http.Request) error {
 	return e.serveWork(w, r, func(req *request, state *member.State) (bool, error) {
 		if id := r.Header.Get(headerLastEvent); id != "" {
@@ -30,15 +30,14 @@
 	})
 }
 
-// serveService passes a call through to a plain service.
+// serveService passes a call on to a plain service.
 func (e *entry) serveService(w http.ResponseWriter, r *http.Request) error {
 	return e.serveWork(w, r, func(req *request, state *member.State) (bool, error) {
 		return false, readCall(req, r, state)
 	})
 }
 
-// serveWork reads a request, lets read take in what is its own, and has it run unless
-// read has answered it.
+// serveWork reads a request, completes it with read, and has it run unless read has answered it.
 func (e *entry) serveWork(w http.ResponseWriter, r *http.Request, read func(*request, *member.State) (bool, error)) error {
 	state, err := e.servingState()
 	if err != nil {
@@ -80,8 +79,8 @@
 	return readTicket(req, r.Header)
 }
 
-// readTicket takes the caller's ticket. A key that is no ticket is the caller's own
-// where it has to keep the call from running twice, and means nothing elsewhere.
+// readTicket reads the caller's ticket. A key that is no ticket is the caller's own key if the call
+// runs at most once, and is ignored otherwise.
 func readTicket(req *request, h http.Header) error {
 	text := h.Get(headerTicket)
 	if text == "" {
@@ -103,7 +102,7 @@
 
 // isRepeatable says whether the lists allow a call to be sent again.
 func isRepeatable(service *api.Service, method, callPath string) bool {
-	// A path with dots in it could name a call other than the one matched.
+	// A path with dot segments could name a call other than the one matched.
 	if path.Clean(callPath) != strings.TrimSuffix(callPath, "/") && callPath != "/" {
 		return false
 	}
@@ -120,13 +119,13 @@
 	return false
 }
 
-// awaitBackend waits a moment for a backend server when all that offer what the request
-// needs are linked and none may get work now.
+// awaitBackend waits up to dead-ms for a backend server if servers with the offer are linked but
+// none can get work now.
 //
-// Load: an entry VM so busy that all its links were silent for longer than suspect-ms at
-// once, or agents that have just started. Harm prevented: a refusal for want of backend
-// servers that are all there; suspicion ends with the next heartbeat. A link that is
-// truly silent is dead after dead-ms, and its backend server is then not waited for.
+// On an overloaded entry VM all links may be silent for longer than suspect-ms at once, and agents
+// that have just started have not reported. Without the wait, requests would be refused for lack of
+// backend servers that are all there: the suspicion ends with the next heartbeat. A link that stays
+// silent is closed after dead-ms, and its backend server is then not waited for.
 func (e *entry) awaitBackend(ctx context.Context, req *request) {
 	if req.callerTicket != nil || e.directory.hasCapacity(req.offer) {
 		return
@@ -140,7 +139,7 @@
 	}
 }
 
-// admitAndDispatch asks the gate, then dispatches.
+// admitAndDispatch admits the request and dispatches it.
 func (e *entry) admitAndDispatch(w http.ResponseWriter, r *http.Request, req *request) error {
 	record := journal.From(r.Context())
 	record.Offer, record.Once, record.Ticket = req.offer, req.once, req.callerTicket != nil
@@ -182,11 +181,12 @@
 	return out.finish(err)
 }
 
-// dispatchWithoutGate serves a request past the gate. There is no room to share out for what no
-// backend server offers as far as this entry knows, and the gate would keep its name,
-// which may be invented: only the agent that a ticket names can say what became of the
-// ticket, and the link to it may be on its way. Nor for a ticket of an agent that is
-// stopping, which starts nothing, and would be gone after a wait for the others' room.
+// dispatchWithoutGate handles a request that the gate must not queue. If no backend server is known
+// for the offer there is no capacity to share, and the gate would keep the offer's name, which the
+// caller may have made up. Such a request can only be sent with a ticket, to the agent that it
+// names, whose link may still be coming up. A request with a ticket of an agent that is shutting
+// down does not need a slot, because the agent starts nothing new, and the agent would be gone
+// after a wait for other servers' slots.
 func (e *entry) dispatchWithoutGate(ctx context.Context, req *request, out *output) error {
 	if req.callerTicket == nil {
 		return result.Refuse(api.ResultCode_NO_BACKEND, time.Second)
@@ -194,10 +194,10 @@
 	return e.dispatchToTicketAgent(ctx, req, out)
 }
 
-// settleRefusal makes a refusal by the gate of a request with a ticket true: the ticket
-// may have been used before, or a copy of the request may still be under way. The agent
-// says what became of it, and voids it if nothing did. A run that has begun takes no
-// room that the gate could refuse: its answer is joined.
+// settleRefusal keeps a refusal by the gate from being wrong for a request with a ticket: the
+// ticket may have been used before, or a copy of the request may be in flight. The agent says what
+// became of the ticket, and voids it if it was not used. A request that has begun needs no slot,
+// and its answer is joined.
 func (e *entry) settleRefusal(ctx context.Context, req *request, refused *result.Error, out *output) error {
 	if req.callerTicket == nil {
 		return refused
@@ -212,9 +212,9 @@
 	return settled.err
 }
 
-// unknownOutcomeIfTicket keeps a refusal that the entry makes by itself from saying "not run"
-// of a request with a ticket or a key. An earlier copy may have run through another entry: the
-// store would take a new ticket and push a second time.
+// unknownOutcomeIfTicket keeps the entry's own refusal of a request with a ticket or a key from
+// saying "not run". An earlier copy may have run through another entry, and the store would take a
+// new ticket and push a second time.
 func unknownOutcomeIfTicket(r *http.Request, err error) error {
 	if err == nil || errors.Is(err, errAborted) {
 		return err
@@ -232,16 +232,16 @@
 	Model   string `json:"model"`
 }
 
-// ticketResponse is a new ticket.
+// ticketResponse is the body of the answer with a new ticket.
 type ticketResponse struct {
 	Ticket      string `json:"ticket"`
 	ExpiresInMs int64  `json:"expires_in_ms"`
 }
 
-// mintTimeout is how long a request for a ticket waits for an agent's first block.
+// mintTimeout is how long a request for a ticket waits for an agent's first ticket block.
 const mintTimeout = time.Second
 
-// serveTicket gives a caller the right to have one request run at most once.
+// serveTicket gives a caller a ticket, with which one request runs at most once.
 func (e *entry) serveTicket(w http.ResponseWriter, r *http.Request) error {
 	state, err := e.servingState()
 	if err != nil {
@@ -309,7 +309,7 @@
 	}
 }
 
-// settleResponse says what became of a ticket.
+// settleResponse is the body of the answer about a ticket's outcome.
 type settleResponse struct {
 	Ran  string `json:"ran"`
 	Code int32  `json:"code"`
@@ -317,8 +317,8 @@
 	Text string `json:"text"`
 }
 
-// serveSettle answers what became of a ticket. Asking settles it: a ticket that has
-// not run by then never will.
+// serveSettle answers what became of a ticket. Asking settles it: a ticket that has not run by then
+// is void.
 func (e *entry) serveSettle(w http.ResponseWriter, r *http.Request) error {
 	state := e.node.State()
 	who, err := e.authenticate(state, r)
@@ -339,7 +339,7 @@
 	})
 }
 
-// urlPath is a path with a query, as it goes on to a service.
+// urlPath is a path with a query, as it is passed on to a service.
 type urlPath struct{ path, query string }
 
 func (u *urlPath) String() string {
--- a/internal/entry/sizes.go
+++ b/internal/entry/sizes.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// sizeTracker knows how many tokens requests for each offer usually ask for, so that one that
-// asks for many more is not placed where it cannot end in time.
+// sizeTracker keeps a moving average of the tokens that requests for each offer ask for, so that a
+// request for many more is not placed where it cannot end in time.
 type sizeTracker struct {
 	mu       sync.Mutex
 	averages map[string]float64
 }
 
-// sizeSmoothing is how little one request moves the usual size.
+// sizeSmoothing is the divisor of the moving average: a request moves it by 1/64 of the difference.
 const sizeSmoothing = 64
 
-// relativeSize returns a request's size over the usual one and takes it into account; 0 for a
-// request that names no bound.
+// relativeSize returns a request's size relative to the average and updates the average; 0 for a
+// request without a token limit.
 func (s *sizeTracker) relativeSize(offer string, tokens float64) float64 {
 	if tokens <= 0 {
 		return 0
--- a/internal/entry/stream_bench_test.go
+++ b/internal/entry/stream_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// BenchmarkToken is the way of one token from the agent's link to the caller, each sent by
-// itself, in one process with both; BenchmarkRequest that of a whole request with one.
+// BenchmarkToken measures one token from the agent's link to the caller, with each token sent by
+// itself and both ends in one process. BenchmarkRequest measures a whole request with one token.
 func BenchmarkToken(b *testing.B) {
 	event := "data: " + strings.Repeat("x", 180) + "\n\n"
 	agent := newFakeAgent(b, "b1", func(_ *api.Work, stream *link.Stream) {
--- a/internal/entry/tickets_test.go
+++ b/internal/entry/tickets_test.go
@@ -33,7 +33,7 @@
 	return answer.Ticket
 }
 
-// requestTicketOf gets one of the agent on a VM.
+// requestTicketOf gets a ticket of the agent on the given VM.
 func requestTicketOf(t *testing.T, url, vm string) string {
 	t.Helper()
 	var given string
@@ -51,15 +51,15 @@
 	return agent
 }
 
-// A caller sends a push with its ticket; an earlier copy may have gone through another
-// entry. Whatever this entry refuses by itself, it must not say "not run" of it: the
-// caller would take a new ticket and push twice. Only the agent may say so.
+// A caller sends a push with its ticket, of which an earlier copy may have gone through another
+// entry. The entry's own refusals must not say "not run": the caller would take a new ticket and
+// push twice. Only the agent may say so.
 func TestRefusalsOfTicketsAreTrue(t *testing.T) {
 	agent := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { refuse(stream, api.ResultCode_SATURATED, api.Ran_RAN_NO) })
 	e, url := startEntry(t, agent)
 	given := requestTicket(t, url)
 	if got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given); got.ran != "no" {
-		t.Errorf("the agent's word: %+v", got)
+		t.Errorf("refused by the agent: %+v", got)
 	}
 	for name, headers := range map[string][]string{
 		"unknown service": {"/services/none/push"},
@@ -75,7 +75,7 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	// The gate has no room: the agent is asked, and voids the ticket before "not run".
+	// The gate has no free slot: the agent is asked, and voids the ticket before "not run" is said.
 	given = requestTicket(t, url)
 	e.node.Do(func() { e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1) })
 	settled := agent.settles.Load()
@@ -88,13 +88,12 @@
 		return agent.settles.Load() > settled
 	})
 	if got.ran != "no" || got.status == 200 {
-		t.Errorf("after the agent's word: %+v", got)
+		t.Errorf("after the agent voided the ticket: %+v", got)
 	}
 }
 
-// An agent's link is lost and it does not come back, or comes back as another process. Its
-// tickets are let go of: minted from them, a push would end as "outcome unknown" that
-// nobody ever sent.
+// An agent's link is lost for good, or comes back with another process. Its tickets must be
+// dropped: with one of them, a push would end as "outcome unknown" though it was never sent.
 func TestTicketsAreDroppedWithTheirAgent(t *testing.T) {
 	agent := serviceAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
@@ -116,14 +115,13 @@
 		state.Peers = peers
 		e.directory.setPeers(&state)
 		if _, ok := e.directory.mintTicket("b1", "c"); ok {
-			t.Errorf("%s: a ticket of it was minted", name)
+			t.Errorf("%s: a ticket of the old process was minted", name)
 		}
 	}
 }
 
-// The gate lets a request in, and its place has been taken by another entry meanwhile. It
-// waits at its old place, and runs as soon as there is room; or is told when to come back
-// long before its deadline.
+// A request is admitted, but its slot has been taken by another entry meanwhile. It must be queued
+// again in its old place and run as soon as a slot is free.
 func TestRequeuedRequestWaitsForASlot(t *testing.T) {
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
@@ -137,7 +135,7 @@
 	go func() { requeued <- asError(p.requeue(context.Background(), api.ResultCode_SATURATED, false)) }()
 	select {
 	case err := <-requeued:
-		t.Fatalf("it did not wait: %v", err)
+		t.Fatalf("the request did not wait: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
@@ -147,10 +145,10 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
-		t.Error("it waits although there is room")
+		t.Error("the request waits although a slot is free")
 	}
 	p.done(time.Millisecond)
-	// The caller goes away while its request waits: its place is free again.
+	// The caller goes away while its request is queued: the slot must be free again.
 	ctx, cancel := context.WithCancel(context.Background())
 	p, refused = g.admit(ctx, ask)
 	if refused != nil {
@@ -162,16 +160,16 @@
 	}
 	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
 	if _, refused := g.admit(context.Background(), ask); refused != nil {
-		t.Errorf("the place is lost: %v", refused)
+		t.Errorf("the slot was not freed: %v", refused)
 	}
 	if g.dump().Waiting != 0 {
-		t.Error("somebody waits")
+		t.Error("a request is still queued")
 	}
 }
 
-// An agent is stopping, and the others have no room. A push with its ticket, sent again
-// after a "not run", takes no room: the agent knows what became of it. If it waited at the
-// gate, the agent would be gone by then, and the store left not knowing.
+// An agent is shutting down, and the others have no free slots. A push with its ticket that is sent
+// again after "not run" needs no slot, because the agent knows what became of it. After a wait at
+// the gate the agent would be gone, and the outcome unknown to the store.
 func TestATicketOfAStoppingAgentDoesNotWait(t *testing.T) {
 	held := make(chan struct{})
 	defer close(held)
@@ -184,22 +182,22 @@
 	e, url := startEntry(t, leaving, staying)
 	given := requestTicketOf(t, url, "b1")
 	leaving.draining.Store(true)
-	eventually(t, "that it drains", func() bool { return e.node.State().Peers["b1"].Draining })
+	eventually(t, "the draining agent", func() bool { return e.node.State().Peers["b1"].Draining })
 	go sendRequest(t, url, "/services/s/push")
 	eventually(t, "a full agent", func() bool { return staying.works.Load() == 1 })
-	eventually(t, "that the gate knows", func() bool {
+	eventually(t, "a refusal by the gate", func() bool {
 		return sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "40").status == http.StatusServiceUnavailable
 	})
 	admitted := e.gate.dump().Admitted
 	got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given)
 	if asked := e.gate.dump().Admitted - admitted; got.result != "209 TICKET_VOID" || asked > 0 {
-		t.Errorf("%s, and the gate was asked %d times", got.result, asked)
+		t.Errorf("%s, and the gate admitted %d requests", got.result, asked)
 	}
 }
 
-// A push with its ticket waits at the gate, since no agent has room, when the one agent
-// that may run it begins to stop. It is sent there at once: left to wait for room, it would
-// reach an agent that is gone, and the store would be left not knowing whether it ran.
+// A push with a ticket is queued at the gate for lack of free slots when the one agent that may run
+// it starts to shut down. It must be sent there at once. If it waited on, the agent would be gone,
+// and the outcome unknown to the store.
 func TestATicketDoesNotOutwaitItsAgent(t *testing.T) {
 	held := make(chan struct{})
 	defer close(held)
@@ -218,8 +216,8 @@
 	staying := serviceAgent(t, "b2", hold)
 	e, url := startEntry(t, leaving, staying)
 	given := requestTicketOf(t, url, "b1")
-	// From the first that waits on the gate knows that no agent has room.
-	eventually(t, "that a push waits at the gate", func() bool {
+	// Once a request is queued, the gate knows that no agent has a free slot.
+	eventually(t, "a push queued at the gate", func() bool {
 		go sendRequest(t, url, "/services/s/push")
 		time.Sleep(20 * time.Millisecond)
 		return e.gate.dump().Waiting > 0
@@ -227,16 +225,16 @@
 	waiting := e.gate.dump().Waiting
 	answered := make(chan reply, 1)
 	go func() { answered <- sendRequest(t, url, "/services/s/push", "Idempotency-Key", given) }()
-	eventually(t, "that the one with a ticket waits too", func() bool { return e.gate.dump().Waiting > waiting })
+	eventually(t, "the queued push with a ticket", func() bool { return e.gate.dump().Waiting > waiting })
 	leaving.draining.Store(true)
 	if got := <-answered; got.result != "209 TICKET_VOID" {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// The first request that the gate lets in finds no place after all, and waits. The room is
-// taken for none until the next look at it; but there are backend servers, and a request
-// that comes in between must not be told that nobody offers what it asks for.
+// The first admitted request finds no free slot and is queued again. The gate takes the capacity
+// for zero until its next update, but backend servers exist. A request that arrives in between must
+// not be told that no server has the offer.
 func TestNoFreeSlotIsNotNoBackend(t *testing.T) {
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
@@ -249,7 +247,7 @@
 		t.Fatal(refused)
 	}
 	go func() { _ = p.requeue(ctx, api.ResultCode_SATURATED, false) }()
-	eventually(t, "that it waits", func() bool { return g.dump().Waiting == 1 })
+	eventually(t, "a queued request", func() bool { return g.dump().Waiting == 1 })
 	second, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
 	if _, refused := g.admit(second, ask); refused != nil && refused.Code == api.ResultCode_NO_BACKEND {
