--- a/coord/ticket/bench_test.go
+++ b/coord/ticket/bench_test.go
@@ -9,24 +9,24 @@
 // BenchmarkTicket is one ticket minted, decided on, and forgotten with its answer.
 // B/held is what the ledger then keeps of it.
 func BenchmarkTicket(b *testing.B) {
-	l := NewLedger(testVM, "i1", testKey, Limits{MaxBlocks: 1 << 30, MaxGone: 1 << 30})
+	l := NewLedger(testVM, "i1", testKey, Limits{MaxBlocks: 1 << 30, MaxAnswersGone: 1 << 30})
 	m := NewMinter()
-	before := heap()
+	before := heapBytes()
 	for i := range b.N {
-		if m.Low(0, testVM) {
+		if m.NeedsBlock(0, testVM) {
 			m.Add(0, l.Grant(0))
 		}
 		t, _ := m.Mint(0, testVM, testCustomer)
 		var request [32]byte
 		binary.LittleEndian.PutUint64(request[:], uint64(i))
 		l.Begin(0, t, testCustomer, request, "answer")
-		l.Forget(t)
+		l.ForgetAnswer(t)
 	}
-	b.ReportMetric(float64(heap()-before)/float64(b.N), "B/held")
+	b.ReportMetric(float64(heapBytes()-before)/float64(b.N), "B/held")
 	runtime.KeepAlive(l)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/coord/ticket/block.go
+++ b/coord/ticket/block.go
@@ -1,11 +1,11 @@
 package ticket
 
-// use is what has become of one ticket.
-type use int
+// ticketState is what has become of one ticket.
+type ticketState int
 
 const (
 	// unused: not presented yet.
-	unused use = iota
+	unused ticketState = iota
 	// used: handed to the backend server, or about to be.
 	used
 	// voided: it never ran and never will.
@@ -19,10 +19,10 @@
 	voided   []uint64
 }
 
-const wordBits = 64
+const bitsPerWord = 64
 
 func newBlock(size uint32, expiryMS int64) *block {
-	words := (int(size) + wordBits - 1) / wordBits
+	words := (int(size) + bitsPerWord - 1) / bitsPerWord
 	return &block{
 		expiryMS: expiryMS,
 		used:     make([]uint64, words),
@@ -30,8 +30,8 @@
 	}
 }
 
-func (b *block) use(seq uint32) use {
-	word, bit := seq/wordBits, uint64(1)<<(seq%wordBits)
+func (b *block) state(seq uint32) ticketState {
+	word, bit := seq/bitsPerWord, uint64(1)<<(seq%bitsPerWord)
 	switch {
 	case b.voided[word]&bit != 0:
 		return voided
@@ -43,9 +43,9 @@
 }
 
 func (b *block) markUsed(seq uint32) {
-	b.used[seq/wordBits] |= 1 << (seq % wordBits)
+	b.used[seq/bitsPerWord] |= 1 << (seq % bitsPerWord)
 }
 
 func (b *block) markVoided(seq uint32) {
-	b.voided[seq/wordBits] |= 1 << (seq % wordBits)
+	b.voided[seq/bitsPerWord] |= 1 << (seq % bitsPerWord)
 }
--- a/coord/ticket/decision.go
+++ b/coord/ticket/decision.go
@@ -55,5 +55,5 @@
 	refusedVoided           = refuse(api.ResultCode_TICKET_VOID, api.Ran_RAN_NO, "The ticket was voided before it ran.")
 	refusedReused           = refuse(api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN, "The ticket was first used with another request.")
 	refusedAnswerGone       = refuse(api.ResultCode_RAN_ANSWER_GONE, api.Ran_RAN_YES, "The request ran, and its answer is not held any more.")
-	refusedOutcomeGone      = refuse(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The backend server may have run the request; it did not say.")
+	refusedOutcomeUnknown   = refuse(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The backend server may have run the request; it did not say.")
 )
--- a/coord/ticket/encode.go
+++ b/coord/ticket/encode.go
@@ -13,10 +13,10 @@
 const (
 	// prefix marks the text form and its version.
 	prefix = "t1."
-	// maxText bounds the text, so that a hostile header costs little.
-	maxText = 1024
-	// maxName bounds the names inside a ticket.
-	maxName = 255
+	// maxTextBytes bounds the text, so that a hostile header costs little.
+	maxTextBytes = 1024
+	// maxNameBytes bounds the names inside a ticket.
+	maxNameBytes = 255
 )
 
 // ErrMalformed is returned for text that is not a ticket.
@@ -34,7 +34,7 @@
 // Decode reads the text form of a ticket. It checks the form only; that the ticket
 // is genuine is checked by the agent that it names.
 func Decode(text string) (*api.Ticket, error) {
-	if len(text) > maxText {
+	if len(text) > maxTextBytes {
 		return nil, errors.Wrap(ErrMalformed, "too long")
 	}
 	body, ok := strings.CutPrefix(text, prefix)
@@ -53,21 +53,21 @@
 	if err := proto.Unmarshal(data, t); err != nil {
 		return nil, errors.Wrap(ErrMalformed, "message")
 	}
-	if !wellFormed(t) {
+	if !isWellFormed(t) {
 		return nil, errors.Wrap(ErrMalformed, "fields")
 	}
 	return t, nil
 }
 
-func wellFormed(t *api.Ticket) bool {
+func isWellFormed(t *api.Ticket) bool {
 	return len(t.ProtoReflect().GetUnknown()) == 0 &&
-		nameFits(t.GetAgentVm()) &&
-		nameFits(t.GetIncarnation()) &&
+		isValidName(t.GetAgentVm()) &&
+		isValidName(t.GetIncarnation()) &&
 		t.GetExpiryMs() > 0 &&
-		len(t.GetCustomer()) == customerSize &&
+		len(t.GetCustomer()) == customerDigestSize &&
 		len(t.GetMac()) == macSize
 }
 
-func nameFits(name string) bool {
-	return name != "" && len(name) <= maxName
+func isValidName(name string) bool {
+	return name != "" && len(name) <= maxNameBytes
 }
--- a/coord/ticket/ledger.go
+++ b/coord/ticket/ledger.go
@@ -17,16 +17,16 @@
 	// MaxBlocks is the number of blocks remembered, at two bits a ticket; 16384 by
 	// default, which is 1 MB.
 	MaxBlocks int
-	// MaxGone is the number of used tickets whose request is remembered although
+	// MaxAnswersGone is the number of used tickets whose request is remembered although
 	// their answer is not held any more; 65536 by default, about 8 MB.
-	MaxGone int
+	MaxAnswersGone int
 }
 
 const (
-	defaultBlockSize = 256
-	defaultLifetime  = 10 * time.Minute
-	defaultMaxBlocks = 16384
-	defaultMaxGone   = 65536
+	defaultBlockSize      = 256
+	defaultLifetime       = 10 * time.Minute
+	defaultMaxBlocks      = 16384
+	defaultMaxAnswersGone = 65536
 )
 
 func (l Limits) withDefaults() Limits {
@@ -39,8 +39,8 @@
 	if l.MaxBlocks <= 0 {
 		l.MaxBlocks = defaultMaxBlocks
 	}
-	if l.MaxGone <= 0 {
-		l.MaxGone = defaultMaxGone
+	if l.MaxAnswersGone <= 0 {
+		l.MaxAnswersGone = defaultMaxAnswersGone
 	}
 	return l
 }
@@ -57,8 +57,8 @@
 	answerID string
 	// ran is how the run ended; unspecified while it goes on.
 	ran api.Ran
-	// gone: the answer is not held any more.
-	gone bool
+	// answerGone: the answer is not held any more.
+	answerGone bool
 }
 
 // Stats counts what a ledger has done and holds.
@@ -84,14 +84,14 @@
 	key         []byte
 	limits      Limits
 
-	// next is the number of the next block; first is the oldest one remembered.
-	next   uint64
-	first  uint64
-	blocks map[uint64]*block
+	// nextBlock is the number of the nextBlock block; first is the oldest one remembered.
+	nextBlock   uint64
+	oldestBlock uint64
+	blocks      map[uint64]*block
 
 	bindings map[ticketID]*binding
-	// gone lists used tickets whose answer is not held, oldest first.
-	gone []ticketID
+	// answersGone lists used tickets whose answer is not held, oldest first.
+	answersGone []ticketID
 
 	stats Stats
 }
@@ -115,11 +115,11 @@
 // tickets to give, which is better than tickets whose fate is forgotten while
 // callers still hold them.
 func (l *Ledger) Grant(now time.Duration) *api.TicketBlock {
-	if len(l.blocks) >= l.limits.MaxBlocks && !l.forgetOldest(now) {
+	if len(l.blocks) >= l.limits.MaxBlocks && !l.forgetOldestBlock(now) {
 		return nil
 	}
-	number := l.next
-	l.next++
+	number := l.nextBlock
+	l.nextBlock++
 	l.stats.Granted++
 	expiryMS := (now + l.limits.Lifetime).Milliseconds()
 	l.blocks[number] = newBlock(l.limits.BlockSize, expiryMS)
@@ -134,18 +134,18 @@
 	}
 }
 
-// forgetOldest drops the oldest block if it has expired. From then on its tickets
+// forgetOldestBlock drops the oldest block if it has expired. From then on its tickets
 // are "no longer known", whether they were used or not.
-func (l *Ledger) forgetOldest(now time.Duration) bool {
-	oldest := l.blocks[l.first]
+func (l *Ledger) forgetOldestBlock(now time.Duration) bool {
+	oldest := l.blocks[l.oldestBlock]
 	if oldest == nil || !expired(now, oldest.expiryMS) {
 		return false
 	}
 	for seq := range l.limits.BlockSize {
-		delete(l.bindings, ticketID{block: l.first, seq: seq})
+		delete(l.bindings, ticketID{block: l.oldestBlock, seq: seq})
 	}
-	delete(l.blocks, l.first)
-	l.first++
+	delete(l.blocks, l.oldestBlock)
+	l.oldestBlock++
 	l.stats.Forgotten++
 	return true
 }
@@ -160,57 +160,57 @@
 // request's digest and the answer's name are bound to the ticket, so that the same
 // request again joins the answer and another one is refused.
 func (l *Ledger) Begin(now time.Duration, t *api.Ticket, customer string, request [32]byte, answerID string) Decision {
-	b, d := l.find(t, customer)
+	b, d := l.findBlock(t, customer)
 	if b == nil {
-		return l.count(d)
+		return l.countDecision(d)
 	}
-	if b.use(t.GetSeq()) != unused {
-		return l.count(l.seen(b, t, &request))
+	if b.state(t.GetSeq()) != unused {
+		return l.countDecision(l.decideUsedOrVoided(b, t, &request))
 	}
 	if expired(now, b.expiryMS) {
 		l.void(b, t)
-		return l.count(refusedExpired)
+		return l.countDecision(refusedExpired)
 	}
 	b.markUsed(t.GetSeq())
 	l.bindings[idOf(t)] = &binding{request: request, answerID: answerID}
-	return l.count(Decision{Action: Run, AnswerID: answerID})
+	return l.countDecision(Decision{Action: Run, AnswerID: answerID})
 }
 
 // Void refuses a request for the reason given, such as draining. It voids the
 // ticket first: without that, a copy of the request that comes later could still
 // run, and "not run" would have been a lie. A ticket that was used before gets
 // what Begin would say, never "not run".
-func (l *Ledger) Void(now time.Duration, t *api.Ticket, customer string, request [32]byte, why api.ResultCode) Decision {
-	b, d := l.find(t, customer)
+func (l *Ledger) Void(now time.Duration, t *api.Ticket, customer string, request [32]byte, reason api.ResultCode) Decision {
+	b, d := l.findBlock(t, customer)
 	if b == nil {
-		return l.count(d)
+		return l.countDecision(d)
 	}
-	if b.use(t.GetSeq()) != unused {
-		return l.count(l.seen(b, t, &request))
+	if b.state(t.GetSeq()) != unused {
+		return l.countDecision(l.decideUsedOrVoided(b, t, &request))
 	}
 	l.void(b, t)
 	if expired(now, b.expiryMS) {
-		return l.count(refusedExpired)
+		return l.countDecision(refusedExpired)
 	}
-	return l.count(refuse(why, api.Ran_RAN_NO, "The ticket was voided; take a new one."))
+	return l.countDecision(refuse(reason, api.Ran_RAN_NO, "The ticket was voided; take a new one."))
 }
 
 // Settle answers what became of a ticket. One that was not seen is voided before
 // the answer: an earlier copy may still sit in a silent link, so that "not seen"
 // alone proves nothing. Join names the answer of a run, ended or not.
 func (l *Ledger) Settle(now time.Duration, t *api.Ticket, customer string) Decision {
-	b, d := l.find(t, customer)
+	b, d := l.findBlock(t, customer)
 	if b == nil {
-		return l.count(d)
+		return l.countDecision(d)
 	}
-	if b.use(t.GetSeq()) != unused {
-		return l.count(l.seen(b, t, nil))
+	if b.state(t.GetSeq()) != unused {
+		return l.countDecision(l.decideUsedOrVoided(b, t, nil))
 	}
 	l.void(b, t)
 	if expired(now, b.expiryMS) {
-		return l.count(refusedExpired)
+		return l.countDecision(refusedExpired)
 	}
-	return l.count(refusedVoided)
+	return l.countDecision(refusedVoided)
 }
 
 // Abandon voids a ticket for which Begin said Run, when the backend server cannot
@@ -227,10 +227,10 @@
 	delete(l.bindings, idOf(t))
 }
 
-// Ended records how the run of a ticket ended, once. RAN_YES lets the ledger say
+// RecordOutcome records how the run of a ticket ended, once. RAN_YES lets the ledger say
 // later that it ran; without it, the outcome is unknown once the answer is gone.
 // RAN_NO abandons the ticket.
-func (l *Ledger) Ended(t *api.Ticket, ran api.Ran) {
+func (l *Ledger) RecordOutcome(t *api.Ticket, ran api.Ran) {
 	if ran == api.Ran_RAN_NO {
 		l.Abandon(t)
 		return
@@ -240,21 +240,21 @@
 	}
 }
 
-// Forget says that the answer of a ticket is not held any more.
-func (l *Ledger) Forget(t *api.Ticket) {
+// ForgetAnswer says that the answer of a ticket is not held any more.
+func (l *Ledger) ForgetAnswer(t *api.Ticket) {
 	id := idOf(t)
 	bound := l.bindings[id]
-	if bound == nil || bound.gone {
+	if bound == nil || bound.answerGone {
 		return
 	}
-	bound.gone = true
+	bound.answerGone = true
 	bound.answerID = ""
-	l.gone = append(l.gone, id)
+	l.answersGone = append(l.answersGone, id)
 	// Without this bound a busy agent would keep a digest for each request of its
 	// life. The used bit stays, so a dropped one is never run again.
-	for len(l.gone) > l.limits.MaxGone {
-		delete(l.bindings, l.gone[0])
-		l.gone = l.gone[1:]
+	for len(l.answersGone) > l.limits.MaxAnswersGone {
+		delete(l.bindings, l.answersGone[0])
+		l.answersGone = l.answersGone[1:]
 	}
 }
 
@@ -266,16 +266,16 @@
 	return s
 }
 
-// find returns the block of a ticket that this ledger granted to this customer,
+// findBlock returns the block of a ticket that this ledger granted to this customer,
 // or nil and the refusal.
-func (l *Ledger) find(t *api.Ticket, customer string) (*block, Decision) {
+func (l *Ledger) findBlock(t *api.Ticket, customer string) (*block, Decision) {
 	if t.GetAgentVm() != l.vm {
 		return nil, refusedForeign
 	}
 	if t.GetIncarnation() != l.incarnation {
 		return nil, refusedOtherIncarnation
 	}
-	if !l.genuine(t) {
+	if !l.isGenuine(t) {
 		return nil, refusedInvalid
 	}
 	if !hmac.Equal(t.GetCustomer(), CustomerDigest(customer)) {
@@ -288,20 +288,20 @@
 	return b, Decision{}
 }
 
-// genuine checks the MAC. It needs no memory of the block, so a ticket of a
+// isGenuine checks the MAC. It needs no memory of the block, so a ticket of a
 // forgotten block is told from a forged one.
-func (l *Ledger) genuine(t *api.Ticket) bool {
-	if t.GetBlock() >= l.next || t.GetSeq() >= l.limits.BlockSize {
+func (l *Ledger) isGenuine(t *api.Ticket) bool {
+	if t.GetBlock() >= l.nextBlock || t.GetSeq() >= l.limits.BlockSize {
 		return false
 	}
 	key := blockKey(l.key, t.GetBlock(), t.GetExpiryMs())
 	return hmac.Equal(t.GetMac(), sign(key, t))
 }
 
-// seen says what became of a ticket that was used or voided. With no request, it
+// decideUsedOrVoided says what became of a ticket that was used or voided. With no request, it
 // answers for whichever request was bound.
-func (l *Ledger) seen(b *block, t *api.Ticket, request *[32]byte) Decision {
-	if b.use(t.GetSeq()) == voided {
+func (l *Ledger) decideUsedOrVoided(b *block, t *api.Ticket, request *[32]byte) Decision {
+	if b.state(t.GetSeq()) == voided {
 		return refusedVoided
 	}
 	bound := l.bindings[idOf(t)]
@@ -311,13 +311,13 @@
 	if request != nil && bound.request != *request {
 		return refusedReused
 	}
-	if !bound.gone {
+	if !bound.answerGone {
 		return Decision{Action: Join, AnswerID: bound.answerID}
 	}
 	if bound.ran == api.Ran_RAN_YES {
 		return refusedAnswerGone
 	}
-	return refusedOutcomeGone
+	return refusedOutcomeUnknown
 }
 
 func (l *Ledger) void(b *block, t *api.Ticket) {
@@ -325,7 +325,7 @@
 	l.stats.Voided++
 }
 
-func (l *Ledger) count(d Decision) Decision {
+func (l *Ledger) countDecision(d Decision) Decision {
 	switch d.Action {
 	case Run:
 		l.stats.Used++
--- a/coord/ticket/ledger_test.go
+++ b/coord/ticket/ledger_test.go
@@ -16,10 +16,10 @@
 	testKey    = []byte("a key of one incarnation of agent")
 	push       = [32]byte{1}
 	otherPush  = [32]byte{2}
-	testLimits = Limits{BlockSize: 4, Lifetime: time.Minute, MaxBlocks: 2, MaxGone: 2}
+	testLimits = Limits{BlockSize: 4, Lifetime: time.Minute, MaxBlocks: 2, MaxAnswersGone: 2}
 )
 
-func newPair(limits Limits) (*Ledger, *Minter) {
+func newLedgerAndMinter(limits Limits) (*Ledger, *Minter) {
 	l := NewLedger(testVM, "i1", testKey, limits)
 	m := NewMinter()
 	m.Add(0, l.Grant(0))
@@ -35,7 +35,7 @@
 	return tk
 }
 
-func want(t *testing.T, d Decision, action Action, code api.ResultCode, ran api.Ran) {
+func wantDecision(t *testing.T, d Decision, action Action, code api.ResultCode, ran api.Ran) {
 	t.Helper()
 	if d.Action != action || d.Code != code || d.Ran != ran {
 		t.Fatalf("decision = %+v, want %v %v %v", d, action, code, ran)
@@ -46,35 +46,35 @@
 // The first copy runs; the second must be given the same answer, while the run
 // goes on and after it, and the truth once the answer is gone.
 func TestBeginOnce(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	tk := mint(t, m, 0)
 	d := l.Begin(0, tk, testCustomer, push, "a1")
-	want(t, d, Run, 0, 0)
+	wantDecision(t, d, Run, 0, 0)
 	d = l.Begin(0, tk, testCustomer, push, "a2")
-	want(t, d, Join, 0, 0)
+	wantDecision(t, d, Join, 0, 0)
 	if d.AnswerID != "a1" {
 		t.Fatalf("joined %q, want the first answer", d.AnswerID)
 	}
-	want(t, l.Begin(0, tk, testCustomer, otherPush, "a3"), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
-	l.Ended(tk, api.Ran_RAN_YES)
-	want(t, l.Begin(2*time.Minute, tk, testCustomer, push, "a4"), Join, 0, 0)
-	l.Forget(tk)
-	want(t, l.Begin(2*time.Minute, tk, testCustomer, push, "a5"), Refuse, api.ResultCode_RAN_ANSWER_GONE, api.Ran_RAN_YES)
-	want(t, l.Begin(0, tk, testCustomer, otherPush, "a6"), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
+	wantDecision(t, l.Begin(0, tk, testCustomer, otherPush, "a3"), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
+	l.RecordOutcome(tk, api.Ran_RAN_YES)
+	wantDecision(t, l.Begin(2*time.Minute, tk, testCustomer, push, "a4"), Join, 0, 0)
+	l.ForgetAnswer(tk)
+	wantDecision(t, l.Begin(2*time.Minute, tk, testCustomer, push, "a5"), Refuse, api.ResultCode_RAN_ANSWER_GONE, api.Ran_RAN_YES)
+	wantDecision(t, l.Begin(0, tk, testCustomer, otherPush, "a6"), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
 }
 
 // The backend server closed without an answer, and the record of it is let go of.
 // "It ran" would be a guess, so the caller hears that the outcome is unknown.
-func TestForgetWithoutOutcome(t *testing.T) {
+func TestUnknownOutcomeWhenAnswerIsGone(t *testing.T) {
 	for _, ended := range []api.Ran{api.Ran_RAN_UNSPECIFIED, api.Ran_RAN_UNKNOWN} {
-		l, m := newPair(testLimits)
+		l, m := newLedgerAndMinter(testLimits)
 		tk := mint(t, m, 0)
-		want(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
+		wantDecision(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
 		if ended != api.Ran_RAN_UNSPECIFIED {
-			l.Ended(tk, ended)
+			l.RecordOutcome(tk, ended)
 		}
-		l.Forget(tk)
-		want(t, l.Begin(0, tk, testCustomer, push, "a2"), Refuse, api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN)
+		l.ForgetAnswer(tk)
+		wantDecision(t, l.Begin(0, tk, testCustomer, push, "a2"), Refuse, api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN)
 	}
 }
 
@@ -82,51 +82,51 @@
 // hears "not run"; a late copy of the request must not run after that. Once the run
 // has ended, the ticket cannot be voided any more.
 func TestAbandon(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	queued, ran := mint(t, m, 0), mint(t, m, 0)
-	want(t, l.Begin(0, queued, testCustomer, push, "a1"), Run, 0, 0)
-	l.Ended(queued, api.Ran_RAN_NO)
-	want(t, l.Begin(0, queued, testCustomer, push, "a2"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
-	want(t, l.Begin(0, ran, testCustomer, push, "a3"), Run, 0, 0)
-	l.Ended(ran, api.Ran_RAN_YES)
+	wantDecision(t, l.Begin(0, queued, testCustomer, push, "a1"), Run, 0, 0)
+	l.RecordOutcome(queued, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(0, queued, testCustomer, push, "a2"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a3"), Run, 0, 0)
+	l.RecordOutcome(ran, api.Ran_RAN_YES)
 	l.Abandon(ran)
-	want(t, l.Begin(0, ran, testCustomer, push, "a4"), Join, 0, 0)
+	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a4"), Join, 0, 0)
 }
 
 // The agent drains. The caller hears "not run, draining"; a copy of the request
 // from a silent link arrives afterwards and must not run.
 func TestVoidBeforeNotRun(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	tk := mint(t, m, 0)
-	want(t, l.Void(0, tk, testCustomer, push, api.ResultCode_DRAINING), Refuse, api.ResultCode_DRAINING, api.Ran_RAN_NO)
-	want(t, l.Begin(0, tk, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
+	wantDecision(t, l.Void(0, tk, testCustomer, push, api.ResultCode_DRAINING), Refuse, api.ResultCode_DRAINING, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(0, tk, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
 }
 
 // The agent drains while the request already runs: a retry must join it, for "not
 // run" would make the caller push the price again.
 func TestVoidOfUsed(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	tk := mint(t, m, 0)
-	want(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
-	want(t, l.Void(0, tk, testCustomer, push, api.ResultCode_DRAINING), Join, 0, 0)
-	want(t, l.Void(0, tk, testCustomer, otherPush, api.ResultCode_DRAINING), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
+	wantDecision(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
+	wantDecision(t, l.Void(0, tk, testCustomer, push, api.ResultCode_DRAINING), Join, 0, 0)
+	wantDecision(t, l.Void(0, tk, testCustomer, otherPush, api.ResultCode_DRAINING), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
 }
 
 // The caller asks what became of its request, hears "not run", and pushes again
 // with a new ticket. The first copy then leaves a silent link and must not run.
 func TestSettle(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	unseen, ran := mint(t, m, 0), mint(t, m, 0)
-	want(t, l.Settle(0, unseen, testCustomer), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
-	want(t, l.Begin(0, unseen, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
-	want(t, l.Begin(0, ran, testCustomer, push, "a2"), Run, 0, 0)
+	wantDecision(t, l.Settle(0, unseen, testCustomer), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(0, unseen, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a2"), Run, 0, 0)
 	if d := l.Settle(0, ran, testCustomer); d.Action != Join || d.AnswerID != "a2" {
 		t.Fatalf("settle = %+v, want to join a2", d)
 	}
 }
 
 // Each row is a ticket that the ledger did not grant to this caller, or altered.
-func TestRefusesStrangers(t *testing.T) {
+func TestRefusesForeignAndAlteredTickets(t *testing.T) {
 	cases := map[string]struct {
 		alter    func(*api.Ticket)
 		customer string
@@ -145,36 +145,36 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			l, m := newPair(testLimits)
+			l, m := newLedgerAndMinter(testLimits)
 			tk := mint(t, m, 0)
 			c.alter(tk)
-			want(t, l.Begin(0, tk, c.customer, push, "a1"), Refuse, c.code, c.ran)
-			want(t, l.Void(0, tk, c.customer, push, api.ResultCode_DRAINING), Refuse, c.code, c.ran)
-			want(t, l.Settle(0, tk, c.customer), Refuse, c.code, c.ran)
+			wantDecision(t, l.Begin(0, tk, c.customer, push, "a1"), Refuse, c.code, c.ran)
+			wantDecision(t, l.Void(0, tk, c.customer, push, api.ResultCode_DRAINING), Refuse, c.code, c.ran)
+			wantDecision(t, l.Settle(0, tk, c.customer), Refuse, c.code, c.ran)
 		})
 	}
 }
 
 func TestNilTicket(t *testing.T) {
-	l, _ := newPair(testLimits)
-	want(t, l.Begin(0, nil, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_FOREIGN, api.Ran_RAN_UNKNOWN)
+	l, _ := newLedgerAndMinter(testLimits)
+	wantDecision(t, l.Begin(0, nil, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_FOREIGN, api.Ran_RAN_UNKNOWN)
 }
 
 func TestExpiry(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	late, asked, drained := mint(t, m, 0), mint(t, m, 0), mint(t, m, 0)
-	want(t, l.Begin(time.Minute, late, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
-	want(t, l.Begin(time.Minute, late, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
-	want(t, l.Settle(time.Minute, asked, testCustomer), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
-	want(t, l.Void(time.Minute, drained, testCustomer, push, api.ResultCode_COLD), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(time.Minute, late, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
+	wantDecision(t, l.Begin(time.Minute, late, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
+	wantDecision(t, l.Settle(time.Minute, asked, testCustomer), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
+	wantDecision(t, l.Void(time.Minute, drained, testCustomer, push, api.ResultCode_COLD), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
 }
 
 // Past the bound on memory the ledger cannot tell a used ticket from an unused
 // one, so it says neither "not run" nor "ran", and runs nothing.
-func TestMemoryBound(t *testing.T) {
-	l, m := newPair(testLimits)
+func TestBlockLimit(t *testing.T) {
+	l, m := newLedgerAndMinter(testLimits)
 	ran, unseen := mint(t, m, 0), mint(t, m, 0)
-	want(t, l.Begin(0, ran, testCustomer, push, "a1"), Run, 0, 0)
+	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a1"), Run, 0, 0)
 	if l.Grant(0) == nil {
 		t.Fatal("no second block within the bound")
 	}
@@ -185,25 +185,25 @@
 		t.Fatal("no block although the oldest has expired")
 	}
 	for _, tk := range []*api.Ticket{ran, unseen} {
-		want(t, l.Begin(time.Minute, tk, testCustomer, push, "a2"), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
-		want(t, l.Settle(time.Minute, tk, testCustomer), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
-		want(t, l.Void(time.Minute, tk, testCustomer, push, api.ResultCode_COLD), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
+		wantDecision(t, l.Begin(time.Minute, tk, testCustomer, push, "a2"), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
+		wantDecision(t, l.Settle(time.Minute, tk, testCustomer), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
+		wantDecision(t, l.Void(time.Minute, tk, testCustomer, push, api.ResultCode_COLD), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
 	}
 	if s := l.Stats(); s.Blocks != 2 || s.Bindings != 0 || s.Granted != 3 || s.Forgotten != 1 || s.Used != 1 {
 		t.Fatalf("stats = %+v", s)
 	}
 }
 
-func TestGoneBound(t *testing.T) {
-	l, m := newPair(testLimits)
+func TestAnswersGoneLimit(t *testing.T) {
+	l, m := newLedgerAndMinter(testLimits)
 	var used []*api.Ticket
-	for range testLimits.MaxGone + 1 {
+	for range testLimits.MaxAnswersGone + 1 {
 		tk := mint(t, m, 0)
-		want(t, l.Begin(0, tk, testCustomer, push, "a"), Run, 0, 0)
-		l.Ended(tk, api.Ran_RAN_YES)
-		l.Forget(tk)
+		wantDecision(t, l.Begin(0, tk, testCustomer, push, "a"), Run, 0, 0)
+		l.RecordOutcome(tk, api.Ran_RAN_YES)
+		l.ForgetAnswer(tk)
 		used = append(used, tk)
 	}
-	want(t, l.Begin(0, used[0], testCustomer, push, "b"), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
-	want(t, l.Begin(0, used[1], testCustomer, push, "b"), Refuse, api.ResultCode_RAN_ANSWER_GONE, api.Ran_RAN_YES)
+	wantDecision(t, l.Begin(0, used[0], testCustomer, push, "b"), Refuse, api.ResultCode_TICKET_UNKNOWN, api.Ran_RAN_UNKNOWN)
+	wantDecision(t, l.Begin(0, used[1], testCustomer, push, "b"), Refuse, api.ResultCode_RAN_ANSWER_GONE, api.Ran_RAN_YES)
 }
--- a/coord/ticket/mac.go
+++ b/coord/ticket/mac.go
@@ -13,15 +13,15 @@
 	// macSize is the length of a ticket's MAC in bytes. 128 bits cannot be
 	// guessed, and keep the caller's header short.
 	macSize = 16
-	// customerSize is the length of the customer's digest in bytes.
-	customerSize = 8
+	// customerDigestSize is the length of the customer's digest in bytes.
+	customerDigestSize = 8
 )
 
 // CustomerDigest returns what a ticket carries in place of the customer's name:
 // the first 8 bytes of its SHA-256.
 func CustomerDigest(customer string) []byte {
 	sum := sha256.Sum256([]byte(customer))
-	return sum[:customerSize]
+	return sum[:customerDigestSize]
 }
 
 // blockKey derives the key of one block. The expiry is part of it, so that an
--- a/coord/ticket/minter.go
+++ b/coord/ticket/minter.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// mintShare is the part of a block's lifetime in which it is minted from: the
+	// mintWindowDivisor is the part of a block's lifetime in which it is minted from: the
 	// first half, so that a caller has at least the other half to use its ticket.
-	mintShare = 2
-	// lowShare: another block is wanted when less than a quarter of one block, or of
+	mintWindowDivisor = 2
+	// needBlockDivisor: another block is wanted when less than a quarter of one block, or of
 	// its time for minting, is left. The rest bridges the round trip.
-	lowShare = 4
-	// maxRetired bounds the incarnations remembered as replaced, for each VM.
-	maxRetired = 8
+	needBlockDivisor = 4
+	// maxRetiredIncarnations bounds the incarnations remembered as replaced, for each VM.
+	maxRetiredIncarnations = 8
 )
 
 // Minter is an entry's stock of tickets, by agent.
 type Minter struct {
-	agents map[string]*stock
+	agents map[string]*agentBlocks
 }
 
-// stock is what a minter holds of one agent's VM.
-type stock struct {
+// agentBlocks is what a minter holds of one agent's VM.
+type agentBlocks struct {
 	incarnation string
 	blocks      []*heldBlock
-	// newest is the highest block number taken in, if any was.
-	newest uint64
-	any    bool
+	// newestBlock is the highest block number taken in, if any was.
+	newestBlock uint64
+	hasNewest   bool
 	// retired holds incarnations that were replaced, oldest first.
 	retired []string
 }
 
 type heldBlock struct {
-	block *api.TicketBlock
-	next  uint32
-	// from and until bound the time for minting, on the entry's own clock.
-	from, until time.Duration
+	block   *api.TicketBlock
+	nextSeq uint32
+	// mintFrom and mintUntil bound the time for minting, on the entry's own clock.
+	mintFrom, mintUntil time.Duration
 }
 
-func (h *heldBlock) left(now time.Duration) uint32 {
-	if now >= h.until {
+func (h *heldBlock) remaining(now time.Duration) uint32 {
+	if now >= h.mintUntil {
 		return 0
 	}
-	return h.block.GetCount() - h.next
+	return h.block.GetCount() - h.nextSeq
 }
 
 // NewMinter returns an empty minter.
 func NewMinter() *Minter {
-	return &Minter{agents: make(map[string]*stock)}
+	return &Minter{agents: make(map[string]*agentBlocks)}
 }
 
 // Add takes in a block that an agent granted. The first block of a new incarnation
@@ -64,42 +64,42 @@
 	}
 	s := m.agents[b.GetAgentVm()]
 	if s == nil {
-		s = &stock{}
+		s = &agentBlocks{}
 		m.agents[b.GetAgentVm()] = s
 	}
 	if slices.Contains(s.retired, b.GetIncarnation()) {
 		return
 	}
 	if s.incarnation != b.GetIncarnation() {
-		s.replace(b.GetIncarnation())
+		s.replaceIncarnation(b.GetIncarnation())
 	}
 	// Minted from twice, a block that was delivered twice would give two callers the
 	// same ticket, and one of them the other's answer. An agent numbers its blocks
 	// upwards, so a number not above the newest was taken in before or overtaken.
-	if s.any && b.GetBlock() <= s.newest {
+	if s.hasNewest && b.GetBlock() <= s.newestBlock {
 		return
 	}
-	s.any, s.newest = true, b.GetBlock()
-	window := time.Duration(b.GetLifetimeMs()) * time.Millisecond / mintShare
-	held := &heldBlock{block: proto.CloneOf(b), from: now, until: now + window}
-	s.blocks = append(s.live(now), held)
+	s.hasNewest, s.newestBlock = true, b.GetBlock()
+	window := time.Duration(b.GetLifetimeMs()) * time.Millisecond / mintWindowDivisor
+	held := &heldBlock{block: proto.CloneOf(b), mintFrom: now, mintUntil: now + window}
+	s.blocks = append(s.usable(now), held)
 }
 
-func (s *stock) replace(incarnation string) {
+func (s *agentBlocks) replaceIncarnation(incarnation string) {
 	if s.incarnation != "" {
 		s.retired = append(s.retired, s.incarnation)
 	}
-	if len(s.retired) > maxRetired {
+	if len(s.retired) > maxRetiredIncarnations {
 		s.retired = s.retired[1:]
 	}
 	s.incarnation = incarnation
 	s.blocks = nil
-	s.any = false
+	s.hasNewest = false
 }
 
-// live returns the blocks that can still be minted from.
-func (s *stock) live(now time.Duration) []*heldBlock {
-	return slices.DeleteFunc(s.blocks, func(h *heldBlock) bool { return h.left(now) == 0 })
+// usable returns the blocks that can still be minted from.
+func (s *agentBlocks) usable(now time.Duration) []*heldBlock {
+	return slices.DeleteFunc(s.blocks, func(h *heldBlock) bool { return h.remaining(now) == 0 })
 }
 
 // Drop forgets the blocks of an agent, when its link is lost. Tickets minted
@@ -117,7 +117,7 @@
 	if s == nil {
 		return nil, false
 	}
-	s.blocks = s.live(now)
+	s.blocks = s.usable(now)
 	if len(s.blocks) == 0 {
 		return nil, false
 	}
@@ -126,17 +126,17 @@
 		AgentVm:     agentVM,
 		Incarnation: s.incarnation,
 		Block:       h.block.GetBlock(),
-		Seq:         h.next,
+		Seq:         h.nextSeq,
 		ExpiryMs:    h.block.GetExpiryMs(),
 		Customer:    CustomerDigest(customer),
 	}
 	t.Mac = sign(h.block.GetKey(), t)
-	h.next++
+	h.nextSeq++
 	return t, true
 }
 
-// Low says that it is time to ask the agent on the VM for another block.
-func (m *Minter) Low(now time.Duration, agentVM string) bool {
+// NeedsBlock says that it is time to ask the agent on the VM for another block.
+func (m *Minter) NeedsBlock(now time.Duration, agentVM string) bool {
 	s := m.agents[agentVM]
 	if s == nil {
 		return true
@@ -145,13 +145,13 @@
 	var timeLeft, window time.Duration
 	var size uint32
 	for _, h := range s.blocks {
-		if h.left(now) == 0 {
+		if h.remaining(now) == 0 {
 			continue
 		}
-		left += h.left(now)
+		left += h.remaining(now)
 		size = max(size, h.block.GetCount())
-		window = max(window, h.until-h.from)
-		timeLeft = max(timeLeft, h.until-now)
+		window = max(window, h.mintUntil-h.mintFrom)
+		timeLeft = max(timeLeft, h.mintUntil-now)
 	}
-	return left <= size/lowShare || timeLeft <= window/lowShare
+	return left <= size/needBlockDivisor || timeLeft <= window/needBlockDivisor
 }
--- a/coord/ticket/minter_test.go
+++ b/coord/ticket/minter_test.go
@@ -7,9 +7,9 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-func TestMintExhausts(t *testing.T) {
-	l, m := newPair(testLimits)
-	if m.Low(0, testVM) {
+func TestMintStopsAtEndOfBlock(t *testing.T) {
+	l, m := newLedgerAndMinter(testLimits)
+	if m.NeedsBlock(0, testVM) {
 		t.Fatal("low with a full block")
 	}
 	seen := map[uint32]bool{}
@@ -19,7 +19,7 @@
 	if len(seen) != int(testLimits.BlockSize) {
 		t.Fatalf("%d different tickets, want %d", len(seen), testLimits.BlockSize)
 	}
-	if _, ok := m.Mint(0, testVM, testCustomer); ok || !m.Low(0, testVM) {
+	if _, ok := m.Mint(0, testVM, testCustomer); ok || !m.NeedsBlock(0, testVM) {
 		t.Fatal("minted past the block")
 	}
 	m.Add(0, l.Grant(0))
@@ -30,9 +30,9 @@
 
 // A ticket must leave its caller time to use it, so minting stops at half the
 // lifetime, and the next block is asked for before that.
-func TestMintWindow(t *testing.T) {
-	_, m := newPair(testLimits)
-	if m.Low(20*time.Second, testVM) || !m.Low(25*time.Second, testVM) {
+func TestMintStopsAtHalfLifetime(t *testing.T) {
+	_, m := newLedgerAndMinter(testLimits)
+	if m.NeedsBlock(20*time.Second, testVM) || !m.NeedsBlock(25*time.Second, testVM) {
 		t.Fatal("low must turn true in the last quarter of the time for minting")
 	}
 	mint(t, m, 29*time.Second)
@@ -43,7 +43,7 @@
 
 // A block message arrives twice, the second time when the first is used up. Minted
 // from again, two callers would hold one ticket and share one answer.
-func TestAddTwice(t *testing.T) {
+func TestAddIgnoresDuplicateBlock(t *testing.T) {
 	l := NewLedger(testVM, "i1", testKey, testLimits)
 	m := NewMinter()
 	b := l.Grant(0)
@@ -59,16 +59,16 @@
 
 // The agent is replaced; then a block of the dead incarnation arrives late. Tickets
 // of it could only end as "outcome unknown", so the minter must not go back.
-func TestNewIncarnation(t *testing.T) {
-	old, m := newPair(testLimits)
-	late := old.Grant(0)
+func TestAddIgnoresReplacedIncarnation(t *testing.T) {
+	old, m := newLedgerAndMinter(testLimits)
+	delayed := old.Grant(0)
 	m.Add(0, NewLedger(testVM, "i2", []byte("k2"), testLimits).Grant(0))
-	m.Add(0, late)
+	m.Add(0, delayed)
 	if tk := mint(t, m, 0); tk.GetIncarnation() != "i2" {
 		t.Fatalf("incarnation = %q, want i2", tk.GetIncarnation())
 	}
 	m.Drop(testVM)
-	m.Add(0, late)
+	m.Add(0, delayed)
 	if _, ok := m.Mint(0, testVM, testCustomer); ok {
 		t.Fatal("minted for an incarnation that was replaced")
 	}
@@ -79,23 +79,23 @@
 	m.Add(0, nil)
 	m.Add(0, &api.TicketBlock{})
 	m.Drop("unknown")
-	if _, ok := m.Mint(0, "", testCustomer); ok || !m.Low(0, testVM) {
+	if _, ok := m.Mint(0, "", testCustomer); ok || !m.NeedsBlock(0, testVM) {
 		t.Fatal("an empty block was taken in")
 	}
 }
 
 func TestEncodeRoundTrip(t *testing.T) {
-	l, m := newPair(testLimits)
+	l, m := newLedgerAndMinter(testLimits)
 	text := Encode(mint(t, m, 0))
 	tk, err := Decode(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
+	wantDecision(t, l.Begin(0, tk, testCustomer, push, "a1"), Run, 0, 0)
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	_, m := newPair(testLimits)
+	_, m := newLedgerAndMinter(testLimits)
 	good := Encode(mint(t, m, 0))
 	for _, text := range []string{
 		"", "t1.", "t2." + good[3:], good[:len(good)-4], good + "=", good + "\n", " " + good, "t1.AAAA", good + good,
@@ -121,8 +121,8 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(Encode(decoded))
-		if err != nil || Encode(again) != Encode(decoded) {
+		reencoded, err := Decode(Encode(decoded))
+		if err != nil || Encode(reencoded) != Encode(decoded) {
 			t.Fatalf("the form of %q does not hold: %v", text, err)
 		}
 		l := NewLedger(testVM, "i1", []byte("another key"), testLimits)
--- a/coord/ticket/property_test.go
+++ b/coord/ticket/property_test.go
@@ -29,14 +29,14 @@
 	tickets     []*api.Ticket
 	// ran counts runs that reached the backend server, by ticket and by request.
 	ran map[string]int
-	// notRun holds tickets for which a caller was told "not run".
-	notRun map[string]bool
-	// open holds what this incarnation has begun and not ended, by ticket.
-	open map[string]*begun
+	// toldNotRun holds tickets for which a caller was told "not run".
+	toldNotRun map[string]bool
+	// startedRuns holds what this incarnation has begun and not ended, by ticket.
+	startedRuns map[string]*startedRun
 }
 
-// begun is a request that the ledger let run; it may still wait in the agent.
-type begun struct {
+// startedRun is a request that the ledger let run; it may still wait in the agent.
+type startedRun struct {
 	request byte
 	sent    bool
 }
@@ -46,17 +46,17 @@
 	name := fmt.Sprintf("i%d", w.incarnation)
 	w.ledger = NewLedger(testVM, name, []byte(name), testLimits)
 	w.now = 0
-	w.open = map[string]*begun{}
+	w.startedRuns = map[string]*startedRun{}
 }
 
-// checkTold holds the decision against what has run so far.
-func (w *world) checkTold(t *rapid.T, id string, request byte, d Decision) {
+// checkRefusal holds the decision against what has run so far.
+func (w *world) checkRefusal(t *rapid.T, id string, request byte, d Decision) {
 	if d.Action != Refuse {
 		return
 	}
 	switch d.Ran {
 	case api.Ran_RAN_NO:
-		w.notRun[id] = true
+		w.toldNotRun[id] = true
 	case api.Ran_RAN_YES:
 		if w.ran[fmt.Sprint(id, request)] != 1 {
 			t.Fatalf("%s: told %v, but the ledger of the service disagrees", id, d.Code)
@@ -71,7 +71,7 @@
 // sees each ticket once at most, and whoever was told "not run" was told the truth.
 func TestAtMostOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{minter: NewMinter(), ran: map[string]int{}, notRun: map[string]bool{}}
+		w := &world{minter: NewMinter(), ran: map[string]int{}, toldNotRun: map[string]bool{}}
 		w.restart()
 		pick := func(t *rapid.T) (*api.Ticket, string) {
 			if len(w.tickets) == 0 {
@@ -92,16 +92,16 @@
 				request := rapid.ByteRange(0, 1).Draw(t, "request")
 				d := w.ledger.Begin(w.now, tk, testCustomer, [32]byte{request}, id+fmt.Sprint(request))
 				if d.Action == Run {
-					w.open[id] = &begun{request: request}
+					w.startedRuns[id] = &startedRun{request: request}
 				}
 				if d.Action == Join && d.AnswerID != id+fmt.Sprint(request) {
 					t.Fatalf("joined the answer of another request: %q", d.AnswerID)
 				}
-				w.checkTold(t, id, request, d)
+				w.checkRefusal(t, id, request, d)
 			},
 			"void": func(t *rapid.T) {
 				tk, id := pick(t)
-				w.checkTold(t, id, 0, w.ledger.Void(w.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
+				w.checkRefusal(t, id, 0, w.ledger.Void(w.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
 			},
 			"settle": func(t *rapid.T) {
 				tk, id := pick(t)
@@ -110,12 +110,12 @@
 					t.Fatalf("%s: told that it ran", id)
 				}
 				if d.Action == Refuse && d.Ran == api.Ran_RAN_NO {
-					w.notRun[id] = true
+					w.toldNotRun[id] = true
 				}
 			},
 			"send": func(t *rapid.T) {
 				_, id := pick(t)
-				if b := w.open[id]; b != nil && !b.sent {
+				if b := w.startedRuns[id]; b != nil && !b.sent {
 					b.sent = true
 					w.ran[id]++
 					w.ran[fmt.Sprint(id, b.request)]++
@@ -123,25 +123,25 @@
 			},
 			"abandon": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.open[id]; b != nil && !b.sent {
+				if b := w.startedRuns[id]; b != nil && !b.sent {
 					w.ledger.Abandon(tk)
-					delete(w.open, id)
-					w.notRun[id] = true
+					delete(w.startedRuns, id)
+					w.toldNotRun[id] = true
 				}
 			},
 			"end": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.open[id]; b != nil && b.sent {
-					w.ledger.Ended(tk, api.Ran_RAN_YES)
-					delete(w.open, id)
+				if b := w.startedRuns[id]; b != nil && b.sent {
+					w.ledger.RecordOutcome(tk, api.Ran_RAN_YES)
+					delete(w.startedRuns, id)
 				}
 			},
-			"forget":  func(t *rapid.T) { tk, _ := pick(t); w.ledger.Forget(tk) },
+			"forget":  func(t *rapid.T) { tk, _ := pick(t); w.ledger.ForgetAnswer(tk) },
 			"restart": func(*rapid.T) { w.restart() },
 			"drop":    func(*rapid.T) { w.minter.Drop(testVM) },
 			"pass":    func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second },
 			"": func(t *rapid.T) {
-				for id := range w.notRun {
+				for id := range w.toldNotRun {
 					if w.ran[id] != 0 {
 						t.Fatalf("%s: ran, and a caller was told that it did not", id)
 					}
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -191,7 +191,7 @@
 		}
 		// The answer was let go of to make room. The ledger knows whether the request
 		// ran; that it was begun is no proof.
-		e.ledger.Forget(work.GetTicket())
+		e.ledger.ForgetAnswer(work.GetTicket())
 		decision = e.ledger.Begin(now, work.GetTicket(), work.GetCustomer(), requestHash(work), id)
 	}
 	return nil, refusal(decision.Code, decision.Ran, decision.Text, retryElsewhere), true
@@ -284,14 +284,14 @@
 // noteEnd tells the ledger how the run of work with a ticket ended.
 func (e *executor) noteEnd(work *api.Work, ran api.Ran) {
 	if t := work.GetTicket(); t != nil {
-		e.ledger.Ended(t, ran)
+		e.ledger.RecordOutcome(t, ran)
 	}
 }
 
 // forget tells the ledger that the answer is not held any more.
 func (e *executor) forget(work *api.Work) {
 	if t := work.GetTicket(); t != nil {
-		e.ledger.Forget(t)
+		e.ledger.ForgetAnswer(t)
 	}
 }
 
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -269,7 +269,7 @@
 // the process's start, it would leave an entry that has just started without any ticket.
 func (d *directory) askForTickets(now time.Duration, vm string, peer *member.Peer) {
 	asked, before := d.asked[vm]
-	if !d.minter.Low(now, vm) || before && now-asked < blockAskAfter {
+	if !d.minter.NeedsBlock(now, vm) || before && now-asked < blockAskAfter {
 		return
 	}
 	d.asked[vm] = now
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -235,14 +235,14 @@
 	l := ticket.NewLedger("vm", "incarnation", []byte("key"), ticket.Limits{})
 	minter := ticket.NewMinter()
 	for i := range n {
-		if minter.Low(0, "vm") {
+		if minter.NeedsBlock(0, "vm") {
 			minter.Add(0, l.Grant(0))
 		}
 		t, _ := minter.Mint(0, "vm", "team")
 		l.Begin(0, t, "team", sha256.Sum256([]byte(fmt.Sprint(i))), fmt.Sprintf("vm:incarnation:%d", i))
 		if forgotten {
-			l.Ended(t, api.Ran_RAN_YES)
-			l.Forget(t)
+			l.RecordOutcome(t, api.Ran_RAN_YES)
+			l.ForgetAnswer(t)
 		}
 	}
 	return l
