--- a/coord/ticket/bench_test.go
+++ b/coord/ticket/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkTicket is one ticket minted, decided on, and forgotten with its answer.
-// B/held is what the ledger then keeps of it.
+// BenchmarkTicket mints one ticket, begins its run and forgets its answer. B/held is the
+// memory that the ledger keeps for each ticket afterwards.
 func BenchmarkTicket(b *testing.B) {
 	l := NewLedger(testVM, "i1", testKey, Limits{MaxBlocks: 1 << 30, MaxAnswersGone: 1 << 30})
 	m := NewMinter()
--- a/coord/ticket/block.go
+++ b/coord/ticket/block.go
@@ -1,18 +1,18 @@
 package ticket
 
-// ticketState is what has become of one ticket.
+// ticketState tells whether a ticket was used or voided.
 type ticketState int
 
 const (
-	// unused: not presented yet.
+	// unused means that the ticket was not presented yet.
 	unused ticketState = iota
-	// used: handed to the backend server, or about to be.
+	// used means that the request was handed to the backend server, or is about to be.
 	used
-	// voided: it never ran and never will.
+	// voided means that the ticket never ran and never will.
 	voided
 )
 
-// block is the agent's memory of one granted block: two bits a ticket.
+// block holds the state of all tickets of one granted block in two bits per ticket.
 type block struct {
 	expiryMS int64
 	used     []uint64
--- a/coord/ticket/decision.go
+++ b/coord/ticket/decision.go
@@ -2,19 +2,19 @@
 
 import "github.com/apricothub/apricothub/api"
 
-// Action says what the agent does with a request that carries a ticket.
+// Action is what the agent does with a request that carries a ticket.
 type Action int
 
 const (
-	// Refuse answers with the decision's code, truth about the run and text.
+	// Refuse answers with the code, the ran value and the text of the decision.
 	Refuse Action = iota
 	// Run hands the request to the backend server, once.
 	Run
-	// Join attaches the caller to the answer of the run that has begun.
+	// Join attaches the caller to the answer of the run that was already started.
 	Join
 )
 
-// String names the action for logs and tests.
+// String returns the action's name for logs and tests.
 func (a Action) String() string {
 	switch a {
 	case Run:
@@ -26,12 +26,12 @@
 	}
 }
 
-// Decision is what the ledger says on one request.
+// Decision is the ledger's decision on one request.
 type Decision struct {
 	Action Action
-	// AnswerID names the answer to join; for Join and Run.
+	// AnswerID names the answer of the run. It is set for Join and Run.
 	AnswerID string
-	// Code, Ran and Text go into the refusal.
+	// Code, Ran and Text describe the refusal. They are set for Refuse.
 	Code api.ResultCode
 	Ran  api.Ran
 	Text string
@@ -41,12 +41,12 @@
 	return Decision{Action: Refuse, Code: code, Ran: ran, Text: text}
 }
 
-// The refusals of the ledger.
+// The ledger's refusals.
 var (
 	refusedInvalid = refuse(api.ResultCode_TICKET_INVALID, api.Ran_RAN_NO, "The ticket was not made by this system.")
 
-	// refusedForeign says nothing on the run: the ticket's owner may have used it, and
-	// voiding it for a stranger would let a stranger spoil it.
+	// refusedForeign leaves open whether the ticket ran: its owner may have used it. The
+	// ticket isn't voided, because then any other customer could void it.
 	refusedForeign = refuse(api.ResultCode_TICKET_FOREIGN, api.Ran_RAN_UNKNOWN, "The ticket belongs to another customer or backend server.")
 
 	refusedOtherIncarnation = refuse(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The agent that could have run the ticket has been replaced.")
--- a/coord/ticket/encode.go
+++ b/coord/ticket/encode.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// prefix marks the text form and its version.
+	// prefix identifies the text form of a ticket and its version.
 	prefix = "t1."
-	// maxTextBytes bounds the text, so that a hostile header costs little.
+	// maxTextBytes limits the length of the text, so that a hostile header is cheap to reject.
 	maxTextBytes = 1024
-	// maxNameBytes bounds the names inside a ticket.
+	// maxNameBytes limits the length of each name in a ticket.
 	maxNameBytes = 255
 )
 
 // ErrMalformed is returned for text that is not a ticket.
-var ErrMalformed = errors.New("not a ticket")
+var ErrMalformed = errors.New("malformed ticket")
 
-// Encode returns the text that a caller sends as Idempotency-Key. It has only
-// letters, digits, '.', '-' and '_'.
+// Encode returns the text form of a ticket, which a caller sends as Idempotency-Key. It
+// consists of letters, digits, '.', '-' and '_'.
 func Encode(t *api.Ticket) string {
-	// Marshal fails only for text that is not UTF-8, and names are checked when the
-	// settings are read; the empty ticket that it leaves is refused by Decode.
+	// Marshal fails only for strings that are not UTF-8, and names are checked when the
+	// settings are read. Decode refuses the empty ticket that results from a failure.
 	data, _ := proto.Marshal(t)
 	return prefix + base64.RawURLEncoding.EncodeToString(data)
 }
 
-// Decode reads the text form of a ticket. It checks the form only; that the ticket
-// is genuine is checked by the agent that it names.
+// Decode parses the text form of a ticket. It checks the form only; the agent that the
+// ticket names checks its MAC.
 func Decode(text string) (*api.Ticket, error) {
 	if len(text) > maxTextBytes {
-		return nil, errors.Wrap(ErrMalformed, "too long")
+		return nil, errors.Wrap(ErrMalformed, "the text is too long")
 	}
 	body, ok := strings.CutPrefix(text, prefix)
 	if !ok {
-		return nil, errors.Wrap(ErrMalformed, "prefix")
+		return nil, errors.Wrap(ErrMalformed, "the prefix is missing or of another version")
 	}
-	// The decoder passes over line ends, which have no place in a header.
+	// The base64 decoder ignores line ends, which are not valid in a header.
 	if strings.ContainsAny(body, "\r\n") {
-		return nil, errors.Wrap(ErrMalformed, "line end")
+		return nil, errors.Wrap(ErrMalformed, "the text contains a line end")
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(body)
 	if err != nil {
-		return nil, errors.Wrap(ErrMalformed, "base64")
+		return nil, errors.Wrap(ErrMalformed, "the text is not valid base64")
 	}
 	t := &api.Ticket{}
 	if err := proto.Unmarshal(data, t); err != nil {
-		return nil, errors.Wrap(ErrMalformed, "message")
+		return nil, errors.Wrap(ErrMalformed, "the data is not a valid ticket message")
 	}
 	if !isWellFormed(t) {
-		return nil, errors.Wrap(ErrMalformed, "fields")
+		return nil, errors.Wrap(ErrMalformed, "a field is unknown, missing or of the wrong size")
 	}
 	return t, nil
 }
--- a/coord/ticket/example_test.go
+++ b/coord/ticket/example_test.go
@@ -8,10 +8,10 @@
 	"github.com/apricothub/apricothub/coord/ticket"
 )
 
-// An agent grants tickets, an entry hands one out, and the request comes twice: it
-// runs once, and the second copy joins the answer of the first.
+// An agent grants a block, an entry mints a ticket, and the request arrives twice: it runs
+// once, and the second copy joins the answer of the first.
 func Example() {
-	// The key is random in a real process, and new with each start.
+	// A real process uses a random key that is new at each start.
 	ledger := ticket.NewLedger("vm-1", "incarnation-1", make([]byte, 32), ticket.Limits{})
 	minter := ticket.NewMinter()
 
@@ -27,7 +27,7 @@
 	other := sha256.Sum256([]byte("POST /push 2.99"))
 	fmt.Println(ledger.Begin(now, t, "north", other, "answer-2").Code)
 
-	// A ticket that was never seen is voided before "not run" is said of it.
+	// A ticket that was never presented is voided before the caller is told "not run".
 	unused, _ := minter.Mint(now, "vm-1", "north")
 	fmt.Println(ledger.Settle(now, unused, "north").Ran)
 	// Output:
--- a/coord/ticket/ledger.go
+++ b/coord/ticket/ledger.go
@@ -7,18 +7,18 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Limits bounds what a ledger grants and remembers. A zero field takes its default.
+// Limits limits what a ledger grants and remembers. A zero field takes its default.
 type Limits struct {
 	// BlockSize is the number of tickets in a block; 256 by default.
 	BlockSize uint32
-	// Lifetime is the time a ticket may wait to be used, counted from the grant of
-	// its block; 10 minutes by default.
+	// Lifetime is how long after the grant of its block a ticket can be used; 10 minutes by
+	// default.
 	Lifetime time.Duration
-	// MaxBlocks is the number of blocks remembered, at two bits a ticket; 16384 by
-	// default, which is 1 MB.
+	// MaxBlocks is the number of blocks remembered, at two bits per ticket; 16384 by default,
+	// which takes 1 MB.
 	MaxBlocks int
-	// MaxAnswersGone is the number of used tickets whose request is remembered although
-	// their answer is not held any more; 65536 by default, about 8 MB.
+	// MaxAnswersGone is the number of used tickets whose request digest is remembered after
+	// their answer was discarded; 65536 by default, which takes about 8 MB.
 	MaxAnswersGone int
 }
 
@@ -45,25 +45,25 @@
 	return l
 }
 
-// ticketID names a ticket within one incarnation.
+// ticketID identifies a ticket within one incarnation.
 type ticketID struct {
 	block uint64
 	seq   uint32
 }
 
-// binding ties a used ticket to the request it was first used with.
+// binding ties a used ticket to the request that it was first used with.
 type binding struct {
 	request  [32]byte
 	answerID string
-	// ran is how the run ended; unspecified while it goes on.
+	// ran is the outcome of the run; unspecified while the request runs.
 	ran api.Ran
-	// answerGone: the answer is not held any more.
+	// answerGone says that the answer was discarded.
 	answerGone bool
 }
 
-// Stats counts what a ledger has done and holds.
+// Stats counts a ledger's decisions and contents.
 type Stats struct {
-	// Blocks and Bindings are held now.
+	// Blocks and Bindings count what is held now.
 	Blocks   int
 	Bindings int
 	// Granted and Forgotten count blocks since the start.
@@ -76,29 +76,30 @@
 	Refused uint64
 }
 
-// Ledger is an agent's memory of the tickets it has granted. It alone decides
-// whether one of them runs.
+// Ledger records the state of the tickets that an agent has granted. It alone decides whether
+// one of them runs.
 type Ledger struct {
 	vm          string
 	incarnation string
 	key         []byte
 	limits      Limits
 
-	// nextBlock is the number of the nextBlock block; first is the oldest one remembered.
+	// nextBlock is the number of the next block to grant, oldestBlock that of the oldest block
+	// remembered.
 	nextBlock   uint64
 	oldestBlock uint64
 	blocks      map[uint64]*block
 
 	bindings map[ticketID]*binding
-	// answersGone lists used tickets whose answer is not held, oldest first.
+	// answersGone lists the used tickets whose answer was discarded, oldest first.
 	answersGone []ticketID
 
 	stats Stats
 }
 
-// NewLedger returns the ledger of one incarnation of the agent on a VM. The key
-// must be random and made for this incarnation alone: a replaced agent must not
-// accept what its predecessor granted, for it does not know what that one ran.
+// NewLedger returns the ledger of one incarnation of the agent on a VM. The key must be random
+// and made for this incarnation alone: an agent must not accept tickets granted by its
+// predecessor, because it doesn't know which of them ran.
 func NewLedger(vm, incarnation string, key []byte, limits Limits) *Ledger {
 	return &Ledger{
 		vm:          vm,
@@ -110,10 +111,9 @@
 	}
 }
 
-// Grant makes a block for an entry to mint from. It returns nil when the bound on
-// memory is reached by blocks that have not expired: the entry then has no
-// tickets to give, which is better than tickets whose fate is forgotten while
-// callers still hold them.
+// Grant makes a block for an entry to mint from. It returns nil if MaxBlocks blocks are held
+// and the oldest has not expired: the entry then has no tickets to give out, which is better
+// than forgetting the state of tickets that callers still hold.
 func (l *Ledger) Grant(now time.Duration) *api.TicketBlock {
 	if len(l.blocks) >= l.limits.MaxBlocks && !l.forgetOldestBlock(now) {
 		return nil
@@ -134,8 +134,8 @@
 	}
 }
 
-// forgetOldestBlock drops the oldest block if it has expired. From then on its tickets
-// are "no longer known", whether they were used or not.
+// forgetOldestBlock drops the oldest block if it has expired. From then on its tickets are
+// refused as unknown, whether they were used or not.
 func (l *Ledger) forgetOldestBlock(now time.Duration) bool {
 	oldest := l.blocks[l.oldestBlock]
 	if oldest == nil || !expired(now, oldest.expiryMS) {
@@ -154,11 +154,10 @@
 	return now.Milliseconds() >= expiryMS
 }
 
-// Begin decides on a request that the agent is ready to hand to its backend
-// server now. The first time it marks the ticket as used and says Run; call it
-// only when nothing stands between the decision and the run, after any queue. The
-// request's digest and the answer's name are bound to the ticket, so that the same
-// request again joins the answer and another one is refused.
+// Begin decides on a request that the agent is ready to hand to its backend server. The first
+// time it marks the ticket as used and returns Run; call it only right before the run, after
+// any queue. It binds the request's digest and the answer's id to the ticket, so that a retry
+// of the same request joins the answer and another request is refused.
 func (l *Ledger) Begin(now time.Duration, t *api.Ticket, customer string, request [32]byte, answerID string) Decision {
 	b, d := l.findBlock(t, customer)
 	if b == nil {
@@ -176,10 +175,10 @@
 	return l.countDecision(Decision{Action: Run, AnswerID: answerID})
 }
 
-// Void refuses a request for the reason given, such as draining. It voids the
-// ticket first: without that, a copy of the request that comes later could still
-// run, and "not run" would have been a lie. A ticket that was used before gets
-// what Begin would say, never "not run".
+// Void refuses a request for the reason given, such as draining. It voids the ticket first:
+// otherwise a copy of the request that arrives later could still run although the caller was
+// told "not run". For a ticket that was used before it returns what Begin would return, never
+// "not run".
 func (l *Ledger) Void(now time.Duration, t *api.Ticket, customer string, request [32]byte, reason api.ResultCode) Decision {
 	b, d := l.findBlock(t, customer)
 	if b == nil {
@@ -195,9 +194,10 @@
 	return l.countDecision(refuse(reason, api.Ran_RAN_NO, "The ticket was voided; take a new one."))
 }
 
-// Settle answers what became of a ticket. One that was not seen is voided before
-// the answer: an earlier copy may still sit in a silent link, so that "not seen"
-// alone proves nothing. Join names the answer of a run, ended or not.
+// Settle returns the outcome of a ticket. A ticket that was not presented yet is voided first:
+// an earlier copy of the request may still be delayed in an unresponsive link, and could run
+// after the caller was told "not run". Join names the answer of a run, whether it has ended
+// or not.
 func (l *Ledger) Settle(now time.Duration, t *api.Ticket, customer string) Decision {
 	b, d := l.findBlock(t, customer)
 	if b == nil {
@@ -213,9 +213,9 @@
 	return l.countDecision(refusedVoided)
 }
 
-// Abandon voids a ticket for which Begin said Run, when the backend server cannot
-// have seen any of the request: it was still queued, or the connection was refused.
-// After it "not run" is true, and no copy runs.
+// Abandon voids a ticket for which Begin returned Run, if the backend server cannot have
+// received any of the request: it was still queued, or the connection was refused. Afterwards
+// the caller can be told "not run", and no copy of the request runs.
 func (l *Ledger) Abandon(t *api.Ticket) {
 	bound := l.bindings[idOf(t)]
 	if bound == nil || bound.ran != api.Ran_RAN_UNSPECIFIED {
@@ -227,9 +227,9 @@
 	delete(l.bindings, idOf(t))
 }
 
-// RecordOutcome records how the run of a ticket ended, once. RAN_YES lets the ledger say
-// later that it ran; without it, the outcome is unknown once the answer is gone.
-// RAN_NO abandons the ticket.
+// RecordOutcome records how the run of a ticket ended; only the first call counts. With
+// RAN_YES the ledger can still tell that the request ran after its answer was discarded;
+// otherwise the outcome is then unknown. RAN_NO abandons the ticket.
 func (l *Ledger) RecordOutcome(t *api.Ticket, ran api.Ran) {
 	if ran == api.Ran_RAN_NO {
 		l.Abandon(t)
@@ -240,7 +240,7 @@
 	}
 }
 
-// ForgetAnswer says that the answer of a ticket is not held any more.
+// ForgetAnswer records that the answer of a ticket was discarded.
 func (l *Ledger) ForgetAnswer(t *api.Ticket) {
 	id := idOf(t)
 	bound := l.bindings[id]
@@ -250,15 +250,15 @@
 	bound.answerGone = true
 	bound.answerID = ""
 	l.answersGone = append(l.answersGone, id)
-	// Without this bound a busy agent would keep a digest for each request of its
-	// life. The used bit stays, so a dropped one is never run again.
+	// Without this limit a busy agent would keep a digest for every request that it ever ran.
+	// The used bit stays, so that a ticket whose binding is dropped never runs again.
 	for len(l.answersGone) > l.limits.MaxAnswersGone {
 		delete(l.bindings, l.answersGone[0])
 		l.answersGone = l.answersGone[1:]
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (l *Ledger) Stats() Stats {
 	s := l.stats
 	s.Blocks = len(l.blocks)
@@ -266,8 +266,8 @@
 	return s
 }
 
-// findBlock returns the block of a ticket that this ledger granted to this customer,
-// or nil and the refusal.
+// findBlock returns the block of a ticket that this ledger granted to this customer, or nil
+// and the refusal.
 func (l *Ledger) findBlock(t *api.Ticket, customer string) (*block, Decision) {
 	if t.GetAgentVm() != l.vm {
 		return nil, refusedForeign
@@ -288,8 +288,8 @@
 	return b, Decision{}
 }
 
-// isGenuine checks the MAC. It needs no memory of the block, so a ticket of a
-// forgotten block is told from a forged one.
+// isGenuine checks the MAC. It needs no record of the block, so that a ticket of a forgotten
+// block can be distinguished from a forged one.
 func (l *Ledger) isGenuine(t *api.Ticket) bool {
 	if t.GetBlock() >= l.nextBlock || t.GetSeq() >= l.limits.BlockSize {
 		return false
@@ -298,8 +298,8 @@
 	return hmac.Equal(t.GetMac(), sign(key, t))
 }
 
-// decideUsedOrVoided says what became of a ticket that was used or voided. With no request, it
-// answers for whichever request was bound.
+// decideUsedOrVoided decides on a ticket that was used or voided before. A nil request stands
+// for whichever request was bound.
 func (l *Ledger) decideUsedOrVoided(b *block, t *api.Ticket, request *[32]byte) Decision {
 	if b.state(t.GetSeq()) == voided {
 		return refusedVoided
--- a/coord/ticket/ledger_test.go
+++ b/coord/ticket/ledger_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// The caller sends one price push twice, the second time through another entry.
-// The first copy runs; the second must be given the same answer, while the run
-// goes on and after it, and the truth once the answer is gone.
+// A caller sends one price push twice, the second time through another entry. The first copy
+// runs; the second must join the same answer, during the run and after it, and must be told
+// that the request ran once the answer is gone.
 func TestBeginOnce(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	tk := mint(t, m, 0)
@@ -63,8 +63,9 @@
 	wantDecision(t, l.Begin(0, tk, testCustomer, otherPush, "a6"), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
 }
 
-// The backend server closed without an answer, and the record of it is let go of.
-// "It ran" would be a guess, so the caller hears that the outcome is unknown.
+// The backend server closes the connection without an answer, and the answer's record is
+// discarded. The request may have run or not, so the caller must be told that the outcome is
+// unknown.
 func TestUnknownOutcomeWhenAnswerIsGone(t *testing.T) {
 	for _, ended := range []api.Ran{api.Ran_RAN_UNSPECIFIED, api.Ran_RAN_UNKNOWN} {
 		l, m := newLedgerAndMinter(testLimits)
@@ -78,9 +79,9 @@
 	}
 }
 
-// The request is refused out of the agent's queue, so nothing was sent. The caller
-// hears "not run"; a late copy of the request must not run after that. Once the run
-// has ended, the ticket cannot be voided any more.
+// The request is dropped from the agent's queue, so nothing was sent, and the caller is told
+// "not run". A copy that arrives later must not run. A ticket whose run has ended cannot be
+// voided any more.
 func TestAbandon(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	queued, ran := mint(t, m, 0), mint(t, m, 0)
@@ -93,8 +94,8 @@
 	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a4"), Join, 0, 0)
 }
 
-// The agent drains. The caller hears "not run, draining"; a copy of the request
-// from a silent link arrives afterwards and must not run.
+// A draining agent tells the caller "not run". A copy of the request that was delayed in an
+// unresponsive link arrives afterwards and must not run.
 func TestVoidBeforeNotRun(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	tk := mint(t, m, 0)
@@ -102,7 +103,7 @@
 	wantDecision(t, l.Begin(0, tk, testCustomer, push, "a1"), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
 }
 
-// The agent drains while the request already runs: a retry must join it, for "not
+// The agent starts to drain while the request runs. A retry must join the run, because "not
 // run" would make the caller push the price again.
 func TestVoidOfUsed(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
@@ -112,8 +113,9 @@
 	wantDecision(t, l.Void(0, tk, testCustomer, otherPush, api.ResultCode_DRAINING), Refuse, api.ResultCode_TICKET_REUSED, api.Ran_RAN_UNKNOWN)
 }
 
-// The caller asks what became of its request, hears "not run", and pushes again
-// with a new ticket. The first copy then leaves a silent link and must not run.
+// The caller asks for the outcome of its request, is told "not run", and pushes again with a
+// new ticket. The first copy, delayed in an unresponsive link, arrives after that and must not
+// run.
 func TestSettle(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	unseen, ran := mint(t, m, 0), mint(t, m, 0)
@@ -125,7 +127,7 @@
 	}
 }
 
-// Each row is a ticket that the ledger did not grant to this caller, or altered.
+// Each case is a ticket that was altered, or that the ledger did not grant to this caller.
 func TestRefusesForeignAndAlteredTickets(t *testing.T) {
 	cases := map[string]struct {
 		alter    func(*api.Ticket)
@@ -169,17 +171,18 @@
 	wantDecision(t, l.Void(time.Minute, drained, testCustomer, push, api.ResultCode_COLD), Refuse, api.ResultCode_TICKET_EXPIRED, api.Ran_RAN_NO)
 }
 
-// Past the bound on memory the ledger cannot tell a used ticket from an unused
-// one, so it says neither "not run" nor "ran", and runs nothing.
+// The ledger drops its oldest expired block to grant a new one. It then cannot tell whether a
+// ticket of the dropped block was used, so it must say neither "not run" nor "ran", and run
+// none of them.
 func TestBlockLimit(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	ran, unseen := mint(t, m, 0), mint(t, m, 0)
 	wantDecision(t, l.Begin(0, ran, testCustomer, push, "a1"), Run, 0, 0)
 	if l.Grant(0) == nil {
-		t.Fatal("no second block within the bound")
+		t.Fatal("no second block within the limit")
 	}
 	if l.Grant(0) != nil {
-		t.Fatal("a block past the bound while the oldest is live")
+		t.Fatal("a block past the limit while the oldest has not expired")
 	}
 	if l.Grant(time.Minute) == nil {
 		t.Fatal("no block although the oldest has expired")
--- a/coord/ticket/mac.go
+++ b/coord/ticket/mac.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// macSize is the length of a ticket's MAC in bytes. 128 bits cannot be
-	// guessed, and keep the caller's header short.
+	// macSize is the length of a ticket's MAC in bytes. 128 bits cannot be guessed, and keep
+	// the caller's header short.
 	macSize = 16
-	// customerDigestSize is the length of the customer's digest in bytes.
+	// customerDigestSize is the length of a customer's digest in bytes.
 	customerDigestSize = 8
 )
 
-// CustomerDigest returns what a ticket carries in place of the customer's name:
-// the first 8 bytes of its SHA-256.
+// CustomerDigest returns the digest that a ticket carries in place of the customer's name: the
+// first 8 bytes of its SHA-256.
 func CustomerDigest(customer string) []byte {
 	sum := sha256.Sum256([]byte(customer))
 	return sum[:customerDigestSize]
 }
 
-// blockKey derives the key of one block. The expiry is part of it, so that an
-// entry cannot mint tickets that live longer than was granted.
+// blockKey derives the key of one block. The expiry is part of the input, so that an entry
+// cannot mint tickets that are valid for longer than was granted.
 func blockKey(ledgerKey []byte, number uint64, expiryMS int64) []byte {
 	mac := hmac.New(sha256.New, ledgerKey)
 	writeString(mac, "apricothub ticket block")
@@ -47,8 +47,8 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-// writeString writes the length first: without it two different tickets could
-// give the same bytes, and one MAC would pass for both.
+// writeString writes the length first: otherwise two different tickets could give the same
+// bytes, and one MAC would be valid for both.
 func writeString(h hash.Hash, s string) {
 	writeUint(h, uint64(len(s)))
 	h.Write([]byte(s))
--- a/coord/ticket/minter.go
+++ b/coord/ticket/minter.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// mintWindowDivisor is the part of a block's lifetime in which it is minted from: the
-	// first half, so that a caller has at least the other half to use its ticket.
+	// mintWindowDivisor limits minting to the first half of a block's lifetime, so that a
+	// caller has at least the other half to use its ticket.
 	mintWindowDivisor = 2
-	// needBlockDivisor: another block is wanted when less than a quarter of one block, or of
-	// its time for minting, is left. The rest bridges the round trip.
+	// needBlockDivisor makes the minter ask for another block when a quarter of one block, or
+	// of its time for minting, is left. The rest covers the round trip to the agent.
 	needBlockDivisor = 4
-	// maxRetiredIncarnations bounds the incarnations remembered as replaced, for each VM.
+	// maxRetiredIncarnations is the number of replaced incarnations remembered for each VM.
 	maxRetiredIncarnations = 8
 )
 
-// Minter is an entry's stock of tickets, by agent.
+// Minter mints an entry's tickets from the blocks that agents have granted it.
 type Minter struct {
 	agents map[string]*agentBlocks
 }
 
-// agentBlocks is what a minter holds of one agent's VM.
+// agentBlocks holds the blocks granted by the agent on one VM.
 type agentBlocks struct {
 	incarnation string
 	blocks      []*heldBlock
-	// newestBlock is the highest block number taken in, if any was.
+	// newestBlock is the highest block number added, valid if hasNewest is set.
 	newestBlock uint64
 	hasNewest   bool
-	// retired holds incarnations that were replaced, oldest first.
+	// retired lists the incarnations that were replaced, oldest first.
 	retired []string
 }
 
 type heldBlock struct {
 	block   *api.TicketBlock
 	nextSeq uint32
-	// mintFrom and mintUntil bound the time for minting, on the entry's own clock.
+	// mintFrom and mintUntil limit the time for minting, on the entry's own clock.
 	mintFrom, mintUntil time.Duration
 }
 
@@ -55,9 +55,9 @@
 	return &Minter{agents: make(map[string]*agentBlocks)}
 }
 
-// Add takes in a block that an agent granted. The first block of a new incarnation
-// replaces those of the one before, and a block of a replaced incarnation that
-// arrives late is ignored: its tickets could only end as "outcome unknown".
+// Add adds a block that an agent granted. The first block of a new incarnation replaces the
+// blocks of the previous one. A delayed block of a replaced incarnation is ignored, because
+// its tickets could only end with an unknown outcome.
 func (m *Minter) Add(now time.Duration, b *api.TicketBlock) {
 	if b.GetAgentVm() == "" || b.GetCount() == 0 {
 		return
@@ -73,9 +73,9 @@
 	if s.incarnation != b.GetIncarnation() {
 		s.replaceIncarnation(b.GetIncarnation())
 	}
-	// Minted from twice, a block that was delivered twice would give two callers the
-	// same ticket, and one of them the other's answer. An agent numbers its blocks
-	// upwards, so a number not above the newest was taken in before or overtaken.
+	// Minting twice from a block that was delivered twice would give two callers the same
+	// ticket, and one of them the other's answer. An agent numbers its blocks in ascending
+	// order, so a number not above the newest is a duplicate or arrived out of order.
 	if s.hasNewest && b.GetBlock() <= s.newestBlock {
 		return
 	}
@@ -97,21 +97,20 @@
 	s.hasNewest = false
 }
 
-// usable returns the blocks that can still be minted from.
+// usable removes the blocks that cannot be minted from any more, and returns the rest.
 func (s *agentBlocks) usable(now time.Duration) []*heldBlock {
 	return slices.DeleteFunc(s.blocks, func(h *heldBlock) bool { return h.remaining(now) == 0 })
 }
 
-// Drop forgets the blocks of an agent, when its link is lost. Tickets minted
-// before stay good.
+// Drop discards the blocks of an agent whose link is lost. Tickets minted before stay valid.
 func (m *Minter) Drop(agentVM string) {
 	if s := m.agents[agentVM]; s != nil {
 		s.blocks = nil
 	}
 }
 
-// Mint makes a ticket for a customer that the agent on the VM will run. It returns
-// false when no block is held for it.
+// Mint mints a ticket for a customer's request to the agent on the VM. It returns false if no
+// block of that agent can be minted from.
 func (m *Minter) Mint(now time.Duration, agentVM, customer string) (*api.Ticket, bool) {
 	s := m.agents[agentVM]
 	if s == nil {
@@ -135,7 +134,7 @@
 	return t, true
 }
 
-// NeedsBlock says that it is time to ask the agent on the VM for another block.
+// NeedsBlock reports whether the entry should ask the agent on the VM for another block.
 func (m *Minter) NeedsBlock(now time.Duration, agentVM string) bool {
 	s := m.agents[agentVM]
 	if s == nil {
--- a/coord/ticket/minter_test.go
+++ b/coord/ticket/minter_test.go
@@ -10,7 +10,7 @@
 func TestMintStopsAtEndOfBlock(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	if m.NeedsBlock(0, testVM) {
-		t.Fatal("low with a full block")
+		t.Fatal("a block is needed although one is full")
 	}
 	seen := map[uint32]bool{}
 	for range testLimits.BlockSize {
@@ -20,7 +20,7 @@
 		t.Fatalf("%d different tickets, want %d", len(seen), testLimits.BlockSize)
 	}
 	if _, ok := m.Mint(0, testVM, testCustomer); ok || !m.NeedsBlock(0, testVM) {
-		t.Fatal("minted past the block")
+		t.Fatal("minted past the end of the block, or no block is needed")
 	}
 	m.Add(0, l.Grant(0))
 	if tk := mint(t, m, 0); tk.GetBlock() != 1 {
@@ -28,12 +28,12 @@
 	}
 }
 
-// A ticket must leave its caller time to use it, so minting stops at half the
-// lifetime, and the next block is asked for before that.
+// A caller needs time to use its ticket, so minting must stop at half the block's lifetime,
+// and the next block must be requested before that.
 func TestMintStopsAtHalfLifetime(t *testing.T) {
 	_, m := newLedgerAndMinter(testLimits)
 	if m.NeedsBlock(20*time.Second, testVM) || !m.NeedsBlock(25*time.Second, testVM) {
-		t.Fatal("low must turn true in the last quarter of the time for minting")
+		t.Fatal("a block must be needed in the last quarter of the time for minting, and not before")
 	}
 	mint(t, m, 29*time.Second)
 	if _, ok := m.Mint(30*time.Second, testVM, testCustomer); ok {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A block message arrives twice, the second time when the first is used up. Minted
-// from again, two callers would hold one ticket and share one answer.
+// A block arrives twice, the second time after its tickets are used up. If the minter minted
+// from it again, two callers would hold the same ticket and share one answer.
 func TestAddIgnoresDuplicateBlock(t *testing.T) {
 	l := NewLedger(testVM, "i1", testKey, testLimits)
 	m := NewMinter()
@@ -57,8 +57,8 @@
 	}
 }
 
-// The agent is replaced; then a block of the dead incarnation arrives late. Tickets
-// of it could only end as "outcome unknown", so the minter must not go back.
+// A block of a replaced incarnation arrives after a block of its successor. Its tickets could
+// only end with an unknown outcome, so the minter must ignore it.
 func TestAddIgnoresReplacedIncarnation(t *testing.T) {
 	old, m := newLedgerAndMinter(testLimits)
 	delayed := old.Grant(0)
@@ -80,7 +80,7 @@
 	m.Add(0, &api.TicketBlock{})
 	m.Drop("unknown")
 	if _, ok := m.Mint(0, "", testCustomer); ok || !m.NeedsBlock(0, testVM) {
-		t.Fatal("an empty block was taken in")
+		t.Fatal("an empty block was added")
 	}
 }
 
@@ -123,12 +123,12 @@
 		}
 		reencoded, err := Decode(Encode(decoded))
 		if err != nil || Encode(reencoded) != Encode(decoded) {
-			t.Fatalf("the form of %q does not hold: %v", text, err)
+			t.Fatalf("%q does not survive encoding and decoding: %v", text, err)
 		}
 		l := NewLedger(testVM, "i1", []byte("another key"), testLimits)
 		l.Grant(0)
 		if d := l.Begin(0, decoded, testCustomer, push, "a1"); d.Action != Refuse {
-			t.Fatalf("a ticket made elsewhere was taken: %+v", d)
+			t.Fatalf("a ticket made with another key was accepted: %+v", d)
 		}
 	})
 }
--- a/coord/ticket/property_test.go
+++ b/coord/ticket/property_test.go
@@ -11,31 +11,31 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// The seed is fixed so that every run is the same; -rapid.seed, -rapid.checks and
-// -rapid.steps on the command line go before these.
+// The fixed seed makes runs repeatable; -rapid.seed, -rapid.checks and -rapid.steps on the
+// command line override these values.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "500")
 	_ = flag.Set("rapid.steps", "100")
 }
 
-// world is one agent's VM, whose agent may be replaced, with callers whose copies
-// of requests arrive in any order, any number of times and at any time.
+// world models one VM, whose agent may be replaced, and callers whose requests arrive in any
+// order, any number of times and at any time.
 type world struct {
 	ledger      *Ledger
 	minter      *Minter
 	now         time.Duration
 	incarnation int
 	tickets     []*api.Ticket
-	// ran counts runs that reached the backend server, by ticket and by request.
+	// ran counts the runs that reached the backend server, by ticket and by request.
 	ran map[string]int
 	// toldNotRun holds tickets for which a caller was told "not run".
 	toldNotRun map[string]bool
-	// startedRuns holds what this incarnation has begun and not ended, by ticket.
+	// startedRuns holds the runs that this incarnation has begun and not ended, by ticket.
 	startedRuns map[string]*startedRun
 }
 
-// startedRun is a request that the ledger let run; it may still wait in the agent.
+// startedRun is a request that the ledger let run. It may still be queued in the agent.
 type startedRun struct {
 	request byte
 	sent    bool
@@ -49,7 +49,7 @@
 	w.startedRuns = map[string]*startedRun{}
 }
 
-// checkRefusal holds the decision against what has run so far.
+// checkRefusal checks the ran value of a refusal against what has run so far.
 func (w *world) checkRefusal(t *rapid.T, id string, request byte, d Decision) {
 	if d.Action != Refuse {
 		return
@@ -59,16 +59,16 @@
 		w.toldNotRun[id] = true
 	case api.Ran_RAN_YES:
 		if w.ran[fmt.Sprint(id, request)] != 1 {
-			t.Fatalf("%s: told %v, but the ledger of the service disagrees", id, d.Code)
+			t.Fatalf("%s: %v says that the request ran, but the backend server did not run it once", id, d.Code)
 		}
 	case api.Ran_RAN_UNSPECIFIED:
-		t.Fatalf("%s: %v says nothing on the run", id, d.Code)
+		t.Fatalf("%s: %v does not say whether the request ran", id, d.Code)
 	}
 }
 
-// A caller's request may be copied, overtaken, delivered after the question that
-// settled it, and presented to a replaced agent. Whatever the order, the service
-// sees each ticket once at most, and whoever was told "not run" was told the truth.
+// A request may be duplicated, reordered, delivered after it was settled, and presented to a
+// replaced agent. In any order, the backend server must run each ticket at most once, and no
+// request may run for which a caller was told "not run".
 func TestAtMostOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{minter: NewMinter(), ran: map[string]int{}, toldNotRun: map[string]bool{}}
@@ -107,7 +107,7 @@
 				tk, id := pick(t)
 				d := w.ledger.Settle(w.now, tk, testCustomer)
 				if d.Action == Refuse && d.Ran == api.Ran_RAN_YES && w.ran[id] != 1 {
-					t.Fatalf("%s: told that it ran", id)
+					t.Fatalf("%s: settled as run, but it did not run once", id)
 				}
 				if d.Action == Refuse && d.Ran == api.Ran_RAN_NO {
 					w.toldNotRun[id] = true
@@ -143,7 +143,7 @@
 			"": func(t *rapid.T) {
 				for id := range w.toldNotRun {
 					if w.ran[id] != 0 {
-						t.Fatalf("%s: ran, and a caller was told that it did not", id)
+						t.Fatalf("%s: ran, but a caller was told that it did not", id)
 					}
 				}
 				for _, tk := range w.tickets {
@@ -152,7 +152,7 @@
 					}
 				}
 				if s := w.ledger.Stats(); s.Blocks > testLimits.MaxBlocks {
-					t.Fatalf("%d blocks held, bound is %d", s.Blocks, testLimits.MaxBlocks)
+					t.Fatalf("%d blocks held, the limit is %d", s.Blocks, testLimits.MaxBlocks)
 				}
 			},
 		})
