--- a/coord/keybind/batcher.go
+++ b/coord/keybind/batcher.go
@@ -10,17 +10,17 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// MaxHeld is the room for held bindings, which a Room divides between customers. Folds
+// MaxHeldBindings is the room for held bindings, which a Room divides between customers. Folds
 // take all that the stream has, or they would differ; so it is exceeded by what is under
 // way.
 //
 // Load: 109 new keys a second for a lifetime of 20 minutes, over all entries. Harm
 // prevented: a customer's loop with a new key each time takes all entries' memory. At
 // some 300 bytes a binding the bound is 40 MB.
-const MaxHeld = 1 << 17
+const MaxHeldBindings = 1 << 17
 
-// maxBatch bounds the bindings of one record, so that records stay below some 50 KB.
-const maxBatch = 256
+// maxBatchBindings bounds the bindings of one record, so that records stay below some 50 KB.
+const maxBatchBindings = 256
 
 // Batcher gathers bindings into few records. One append is under way at a time, and two
 // begin at least an interval apart; a binding after a quiet time goes at once.
@@ -32,45 +32,45 @@
 // callers have long gone. A Room divides it, and customers take turns by their weight:
 // one team's burst of a thousand keys would fill it, and go before another's one push.
 type Batcher struct {
-	room     *Room
-	patience time.Duration
-	// waiting is in the order in which bindings go.
-	waiting []queued
-	// asked holds the keys that wait or are under way.
-	asked map[Key]bool
-	under []*api.KeyBinding
-	// turn is that of the newest binding that went; last is that of each customer's
-	// newest one that waits or went in this turn.
-	turn  float64
-	last  map[Customer]float64
-	busy  bool
-	began time.Duration
-	any   bool
+	quotas  *Quotas
+	maxWait time.Duration
+	// queue is in the order in which bindings go.
+	queue []queuedBinding
+	// pending holds the keys that wait or are under way.
+	pending  map[Key]bool
+	inFlight []*api.KeyBinding
+	// virtualTime is that of the newest binding that went; last is that of each customer's
+	// newest one that waits or went in this virtualTime.
+	virtualTime float64
+	nextStart   map[Customer]float64
+	appending   bool
+	lastAppend  time.Duration
+	hasAppended bool
 }
 
-// queued is a binding that waits for its turn.
-type queued struct {
+// queuedBinding is a binding that waits for its turn.
+type queuedBinding struct {
 	*api.KeyBinding
-	turn float64
+	start float64
 }
 
 // ErrFull says that too many bindings wait.
 var ErrFull = errors.New("too many keys wait to be bound")
 
-// ErrBeyondShare says that too many bindings of the customer wait.
-var ErrBeyondShare = errors.New("too many keys of the customer wait to be bound")
+// ErrOverShare says that too many bindings of the customer wait.
+var ErrOverShare = errors.New("too many keys of the customer wait to be bound")
 
-// ErrOverdue says that a request arrived too long ago to be bound.
-var ErrOverdue = errors.New("the request waited too long for its key to be bound")
+// ErrLate says that a request arrived too long ago to be bound.
+var ErrLate = errors.New("the request waited too long for its key to be bound")
 
 // NewBatcher returns a batcher that lets so many bindings wait. patience must be less
 // than the time that bindings are held by the time that callers are told.
-func NewBatcher(limit int, patience time.Duration) *Batcher {
-	return &Batcher{room: NewRoom(limit), patience: patience, asked: make(map[Key]bool), last: make(map[Customer]float64)}
+func NewBatcher(limit int, maxWait time.Duration) *Batcher {
+	return &Batcher{quotas: NewQuotas(limit), maxWait: maxWait, pending: make(map[Key]bool), nextStart: make(map[Customer]float64)}
 }
 
-// Room counts the bindings that wait or are under way.
-func (b *Batcher) Room() *Room { return b.room }
+// Quotas counts the bindings that wait or are under way.
+func (b *Batcher) Quotas() *Quotas { return b.quotas }
 
 // Add takes a binding to append for a request that arrived at a time, unless one of the
 // same key is on its way. Add it only when the key is unbound in the fold, and Drop it
@@ -79,50 +79,50 @@
 // was let go of meanwhile, so that it would run a second time.
 func (b *Batcher) Add(now, arrived time.Duration, key Key, request Request, ticket *api.Ticket) error {
 	switch {
-	case now-arrived >= b.patience:
-		return ErrOverdue
-	case b.asked[key]:
+	case now-arrived >= b.maxWait:
+		return ErrLate
+	case b.pending[key]:
 		return nil
 	}
-	customer := CustomerOf(ticket)
-	switch verdict, _ := b.room.Ask(customer, 0); verdict {
-	case BeyondShare:
-		return ErrBeyondShare
+	customer := CustomerOfTicket(ticket)
+	switch verdict, _ := b.quotas.Check(customer, 0); verdict {
+	case OverShare:
+		return ErrOverShare
 	case Full:
 		return ErrFull
-	case Free:
+	case Allowed:
 	}
-	b.asked[key] = true
-	b.room.count(customer, 1)
-	b.queue(customer, &api.KeyBinding{Key: key[:], Request: request[:], Ticket: ticket})
+	b.pending[key] = true
+	b.quotas.adjust(customer, 1)
+	b.enqueue(customer, &api.KeyBinding{Key: key[:], Request: request[:], Ticket: ticket})
 	return nil
 }
 
-// queue puts a binding in its place: a customer's next turn is by its weight later than
+// enqueue puts a binding in its place: a customer's next turn is by its weight later than
 // its last one, and never before the one that is being served.
-func (b *Batcher) queue(c Customer, binding *api.KeyBinding) {
-	turn := max(b.turn, b.last[c])
-	b.last[c] = turn + 1/b.room.weight(c)
-	i := len(b.waiting)
-	for i > 0 && b.waiting[i-1].turn > turn {
+func (b *Batcher) enqueue(c Customer, binding *api.KeyBinding) {
+	start := max(b.virtualTime, b.nextStart[c])
+	b.nextStart[c] = start + 1/b.quotas.weight(c)
+	i := len(b.queue)
+	for i > 0 && b.queue[i-1].start > start {
 		i--
 	}
-	b.waiting = slices.Insert(b.waiting, i, queued{binding, turn})
+	b.queue = slices.Insert(b.queue, i, queuedBinding{binding, start})
 }
 
-// Asked says whether a binding of the key waits or is under way.
-func (b *Batcher) Asked(key Key) bool { return b.asked[key] }
+// IsPending says whether a binding of the key waits or is under way.
+func (b *Batcher) IsPending(key Key) bool { return b.pending[key] }
 
-// Waiting is the number of bindings that wait.
-func (b *Batcher) Waiting() int { return len(b.waiting) }
+// Queued is the number of bindings that wait.
+func (b *Batcher) Queued() int { return len(b.queue) }
 
 // Drop takes a key's binding back that has not gone yet, since the key was bound
 // meanwhile. Appended, it would say of its base that the key is unbound there.
 func (b *Batcher) Drop(key Key) {
-	for i, binding := range b.waiting {
+	for i, binding := range b.queue {
 		if Key(binding.GetKey()) == key {
-			b.waiting = slices.Delete(b.waiting, i, i+1)
-			b.forget(binding.KeyBinding)
+			b.queue = slices.Delete(b.queue, i, i+1)
+			b.untrack(binding.KeyBinding)
 			return
 		}
 	}
@@ -130,58 +130,58 @@
 
 // Clear drops all bindings that have not gone yet.
 func (b *Batcher) Clear() {
-	for _, binding := range b.waiting {
-		b.forget(binding.KeyBinding)
+	for _, binding := range b.queue {
+		b.untrack(binding.KeyBinding)
 	}
-	b.waiting = nil
+	b.queue = nil
 }
 
-// forget takes a binding out of what is counted.
-func (b *Batcher) forget(binding *api.KeyBinding) {
-	delete(b.asked, Key(binding.GetKey()))
-	b.room.count(CustomerOf(binding.GetTicket()), -1)
+// untrack takes a binding out of what is counted.
+func (b *Batcher) untrack(binding *api.KeyBinding) {
+	delete(b.pending, Key(binding.GetKey()))
+	b.quotas.adjust(CustomerOfTicket(binding.GetTicket()), -1)
 }
 
-// Take begins an append and returns its bindings; with beat also one of none. With
+// BeginAppend begins an append and returns its bindings; with beat also one of none. With
 // false it says how long to wait before asking again, 0 for until something changes.
-func (b *Batcher) Take(now, interval time.Duration, beat bool) ([]*api.KeyBinding, time.Duration, bool) {
-	if b.busy || len(b.waiting) == 0 && !beat {
+func (b *Batcher) BeginAppend(now, interval time.Duration, allowEmpty bool) ([]*api.KeyBinding, time.Duration, bool) {
+	if b.appending || len(b.queue) == 0 && !allowEmpty {
 		return nil, 0, false
 	}
-	if left := b.began + interval - now; b.any && left > 0 {
-		return nil, left, false
+	if wait := b.lastAppend + interval - now; b.hasAppended && wait > 0 {
+		return nil, wait, false
 	}
-	n := min(len(b.waiting), maxBatch)
+	n := min(len(b.queue), maxBatchBindings)
 	batch := make([]*api.KeyBinding, 0, n)
-	for _, binding := range b.waiting[:n] {
+	for _, binding := range b.queue[:n] {
 		batch = append(batch, binding.KeyBinding)
-		b.turn = binding.turn
+		b.virtualTime = binding.start
 	}
-	b.waiting = slices.Delete(b.waiting, 0, n)
-	if len(b.waiting) == 0 {
+	b.queue = slices.Delete(b.queue, 0, n)
+	if len(b.queue) == 0 {
 		// All who come now begin anew, and nothing is kept of customers who are gone.
-		b.turn = 0
-		clear(b.last)
+		b.virtualTime = 0
+		clear(b.nextStart)
 	}
-	b.under = batch
-	b.busy, b.any, b.began = true, true, now
+	b.inFlight = batch
+	b.appending, b.hasAppended, b.lastAppend = true, true, now
 	return batch, 0, true
 }
 
-// Done ends the append and returns its keys. After a failure the record may stand in
+// EndAppend ends the append and returns its keys. After a failure the record may stand in
 // the stream or not; a later press of the key appends another, and the first one holds.
-func (b *Batcher) Done() []Key {
-	keys := make([]Key, 0, len(b.under))
-	for _, binding := range b.under {
+func (b *Batcher) EndAppend() []Key {
+	keys := make([]Key, 0, len(b.inFlight))
+	for _, binding := range b.inFlight {
 		keys = append(keys, Key(binding.GetKey()))
-		b.forget(binding)
+		b.untrack(binding)
 	}
-	b.busy, b.under = false, nil
+	b.appending, b.inFlight = false, nil
 	return keys
 }
 
-// Record makes the record of a batch. base is Next of the fold in which all its keys are
+// EncodeRecord makes the record of a batch. base is Next of the fold in which all its keys are
 // unbound.
-func Record(batch []*api.KeyBinding, base, released, wallMs int64) ([]byte, error) {
+func EncodeRecord(batch []*api.KeyBinding, base, released, wallMs int64) ([]byte, error) {
 	return proto.Marshal(&api.KeyRecord{Bindings: batch, Base: base, Released: released, AtMs: wallMs})
 }
--- a/coord/keybind/example_test.go
+++ b/coord/keybind/example_test.go
@@ -12,16 +12,16 @@
 func Example() {
 	key := keybind.KeyOf("north", "order 17")
 	request := keybind.RequestOf("POST", "/push", "1.99")
-	fold := keybind.New()
+	fold := keybind.NewFold()
 	for seq := range uint32(2) {
 		ticket := &api.Ticket{AgentVm: "vm-1", Incarnation: "i", Seq: seq}
 		binding := &api.KeyBinding{Key: key[:], Request: request[:], Ticket: ticket}
 		// Neither had read the other's record: both name the base 0.
-		record, _ := keybind.Record([]*api.KeyBinding{binding}, 0, -1, 1)
+		record, _ := keybind.EncodeRecord([]*api.KeyBinding{binding}, 0, -1, 1)
 		_, _ = fold.Apply(fold.Next(), record)
 	}
-	bound, _ := fold.Get(key)
-	ticket, _ := bound.OpenTicket()
+	bound, _ := fold.Lookup(key)
+	ticket, _ := bound.DecodeTicket()
 	fmt.Println(ticket.GetSeq(), bound.Request == request)
 	// Output: 0 true
 }
--- a/coord/keybind/fold.go
+++ b/coord/keybind/fold.go
@@ -22,23 +22,23 @@
 	// Offset is that of the binding's record, AtMs its appender's wall time.
 	Offset int64
 	AtMs   int64
-	// Unsure says that the base of the binding lies below the fold's floor: one that
+	// Unconfirmed says that the base of the binding lies below the fold's floor: one that
 	// came before it may have expired. Nothing may run by it, and nothing be said.
-	Unsure bool
+	Unconfirmed bool
 }
 
-// Current says whether the binding is so young that nobody can have let go of it, by the
+// IsCurrent says whether the binding is so young that nobody can have let go of it, by the
 // wall clock: less than limit, which must be less than the time that bindings are held
 // by the patience of batchers, and margin, by which clocks may differ. An entry that lags
 // may hold an older one while the key is bound anew and runs; its ticket is void, and
 // "not run" would be said to a retry of the request that runs.
-func (b Binding) Current(wallMs int64, limit, margin time.Duration) bool {
+func (b Binding) IsCurrent(wallMs int64, maxAge, margin time.Duration) bool {
 	age := wallMs - b.AtMs
-	return age >= -margin.Milliseconds() && age < (limit-margin).Milliseconds()
+	return age >= -margin.Milliseconds() && age < (maxAge-margin).Milliseconds()
 }
 
-// OpenTicket returns the binding's ticket.
-func (b Binding) OpenTicket() (*api.Ticket, error) {
+// DecodeTicket returns the binding's ticket.
+func (b Binding) DecodeTicket() (*api.Ticket, error) {
 	t := &api.Ticket{}
 	if err := proto.Unmarshal([]byte(b.Ticket), t); err != nil {
 		return nil, errors.Wrap(err, "ticket of a binding")
@@ -49,51 +49,51 @@
 // Fold is what the stream says up to an offset. Its zero value is not ready; see New.
 type Fold struct {
 	next int64
-	// floor is the oldest offset that this fold can speak of; what stood below had
+	// firstOffset is the oldest offset that this fold can speak of; what stood below had
 	// expired when it began.
-	floor int64
+	firstOffset int64
 	// firstAtMs is the wall time of the first record at or above the floor.
 	firstAtMs int64
-	// proven stays once it is found: the floor does not move, and a wall clock may.
-	proven   bool
+	// complete stays once it is found: the floor does not move, and a wall clock may.
+	complete bool
 	released int64
 	bindings map[Key]Binding
-	// order holds where keys were bound, oldest first.
-	order []place
-	// room counts the bindings of each customer; ends are where they stand.
-	room *Room
-	ends map[Customer][]end
+	// bindOrder holds where keys were bound, oldest first.
+	bindOrder []boundKey
+	// quotas counts the bindings of each customer; ends are where they stand.
+	quotas    *Quotas
+	recordsOf map[Customer][]recordBindings
 }
 
-type place struct {
+type boundKey struct {
 	offset int64
 	key    Key
 }
 
-// end says when some bindings of a customer run out, by their record.
-type end struct {
+// recordBindings says when some bindings of a customer run out, by their record.
+type recordBindings struct {
 	offset, atMs int64
-	n            int
+	count        int
 }
 
-// New returns the fold of an empty stream.
-func New() *Fold {
-	f := &Fold{room: NewRoom(MaxHeld)}
+// NewFold returns the fold of an empty stream.
+func NewFold() *Fold {
+	f := &Fold{quotas: NewQuotas(MaxHeldBindings)}
 	f.Restart(0)
 	return f
 }
 
-// Room counts the bindings held. Nothing in a fold depends on it: a fold takes all that
+// Quotas counts the bindings held. Nothing in a fold depends on it: a fold takes all that
 // the stream has, whatever its room says, since folds that began at different offsets
 // count differently, and one would hold a binding that another does not.
-func (f *Fold) Room() *Room { return f.room }
+func (f *Fold) Quotas() *Quotas { return f.quotas }
 
 // Restart empties the fold, to begin at the oldest offset kept when the next one has
 // expired. It does not go on across the gap: a binding in it may have come before one
 // that stands after it, and the key would run by both tickets.
 func (f *Fold) Restart(first int64) {
-	f.room.empty()
-	*f = Fold{next: first, floor: first, released: -1, bindings: make(map[Key]Binding), room: f.room, ends: make(map[Customer][]end)}
+	f.quotas.reset()
+	*f = Fold{next: first, firstOffset: first, released: -1, bindings: make(map[Key]Binding), quotas: f.quotas, recordsOf: make(map[Customer][]recordBindings)}
 }
 
 // Next is the offset of the next record to apply, and the base of what is appended now.
@@ -105,22 +105,22 @@
 // Held is the number of bindings held.
 func (f *Fold) Held() int { return len(f.bindings) }
 
-// Get returns what a key is bound to.
-func (f *Fold) Get(key Key) (Binding, bool) {
+// Lookup returns what a key is bound to.
+func (f *Fold) Lookup(key Key) (Binding, bool) {
 	b, ok := f.bindings[key]
 	return b, ok
 }
 
-// Proven says whether the fold knows every binding that lives. It began at an offset
+// IsComplete says whether the fold knows every binding that lives. It began at an offset
 // above 0 when older records had expired; if the oldest record left is not older than a
 // key's lifetime by the wall clock, then a binding that still lives may be among those
 // gone, and the key would run a second time. margin is how far clocks may differ.
-func (f *Fold) Proven(wallMs int64, lifetime, margin time.Duration) bool {
-	if f.floor == 0 || f.proven {
+func (f *Fold) IsComplete(wallMs int64, lifetime, margin time.Duration) bool {
+	if f.firstOffset == 0 || f.complete {
 		return true
 	}
-	f.proven = f.firstAtMs > 0 && wallMs-f.firstAtMs >= (lifetime+margin).Milliseconds()
-	return f.proven
+	f.complete = f.firstAtMs > 0 && wallMs-f.firstAtMs >= (lifetime+margin).Milliseconds()
+	return f.complete
 }
 
 // Apply takes the next record and returns the keys that it names. A record that cannot
@@ -162,48 +162,48 @@
 	if base <= f.released {
 		return
 	}
-	unsure := Binding{Customer: CustomerOf(b.GetTicket()), Offset: offset, AtMs: atMs, Unsure: true}
-	held, taken := f.bindings[key]
-	if taken && held.Offset >= base {
-		if held.Unsure {
+	unconfirmed := Binding{Customer: CustomerOfTicket(b.GetTicket()), Offset: offset, AtMs: atMs, Unconfirmed: true}
+	current, bound := f.bindings[key]
+	if bound && current.Offset >= base {
+		if current.Unconfirmed {
 			// Either of the two may be the first.
-			f.hold(key, unsure)
+			f.setBinding(key, unconfirmed)
 		}
 		return
 	}
-	if base < f.floor {
-		f.hold(key, unsure)
+	if base < f.firstOffset {
+		f.setBinding(key, unconfirmed)
 		return
 	}
 	// Marshal fails for text that is not UTF-8 only, which Unmarshal has refused.
 	ticket, _ := proto.Marshal(b.GetTicket())
-	sure := unsure
-	sure.Request, sure.Ticket, sure.Unsure = Request(b.GetRequest()), string(ticket), false
-	f.hold(key, sure)
+	confirmed := unconfirmed
+	confirmed.Request, confirmed.Ticket, confirmed.Unconfirmed = Request(b.GetRequest()), string(ticket), false
+	f.setBinding(key, confirmed)
 }
 
-func (f *Fold) hold(key Key, b Binding) {
-	if old, taken := f.bindings[key]; taken {
-		f.room.count(old.Customer, -1)
+func (f *Fold) setBinding(key Key, b Binding) {
+	if old, bound := f.bindings[key]; bound {
+		f.quotas.adjust(old.Customer, -1)
 	}
-	f.room.count(b.Customer, 1)
+	f.quotas.adjust(b.Customer, 1)
 	f.bindings[key] = b
-	f.order = append(f.order, place{offset: b.Offset, key: key})
-	ends := f.ends[b.Customer]
-	if n := len(ends); n > 0 && ends[n-1].offset == b.Offset {
-		ends[n-1].n++
+	f.bindOrder = append(f.bindOrder, boundKey{offset: b.Offset, key: key})
+	records := f.recordsOf[b.Customer]
+	if n := len(records); n > 0 && records[n-1].offset == b.Offset {
+		records[n-1].count++
 		return
 	}
-	f.ends[b.Customer] = append(ends, end{offset: b.Offset, atMs: b.AtMs, n: 1})
+	f.recordsOf[b.Customer] = append(records, recordBindings{offset: b.Offset, atMs: b.AtMs, count: 1})
 }
 
-// OldestAtMs is the wall time of the record that holds the n-th oldest binding of a
+// NthOldestOfCustomerAtMs is the wall time of the record that holds the n-th oldest binding of a
 // customer, n from 1; that of the newest when there are fewer, and 0 without any.
-func (f *Fold) OldestAtMs(c Customer, n int) int64 {
+func (f *Fold) NthOldestOfCustomerAtMs(c Customer, n int) int64 {
 	atMs := int64(0)
-	for _, e := range f.ends[c] {
-		atMs = e.atMs
-		n -= e.n
+	for _, r := range f.recordsOf[c] {
+		atMs = r.atMs
+		n -= r.count
 		if n <= 0 {
 			break
 		}
@@ -211,25 +211,25 @@
 	return atMs
 }
 
-// FirstAtMs is the same for the n-th oldest binding of all customers.
-func (f *Fold) FirstAtMs(n int) int64 {
-	if len(f.order) == 0 {
+// NthOldestAtMs is the same for the n-th oldest binding of all customers.
+func (f *Fold) NthOldestAtMs(n int) int64 {
+	if len(f.bindOrder) == 0 {
 		return 0
 	}
-	return f.bindings[f.order[min(max(n, 1), len(f.order))-1].key].AtMs
+	return f.bindings[f.bindOrder[min(max(n, 1), len(f.bindOrder))-1].key].AtMs
 }
 
-// dropEnds forgets where a customer's bindings up to an offset stood.
-func (f *Fold) dropEnds(c Customer, through int64) {
-	ends := f.ends[c]
-	for len(ends) > 0 && ends[0].offset <= through {
-		ends = ends[1:]
+// dropRecordsOf forgets where a customer's bindings up to an offset stood.
+func (f *Fold) dropRecordsOf(c Customer, through int64) {
+	records := f.recordsOf[c]
+	for len(records) > 0 && records[0].offset <= through {
+		records = records[1:]
 	}
-	if len(ends) == 0 {
-		delete(f.ends, c)
+	if len(records) == 0 {
+		delete(f.recordsOf, c)
 		return
 	}
-	f.ends[c] = ends
+	f.recordsOf[c] = records
 }
 
 // release lets go of the bindings up to an offset.
@@ -239,31 +239,31 @@
 	}
 	f.released = through
 	n := 0
-	for n < len(f.order) && f.order[n].offset <= through {
-		f.letGo(f.order[n].key, through)
+	for n < len(f.bindOrder) && f.bindOrder[n].offset <= through {
+		f.releaseKey(f.bindOrder[n].key, through)
 		n++
 	}
-	f.order = f.order[n:]
+	f.bindOrder = f.bindOrder[n:]
 }
 
-// letGo lets go of a key if it was bound at an offset or below.
-func (f *Fold) letGo(key Key, through int64) {
-	b, taken := f.bindings[key]
-	if !taken {
+// releaseKey lets go of a key if it was bound at an offset or below.
+func (f *Fold) releaseKey(key Key, through int64) {
+	b, bound := f.bindings[key]
+	if !bound {
 		return
 	}
-	f.dropEnds(b.Customer, through)
+	f.dropRecordsOf(b.Customer, through)
 	if b.Offset <= through {
-		f.room.count(b.Customer, -1)
+		f.quotas.adjust(b.Customer, -1)
 		delete(f.bindings, key)
 	}
 }
 
-// Newest returns up to n keys, the newest first.
-func (f *Fold) Newest(n int) []Key {
+// NewestKeys returns up to n keys, the newest first.
+func (f *Fold) NewestKeys(n int) []Key {
 	keys := make([]Key, 0, n)
-	for i := len(f.order) - 1; i >= 0 && len(keys) < n; i-- {
-		keys = append(keys, f.order[i].key)
+	for i := len(f.bindOrder) - 1; i >= 0 && len(keys) < n; i-- {
+		keys = append(keys, f.bindOrder[i].key)
 	}
 	return keys
 }
--- a/coord/keybind/key.go
+++ b/coord/keybind/key.go
@@ -44,13 +44,13 @@
 	_, _ = h.Write([]byte(part))
 }
 
-// maxKey bounds a key, bytes. UUIDs and order numbers are far below it.
-const maxKey = 255
+// maxKeyBytes bounds a key, bytes. UUIDs and order numbers are far below it.
+const maxKeyBytes = 255
 
-// ValidKey says whether a caller's text can be a key: printable ASCII of bounded
+// IsValidKey says whether a caller's text can be a key: printable ASCII of bounded
 // length.
-func ValidKey(text string) bool {
-	if text == "" || len(text) > maxKey {
+func IsValidKey(text string) bool {
+	if text == "" || len(text) > maxKeyBytes {
 		return false
 	}
 	for i := range len(text) {
--- a/coord/keybind/keybind_test.go
+++ b/coord/keybind/keybind_test.go
@@ -21,7 +21,7 @@
 
 func recordOf(t testing.TB, base, released int64, key Key, seq uint32) []byte {
 	t.Helper()
-	data, err := Record([]*api.KeyBinding{{Key: key[:], Request: make([]byte, digestSize), Ticket: ticketOf(seq)}}, base, released, 1)
+	data, err := EncodeRecord([]*api.KeyBinding{{Key: key[:], Request: make([]byte, digestSize), Ticket: ticketOf(seq)}}, base, released, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,49 +41,49 @@
 // An entry starts after records have expired. Two bindings of a key stand in what is
 // left, both with bases among what is gone: it cannot know which was the first, and must
 // be unsure until one was made by somebody who had read both.
-func TestUnsureUntilABaseIsKnown(t *testing.T) {
-	f, key := New(), Key{1}
+func TestUnconfirmedUntilABaseIsKnown(t *testing.T) {
+	f, key := NewFold(), Key{1}
 	f.Restart(10)
 	apply(t, f, recordOf(t, 9, -1, key, 1), recordOf(t, 10, -1, key, 2))
-	if b, ok := f.Get(key); !ok || !b.Unsure || b.Offset != 11 {
+	if b, ok := f.Lookup(key); !ok || !b.Unconfirmed || b.Offset != 11 {
 		t.Errorf("after two bindings: %+v, %v", b, ok)
 	}
 	apply(t, f, recordOf(t, 12, -1, key, 3))
-	b, _ := f.Get(key)
-	if got, err := b.OpenTicket(); err != nil || b.Unsure || got.GetSeq() != 3 {
+	b, _ := f.Lookup(key)
+	if got, err := b.DecodeTicket(); err != nil || b.Unconfirmed || got.GetSeq() != 3 {
 		t.Errorf("after a sure one: %+v, %v", b, err)
 	}
 	// The older places of the key in the order of release do not take it along.
 	apply(t, f, recordOf(t, 13, 11, Key{2}, 4))
-	if _, ok := f.Get(key); !ok {
+	if _, ok := f.Lookup(key); !ok {
 		t.Error("the newer binding was let go with the older ones")
 	}
 	apply(t, f, recordOf(t, 14, 12, Key{3}, 5))
-	if _, ok := f.Get(key); ok {
+	if _, ok := f.Lookup(key); ok {
 		t.Error("the binding was not let go")
 	}
 }
 
 // An append is under way until the binding that its entry had not read was let go of. It
 // must not bind: its ticket may still run, and the key has run in the meantime.
-func TestAnAppendThatOutlivesAKey(t *testing.T) {
-	f, key := New(), Key{1}
+func TestDelayedAppendDoesNotBindAfterRelease(t *testing.T) {
+	f, key := NewFold(), Key{1}
 	apply(t, f, recordOf(t, 0, -1, key, 1), recordOf(t, 1, 0, Key{2}, 2), recordOf(t, 0, -1, key, 3))
-	if b, ok := f.Get(key); ok {
+	if b, ok := f.Lookup(key); ok {
 		t.Errorf("bound: %+v", b)
 	}
 	apply(t, f, recordOf(t, 3, 0, key, 4))
-	if _, ok := f.Get(key); !ok {
+	if _, ok := f.Lookup(key); !ok {
 		t.Error("an entry that had read all of it cannot bind the key")
 	}
 }
 
 // A record that a newer version, or a fault, put into the stream must not stop the
 // reader: no key would be bound any more.
-func TestRecordsThatCannotBeRead(t *testing.T) {
-	f := New()
+func TestInvalidRecordsAreIgnored(t *testing.T) {
+	f := NewFold()
 	apply(t, f, []byte("\xff\xff"), recordOf(t, 1, 1<<60, Key{1}, 1))
-	short, _ := Record([]*api.KeyBinding{{Key: []byte("short")}}, 2, 1<<60, 1)
+	short, _ := EncodeRecord([]*api.KeyBinding{{Key: []byte("short")}}, 2, 1<<60, 1)
 	apply(t, f, short)
 	if f.Held() != 0 || f.Released() != 1 || f.Next() != 3 {
 		t.Errorf("%d held, released %d, next %d", f.Held(), f.Released(), f.Next())
@@ -95,32 +95,32 @@
 
 // Records that come often are counted together, and each is taken for younger than it
 // is, never for older.
-func TestAgesAreNeverTooOld(t *testing.T) {
+func TestAgesAreNeverOverestimated(t *testing.T) {
 	const lifetime = 320 * time.Second
-	a := NewAges(lifetime)
+	a := NewAgeTracker(lifetime)
 	seen := map[int64]time.Duration{}
 	for n := range int64(2000) {
 		now := time.Duration(n) * time.Second
-		a.Saw(now, n)
+		a.Observe(now, n)
 		seen[n] = now
-		if r := a.Released(now); r >= 0 && now-seen[r] < lifetime {
+		if r := a.ExpiredThrough(now); r >= 0 && now-seen[r] < lifetime {
 			t.Fatalf("record %d is released after %v", r, now-seen[r])
 		}
-		if len(a.marks) > marksPerLifetime+2 {
-			t.Fatalf("%d marks", len(a.marks))
+		if len(a.checkpoints) > checkpointsPerLifetime+2 {
+			t.Fatalf("%d marks", len(a.checkpoints))
 		}
 	}
-	if r := a.Released(2000 * time.Second); r < 1600 {
+	if r := a.ExpiredThrough(2000 * time.Second); r < 1600 {
 		t.Errorf("released up to %d only", r)
 	}
 }
 
 // A burst of keys goes out in few records with a pause between them; what is over the
 // bound is refused, and a key on its way is not asked for twice.
-func TestBatches(t *testing.T) {
+func TestBatcherLimitsRecordsAndQueue(t *testing.T) {
 	const interval = 10 * time.Millisecond
-	b := NewBatcher(maxBatch+10, time.Minute)
-	for i := range maxBatch + 10 {
+	b := NewBatcher(maxBatchBindings+10, time.Minute)
+	for i := range maxBatchBindings + 10 {
 		if err := b.Add(0, 0, Key{byte(i), byte(i >> 8)}, Request{}, ticketOf(1)); err != nil {
 			t.Fatal(err)
 		}
@@ -128,27 +128,27 @@
 	if err := b.Add(0, 0, Key{9, 9, 9}, Request{}, ticketOf(1)); !errors.Is(err, ErrFull) {
 		t.Errorf("over the bound: %v", err)
 	}
-	if err := b.Add(0, 0, Key{1}, Request{}, ticketOf(1)); err != nil || b.Waiting() != maxBatch+10 {
-		t.Errorf("the same again: %v, %d wait", err, b.Waiting())
+	if err := b.Add(0, 0, Key{1}, Request{}, ticketOf(1)); err != nil || b.Queued() != maxBatchBindings+10 {
+		t.Errorf("the same again: %v, %d wait", err, b.Queued())
 	}
-	batch, _, ok := b.Take(time.Second, interval, false)
-	if !ok || len(batch) != maxBatch {
+	batch, _, ok := b.BeginAppend(time.Second, interval, false)
+	if !ok || len(batch) != maxBatchBindings {
 		t.Fatalf("%d in the first record", len(batch))
 	}
-	if _, _, ok := b.Take(time.Hour, interval, true); ok {
+	if _, _, ok := b.BeginAppend(time.Hour, interval, true); ok {
 		t.Error("two appends at once")
 	}
-	b.Done()
-	if _, wait, ok := b.Take(time.Second+interval/2, interval, false); ok || wait != interval/2 {
+	b.EndAppend()
+	if _, wait, ok := b.BeginAppend(time.Second+interval/2, interval, false); ok || wait != interval/2 {
 		t.Errorf("too soon: %v, %v", wait, ok)
 	}
-	if batch, _, ok := b.Take(time.Second+interval, interval, false); !ok || len(batch) != 10 {
+	if batch, _, ok := b.BeginAppend(time.Second+interval, interval, false); !ok || len(batch) != 10 {
 		t.Errorf("%d in the second record", len(batch))
 	}
-	if keys := b.Done(); len(keys) != 10 || b.Asked(keys[0]) {
+	if keys := b.EndAppend(); len(keys) != 10 || b.IsPending(keys[0]) {
 		t.Errorf("done: %d keys", len(keys))
 	}
-	if batch, _, ok := b.Take(time.Hour, interval, true); !ok || len(batch) != 0 {
+	if batch, _, ok := b.BeginAppend(time.Hour, interval, true); !ok || len(batch) != 0 {
 		t.Errorf("a record of no binding: %d, %v", len(batch), ok)
 	}
 }
@@ -158,21 +158,21 @@
 	f.Add(recordOf(f, 0, -1, Key{1}, 1), recordOf(f, 1, 0, Key{1}, 2))
 	f.Add([]byte("\xff"), []byte{})
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		fold := New()
+		fold := NewFold()
 		apply(t, fold, a, b)
-		if fold.Next() != 2 || fold.Held() > len(fold.order) {
-			t.Errorf("next %d, held %d in %d places", fold.Next(), fold.Held(), len(fold.order))
+		if fold.Next() != 2 || fold.Held() > len(fold.bindOrder) {
+			t.Errorf("next %d, held %d in %d places", fold.Next(), fold.Held(), len(fold.bindOrder))
 		}
 	})
 }
 
 // What callers may send as a key of their own.
-func TestValidKeys(t *testing.T) {
+func TestIsValidKey(t *testing.T) {
 	for text, want := range map[string]bool{
 		"": false, "order 17": true, strings.Repeat("k", 255): true, strings.Repeat("k", 256): false,
 		"k\x7f": false, "k\n": false, "k\xc3\xa9": false, `"quoted"`: true,
 	} {
-		if ValidKey(text) != want {
+		if IsValidKey(text) != want {
 			t.Errorf("%q: %v", text, !want)
 		}
 	}
@@ -187,7 +187,7 @@
 	for i := range records {
 		records[i] = recordOf(b, int64(i), -1, KeyOf("c", strconv.Itoa(i)), uint32(i))
 	}
-	f := New()
+	f := NewFold()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/coord/keybind/property_test.go
+++ b/coord/keybind/property_test.go
@@ -21,9 +21,9 @@
 }
 
 const (
-	toldFor = 100 * time.Second // what callers are told
-	hold    = 2 * toldFor
-	margin  = time.Second
+	promisedLifetime = 100 * time.Second // what callers are told
+	holdTime         = 2 * promisedLifetime
+	clockMargin      = time.Second
 )
 
 // world is a stream, entries that are replaced at any time, and the agents' view of the
@@ -35,13 +35,13 @@
 	// retention is how long the stream keeps records; less than it should at times.
 	retention time.Duration
 	entries   []*simEntry
-	flights   []*flight
+	inFlight  []*pendingAppend
 	tickets   []*simTicket
-	sends     []simSend
+	sent      []sentRequest
 	// ran holds the tickets that ran, by key.
 	ran map[Key][]*simTicket
-	// notRun holds the requests that were told so, by key.
-	notRun map[Key][]simSend
+	// toldNotRun holds the requests that were told so, by key.
+	toldNotRun map[Key][]sentRequest
 }
 
 type record struct {
@@ -49,28 +49,28 @@
 	at   time.Duration
 }
 
-// flight is an append whose record may land at any later time, or never.
-type flight struct{ data []byte }
+// pendingAppend is an append whose record may land at any later time, or never.
+type pendingAppend struct{ data []byte }
 
 type simEntry struct {
 	fold    *Fold
-	ages    *Ages
+	ages    *AgeTracker
 	batcher *Batcher
-	waiting []simPress
+	waiting []simRequest
 	// arrivals wait for the gate, or for a process that is paused.
-	arrivals []simPress
+	arrivals []simRequest
 }
 
-type simPress struct {
+type simRequest struct {
 	key     Key
 	request Request
 	arrived time.Duration
 }
 
-// simSend is a request under way to the agent of its key's ticket.
-type simSend struct {
+// sentRequest is a request under way to the agent of its key's ticket.
+type sentRequest struct {
 	*simTicket
-	press simPress
+	request simRequest
 }
 
 type simTicket struct {
@@ -82,25 +82,25 @@
 }
 
 func newEntry() *simEntry {
-	return &simEntry{fold: New(), ages: NewAges(hold), batcher: NewBatcher(3, toldFor/2)}
+	return &simEntry{fold: NewFold(), ages: NewAgeTracker(holdTime), batcher: NewBatcher(3, promisedLifetime/2)}
 }
 
-func (w *world) proven(e *simEntry) bool {
-	return e.fold.Proven(w.wall(), hold, margin)
+func (w *world) isComplete(e *simEntry) bool {
+	return e.fold.IsComplete(w.wallMs(), holdTime, clockMargin)
 }
 
-func (w *world) wall() int64 { return (w.now + 1000*time.Hour).Milliseconds() }
+func (w *world) wallMs() int64 { return (w.now + 1000*time.Hour).Milliseconds() }
 
-// press is one request under a key, at an entry.
-func (w *world) press(t *rapid.T, e *simEntry, p simPress) {
-	if w.use(t, e, p) || !w.proven(e) {
+// handle is one request under a key, at an entry.
+func (w *world) handle(t *rapid.T, e *simEntry, p simRequest) {
+	if w.sendIfBound(t, e, p) || !w.isComplete(e) {
 		return
 	}
-	if verdict, _ := e.fold.Room().Ask(Customer{p.key[0]}, 0); verdict != Free {
+	if verdict, _ := e.fold.Quotas().Check(Customer{p.key[0]}, 0); verdict != Allowed {
 		return
 	}
 	// The ticket was minted in the first half of its block's life.
-	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: w.now + hold}
+	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: w.now + holdTime}
 	name := &api.Ticket{Seq: uint32(len(w.tickets)), AgentVm: "vm", Customer: p.key[:1]}
 	if e.batcher.Add(w.now, p.arrived, p.key, p.request, name) == nil {
 		w.tickets = append(w.tickets, ticket)
@@ -108,36 +108,36 @@
 	}
 }
 
-// use sends a request under the ticket that its key is bound to, if the entry knows it.
-func (w *world) use(t *rapid.T, e *simEntry, p simPress) bool {
-	b, ok := e.fold.Get(p.key)
+// sendIfBound sends a request under the ticket that its key is bound to, if the entry knows it.
+func (w *world) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
+	b, ok := e.fold.Lookup(p.key)
 	if !ok {
 		return false
 	}
-	if b.Unsure || !w.proven(e) || b.Request != p.request || !b.Current(w.wall(), hold-toldFor/2, margin) {
+	if b.Unconfirmed || !w.isComplete(e) || b.Request != p.request || !b.IsCurrent(w.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
 		return true
 	}
-	ticket, err := b.OpenTicket()
+	ticket, err := b.DecodeTicket()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if w.tickets[ticket.GetSeq()].key != p.key {
 		t.Fatal("a key is bound to the ticket of another one")
 	}
-	w.sends = append(w.sends, simSend{w.tickets[ticket.GetSeq()], p})
+	w.sent = append(w.sent, sentRequest{w.tickets[ticket.GetSeq()], p})
 	return true
 }
 
-func (w *world) take(t *rapid.T, e *simEntry, beat bool) {
-	batch, _, ok := e.batcher.Take(w.now, 0, beat)
+func (w *world) beginAppend(t *rapid.T, e *simEntry, allowEmpty bool) {
+	batch, _, ok := e.batcher.BeginAppend(w.now, 0, allowEmpty)
 	if !ok {
 		return
 	}
-	data, err := Record(batch, e.fold.Next(), e.ages.Released(w.now), w.wall())
+	data, err := EncodeRecord(batch, e.fold.Next(), e.ages.ExpiredThrough(w.now), w.wallMs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.flights = append(w.flights, &flight{data: data})
+	w.inFlight = append(w.inFlight, &pendingAppend{data: data})
 }
 
 func (w *world) read(t *rapid.T, e *simEntry, limit int) {
@@ -156,49 +156,49 @@
 		}
 		limit--
 	}
-	e.ages.Saw(w.now, e.fold.Next()-1)
-	var rest []simPress
+	e.ages.Observe(w.now, e.fold.Next()-1)
+	var stillWaiting []simRequest
 	for _, p := range e.waiting {
-		if !w.use(t, e, p) {
-			rest = append(rest, p)
+		if !w.sendIfBound(t, e, p) {
+			stillWaiting = append(stillWaiting, p)
 		}
 	}
-	e.waiting = rest
+	e.waiting = stillWaiting
 }
 
-// land lets an append stand in the stream.
-func (w *world) land(i int) {
-	w.records = append(w.records, record{w.flights[i].data, w.now})
-	w.flights = slices.Delete(w.flights, i, i+1)
+// commitAppend lets an append stand in the stream.
+func (w *world) commitAppend(i int) {
+	w.records = append(w.records, record{w.inFlight[i].data, w.now})
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 }
 
 func (w *world) deliverNewest() {
-	if n := len(w.sends); n > 0 {
-		w.deliver(w.sends[n-1])
+	if n := len(w.sent); n > 0 {
+		w.deliver(w.sent[n-1])
 	}
 }
 
 // deliver is the agent's decision on a ticket.
-func (w *world) deliver(s simSend) {
+func (w *world) deliver(s sentRequest) {
 	switch {
 	case s.ran:
 	case s.void || w.now >= s.expiry:
 		s.void = true
-		w.notRun[s.key] = append(w.notRun[s.key], s)
+		w.toldNotRun[s.key] = append(w.toldNotRun[s.key], s)
 	default:
 		s.ran = true
 		w.ran[s.key] = append(w.ran[s.key], s.simTicket)
 	}
 }
 
-// checkTold: who was told "not run" has not run, not by an earlier request either of
+// checkToldNotRun: who was told "not run" has not run, not by an earlier request either of
 // which this one was a retry in good time.
-func (w *world) checkTold(t *rapid.T) {
-	for key, all := range w.notRun {
-		for _, told := range all {
+func (w *world) checkToldNotRun(t *rapid.T) {
+	for key, all := range w.toldNotRun {
+		for _, refused := range all {
 			for _, ran := range w.ran[key] {
-				since := told.press.arrived - ran.arrived
-				if ran != told.simTicket && since >= 0 && since < toldFor {
+				since := refused.request.arrived - ran.arrived
+				if ran != refused.simTicket && since >= 0 && since < promisedLifetime {
 					t.Fatalf("told \"not run\" at a retry %v after a request that runs", since)
 				}
 			}
@@ -209,43 +209,43 @@
 // check: a key runs again only for a request that arrived after the time that callers
 // were told, counted from the request that it was first bound for.
 func (w *world) check(t *rapid.T) {
-	w.checkTold(t)
+	w.checkToldNotRun(t)
 	for _, all := range w.ran {
 		for i, a := range all {
 			for _, b := range all[:i] {
-				if gap := a.arrived - b.arrived; gap > -toldFor && gap < toldFor {
+				if gap := a.arrived - b.arrived; gap > -promisedLifetime && gap < promisedLifetime {
 					t.Fatalf("a key ran twice, for requests that arrived %v apart", gap)
 				}
 			}
 		}
 	}
 	for i, a := range w.entries {
-		checkCounts(t, a.fold)
+		checkQuotas(t, a.fold)
 		for _, b := range w.entries[:i] {
-			w.checkSame(t, a, b)
+			w.checkFoldsAgree(t, a, b)
 		}
 	}
 }
 
-// checkCounts: the room of a fold counts what the fold holds.
-func checkCounts(t *rapid.T, f *Fold) {
+// checkQuotas: the room of a fold counts what the fold holds.
+func checkQuotas(t *rapid.T, f *Fold) {
 	counts := map[Customer]int{}
 	for _, b := range f.bindings {
 		counts[b.Customer]++
 	}
-	if !maps.Equal(counts, f.room.held) || f.room.total != len(f.bindings) || len(f.ends) > len(counts) {
-		t.Fatalf("%v are counted, and %v held", f.room.held, counts)
+	if !maps.Equal(counts, f.quotas.held) || f.quotas.total != len(f.bindings) || len(f.recordsOf) > len(counts) {
+		t.Fatalf("%v are counted, and %v held", f.quotas.held, counts)
 	}
 }
 
-// checkSame: two folds at one offset that are sure of a key agree on its ticket.
-func (w *world) checkSame(t *rapid.T, a, b *simEntry) {
-	if a.fold.Next() != b.fold.Next() || !w.proven(a) || !w.proven(b) {
+// checkFoldsAgree: two folds at one offset that are sure of a key agree on its ticket.
+func (w *world) checkFoldsAgree(t *rapid.T, a, b *simEntry) {
+	if a.fold.Next() != b.fold.Next() || !w.isComplete(a) || !w.isComplete(b) {
 		return
 	}
-	for key, one := range a.fold.bindings {
-		other, ok := b.fold.bindings[key]
-		if ok && !one.Unsure && !other.Unsure && one.Ticket != other.Ticket {
+	for key, inA := range a.fold.bindings {
+		inB, ok := b.fold.bindings[key]
+		if ok && !inA.Unconfirmed && !inB.Unconfirmed && inA.Ticket != inB.Ticket {
 			t.Fatal("two folds of the same records bind a key to two tickets")
 		}
 	}
@@ -257,59 +257,59 @@
 // other keys for want of room. A key runs once in the time that callers were told.
 func TestAKeyRunsOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{ran: map[Key][]*simTicket{}, notRun: map[Key][]simSend{}}
-		w.retention = rapid.SampledFrom([]time.Duration{toldFor / 5, hold, 2 * hold}).Draw(t, "retention")
+		w := &world{ran: map[Key][]*simTicket{}, toldNotRun: map[Key][]sentRequest{}}
+		w.retention = rapid.SampledFrom([]time.Duration{promisedLifetime / 5, holdTime, 2 * holdTime}).Draw(t, "retention")
 		for range 3 {
 			w.entries = append(w.entries, newEntry())
 		}
-		entry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(w.entries).Draw(t, "entry") }
+		pickEntry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(w.entries).Draw(t, "entry") }
 		pick := func(t *rapid.T, n int) int {
 			if n == 0 {
 				t.Skip("none")
 			}
 			return rapid.IntRange(0, n-1).Draw(t, "which")
 		}
-		press := func(t *rapid.T) simPress {
-			return simPress{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: w.now}
+		newRequest := func(t *rapid.T) simRequest {
+			return simRequest{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: w.now}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": func(t *rapid.T) { e := entry(t); e.arrivals = append(e.arrivals, press(t)) },
+			"arrive": func(t *rapid.T) { e := pickEntry(t); e.arrivals = append(e.arrivals, newRequest(t)) },
 			"press": func(t *rapid.T) {
-				e := entry(t)
+				e := pickEntry(t)
 				for _, p := range e.arrivals {
-					w.press(t, e, p)
+					w.handle(t, e, p)
 				}
 				e.arrivals = nil
 			},
 			"press and go on": func(t *rapid.T) {
-				e := entry(t)
-				w.press(t, e, press(t))
-				w.take(t, e, false)
+				e := pickEntry(t)
+				w.handle(t, e, newRequest(t))
+				w.beginAppend(t, e, false)
 			},
-			"take": func(t *rapid.T) { w.take(t, entry(t), false) },
-			"beat": func(t *rapid.T) { w.take(t, entry(t), true) },
-			"land": func(t *rapid.T) { w.land(pick(t, len(w.flights))) },
+			"take": func(t *rapid.T) { w.beginAppend(t, pickEntry(t), false) },
+			"beat": func(t *rapid.T) { w.beginAppend(t, pickEntry(t), true) },
+			"land": func(t *rapid.T) { w.commitAppend(pick(t, len(w.inFlight))) },
 			"land all": func(*rapid.T) {
-				for len(w.flights) > 0 {
-					w.land(0)
+				for len(w.inFlight) > 0 {
+					w.commitAppend(0)
 				}
 			},
-			"lose": func(t *rapid.T) { i := pick(t, len(w.flights)); w.flights = slices.Delete(w.flights, i, i+1) },
+			"lose": func(t *rapid.T) { i := pick(t, len(w.inFlight)); w.inFlight = slices.Delete(w.inFlight, i, i+1) },
 			"done": func(*rapid.T) {
 				for _, e := range w.entries {
-					e.batcher.Done()
+					e.batcher.EndAppend()
 				}
 			},
-			"read": func(t *rapid.T) { w.read(t, entry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
+			"read": func(t *rapid.T) { w.read(t, pickEntry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
 			"read all": func(t *rapid.T) {
-				e := entry(t)
+				e := pickEntry(t)
 				w.read(t, e, len(w.records))
 				w.deliverNewest()
 			},
 			"replace":        func(t *rapid.T) { w.entries[pick(t, len(w.entries))] = newEntry() },
-			"deliver":        func(t *rapid.T) { w.deliver(w.sends[pick(t, len(w.sends))]) },
+			"deliver":        func(t *rapid.T) { w.deliver(w.sent[pick(t, len(w.sent))]) },
 			"deliver newest": func(*rapid.T) { w.deliverNewest() },
-			"void":           func(t *rapid.T) { s := w.sends[pick(t, len(w.sends))]; s.void = !s.ran || s.void },
+			"void":           func(t *rapid.T) { s := w.sent[pick(t, len(w.sent))]; s.void = !s.ran || s.void },
 			"pass":           func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
 			"pass long":      func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
 			"expire": func(*rapid.T) {
@@ -319,9 +319,9 @@
 			},
 			// Each entry has room and shares of its own: no two judge alike.
 			"room": func(t *rapid.T) {
-				f := entry(t).fold
-				f.room.size = rapid.SampledFrom([]int{1, 2, MaxHeld}).Draw(t, "size")
-				f.room.SetShares(equal(rapid.ByteRange(1, 3).Draw(t, "customers")))
+				f := pickEntry(t).fold
+				f.quotas.limit = rapid.SampledFrom([]int{1, 2, MaxHeldBindings}).Draw(t, "size")
+				f.quotas.SetShares(equalShares(rapid.ByteRange(1, 3).Draw(t, "customers")))
 			},
 			"": w.check,
 		})
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -56,7 +56,7 @@
 
 	mu      sync.Mutex
 	fold    *keybind.Fold
-	ages    *keybind.Ages
+	ages    *keybind.AgeTracker
 	batcher *keybind.Batcher
 	// names are the customers with shares, by their digests.
 	names   map[keybind.Customer]string
@@ -117,8 +117,8 @@
 		},
 		counts:  newKeyCounters(e.registry),
 		logger:  e.logger,
-		fold:    keybind.New(),
-		ages:    keybind.NewAges(hold),
+		fold:    keybind.NewFold(),
+		ages:    keybind.NewAgeTracker(hold),
 		batcher: keybind.NewBatcher(int(s.GetWaiting()), lifetime/patienceShare),
 		waiting: make(map[keybind.Key]*keyWait),
 		asked:   make(chan struct{}, 1),
@@ -139,7 +139,7 @@
 func (k *keys) lookUp(key keybind.Key) (keybind.Binding, bool, *result.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	b, ok := k.fold.Get(key)
+	b, ok := k.fold.Lookup(key)
 	if ok && !k.usable(b) {
 		return b, false, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetry)
 	}
@@ -149,11 +149,11 @@
 // usable says whether a key is surely bound as this entry holds it.
 func (k *keys) usable(b keybind.Binding) bool {
 	limit := k.hold - k.lifetime/patienceShare
-	return !b.Unsure && k.proven() && b.Current(time.Now().UnixMilli(), limit, clockMargin)
+	return !b.Unconfirmed && k.proven() && b.IsCurrent(time.Now().UnixMilli(), limit, clockMargin)
 }
 
 func (k *keys) proven() bool {
-	return k.fold.Proven(time.Now().UnixMilli(), k.hold, clockMargin)
+	return k.fold.IsComplete(time.Now().UnixMilli(), k.hold, clockMargin)
 }
 
 // ready says why no key can be bound now, before anything was appended.
@@ -208,7 +208,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	key := own.key
-	if b, ok := k.fold.Get(key); ok {
+	if b, ok := k.fold.Lookup(key); ok {
 		if !k.usable(b) {
 			own.appended = true
 			return nil, b, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetry)
@@ -236,14 +236,14 @@
 
 // add has a key's binding appended; the lock is held.
 func (k *keys) add(own *ownKey, t *api.Ticket) *result.Error {
-	if !k.batcher.Asked(own.key) {
+	if !k.batcher.IsPending(own.key) {
 		// Many requests at once were let in for the last place.
 		if err := k.roomFor(own.customer); err != nil {
 			return err
 		}
 	}
 	switch err := k.batcher.Add(clock.Now(), own.arrived, own.key, own.request, t); {
-	case errors.Is(err, keybind.ErrBeyondShare):
+	case errors.Is(err, keybind.ErrOverShare):
 		k.counts.beyond.Inc(1)
 		return result.Refuse(api.ResultCode_OVER_SHARE, keyRetry, "As many keys of the customer's own wait to be bound as it has room for. Come back with the same key, or take a ticket.")
 	case errors.Is(err, keybind.ErrFull):
--- a/internal/entry/keyslog.go
+++ b/internal/entry/keyslog.go
@@ -82,10 +82,10 @@
 		}
 		k.quiet = now
 	}
-	k.ages.Saw(now, k.fold.Next()-1)
+	k.ages.Observe(now, k.fold.Next()-1)
 	k.cramped = k.cramped && k.fold.Released() == released
 	k.counts.held.Update(int64(k.fold.Held()))
-	lent, _ := k.fold.Room().Lent()
+	lent, _ := k.fold.Quotas().Borrowed()
 	k.counts.lent.Update(int64(lent))
 	return nil
 }
@@ -170,15 +170,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := clock.Now()
-	batch, wait, ok := k.batcher.Take(now, interval, k.beatDue())
+	batch, wait, ok := k.batcher.BeginAppend(now, interval, k.beatDue())
 	if !ok {
 		return nil, wait
 	}
-	record, err := keybind.Record(batch, k.fold.Next(), k.ages.Released(now), time.Now().UnixMilli())
+	record, err := keybind.EncodeRecord(batch, k.fold.Next(), k.ages.ExpiredThrough(now), time.Now().UnixMilli())
 	if err != nil {
 		// A message of our own that cannot be written is a fault; its keys are lost.
 		_ = k.logger.Log("msg", "A record of keys cannot be written.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
-		k.batcher.Done()
+		k.batcher.EndAppend()
 		return nil, 0
 	}
 	k.counts.appends.Inc(1)
@@ -196,7 +196,7 @@
 	if k.fold.Next() == 0 || k.readFailing {
 		return false
 	}
-	if k.cramped && k.ages.Released(clock.Now()) > k.fold.Released() {
+	if k.cramped && k.ages.ExpiredThrough(clock.Now()) > k.fold.Released() {
 		return true
 	}
 	return clock.Now()-k.quiet > k.hold/4+k.spread
@@ -214,7 +214,7 @@
 func (k *keys) appended(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	under := k.batcher.Done()
+	under := k.batcher.EndAppend()
 	if err == nil {
 		k.appendFailed = 0
 		return
@@ -238,7 +238,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for key, wait := range waits {
-		if k.waiting[key] == wait && !k.batcher.Asked(key) {
+		if k.waiting[key] == wait && !k.batcher.IsPending(key) {
 			k.settle(key)
 		}
 	}
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keysroom.go
@@ -24,14 +24,14 @@
 	byDigest := make(map[keybind.Customer]float64, len(shares))
 	names := make(map[keybind.Customer]string, len(shares))
 	for name, share := range shares {
-		c := keybind.CustomerFrom(ticket.CustomerDigest(name))
+		c := keybind.CustomerFromDigest(ticket.CustomerDigest(name))
 		byDigest[c], names[c] = share, name
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.names = names
-	k.fold.Room().SetShares(byDigest)
-	k.batcher.Room().SetShares(byDigest)
+	k.fold.Quotas().SetShares(byDigest)
+	k.batcher.Quotas().SetShares(byDigest)
 }
 
 // roomFor says why a customer can bind no more keys for now; the lock is held.
@@ -43,18 +43,18 @@
 // Entries that have read differently far may judge differently. That changes who may
 // append, never what a key is bound to.
 func (k *keys) roomFor(c keybind.Customer) *result.Error {
-	room := k.fold.Room()
-	verdict, n := room.Ask(c, k.batcher.Room().Held(c))
+	room := k.fold.Quotas()
+	verdict, n := room.Check(c, k.batcher.Quotas().Held(c))
 	switch verdict {
-	case keybind.BeyondShare:
+	case keybind.OverShare:
 		k.cramped = true
 		k.counts.beyond.Inc(1)
 		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", room.Held(c))
-		return result.Refuse(api.ResultCode_OVER_SHARE, k.untilGone(k.fold.OldestAtMs(c, room.Promise(c, n, k.entries()))), text)
+		return result.Refuse(api.ResultCode_OVER_SHARE, k.untilGone(k.fold.NthOldestOfCustomerAtMs(c, room.StaggerRetry(c, n, k.entries()))), text)
 	case keybind.Full:
 		k.cramped = true
-		return result.Refuse(api.ResultCode_KEYS_FULL, k.untilGone(k.fold.FirstAtMs(n)))
-	case keybind.Free:
+		return result.Refuse(api.ResultCode_KEYS_FULL, k.untilGone(k.fold.NthOldestAtMs(n)))
+	case keybind.Allowed:
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 func (k *keys) untilGone(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
 	// Records are let go of in steps, and read at the next look at the stream.
-	longest := k.hold + keybind.ReleaseStep(k.hold) + (keyIdlePolls+1)*k.poll
+	longest := k.hold + keybind.MaxReleaseDelay(k.hold) + (keyIdlePolls+1)*k.poll
 	return min(max(longest-age, keyRetry), longest)
 }
 
@@ -101,8 +101,8 @@
 		Answers:   !k.readFailing && k.appendFailed == 0,
 		Customers: k.largest(),
 	}
-	s.Lent, s.Lendable = k.fold.Room().Lent()
-	for _, key := range k.fold.Newest(dumpKeys) {
+	s.Lent, s.Lendable = k.fold.Quotas().Borrowed()
+	for _, key := range k.fold.NewestKeys(dumpKeys) {
 		s.Newest = append(s.Newest, hex.EncodeToString(key[:]))
 	}
 	return s
@@ -110,14 +110,14 @@
 
 // largest returns the customers that hold most keys; the lock is held.
 func (k *keys) largest() []keysOf {
-	room := k.fold.Room()
-	all := make([]keysOf, 0, len(room.Customers()))
-	for c, n := range room.Customers() {
+	room := k.fold.Quotas()
+	all := make([]keysOf, 0, len(room.HeldByCustomer()))
+	for c, n := range room.HeldByCustomer() {
 		name, ok := k.names[c]
 		if !ok {
 			name = hex.EncodeToString(c[:]) + ", not in the plans"
 		}
-		all = append(all, keysOf{Customer: name, Held: n, Own: room.Own(c)})
+		all = append(all, keysOf{Customer: name, Held: n, Own: room.Guaranteed(c)})
 	}
 	slices.SortFunc(all, func(a, b keysOf) int {
 		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Customer, b.Customer))
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -37,14 +37,14 @@
 // once.
 func readOwnKey(req *request, h http.Header) error {
 	values := h.Values(headerTicket)
-	if len(values) != 1 || !keybind.ValidKey(values[0]) {
+	if len(values) != 1 || !keybind.IsValidKey(values[0]) {
 		return result.New(api.ResultCode_KEY_INVALID)
 	}
 	work := req.work
 	req.own = &ownKey{
 		arrived:  req.arrived,
 		key:      keybind.KeyOf(req.caller.name, values[0]),
-		customer: keybind.CustomerFrom(ticket.CustomerDigest(req.caller.name)),
+		customer: keybind.CustomerFromDigest(ticket.CustomerDigest(req.caller.name)),
 		request:  keybind.RequestOf(work.GetService(), work.GetMethod(), work.GetPath(), string(work.GetBody())),
 	}
 	return nil
@@ -61,7 +61,7 @@
 		return false
 	}
 	_, err := ticket.Decode(text)
-	return err != nil && !looksLikeTicket(text) && keybind.ValidKey(text)
+	return err != nil && !looksLikeTicket(text) && keybind.IsValidKey(text)
 }
 
 // firstTry says that the caller vouches for no earlier copy.
@@ -90,7 +90,7 @@
 	if b.Request != r.own.request {
 		return result.New(api.ResultCode_KEY_REUSED)
 	}
-	t, err := b.OpenTicket()
+	t, err := b.DecodeTicket()
 	if err != nil {
 		return result.New(api.ResultCode_INTERNAL, err.Error()+".")
 	}
--- a/internal/entry/ownkey_test.go
+++ b/internal/entry/ownkey_test.go
@@ -54,7 +54,7 @@
 		key := keybind.KeyOf(customer, strconv.Itoa(i))
 		all = append(all, &api.KeyBinding{Key: key[:], Request: key[:], Ticket: named})
 	}
-	record, _ := keybind.Record(all, e.keys.fold.Next(), -1, time.Now().Add(-time.Minute).UnixMilli())
+	record, _ := keybind.EncodeRecord(all, e.keys.fold.Next(), -1, time.Now().Add(-time.Minute).UnixMilli())
 	if _, err := e.keys.fold.Apply(e.keys.fold.Next(), record); err != nil {
 		t.Fatal(err)
 	}
@@ -69,11 +69,11 @@
 	push := func() reply {
 		return ask(t, url, "/services/s/push", "Idempotency-Key", "new", headerFirst, "yes", "Apricothub-Deadline-Ms", "300")
 	}
-	holdKeys(t, e, "loud", keybind.MaxHeld)
+	holdKeys(t, e, "loud", keybind.MaxHeldBindings)
 	if got := push(); strings.Contains(got.result, "KEYS_FULL") || strings.Contains(got.result, "OVER_SHARE") {
 		t.Errorf("a customer without any key is refused: %+v", got)
 	}
-	holdKeys(t, e, "c", keybind.MaxHeld/2+1)
+	holdKeys(t, e, "c", keybind.MaxHeldBindings/2+1)
 	got := push()
 	if !strings.Contains(got.result, "OVER_SHARE") || got.ran != "no" {
 		t.Errorf("the loud customer: %+v", got)
@@ -83,15 +83,15 @@
 		t.Errorf("told to come back after %d s", wait)
 	}
 	state := e.keys.dump()
-	if c := state.Customers[1]; c.Customer != "c" || c.Held != keybind.MaxHeld/2+1 || c.Own != keybind.MaxHeld/2 || state.Lent <= state.Lendable {
+	if c := state.Customers[1]; c.Customer != "c" || c.Held != keybind.MaxHeldBindings/2+1 || c.Own != keybind.MaxHeldBindings/2 || state.Lent <= state.Lendable {
 		t.Errorf("the dump tells of %+v", state)
 	}
 	// Nobody else binds a key, and the bindings are as old as they are held: this entry
 	// lets go of them by itself, and does not wait for the next record that somebody needs.
 	e.keys.mu.Lock()
 	defer e.keys.mu.Unlock()
-	e.keys.ages = keybind.NewAges(e.keys.hold)
-	e.keys.ages.Saw(clock.Now()-e.keys.hold, 1)
+	e.keys.ages = keybind.NewAgeTracker(e.keys.hold)
+	e.keys.ages.Observe(clock.Now()-e.keys.hold, 1)
 	if !e.keys.beatDue() {
 		t.Error("callers who were told to come back are refused for want of a record")
 	}
