--- a/coord/keybind/batcher.go
+++ b/coord/keybind/batcher.go
@@ -10,37 +10,37 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// MaxHeldBindings is the room for held bindings, which a Room divides between customers. Folds
-// take all that the stream has, or they would differ; so it is exceeded by what is under
-// way.
+// MaxHeldBindings limits the bindings held by a fold, which Quotas divides between customers.
+// Folds apply all records of the stream, because they would differ otherwise, so bindings that
+// are being appended can exceed the limit.
 //
-// Load: 109 new keys a second for a lifetime of 20 minutes, over all entries. Harm
-// prevented: a customer's loop with a new key each time takes all entries' memory. At
-// some 300 bytes a binding the bound is 40 MB.
+// The limit allows 109 new keys a second over all entries at a lifetime of 20 minutes, and
+// takes 40 MB at about 300 bytes per binding. Without it, a customer that sends a new key with
+// every request could use up the memory of all entries.
 const MaxHeldBindings = 1 << 17
 
-// maxBatchBindings bounds the bindings of one record, so that records stay below some 50 KB.
+// maxBatchBindings limits the bindings in one record, which keeps records below about 50 KB.
 const maxBatchBindings = 256
 
-// Batcher gathers bindings into few records. One append is under way at a time, and two
-// begin at least an interval apart; a binding after a quiet time goes at once.
+// Batcher collects bindings into few records. One append is in flight at a time, and appends
+// begin at least an interval apart; a binding that follows a quiet period is appended at once.
 //
-// Load: a till app's morning run, hundreds of keys a second over all entries. Harm
-// prevented: the log takes several hundred appends a second and carries operators'
-// configuration too; an append for each key would hold up a mark that takes a failure
-// domain out. The bound on what waits keeps a slow log from gathering requests whose
-// callers have long gone. A Room divides it, and customers take turns by their weight:
-// one team's burst of a thousand keys would fill it, and go before another's one push.
+// The log takes several hundred appends a second and carries the operators' configuration too.
+// With one append per key, a burst of hundreds of keys a second over all entries would delay a
+// mark that takes a failure domain out of service. The limit of the queue prevents a slow log
+// from accumulating requests whose callers have given up. Quotas divides the queue between
+// customers, and they are served by weighted fair queueing: otherwise one team's burst of a
+// thousand keys would fill the queue and be appended before another team's single key.
 type Batcher struct {
 	quotas  *Quotas
 	maxWait time.Duration
-	// queue is in the order in which bindings go.
+	// queue holds the bindings to append, in the order of their start tags.
 	queue []queuedBinding
-	// pending holds the keys that wait or are under way.
+	// pending holds the keys that are queued or being appended.
 	pending  map[Key]bool
 	inFlight []*api.KeyBinding
-	// virtualTime is that of the newest binding that went; last is that of each customer's
-	// newest one that waits or went in this virtualTime.
+	// virtualTime is the start tag of the last binding that was appended, and nextStart the
+	// earliest start tag of each customer's next binding.
 	virtualTime float64
 	nextStart   map[Customer]float64
 	appending   bool
@@ -48,35 +48,36 @@
 	hasAppended bool
 }
 
-// queuedBinding is a binding that waits for its turn.
+// queuedBinding is a queued binding with its start tag.
 type queuedBinding struct {
 	*api.KeyBinding
 	start float64
 }
 
-// ErrFull says that too many bindings wait.
-var ErrFull = errors.New("too many keys wait to be bound")
+// ErrFull is returned when the queue is full.
+var ErrFull = errors.New("the queue of key bindings is full")
 
-// ErrOverShare says that too many bindings of the customer wait.
-var ErrOverShare = errors.New("too many keys of the customer wait to be bound")
+// ErrOverShare is returned when the customer's share of the queue is used up.
+var ErrOverShare = errors.New("the customer's share of the queue of key bindings is used up")
 
-// ErrLate says that a request arrived too long ago to be bound.
+// ErrLate is returned when a request arrived too long ago for its key to be bound.
 var ErrLate = errors.New("the request waited too long for its key to be bound")
 
-// NewBatcher returns a batcher that lets so many bindings wait. patience must be less
-// than the time that bindings are held by the time that callers are told.
+// NewBatcher returns a batcher whose queue holds up to limit bindings. maxWait must be less
+// than the difference between the time that bindings are held and the lifetime that callers
+// are promised.
 func NewBatcher(limit int, maxWait time.Duration) *Batcher {
 	return &Batcher{quotas: NewQuotas(limit), maxWait: maxWait, pending: make(map[Key]bool), nextStart: make(map[Customer]float64)}
 }
 
-// Quotas counts the bindings that wait or are under way.
+// Quotas returns the quotas of the bindings that are queued or being appended.
 func (b *Batcher) Quotas() *Quotas { return b.quotas }
 
-// Add takes a binding to append for a request that arrived at a time, unless one of the
-// same key is on its way. Add it only when the key is unbound in the fold, and Drop it
-// when that changes. A request that waited past the patience, such as in a process that
-// was paused, is ErrOverdue: it may be a retry sent while its key was bound, and the key
-// was let go of meanwhile, so that it would run a second time.
+// Add queues a binding for a request that arrived at the given time, unless one of the same
+// key is pending. Call it only if the key is unbound in the fold, and Drop the binding when
+// that changes. For a request that waited for maxWait or longer, such as in a paused process,
+// it returns ErrLate: the request may be a retry that was sent while its key was bound, and if
+// the key was released in the meantime, it would run a second time.
 func (b *Batcher) Add(now, arrived time.Duration, key Key, request Request, ticket *api.Ticket) error {
 	switch {
 	case now-arrived >= b.maxWait:
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// enqueue puts a binding in its place: a customer's next turn is by its weight later than
-// its last one, and never before the one that is being served.
+// enqueue inserts a binding into the queue. Its start tag follows the customer's previous one
+// by the inverse of the customer's weight, and is never before the current virtual time.
 func (b *Batcher) enqueue(c Customer, binding *api.KeyBinding) {
 	start := max(b.virtualTime, b.nextStart[c])
 	b.nextStart[c] = start + 1/b.quotas.weight(c)
@@ -110,14 +111,14 @@
 	b.queue = slices.Insert(b.queue, i, queuedBinding{binding, start})
 }
 
-// IsPending says whether a binding of the key waits or is under way.
+// IsPending reports whether a binding of the key is queued or being appended.
 func (b *Batcher) IsPending(key Key) bool { return b.pending[key] }
 
-// Queued is the number of bindings that wait.
+// Queued returns the number of queued bindings.
 func (b *Batcher) Queued() int { return len(b.queue) }
 
-// Drop takes a key's binding back that has not gone yet, since the key was bound
-// meanwhile. Appended, it would say of its base that the key is unbound there.
+// Drop removes a key's binding from the queue after the key was bound by another record. If it
+// were appended, its record would claim that the key is unbound below the base.
 func (b *Batcher) Drop(key Key) {
 	for i, binding := range b.queue {
 		if Key(binding.GetKey()) == key {
@@ -128,7 +129,7 @@
 	}
 }
 
-// Clear drops all bindings that have not gone yet.
+// Clear drops all queued bindings.
 func (b *Batcher) Clear() {
 	for _, binding := range b.queue {
 		b.untrack(binding.KeyBinding)
@@ -136,14 +137,15 @@
 	b.queue = nil
 }
 
-// untrack takes a binding out of what is counted.
+// untrack removes a binding from the pending keys and from the quotas.
 func (b *Batcher) untrack(binding *api.KeyBinding) {
 	delete(b.pending, Key(binding.GetKey()))
 	b.quotas.adjust(CustomerOfTicket(binding.GetTicket()), -1)
 }
 
-// BeginAppend begins an append and returns its bindings; with beat also one of none. With
-// false it says how long to wait before asking again, 0 for until something changes.
+// BeginAppend begins an append and returns its bindings, of which there may be none if
+// allowEmpty is set. If no append can begin, it returns false and how long to wait before the
+// next call; 0 means until the state of the batcher changes.
 func (b *Batcher) BeginAppend(now, interval time.Duration, allowEmpty bool) ([]*api.KeyBinding, time.Duration, bool) {
 	if b.appending || len(b.queue) == 0 && !allowEmpty {
 		return nil, 0, false
@@ -159,7 +161,8 @@
 	}
 	b.queue = slices.Delete(b.queue, 0, n)
 	if len(b.queue) == 0 {
-		// All who come now begin anew, and nothing is kept of customers who are gone.
+		// With an empty queue all customers start equal again, and the tags of customers
+		// that left are dropped.
 		b.virtualTime = 0
 		clear(b.nextStart)
 	}
@@ -168,8 +171,8 @@
 	return batch, 0, true
 }
 
-// EndAppend ends the append and returns its keys. After a failure the record may stand in
-// the stream or not; a later press of the key appends another, and the first one holds.
+// EndAppend ends the append and returns its keys. After a failure the record may stand in the
+// stream or not; a retry of the request appends another one, and the first of them is valid.
 func (b *Batcher) EndAppend() []Key {
 	keys := make([]Key, 0, len(b.inFlight))
 	for _, binding := range b.inFlight {
@@ -180,8 +183,8 @@
 	return keys
 }
 
-// EncodeRecord makes the record of a batch. base is Next of the fold in which all its keys are
-// unbound.
+// EncodeRecord encodes the record of a batch. base is Next of the fold in which all keys of
+// the batch are unbound.
 func EncodeRecord(batch []*api.KeyBinding, base, released, wallMs int64) ([]byte, error) {
 	return proto.Marshal(&api.KeyRecord{Bindings: batch, Base: base, Released: released, AtMs: wallMs})
 }
--- a/coord/keybind/burst_test.go
+++ b/coord/keybind/burst_test.go
@@ -8,10 +8,11 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// requestCounts is what became of a customer's keys.
+// requestCounts counts the outcomes of requests that bind a new key.
 type requestCounts struct{ bound, refused, retried, retriesBound int }
 
-// burstSimulation is entries that bind keys by one stream, and callers that come back when told.
+// burstSimulation simulates entries that bind keys through one stream, and callers that retry
+// when they were told to.
 type burstSimulation struct {
 	now      time.Duration
 	records  [][]byte
@@ -19,7 +20,7 @@
 	keysMade int
 	random   *rand.Rand
 	retries  map[time.Duration][]Customer
-	// What callers were told: the loud customer, and all others together.
+	// loud counts the requests of the customer with the bursts, steady those of all others.
 	loud, steady requestCounts
 }
 
@@ -38,8 +39,8 @@
 	return s
 }
 
-// sendNewKey presses a new key of a customer at some entry; again says that it comes
-// back when it was told.
+// sendNewKey sends a request of a customer with a new key to a random entry. isRetry says that
+// the request was refused before.
 func (s *burstSimulation) sendNewKey(c Customer, isRetry bool) {
 	e := s.entries[s.random.IntN(len(s.entries))]
 	counts := &s.steady
@@ -88,8 +89,8 @@
 	s.now += time.Second
 }
 
-// run lets nine teams press now and then for an hour, each within its own part, beside a
-// loud one that presses 1,500 keys each quarter of an hour within 75 seconds.
+// run simulates an hour of nine teams that send few requests, each within its guaranteed quota,
+// beside a team that sends 1,500 keys within 75 seconds each quarter of an hour.
 func (s *burstSimulation) run(t *testing.T) (loud, steady requestCounts) {
 	for s.now < time.Hour {
 		for _, c := range s.retries[s.now] {
@@ -110,16 +111,16 @@
 	return s.loud, s.steady
 }
 
-// A team's morning run presses keys in bursts, beside nine teams with a deposit now and
-// then; all come back when they were told. With one bound for all the burst fills it, and
-// the others' deposits wait for minutes. Divided by shares, none of theirs is refused,
-// and the run has what is lent; who comes back when he was told finds a place.
+// One team sends keys in bursts beside nine teams with few requests, and all retry when they
+// were told to. With one limit for all teams the bursts use it up, and the others' requests are
+// refused for minutes. Divided by shares, no request of the others may be refused, the bursts
+// use the lent capacity, and a retry at the announced time is admitted.
 func TestBurstsOfKeysBesideSteadyOnes(t *testing.T) {
-	const limit = 2000 // Places for 10 keys a second; the nine teams need 2.7.
+	const limit = 2000 // Enough for 10 keys a second; the nine teams need 2.7.
 	loud, others := newBurstSimulation(limit, nil).run(t)
-	t.Logf("one bound for all: loud %+v, others %+v", loud, others)
+	t.Logf("one limit for all: loud %+v, others %+v", loud, others)
 	if others.refused*10 < others.bound {
-		t.Errorf("one bound for all refused only %d of the others, %d bound: nothing is shown", others.refused, others.bound)
+		t.Errorf("one limit for all refused only %d keys of the others, %d bound: the test shows no benefit of shares", others.refused, others.bound)
 	}
 	loud, others = newBurstSimulation(limit, equalShares(10)).run(t)
 	t.Logf("by shares: loud %+v, others %+v", loud, others)
--- a/coord/keybind/doc.go
+++ b/coord/keybind/doc.go
@@ -1,19 +1,19 @@
-// Package keybind binds callers' own keys to tickets, so that a request which comes
-// again under a key of the caller's making runs at most once.
+// Package keybind binds idempotency keys that callers choose to tickets, so that a request
+// that is retried under the same key runs at most once.
 //
-// A binding stands in a record of an append-only stream with offsets. A record names its
-// base: its appender had read everything below, and found the keys unbound. A binding
-// holds unless another one of its key stands from the base on: the first in the stream's
-// order wins, and whoever appended another one uses the ticket of the first. The ticket
-// does all the rest: see package ticket.
+// Bindings are stored in the records of an append-only stream with offsets. Each record names
+// a base: its appender had read all records below the base and found the keys unbound. A
+// binding is valid unless another binding of its key stands at or after the base: the first
+// one in the order of the stream wins, and the appender of a later one uses the ticket of the
+// first. Package ticket ensures that the ticket runs at most once.
 //
-// A Fold holds what the stream says. A verdict depends on the records from the base on
-// and on nothing else, so that folds which began at different offsets come to the same
-// one; a fold that began after the base knows that it cannot tell. Bindings are let go
-// by records too, at their place in the stream. The Ages tell an appender which offset
-// to name for that; a Batcher puts many bindings into one record.
+// A Fold holds the bindings of the stream. Whether a binding is valid depends only on the
+// records from its base on, so that folds that began at different offsets agree; a fold that
+// began after the base marks the binding as unconfirmed. Records also release old bindings,
+// so that all folds release them at the same offset. An AgeTracker tells an appender up to
+// which offset to release, and a Batcher puts many bindings into one record.
 //
-// Nothing in this package reads a clock, opens a socket or starts a goroutine. Times
-// are arguments: since the process's start on its monotonic clock, except where wall
-// time is said. The types are not safe for concurrent use.
+// The package reads no clock, opens no socket and starts no goroutine. Times are passed as
+// arguments: the time since the process started on its monotonic clock, unless wall time is
+// stated. The types are not safe for concurrent use.
 package keybind
--- a/coord/keybind/example_test.go
+++ b/coord/keybind/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/coord/keybind"
 )
 
-// Two entries bind one key at once, each to a ticket of its own. Whoever reads the
-// stream finds the first one.
+// Two entries bind one key at the same time, each to its own ticket. Every reader of the stream
+// finds the first binding.
 func Example() {
 	key := keybind.KeyOf("north", "order 17")
 	request := keybind.RequestOf("POST", "/push", "1.99")
@@ -16,7 +16,7 @@
 	for seq := range uint32(2) {
 		ticket := &api.Ticket{AgentVm: "vm-1", Incarnation: "i", Seq: seq}
 		binding := &api.KeyBinding{Key: key[:], Request: request[:], Ticket: ticket}
-		// Neither had read the other's record: both name the base 0.
+		// Neither entry had read the other's record, so both name the base 0.
 		record, _ := keybind.EncodeRecord([]*api.KeyBinding{binding}, 0, -1, 1)
 		_, _ = fold.Apply(fold.Next(), record)
 	}
--- a/coord/keybind/fold.go
+++ b/coord/keybind/fold.go
@@ -9,58 +9,60 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// ErrGap says that a record is not the next one.
-var ErrGap = errors.New("the record is not the next one of the stream")
+// ErrGap is returned for a record whose offset is not the next one.
+var ErrGap = errors.New("the offset of the record is not the next one of the stream")
 
-// Binding is what a key is bound to.
+// Binding is the request and the ticket that a key is bound to.
 type Binding struct {
 	Request Request
-	// Customer is whose key it is.
+	// Customer is the owner of the key.
 	Customer Customer
-	// Ticket is an api.Ticket as it stands in the log.
+	// Ticket is the encoded api.Ticket from the log.
 	Ticket string
-	// Offset is that of the binding's record, AtMs its appender's wall time.
+	// Offset is the offset of the binding's record, AtMs the wall time of its appender.
 	Offset int64
 	AtMs   int64
-	// Unconfirmed says that the base of the binding lies below the fold's floor: one that
-	// came before it may have expired. Nothing may run by it, and nothing be said.
+	// Unconfirmed says that the base of the binding lies below the first offset of the fold:
+	// an earlier binding of the key may have expired from the stream. The ticket must not be
+	// used, and the outcome of the request is unknown.
 	Unconfirmed bool
 }
 
-// IsCurrent says whether the binding is so young that nobody can have let go of it, by the
-// wall clock: less than limit, which must be less than the time that bindings are held
-// by the patience of batchers, and margin, by which clocks may differ. An entry that lags
-// may hold an older one while the key is bound anew and runs; its ticket is void, and
-// "not run" would be said to a retry of the request that runs.
+// IsCurrent reports whether the binding is so young by the wall clock that no entry can have
+// released it. maxAge must be less, by the maxWait of batchers, than the time that bindings
+// are held; margin is how far clocks may differ. An entry that lags may hold an older binding
+// while the key is bound anew and its request runs: the older ticket is void, and a retry of
+// the running request would be told "not run".
 func (b Binding) IsCurrent(wallMs int64, maxAge, margin time.Duration) bool {
 	age := wallMs - b.AtMs
 	return age >= -margin.Milliseconds() && age < (maxAge-margin).Milliseconds()
 }
 
-// DecodeTicket returns the binding's ticket.
+// DecodeTicket decodes the binding's ticket.
 func (b Binding) DecodeTicket() (*api.Ticket, error) {
 	t := &api.Ticket{}
 	if err := proto.Unmarshal([]byte(b.Ticket), t); err != nil {
-		return nil, errors.Wrap(err, "ticket of a binding")
+		return nil, errors.Wrap(err, "decode the ticket of a binding")
 	}
 	return t, nil
 }
 
-// Fold is what the stream says up to an offset. Its zero value is not ready; see New.
+// Fold holds the bindings of the stream up to an offset. Use NewFold to make one.
 type Fold struct {
 	next int64
-	// firstOffset is the oldest offset that this fold can speak of; what stood below had
-	// expired when it began.
+	// firstOffset is the oldest offset that this fold has read; older records had expired when
+	// it began.
 	firstOffset int64
-	// firstAtMs is the wall time of the first record at or above the floor.
+	// firstAtMs is the wall time of the first record at or after firstOffset.
 	firstAtMs int64
-	// complete stays once it is found: the floor does not move, and a wall clock may.
+	// complete stays set once it is true, because firstOffset is fixed but the wall clock may
+	// be set back.
 	complete bool
 	released int64
 	bindings map[Key]Binding
-	// bindOrder holds where keys were bound, oldest first.
+	// bindOrder lists the keys in the order in which they were bound, oldest first.
 	bindOrder []boundKey
-	// quotas counts the bindings of each customer; ends are where they stand.
+	// quotas counts the bindings of each customer; recordsOf lists the records that hold them.
 	quotas    *Quotas
 	recordsOf map[Customer][]recordBindings
 }
@@ -70,7 +72,7 @@
 	key    Key
 }
 
-// recordBindings says when some bindings of a customer run out, by their record.
+// recordBindings is the number of a customer's bindings in one record. They expire together.
 type recordBindings struct {
 	offset, atMs int64
 	count        int
@@ -83,38 +85,41 @@
 	return f
 }
 
-// Quotas counts the bindings held. Nothing in a fold depends on it: a fold takes all that
-// the stream has, whatever its room says, since folds that began at different offsets
-// count differently, and one would hold a binding that another does not.
+// Quotas returns the quotas of the bindings held. A fold applies all records of the stream
+// whatever the quotas allow: folds that began at different offsets count differently, and if
+// they enforced quotas, one would hold a binding that another does not.
 func (f *Fold) Quotas() *Quotas { return f.quotas }
 
-// Restart empties the fold, to begin at the oldest offset kept when the next one has
-// expired. It does not go on across the gap: a binding in it may have come before one
-// that stands after it, and the key would run by both tickets.
+// Restart empties the fold and begins at the oldest offset that the stream still has, for use
+// when the next record has expired. A fold must not skip the gap and keep its bindings: the
+// gap may hold an earlier binding of a key that is bound again after it, and the key would run
+// under both tickets.
 func (f *Fold) Restart(first int64) {
 	f.quotas.reset()
 	*f = Fold{next: first, firstOffset: first, released: -1, bindings: make(map[Key]Binding), quotas: f.quotas, recordsOf: make(map[Customer][]recordBindings)}
 }
 
-// Next is the offset of the next record to apply, and the base of what is appended now.
+// Next returns the offset of the next record to apply, which is the base of records that are
+// appended now.
 func (f *Fold) Next() int64 { return f.next }
 
-// Released is the newest offset whose bindings were let go.
+// Released returns the newest offset whose bindings were released.
 func (f *Fold) Released() int64 { return f.released }
 
-// Held is the number of bindings held.
+// Held returns the number of bindings held.
 func (f *Fold) Held() int { return len(f.bindings) }
 
-// Lookup returns what a key is bound to.
+// Lookup returns the binding of a key.
 func (f *Fold) Lookup(key Key) (Binding, bool) {
 	b, ok := f.bindings[key]
 	return b, ok
 }
 
-// IsComplete says whether the fold knows every binding that lives. It began at an offset
-// above 0 when older records had expired; if the oldest record left is not older than a
-// key's lifetime by the wall clock, then a binding that still lives may be among those
-// gone, and the key would run a second time. margin is how far clocks may differ.
+// IsComplete reports whether the fold holds every binding that has not been released. A fold
+// begins at an offset above 0 if older records have expired. If the oldest record left is
+// younger than a key's lifetime by the wall clock, the expired records may include a binding
+// that is still valid, and its key would run a second time. margin is how far clocks may
+// differ.
 func (f *Fold) IsComplete(wallMs int64, lifetime, margin time.Duration) bool {
 	if f.firstOffset == 0 || f.complete {
 		return true
@@ -123,8 +128,8 @@
 	return f.complete
 }
 
-// Apply takes the next record and returns the keys that it names. A record that cannot
-// be read changes nothing, here as in every other fold.
+// Apply applies the next record and returns the keys that it names. A record that cannot be
+// decoded changes nothing, in this fold as in every other.
 func (f *Fold) Apply(offset int64, data []byte) ([]Key, error) {
 	if offset != f.next {
 		return nil, ErrGap
@@ -151,14 +156,14 @@
 	return keys, nil
 }
 
-// bind takes a binding unless another one of its key stands from the base on. Without
-// that, two entries that bind one key at once would each send the request under a ticket
-// of its own, and the push would stack. One below the base is older than a lifetime: the
-// appender had read it, and found its key let go of.
+// bind adds a binding unless another binding of its key stands at or after the base. Without
+// this rule, two entries that bind one key at the same time would each send the request under
+// its own ticket, and a push would be applied twice. A binding below the base is older than a
+// lifetime: the appender had read it, and found its key released.
 func (f *Fold) bind(offset, base int64, key Key, b *api.KeyBinding, atMs int64) {
-	// An append that was under way for so long that what it had not read is let go of may
-	// come after a binding of its key that nobody holds any more, and its own ticket may
-	// still run. The model found this.
+	// If records at or after the base have been released since, the append was delayed for so
+	// long that an earlier binding of its key may have come and gone. Its own ticket may still
+	// be valid, and the key would run a second time.
 	if base <= f.released {
 		return
 	}
@@ -166,7 +171,7 @@
 	current, bound := f.bindings[key]
 	if bound && current.Offset >= base {
 		if current.Unconfirmed {
-			// Either of the two may be the first.
+			// Either of the two may be the first binding of the key.
 			f.setBinding(key, unconfirmed)
 		}
 		return
@@ -175,7 +180,7 @@
 		f.setBinding(key, unconfirmed)
 		return
 	}
-	// Marshal fails for text that is not UTF-8 only, which Unmarshal has refused.
+	// Marshal fails only for strings that are not UTF-8, which Unmarshal has refused.
 	ticket, _ := proto.Marshal(b.GetTicket())
 	confirmed := unconfirmed
 	confirmed.Request, confirmed.Ticket, confirmed.Unconfirmed = Request(b.GetRequest()), string(ticket), false
@@ -197,8 +202,9 @@
 	f.recordsOf[b.Customer] = append(records, recordBindings{offset: b.Offset, atMs: b.AtMs, count: 1})
 }
 
-// NthOldestOfCustomerAtMs is the wall time of the record that holds the n-th oldest binding of a
-// customer, n from 1; that of the newest when there are fewer, and 0 without any.
+// NthOldestOfCustomerAtMs returns the wall time of the record that holds the n-th oldest
+// binding of a customer, counted from 1. With fewer bindings it returns that of the newest,
+// and without any 0.
 func (f *Fold) NthOldestOfCustomerAtMs(c Customer, n int) int64 {
 	atMs := int64(0)
 	for _, r := range f.recordsOf[c] {
@@ -211,7 +217,7 @@
 	return atMs
 }
 
-// NthOldestAtMs is the same for the n-th oldest binding of all customers.
+// NthOldestAtMs returns the same for the n-th oldest binding of all customers.
 func (f *Fold) NthOldestAtMs(n int) int64 {
 	if len(f.bindOrder) == 0 {
 		return 0
@@ -219,7 +225,7 @@
 	return f.bindings[f.bindOrder[min(max(n, 1), len(f.bindOrder))-1].key].AtMs
 }
 
-// dropRecordsOf forgets where a customer's bindings up to an offset stood.
+// dropRecordsOf drops the entries up to an offset from a customer's list of records.
 func (f *Fold) dropRecordsOf(c Customer, through int64) {
 	records := f.recordsOf[c]
 	for len(records) > 0 && records[0].offset <= through {
@@ -232,7 +238,7 @@
 	f.recordsOf[c] = records
 }
 
-// release lets go of the bindings up to an offset.
+// release releases the bindings up to an offset.
 func (f *Fold) release(through int64) {
 	if through <= f.released {
 		return
@@ -246,7 +252,7 @@
 	f.bindOrder = f.bindOrder[n:]
 }
 
-// releaseKey lets go of a key if it was bound at an offset or below.
+// releaseKey releases a key if it was bound at an offset up to through.
 func (f *Fold) releaseKey(key Key, through int64) {
 	b, bound := f.bindings[key]
 	if !bound {
@@ -259,7 +265,7 @@
 	}
 }
 
-// NewestKeys returns up to n keys, the newest first.
+// NewestKeys returns up to n keys, most recently bound first.
 func (f *Fold) NewestKeys(n int) []Key {
 	keys := make([]Key, 0, n)
 	for i := len(f.bindOrder) - 1; i >= 0 && len(keys) < n; i-- {
--- a/coord/keybind/key.go
+++ b/coord/keybind/key.go
@@ -6,29 +6,31 @@
 	"hash"
 )
 
-// digestSize is the size of the digests in a binding, bytes. Two keys that collided
-// would share one ticket: 128 bits keep that from happening by chance, and a customer
-// who searched for a collision would meet his own keys only.
+// digestSize is the size of the digests in a binding, in bytes. Two keys that collide would
+// share one ticket. 128 bits make a chance collision negligible, and a customer who searches
+// for one can only find it among its own keys.
 const digestSize = 16
 
-// Key is the digest of a customer and a key of its own. Keys of different customers
-// never meet. The key itself, which may tell of an order or a guest, goes nowhere.
+// Key is the digest of a customer's name and a key that the customer chose, so that equal keys
+// of different customers differ. The key itself is neither stored nor sent, because it may
+// identify an order or a guest.
 type Key [digestSize]byte
 
-// Request is the digest of a request, by which another one under the same key is told.
+// Request is the digest of a request. It detects another request under the same key.
 type Request [digestSize]byte
 
-// KeyOf returns the digest of a customer's key.
+// KeyOf returns the digest of a customer's name and key.
 func KeyOf(customer, key string) Key {
 	return Key(digest("apricothub key", customer, key))
 }
 
-// RequestOf returns the digest of the parts that make a request, in their order.
+// RequestOf returns the digest of the parts of a request, in their order.
 func RequestOf(parts ...string) Request {
 	return Request(digest(parts...))
 }
 
-// digest writes each length first: without it, "ab" of "c" would be "a" of "bc".
+// digest writes the length before each part: otherwise the parts "ab", "c" and "a", "bc" would
+// have the same digest.
 func digest(parts ...string) []byte {
 	h := sha256.New()
 	for _, part := range parts {
@@ -44,11 +46,10 @@
 	_, _ = h.Write([]byte(part))
 }
 
-// maxKeyBytes bounds a key, bytes. UUIDs and order numbers are far below it.
+// maxKeyBytes limits the length of a key. UUIDs and order numbers are far shorter.
 const maxKeyBytes = 255
 
-// IsValidKey says whether a caller's text can be a key: printable ASCII of bounded
-// length.
+// IsValidKey reports whether a caller's text can be a key: printable ASCII of limited length.
 func IsValidKey(text string) bool {
 	if text == "" || len(text) > maxKeyBytes {
 		return false
--- a/coord/keybind/keybind_test.go
+++ b/coord/keybind/keybind_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// An entry starts after records have expired. Two bindings of a key stand in what is
-// left, both with bases among what is gone: it cannot know which was the first, and must
-// be unsure until one was made by somebody who had read both.
+// An entry starts after records have expired. The remaining records hold two bindings of a key
+// whose bases lie among the expired ones, so the entry cannot know which one was the first. The
+// key must stay unconfirmed until a binding arrives whose appender had read both.
 func TestUnconfirmedUntilABaseIsKnown(t *testing.T) {
 	f, key := NewFold(), Key{1}
 	f.Restart(10)
@@ -51,21 +51,22 @@
 	apply(t, f, recordOf(t, 12, -1, key, 3))
 	b, _ := f.Lookup(key)
 	if got, err := b.DecodeTicket(); err != nil || b.Unconfirmed || got.GetSeq() != 3 {
-		t.Errorf("after a sure one: %+v, %v", b, err)
+		t.Errorf("after a confirmed one: %+v, %v", b, err)
 	}
-	// The older places of the key in the order of release do not take it along.
+	// Releasing the key's older bindings must not release this one.
 	apply(t, f, recordOf(t, 13, 11, Key{2}, 4))
 	if _, ok := f.Lookup(key); !ok {
-		t.Error("the newer binding was let go with the older ones")
+		t.Error("the newer binding was released with the older ones")
 	}
 	apply(t, f, recordOf(t, 14, 12, Key{3}, 5))
 	if _, ok := f.Lookup(key); ok {
-		t.Error("the binding was not let go")
+		t.Error("the binding was not released")
 	}
 }
 
-// An append is under way until the binding that its entry had not read was let go of. It
-// must not bind: its ticket may still run, and the key has run in the meantime.
+// An append is delayed until an earlier binding of its key, which its entry had not read, was
+// released. The append must not bind the key: its ticket may still be valid, and the key has
+// already run under the earlier one.
 func TestDelayedAppendDoesNotBindAfterRelease(t *testing.T) {
 	f, key := NewFold(), Key{1}
 	apply(t, f, recordOf(t, 0, -1, key, 1), recordOf(t, 1, 0, Key{2}, 2), recordOf(t, 0, -1, key, 3))
@@ -74,12 +75,12 @@
 	}
 	apply(t, f, recordOf(t, 3, 0, key, 4))
 	if _, ok := f.Lookup(key); !ok {
-		t.Error("an entry that had read all of it cannot bind the key")
+		t.Error("an entry that had read the whole stream cannot bind the key")
 	}
 }
 
-// A record that a newer version, or a fault, put into the stream must not stop the
-// reader: no key would be bound any more.
+// A record that a newer version or a fault put into the stream must not stop the reader, or no
+// key could be bound any more.
 func TestInvalidRecordsAreIgnored(t *testing.T) {
 	f := NewFold()
 	apply(t, f, []byte("\xff\xff"), recordOf(t, 1, 1<<60, Key{1}, 1))
@@ -93,8 +94,8 @@
 	}
 }
 
-// Records that come often are counted together, and each is taken for younger than it
-// is, never for older.
+// Records that arrive in quick succession share a checkpoint. This may underestimate the age of
+// a record, but must never overestimate it, or its bindings would be released too early.
 func TestAgesAreNeverOverestimated(t *testing.T) {
 	const lifetime = 320 * time.Second
 	a := NewAgeTracker(lifetime)
@@ -107,7 +108,7 @@
 			t.Fatalf("record %d is released after %v", r, now-seen[r])
 		}
 		if len(a.checkpoints) > checkpointsPerLifetime+2 {
-			t.Fatalf("%d marks", len(a.checkpoints))
+			t.Fatalf("%d checkpoints", len(a.checkpoints))
 		}
 	}
 	if r := a.ExpiredThrough(2000 * time.Second); r < 1600 {
@@ -115,8 +116,8 @@
 	}
 }
 
-// A burst of keys goes out in few records with a pause between them; what is over the
-// bound is refused, and a key on its way is not asked for twice.
+// A burst of keys is appended in few records with an interval between them. Keys beyond the
+// limit of the queue are refused, and a pending key is not queued twice.
 func TestBatcherLimitsRecordsAndQueue(t *testing.T) {
 	const interval = 10 * time.Millisecond
 	b := NewBatcher(maxBatchBindings+10, time.Minute)
@@ -126,10 +127,10 @@
 		}
 	}
 	if err := b.Add(0, 0, Key{9, 9, 9}, Request{}, ticketOf(1)); !errors.Is(err, ErrFull) {
-		t.Errorf("over the bound: %v", err)
+		t.Errorf("over the limit: %v", err)
 	}
 	if err := b.Add(0, 0, Key{1}, Request{}, ticketOf(1)); err != nil || b.Queued() != maxBatchBindings+10 {
-		t.Errorf("the same again: %v, %d wait", err, b.Queued())
+		t.Errorf("a key that is pending: %v, %d queued", err, b.Queued())
 	}
 	batch, _, ok := b.BeginAppend(time.Second, interval, false)
 	if !ok || len(batch) != maxBatchBindings {
@@ -149,11 +150,11 @@
 		t.Errorf("done: %d keys", len(keys))
 	}
 	if batch, _, ok := b.BeginAppend(time.Hour, interval, true); !ok || len(batch) != 0 {
-		t.Errorf("a record of no binding: %d, %v", len(batch), ok)
+		t.Errorf("a record without bindings: %d, %v", len(batch), ok)
 	}
 }
 
-// Whatever stands in the stream, a fold goes on by one record.
+// A fold advances by one offset per record, whatever the record contains.
 func FuzzApply(f *testing.F) {
 	f.Add(recordOf(f, 0, -1, Key{1}, 1), recordOf(f, 1, 0, Key{1}, 2))
 	f.Add([]byte("\xff"), []byte{})
@@ -161,12 +162,12 @@
 		fold := NewFold()
 		apply(t, fold, a, b)
 		if fold.Next() != 2 || fold.Held() > len(fold.bindOrder) {
-			t.Errorf("next %d, held %d in %d places", fold.Next(), fold.Held(), len(fold.bindOrder))
+			t.Errorf("next offset %d, %d held, %d in the order of binding", fold.Next(), fold.Held(), len(fold.bindOrder))
 		}
 	})
 }
 
-// What callers may send as a key of their own.
+// Keys are printable ASCII of up to 255 bytes, and equal keys of two customers differ.
 func TestIsValidKey(t *testing.T) {
 	for text, want := range map[string]bool{
 		"": false, "order 17": true, strings.Repeat("k", 255): true, strings.Repeat("k", 256): false,
@@ -177,11 +178,11 @@
 		}
 	}
 	if KeyOf("ab", "c") == KeyOf("a", "bc") {
-		t.Error("the keys of two customers meet")
+		t.Error("the keys of two customers have the same digest")
 	}
 }
 
-// The time and the memory of one binding.
+// BenchmarkBinding applies one record with one binding. B/held is the memory of a binding.
 func BenchmarkBinding(b *testing.B) {
 	records := make([][]byte, b.N)
 	for i := range records {
--- a/coord/keybind/property_test.go
+++ b/coord/keybind/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// The seed is fixed so that every run is the same; -rapid.seed, -rapid.checks and
-// -rapid.steps on the command line go before these.
+// The fixed seed makes runs repeatable; -rapid.seed, -rapid.checks and -rapid.steps on the
+// command line override these values.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
@@ -26,13 +26,13 @@
 	clockMargin      = time.Second
 )
 
-// world is a stream, entries that are replaced at any time, and the agents' view of the
-// tickets that they minted.
+// world models a stream, entries that may be replaced at any time, and the agents' state of the
+// tickets that the entries minted.
 type world struct {
 	now     time.Duration
 	records []record // by offset; those below first have expired
 	first   int64
-	// retention is how long the stream keeps records; less than it should at times.
+	// retention is how long the stream keeps records. It may be less than holdTime.
 	retention time.Duration
 	entries   []*simEntry
 	inFlight  []*pendingAppend
@@ -40,7 +40,7 @@
 	sent      []sentRequest
 	// ran holds the tickets that ran, by key.
 	ran map[Key][]*simTicket
-	// toldNotRun holds the requests that were told so, by key.
+	// toldNotRun holds the requests whose callers were told "not run", by key.
 	toldNotRun map[Key][]sentRequest
 }
 
@@ -49,7 +49,7 @@
 	at   time.Duration
 }
 
-// pendingAppend is an append whose record may land at any later time, or never.
+// pendingAppend is an append whose record may enter the stream at any later time, or never.
 type pendingAppend struct{ data []byte }
 
 type simEntry struct {
@@ -57,7 +57,7 @@
 	ages    *AgeTracker
 	batcher *Batcher
 	waiting []simRequest
-	// arrivals wait for the gate, or for a process that is paused.
+	// arrivals are requests that wait for admission, or for a paused process.
 	arrivals []simRequest
 }
 
@@ -67,7 +67,7 @@
 	arrived time.Duration
 }
 
-// sentRequest is a request under way to the agent of its key's ticket.
+// sentRequest is a request in flight to the agent of its key's ticket.
 type sentRequest struct {
 	*simTicket
 	request simRequest
@@ -91,7 +91,7 @@
 
 func (w *world) wallMs() int64 { return (w.now + 1000*time.Hour).Milliseconds() }
 
-// handle is one request under a key, at an entry.
+// handle lets an entry handle one request.
 func (w *world) handle(t *rapid.T, e *simEntry, p simRequest) {
 	if w.sendIfBound(t, e, p) || !w.isComplete(e) {
 		return
@@ -99,7 +99,7 @@
 	if verdict, _ := e.fold.Quotas().Check(Customer{p.key[0]}, 0); verdict != Allowed {
 		return
 	}
-	// The ticket was minted in the first half of its block's life.
+	// The ticket was minted in the first half of its block's lifetime.
 	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: w.now + holdTime}
 	name := &api.Ticket{Seq: uint32(len(w.tickets)), AgentVm: "vm", Customer: p.key[:1]}
 	if e.batcher.Add(w.now, p.arrived, p.key, p.request, name) == nil {
@@ -108,7 +108,8 @@
 	}
 }
 
-// sendIfBound sends a request under the ticket that its key is bound to, if the entry knows it.
+// sendIfBound sends a request under the ticket that its key is bound to, and reports whether
+// the entry holds a binding of the key.
 func (w *world) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
 	b, ok := e.fold.Lookup(p.key)
 	if !ok {
@@ -166,7 +167,7 @@
 	e.waiting = stillWaiting
 }
 
-// commitAppend lets an append stand in the stream.
+// commitAppend adds the record of an append to the stream.
 func (w *world) commitAppend(i int) {
 	w.records = append(w.records, record{w.inFlight[i].data, w.now})
 	w.inFlight = slices.Delete(w.inFlight, i, i+1)
@@ -178,7 +179,7 @@
 	}
 }
 
-// deliver is the agent's decision on a ticket.
+// deliver lets the agent decide on the ticket of a request.
 func (w *world) deliver(s sentRequest) {
 	switch {
 	case s.ran:
@@ -191,8 +192,8 @@
 	}
 }
 
-// checkToldNotRun: who was told "not run" has not run, not by an earlier request either of
-// which this one was a retry in good time.
+// checkToldNotRun checks that no request was told "not run" although an earlier request ran of
+// which it was a retry within the promised lifetime.
 func (w *world) checkToldNotRun(t *rapid.T) {
 	for key, all := range w.toldNotRun {
 		for _, refused := range all {
@@ -206,8 +207,8 @@
 	}
 }
 
-// check: a key runs again only for a request that arrived after the time that callers
-// were told, counted from the request that it was first bound for.
+// check checks that a key runs a second time only for a request that arrived after the promised
+// lifetime, counted from the request that it was first bound for.
 func (w *world) check(t *rapid.T) {
 	w.checkToldNotRun(t)
 	for _, all := range w.ran {
@@ -227,7 +228,7 @@
 	}
 }
 
-// checkQuotas: the room of a fold counts what the fold holds.
+// checkQuotas checks that the quotas of a fold count the bindings that it holds.
 func checkQuotas(t *rapid.T, f *Fold) {
 	counts := map[Customer]int{}
 	for _, b := range f.bindings {
@@ -238,7 +239,8 @@
 	}
 }
 
-// checkFoldsAgree: two folds at one offset that are sure of a key agree on its ticket.
+// checkFoldsAgree checks that two folds at the same offset with a confirmed binding of a key
+// agree on its ticket.
 func (w *world) checkFoldsAgree(t *rapid.T, a, b *simEntry) {
 	if a.fold.Next() != b.fold.Next() || !w.isComplete(a) || !w.isComplete(b) {
 		return
@@ -251,10 +253,11 @@
 	}
 }
 
-// Till apps press under few keys through three entries at once. Appends land late, in
-// another order, after their entry was replaced, or never, and their answers are lost;
-// entries lag past what the stream keeps, agents refuse and die, and each entry refuses
-// other keys for want of room. A key runs once in the time that callers were told.
+// Callers send requests under few keys through three entries at once. Records of appends enter
+// the stream late, in another order, after their entry was replaced, or never, and the replies
+// to appends are lost; entries lag behind the oldest record of the stream, agents refuse
+// requests and are replaced, and the quotas of each entry refuse different keys. A key must run
+// at most once within the promised lifetime.
 func TestAKeyRunsOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{ran: map[Key][]*simTicket{}, toldNotRun: map[Key][]sentRequest{}}
@@ -317,7 +320,7 @@
 					w.first++
 				}
 			},
-			// Each entry has room and shares of its own: no two judge alike.
+			// The limit and the shares differ between entries, and so do their decisions.
 			"room": func(t *rapid.T) {
 				f := pickEntry(t).fold
 				f.quotas.limit = rapid.SampledFrom([]int{1, 2, MaxHeldBindings}).Draw(t, "size")
--- a/coord/keybind/quotas.go
+++ b/coord/keybind/quotas.go
@@ -6,7 +6,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// customerDigestSize is the size of a customer's digest as it stands in tickets, bytes.
+// customerDigestSize is the size of the customer's digest in tickets, in bytes.
 const customerDigestSize = 8
 
 // Customer is the digest of a customer's name, as tickets carry it.
@@ -15,7 +15,8 @@
 // CustomerOfTicket returns the customer of a ticket.
 func CustomerOfTicket(t *api.Ticket) Customer { return CustomerFromDigest(t.GetCustomer()) }
 
-// CustomerFromDigest returns the customer of a digest. One of another size is cut or filled.
+// CustomerFromDigest returns the customer of a digest. A digest of another size is truncated or
+// padded with zeros.
 func CustomerFromDigest(digest []byte) Customer {
 	var c Customer
 	copy(c[:], digest)
@@ -23,38 +24,37 @@
 }
 
 const (
-	// guaranteedFraction is the part of a room that customers have of their own, by their shares;
-	// the rest is lent. What is lent can't be taken back, so that a place is either sure
-	// or can be lent, and never both. With half, a customer can be sure of half of what
-	// it has when all want more.
+	// guaranteedFraction is the fraction of the limit that is guaranteed to customers by their
+	// shares; the rest is lent. Lent capacity can't be taken back before its bindings expire,
+	// so capacity is either guaranteed or lendable, never both. With one half, a customer is
+	// guaranteed half of what it gets when all customers want more.
 	guaranteedFraction = 0.5
-	// minGuaranteedBindings is the number of places that each customer has of its own whatever its
-	// share, as long as these are not above ownPart: rounded down, the share of a small
-	// one in thousands is none, and it could never bind a key.
+	// minGuaranteedBindings is guaranteed to each customer whatever its share, as long as the
+	// sum stays within guaranteedFraction. Otherwise the share of a small customer among
+	// thousands would round down to 0, and it could never bind a key.
 	minGuaranteedBindings = 4
-	// borrowFactor is the ratio of what one customer may borrow to what it leaves for others
-	// to borrow. One alone gets 4/5 of what is lent, and two 4/9 each: more would leave
-	// too little for the next one until the first one's places come free.
+	// borrowFactor is the ratio of what one customer may borrow to what it leaves for others to
+	// borrow. A single borrower gets 4/5 of the lendable capacity, two get 4/9 each. A higher
+	// ratio would leave too little for the next customer until the first one's bindings expire.
 	borrowFactor = 4
-	// minWeight is the weight in borrowing of a customer without share.
+	// minWeight is the borrowing weight of a customer without a share.
 	minWeight = 1.0 / 1024
-	// hardLimitFactor times the size is what a room takes at most. It is met only when shares
-	// changed while places were lent.
+	// hardLimitFactor times the limit is never exceeded. More than the limit is held only if
+	// shares change while capacity is lent.
 	hardLimitFactor = 1.5
 )
 
-// Quotas divides places between customers by their shares. A place that was given is not
-// taken back before its time.
+// Quotas divides a limit on bindings between customers by their shares. A binding that was
+// admitted is not revoked before it expires.
 //
-// Load: one customer that wants more than all places, beside others that want few, late.
-// Harm prevented: the one takes all, and for as long as places are kept the others'
-// price pushes and deposits are refused. So each customer has places of its own, that
-// nobody borrows: whether it may take one of these depends on its own count alone, and
-// on nothing that another does. The rest is lent, weighted max-min: a customer may have
-// borrowed eagerness times its weight of what is left to borrow, so that several who
-// want more come to equal parts by weight, and something is left for who comes late.
+// Without quotas, one customer could take the whole limit, and the price pushes and deposits of
+// others would be refused until its bindings expire. So each customer has a guaranteed quota
+// that nobody borrows: whether it may use it depends on its own count alone. The rest is lent
+// with weighted max-min fairness: a customer may borrow up to borrowFactor times its weight
+// times what is left to borrow. Several customers that want more converge to parts in
+// proportion to their weights, and some capacity is left for customers that come later.
 //
-// A room counts what it is told, and refuses nobody by itself: see Ask.
+// Quotas counts the bindings that it is told about and enforces nothing by itself: see Check.
 type Quotas struct {
 	limit         int
 	shares        map[Customer]float64
@@ -63,19 +63,21 @@
 	lendable      int
 	held          map[Customer]int
 	total         int
-	// borrowed is how many places customers hold beyond their own, together.
+	// borrowed is the number of bindings that all customers hold beyond their guaranteed quotas.
 	borrowed int
-	// announced is how many places that come free were named to callers already.
+	// announced is the number of each customer's expiring bindings that refused callers were
+	// already told to wait for.
 	announced map[Customer]int
 }
 
-// NewQuotas returns a room of so many places. Until SetShares only the sum counts.
+// NewQuotas returns quotas that divide a limit. Until SetShares is called, only the total is
+// limited.
 func NewQuotas(limit int) *Quotas {
 	return &Quotas{limit: limit, lendable: limit, held: make(map[Customer]int), announced: make(map[Customer]int)}
 }
 
-// SetShares replaces the customers' parts of the whole, whose sum is 1 at most. Places
-// that are held stay held.
+// SetShares replaces the customers' shares, whose sum is at most 1. Bindings that are held stay
+// held.
 func (q *Quotas) SetShares(shares map[Customer]float64) {
 	q.shares, q.maxShare, q.lendable = shares, 0, q.limit
 	q.minGuaranteed = min(minGuaranteedBindings, guaranteedFraction*float64(q.limit)/float64(max(len(shares), 1)))
@@ -89,7 +91,7 @@
 	}
 }
 
-// Guaranteed is how many places are a customer's own.
+// Guaranteed returns a customer's guaranteed quota.
 func (q *Quotas) Guaranteed(c Customer) int {
 	share, ok := q.shares[c]
 	if !ok {
@@ -99,19 +101,21 @@
 	return int(q.minGuaranteed + share*proportional)
 }
 
-// Held is how many places a customer holds, Total all customers.
+// Held returns the number of bindings that a customer holds.
 func (q *Quotas) Held(c Customer) int { return q.held[c] }
 
-// Total is how many places are held.
+// Total returns the number of bindings that all customers hold.
 func (q *Quotas) Total() int { return q.total }
 
-// Borrowed is how many places are held beyond their customers' own, of how many.
+// Borrowed returns the number of bindings held beyond the guaranteed quotas, and the capacity
+// that can be lent.
 func (q *Quotas) Borrowed() (borrowed, lendable int) { return q.borrowed, q.lendable }
 
-// HeldByCustomer returns how many places each customer holds. It must not be changed.
+// HeldByCustomer returns the number of bindings that each customer holds. The caller must not
+// change the map.
 func (q *Quotas) HeldByCustomer() map[Customer]int { return q.held }
 
-// adjust changes the number of places that a customer holds.
+// adjust changes the number of bindings that a customer holds.
 func (q *Quotas) adjust(c Customer, delta int) {
 	guaranteed, before := q.Guaranteed(c), q.held[c]
 	if delta < 0 {
@@ -127,22 +131,23 @@
 	q.held[c] = after
 }
 
-// StaggerRetry takes the number of a customer's places that must come free for a request, and
-// returns the number for one more beside those who were told before, at any of so many
-// entries.
+// StaggerRetry takes the number n of a customer's bindings that must expire before a request
+// can be admitted, and returns the number for one more request after the callers that were
+// refused before, at any of so many entries.
 //
-// Load: a burst of which a thousand are refused in the same second, at all entries. Harm
-// prevented: all are told when the next place comes free, come back together, and all but
-// one are refused again. Each entry takes what the others tell to be as much as what it
-// tells itself. The number is not much above what the customer holds: whoever comes back
-// then has waited for a whole turn of its places.
+// Without it, all requests of a burst that is refused within a second would be told when the
+// next binding expires, retry together, and all but one would be refused again. Each entry
+// assumes that the others refuse as many requests as it does itself. The result is not much
+// above what the customer holds: a caller that retries then has waited until all of these
+// bindings have expired.
 func (q *Quotas) StaggerRetry(c Customer, n, entries int) int {
 	n += q.announced[c]
 	q.announced[c] = min(q.announced[c]+entries, q.held[c])
 	return n
 }
 
-// reduceAnnounced says that so many places have come free for those who were told.
+// reduceAnnounced records that bindings have expired that refused callers were told to wait
+// for.
 func (q *Quotas) reduceAnnounced(c Customer, freed int) {
 	if remaining := q.announced[c] - freed; remaining > 0 {
 		q.announced[c] = remaining
@@ -151,14 +156,14 @@
 	delete(q.announced, c)
 }
 
-// reset forgets what is held.
+// reset clears all counts.
 func (q *Quotas) reset() {
 	clear(q.held)
 	clear(q.announced)
 	q.total, q.borrowed = 0, 0
 }
 
-// weight is a customer's weight in borrowing, 1 for the largest share.
+// weight returns a customer's borrowing weight, which is 1 for the largest share.
 func (q *Quotas) weight(c Customer) float64 {
 	if q.maxShare == 0 {
 		return 1
@@ -166,22 +171,22 @@
 	return max(q.shares[c]/q.maxShare, minWeight)
 }
 
-// Verdict says whether a customer may take one more place.
+// Verdict tells whether a customer may hold one more binding.
 type Verdict int
 
 // The verdicts.
 const (
-	// Allowed says that it may.
+	// Allowed means that it may.
 	Allowed Verdict = iota
-	// OverShare says that the customer holds its part.
+	// OverShare means that the customer has used up its guaranteed quota and what it may borrow.
 	OverShare
-	// Full says that there is no place for anybody.
+	// Full means that no capacity is left.
 	Full
 )
 
-// Check says whether a customer may take one more place, besides some that it is about to
-// take already. If not it returns how many places must come free first: of the
-// customer's own with BeyondShare, of all with Full.
+// Check tells whether a customer may hold one more binding besides those that are pending. If
+// not, it returns how many bindings must expire first: of the customer's with OverShare, of all
+// customers' with Full.
 func (q *Quotas) Check(c Customer, pending int) (Verdict, int) {
 	if q.shares == nil {
 		return q.checkTotal(q.limit)
@@ -193,9 +198,10 @@
 	}
 	weight := borrowFactor * q.weight(c)
 	available := q.lendable - q.borrowed + max(held-guaranteed, 0) - aboveGuaranteed
-	// With n places of its own back it has n less, and n more are left.
+	// If n of its bindings expire, the customer has borrowed n less and n more are available.
 	excess := (float64(aboveGuaranteed+1) - weight*float64(available)) / (1 + weight)
-	// The first place is lent whatever the weight, or one of little weight got none.
+	// The first binding is lent whatever the weight; otherwise a customer of little weight would
+	// get none.
 	n := max(min(int(math.Ceil(excess)), aboveGuaranteed), 1-available)
 	switch {
 	case n <= 0:
@@ -206,7 +212,7 @@
 	return OverShare, min(n, aboveGuaranteed+1)
 }
 
-// checkTotal says whether the sum of all places is below a limit.
+// checkTotal tells whether the number of all bindings is below a limit.
 func (q *Quotas) checkTotal(limit int) (Verdict, int) {
 	if q.total < limit {
 		return Allowed, 0
