--- a/coord/keybind/fold.go
+++ b/coord/keybind/fold.go
@@ -42,7 +42,7 @@
 func (b Binding) DecodeTicket() (*api.Ticket, error) {
 	t := &api.Ticket{}
 	if err := proto.Unmarshal([]byte(b.Ticket), t); err != nil {
-		return nil, errors.Wrap(err, "decode the ticket of a binding")
+		return nil, errors.Wrap(err, "ticket of a binding")
 	}
 	return t, nil
 }
