--- a/coord/answer/answer_test.go
+++ b/coord/answer/answer_test.go
@@ -20,7 +20,7 @@
 // The caller sees its text once, whole and in order, or an error. Links break and
 // come back at any part, and a late copy of the stream from an earlier link mixes
 // in: parts are numbered, so copies are dropped and gaps are errors.
-func TestAnswerSurvivesBrokenLinks(t *testing.T) {
+func TestAnswerIsWholeAcrossBrokenLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(1<<20, time.Minute)
 		buffer, err := store.Add("a", "c")
@@ -41,9 +41,9 @@
 		got := ""
 		ended := false
 		for attempt := 0; !ended; attempt++ {
-			cursor := From(assembler.Wanted())
+			cursor := CursorAt(assembler.NextPart())
 			if attempt > 0 && rapid.Bool().Draw(t, "late copy") {
-				cursor = From(1)
+				cursor = CursorAt(1)
 			}
 			cut := rapid.IntRange(0, 25).Draw(t, "cut after")
 			for range cut {
@@ -53,16 +53,16 @@
 					break
 				}
 				if part := event.GetPart(); part != nil {
-					fresh, err := assembler.Part(part)
+					isNew, err := assembler.AddPart(part)
 					if err != nil {
 						t.Fatal(err)
 					}
-					if fresh {
+					if isNew {
 						got += string(part.GetData())
 					}
 				}
 				if end := event.GetEnd(); end != nil {
-					if err := assembler.End(end); err != nil {
+					if err := assembler.CheckEnd(end); err != nil {
 						t.Fatal(err)
 					}
 					ended = true
@@ -77,18 +77,18 @@
 
 func TestAssemblerRefusesShortAnswers(t *testing.T) {
 	assembler := NewAssembler(1)
-	if _, err := assembler.Part(&api.Part{Number: 2, Data: []byte("x")}); err != ErrGap {
+	if _, err := assembler.AddPart(&api.Part{Number: 2, Data: []byte("x")}); err != ErrGap {
 		t.Errorf("a part out of order gave %v", err)
 	}
-	if _, err := assembler.Part(&api.Part{Number: 1, Data: []byte("x")}); err != nil {
+	if _, err := assembler.AddPart(&api.Part{Number: 1, Data: []byte("x")}); err != nil {
 		t.Fatal(err)
 	}
 	for _, end := range []*api.End{{Parts: 2, Bytes: 2}, {Parts: 1, Bytes: 2}, {}} {
-		if err := assembler.End(end); err != ErrShort {
+		if err := assembler.CheckEnd(end); err != ErrShort {
 			t.Errorf("end %v gave %v", end, err)
 		}
 	}
-	if err := assembler.End(&api.End{Parts: 1, Bytes: 1}); err != nil {
+	if err := assembler.CheckEnd(&api.End{Parts: 1, Bytes: 1}); err != nil {
 		t.Error(err)
 	}
 }
@@ -113,20 +113,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store.Delivered(first)
+	store.MarkDelivered(first)
 	for _, id := range []string{"2", "3", "4"} {
 		if _, err := add(id); err != nil {
 			t.Fatalf("answer %s: %v", id, err)
 		}
 	}
-	if _, ok := store.Get("1"); ok {
+	if _, ok := store.Lookup("1"); ok {
 		t.Error("the delivered answer was kept though memory was short")
 	}
 	if _, err := add("5"); err != ErrFull {
 		t.Errorf("a full store gave %v", err)
 	}
-	if gone := store.Expire(2 * time.Minute); len(gone) != 3 {
-		t.Errorf("%d answers expired, want 3", len(gone))
+	if expired := store.Expire(2 * time.Minute); len(expired) != 3 {
+		t.Errorf("%d answers expired, want 3", len(expired))
 	}
 	if store.Bytes() != 0 || store.Len() != 0 {
 		t.Errorf("%d bytes in %d answers are left", store.Bytes(), store.Len())
--- a/coord/answer/assembler.go
+++ b/coord/answer/assembler.go
@@ -18,11 +18,11 @@
 // had is dropped, so that an attempt over an old link cannot double it; a missing
 // part or a wrong count is an error, so that a short answer never looks whole.
 type Assembler struct {
-	next  uint64 // number of the next part, less one
-	bytes uint64
-	// skipped says that the reader began in the middle, and the bytes before are
+	partsReceived uint64 // number of the next part, less one
+	bytesReceived uint64
+	// startedMidway says that the reader began in the middle, and the bytes before are
 	// not counted here.
-	skipped bool
+	startedMidway bool
 }
 
 // NewAssembler returns an assembler that expects the part with this number first;
@@ -31,31 +31,31 @@
 	if first <= 1 {
 		return &Assembler{}
 	}
-	return &Assembler{next: first - 1, skipped: true}
+	return &Assembler{partsReceived: first - 1, startedMidway: true}
 }
 
-// Wanted is the number of the next part.
-func (a *Assembler) Wanted() uint64 { return a.next + 1 }
+// NextPart is the number of the next part.
+func (a *Assembler) NextPart() uint64 { return a.partsReceived + 1 }
 
-// Part takes one part and says whether it is new.
-func (a *Assembler) Part(p *api.Part) (bool, error) {
+// AddPart takes one part and says whether it is new.
+func (a *Assembler) AddPart(p *api.Part) (bool, error) {
 	switch number := p.GetNumber(); {
-	case number <= a.next:
+	case number <= a.partsReceived:
 		return false, nil
-	case number > a.next+1:
+	case number > a.partsReceived+1:
 		return false, ErrGap
 	}
-	a.next++
-	a.bytes += uint64(len(p.GetData()))
+	a.partsReceived++
+	a.bytesReceived += uint64(len(p.GetData()))
 	return true, nil
 }
 
-// End checks that the answer is whole.
-func (a *Assembler) End(e *api.End) error {
-	if e.GetParts() != a.next {
+// CheckEnd checks that the answer is whole.
+func (a *Assembler) CheckEnd(e *api.End) error {
+	if e.GetParts() != a.partsReceived {
 		return ErrShort
 	}
-	if !a.skipped && e.GetBytes() != a.bytes {
+	if !a.startedMidway && e.GetBytes() != a.bytesReceived {
 		return ErrShort
 	}
 	return nil
--- a/coord/answer/example_test.go
+++ b/coord/answer/example_test.go
@@ -26,19 +26,19 @@
 			case event == nil:
 				return
 			case event.GetEnd() != nil:
-				fmt.Println("whole:", assembler.End(event.GetEnd()) == nil)
+				fmt.Println("whole:", assembler.CheckEnd(event.GetEnd()) == nil)
 				return
 			case event.GetPart() != nil && parts == 0:
 				return // The link went silent.
 			case event.GetPart() != nil:
 				parts--
-				isNew, _ := assembler.Part(event.GetPart())
+				isNew, _ := assembler.AddPart(event.GetPart())
 				fmt.Printf("%q new: %v\n", event.GetPart().GetData(), isNew)
 			}
 		}
 	}
-	read(answer.From(1), 2)
-	read(answer.From(2), 10)
+	read(answer.CursorAt(1), 2)
+	read(answer.CursorAt(2), 10)
 	// Output:
 	// "two " new: true
 	// "for " new: true
--- a/coord/answer/store.go
+++ b/coord/answer/store.go
@@ -19,8 +19,8 @@
 // ErrFull says that the store holds as much as it may and nothing can be let go.
 var ErrFull = errors.New("the memory for answers is full")
 
-// partOverhead is what a part costs beside its data, bytes.
-const partOverhead = 64
+// partOverheadBytes is what a part costs beside its data, bytes.
+const partOverheadBytes = 64
 
 // Buffer is the answer to one request, as far as it has been made.
 type Buffer struct {
@@ -35,12 +35,12 @@
 	end     *api.End
 	refusal *api.Refusal
 
-	ended     time.Duration
+	endedAt   time.Duration
 	delivered *list.Element // in Store.delivered once a caller has it whole
 }
 
-// Ended says that nothing more will be added.
-func (b *Buffer) Ended() bool { return b.end != nil || b.refusal != nil }
+// IsEnded says that nothing more will be added.
+func (b *Buffer) IsEnded() bool { return b.end != nil || b.refusal != nil }
 
 // IsDelivered says that a caller has had the answer whole.
 func (b *Buffer) IsDelivered() bool { return b.delivered != nil }
@@ -50,17 +50,17 @@
 
 // Cursor is how far a reader has come. The zero value is the beginning.
 type Cursor struct {
-	headSent bool
-	parts    uint64
-	closed   bool
+	headSent  bool
+	partsSent uint64
+	endSent   bool
 }
 
-// From returns a cursor whose next part is the one with this number.
-func From(part uint64) Cursor {
+// CursorAt returns a cursor whose next part is the one with this number.
+func CursorAt(part uint64) Cursor {
 	if part == 0 {
 		part = 1
 	}
-	return Cursor{parts: part - 1}
+	return Cursor{partsSent: part - 1}
 }
 
 // Next returns the event that follows the cursor, or nil when the reader has come
@@ -70,42 +70,42 @@
 	case b.head != nil && !c.headSent:
 		c.headSent = true
 		return &api.WorkEvent{Body: &api.WorkEvent_Head{Head: b.head}}, c
-	case c.parts < uint64(len(b.parts)):
-		c.parts++
-		part := &api.Part{Number: c.parts, Data: b.parts[c.parts-1]}
+	case c.partsSent < uint64(len(b.parts)):
+		c.partsSent++
+		part := &api.Part{Number: c.partsSent, Data: b.parts[c.partsSent-1]}
 		return &api.WorkEvent{Body: &api.WorkEvent_Part{Part: part}}, c
-	case c.closed:
+	case c.endSent:
 		return nil, c
 	case b.end != nil:
-		c.closed = true
+		c.endSent = true
 		return &api.WorkEvent{Body: &api.WorkEvent_End{End: b.end}}, c
 	case b.refusal != nil:
-		c.closed = true
+		c.endSent = true
 		return &api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: b.refusal}}, c
 	}
 	return nil, c
 }
 
-// Closed says that the reader has had the end.
-func (c Cursor) Closed() bool { return c.closed }
+// IsAtEnd says that the reader has had the end.
+func (c Cursor) IsAtEnd() bool { return c.endSent }
 
 // Store holds the answers of one agent within a bound of memory.
 type Store struct {
-	limit     int64
-	keep      time.Duration
-	bytes     int64
-	answers   map[string]*Buffer
-	delivered *list.List // *Buffer, oldest first
+	limitBytes int64
+	retention  time.Duration
+	bytes      int64
+	answers    map[string]*Buffer
+	delivered  *list.List // *Buffer, oldest first
 }
 
 // NewStore returns a store that holds up to limit bytes, and keeps an ended answer
 // that no caller has had whole for as long as keep.
-func NewStore(limit int64, keep time.Duration) *Store {
+func NewStore(limitBytes int64, retention time.Duration) *Store {
 	return &Store{
-		limit:     limit,
-		keep:      keep,
-		answers:   make(map[string]*Buffer),
-		delivered: list.New(),
+		limitBytes: limitBytes,
+		retention:  retention,
+		answers:    make(map[string]*Buffer),
+		delivered:  list.New(),
 	}
 }
 
@@ -113,8 +113,8 @@
 // somebody may still come for: work must then be refused before it runs, since its
 // answer could not be kept.
 func (s *Store) Add(id, customer string) (*Buffer, error) {
-	s.shrink()
-	if s.bytes >= s.limit {
+	s.evictDelivered()
+	if s.bytes >= s.limitBytes {
 		return nil, ErrFull
 	}
 	b := &Buffer{ID: id, Customer: customer}
@@ -122,49 +122,49 @@
 	return b, nil
 }
 
-// Get returns an answer by its id.
-func (s *Store) Get(id string) (*Buffer, bool) {
+// Lookup returns an answer by its id.
+func (s *Store) Lookup(id string) (*Buffer, bool) {
 	b, ok := s.answers[id]
 	return b, ok
 }
 
-// Head sets the status and header of an answer.
-func (s *Store) Head(b *Buffer, head *api.Head) { b.head = head }
+// SetHead sets the status and header of an answer.
+func (s *Store) SetHead(b *Buffer, head *api.Head) { b.head = head }
 
 // Append adds a part and returns its number. The caller must not change data
 // afterwards. It returns ErrFull when the one answer has outgrown the store.
 func (s *Store) Append(b *Buffer, data []byte) (uint64, error) {
-	if int64(b.bytes) > s.limit {
+	if int64(b.bytes) > s.limitBytes {
 		return 0, ErrFull
 	}
 	b.parts = append(b.parts, data)
 	b.bytes += uint64(len(data))
-	s.bytes += int64(len(data)) + partOverhead
+	s.bytes += int64(len(data)) + partOverheadBytes
 	return uint64(len(b.parts)), nil
 }
 
 // End closes a whole answer.
 func (s *Store) End(b *Buffer, now time.Duration) {
-	if b.Ended() {
+	if b.IsEnded() {
 		return
 	}
 	b.end = &api.End{Parts: uint64(len(b.parts)), Bytes: b.bytes}
-	b.ended = now
+	b.endedAt = now
 }
 
 // Fail closes an answer that will not become whole.
 func (s *Store) Fail(b *Buffer, now time.Duration, refusal *api.Refusal) {
-	if b.Ended() {
+	if b.IsEnded() {
 		return
 	}
 	b.refusal = refusal
-	b.ended = now
+	b.endedAt = now
 }
 
-// Delivered says that a caller has the answer whole. It is kept while there is
+// MarkDelivered says that a caller has the answer whole. It is kept while there is
 // room, for a caller that asks again with its ticket, and is the first to go.
-func (s *Store) Delivered(b *Buffer) {
-	if b.delivered == nil && b.Ended() {
+func (s *Store) MarkDelivered(b *Buffer) {
+	if b.delivered == nil && b.IsEnded() {
 		b.delivered = s.delivered.PushBack(b)
 	}
 }
@@ -174,16 +174,16 @@
 
 // Expire lets go of the ended answers whose time is over and returns their ids.
 func (s *Store) Expire(now time.Duration) []string {
-	var gone []string
+	var expired []string
 	for id, b := range s.answers {
-		if b.Ended() && now-b.ended > s.keep {
-			gone = append(gone, id)
+		if b.IsEnded() && now-b.endedAt > s.retention {
+			expired = append(expired, id)
 		}
 	}
-	for _, id := range gone {
+	for _, id := range expired {
 		s.remove(s.answers[id])
 	}
-	return gone
+	return expired
 }
 
 // Undelivered counts the answers that no caller has had whole.
@@ -195,10 +195,10 @@
 // Bytes is the memory the answers take.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// shrink lets go of delivered answers, oldest first, while more than half of the
+// evictDelivered lets go of delivered answers, oldest first, while more than half of the
 // memory is taken.
-func (s *Store) shrink() {
-	for s.bytes > s.limit/2 && s.delivered.Len() > 0 {
+func (s *Store) evictDelivered() {
+	for s.bytes > s.limitBytes/2 && s.delivered.Len() > 0 {
 		s.remove(s.delivered.Front().Value.(*Buffer))
 	}
 }
@@ -207,6 +207,6 @@
 	if b.delivered != nil {
 		s.delivered.Remove(b.delivered)
 	}
-	s.bytes -= int64(b.bytes) + int64(len(b.parts))*partOverhead
+	s.bytes -= int64(b.bytes) + int64(len(b.parts))*partOverheadBytes
 	delete(s.answers, b.ID)
 }
--- a/internal/agent/deliver.go
+++ b/internal/agent/deliver.go
@@ -33,7 +33,7 @@
 		_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: refused}})
 		return
 	}
-	e.deliver(j, answer.From(1), stream)
+	e.deliver(j, answer.CursorAt(1), stream)
 }
 
 func (e *executor) serveAttach(attach *api.Attach, stream *link.Stream) {
@@ -46,7 +46,7 @@
 		_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: unknown}})
 		return
 	}
-	e.deliver(j, answer.From(attach.GetFrom()), stream)
+	e.deliver(j, answer.CursorAt(attach.GetFrom()), stream)
 }
 
 // serveSettle answers what became of a ticket. The ledger voids one it has not seen:
@@ -89,7 +89,7 @@
 		e.readSignals(j, stream)
 	}()
 	var events []proto.Message
-	for !cursor.Closed() {
+	for !cursor.IsAtEnd() {
 		var changed chan struct{}
 		events, cursor, changed = e.next(j, events[:0], cursor)
 		if len(events) == 0 {
@@ -149,7 +149,7 @@
 		}
 		if signal.GetDone() {
 			e.mu.Lock()
-			e.answers.Delivered(j.buffer)
+			e.answers.MarkDelivered(j.buffer)
 			e.mu.Unlock()
 			return
 		}
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -360,7 +360,7 @@
 	defer e.mu.Unlock()
 	e.answers.Expire(now)
 	for id, j := range e.jobs {
-		if _, held := e.answers.Get(id); !held {
+		if _, held := e.answers.Lookup(id); !held {
 			e.forget(j.work)
 			delete(e.jobs, id)
 			continue
--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -50,7 +50,7 @@
 	limit := time.Now().Add(10 * time.Second)
 	for time.Now().Before(limit) {
 		e.mu.Lock()
-		ended, changed := j.buffer.Ended(), j.changed
+		ended, changed := j.buffer.IsEnded(), j.changed
 		e.mu.Unlock()
 		if ended {
 			return j.buffer.Refusal()
@@ -89,7 +89,7 @@
 	if first != second || end(t, e, first) != nil || runs.Load() != 1 {
 		t.Errorf("same job %v, %d runs", first == second, runs.Load())
 	}
-	event, _ := first.buffer.Next(answer.From(1))
+	event, _ := first.buffer.Next(answer.CursorAt(1))
 	if event.GetHead().GetStatus() != http.StatusOK {
 		t.Errorf("the answer begins with %v", event)
 	}
@@ -239,7 +239,7 @@
 			t.Fatalf("the first answer is %v", refused)
 		}
 		e.mu.Lock()
-		e.answers.Delivered(j.buffer)
+		e.answers.MarkDelivered(j.buffer)
 		e.answers = answer.NewStore(1<<20, time.Minute)
 		if !swept {
 			delete(e.jobs, j.buffer.ID)
@@ -405,7 +405,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.queue.Len() != 1 || ticketed.buffer.Ended() {
-		t.Errorf("%d wait, the push has ended: %v", e.queue.Len(), ticketed.buffer.Ended())
+	if e.queue.Len() != 1 || ticketed.buffer.IsEnded() {
+		t.Errorf("%d wait, the push has ended: %v", e.queue.Len(), ticketed.buffer.IsEnded())
 	}
 }
--- a/internal/agent/intake_test.go
+++ b/internal/agent/intake_test.go
@@ -19,7 +19,7 @@
 			t.Fatalf("%d events are here, want %d", got, events)
 		}
 		e.mu.Lock()
-		cursor := answer.From(1)
+		cursor := answer.CursorAt(1)
 		var event *api.WorkEvent
 		for got = -1; got < 0 || event != nil; got++ {
 			event, cursor = j.buffer.Next(cursor)
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -70,7 +70,7 @@
 			Request:  j.work.GetRequestId(),
 			Customer: j.work.GetCustomer(),
 			Ticket:   !j.repeatable(),
-			Ended:    j.buffer.Ended(),
+			Ended:    j.buffer.IsEnded(),
 			Readers:  j.readers,
 		})
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -77,7 +77,7 @@
 	}
 	e.mu.Lock()
 	// It goes out with the first part: the entry passes nothing on before that.
-	e.answers.Head(j.buffer, head(resp))
+	e.answers.SetHead(j.buffer, head(resp))
 	e.mu.Unlock()
 	in := newIntake(e, j, resp, started)
 	err = readParts(resp, in.part)
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -34,7 +34,7 @@
 		t.Error("the agent waits for a caller that does not come back")
 	}
 	e.mu.Lock()
-	e.answers.Delivered(j.buffer)
+	e.answers.MarkDelivered(j.buffer)
 	e.mu.Unlock()
 	if !e.idle(clock.Now()) {
 		t.Error("the agent waits although the answer was delivered")
@@ -98,7 +98,7 @@
 	}
 	await(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
 	e.mu.Lock()
-	e.answers.Delivered(running.buffer)
+	e.answers.MarkDelivered(running.buffer)
 	e.mu.Unlock()
 	if !e.idle(clock.Now() + returnGrace) {
 		t.Error("the agent waits for the reader of a refusal")
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -105,7 +105,7 @@
 	}
 	attach := &api.Attach{
 		AnswerId: f.answerID,
-		From:     f.assembler.Wanted(),
+		From:     f.assembler.NextPart(),
 		Customer: f.attempt.req.caller.name,
 	}
 	return &api.Open{Body: &api.Open_Attach{Attach: attach}}
@@ -203,7 +203,7 @@
 		if !f.out.headed() {
 			return false, errNoHead
 		}
-		fresh, err := f.assembler.Part(body.Part)
+		fresh, err := f.assembler.AddPart(body.Part)
 		if err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
@@ -214,7 +214,7 @@
 		if !f.out.headed() {
 			return false, errNoHead
 		}
-		if err := f.assembler.End(body.End); err != nil {
+		if err := f.assembler.CheckEnd(body.End); err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
 		return true, f.out.end(body.End)
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -255,7 +255,7 @@
 		if err != nil {
 			panic(err)
 		}
-		s.Head(b, &api.Head{Status: 200, Headers: []*api.Header{{Name: "Content-Type", Value: "text/event-stream"}}})
+		s.SetHead(b, &api.Head{Status: 200, Headers: []*api.Header{{Name: "Content-Type", Value: "text/event-stream"}}})
 		for range parts {
 			if _, err := s.Append(b, make([]byte, partBytes)); err != nil {
 				panic(err)
