--- a/coord/answer/answer_test.go
+++ b/coord/answer/answer_test.go
@@ -11,15 +11,15 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// The seed is fixed so that every run is the same; "make explore" takes another.
+// The fixed seed makes runs repeatable; "make explore" uses another one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
 }
 
-// The caller sees its text once, whole and in order, or an error. Links break and
-// come back at any part, and a late copy of the stream from an earlier link mixes
-// in: parts are numbered, so copies are dropped and gaps are errors.
+// Links fail after any part, and delayed copies of the stream from earlier links mix in. The
+// caller must still receive the text once, completely and in order: the numbers of the parts
+// let the assembler drop duplicates and detect gaps.
 func TestAnswerIsWholeAcrossBrokenLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(1<<20, time.Minute)
@@ -93,9 +93,9 @@
 	}
 }
 
-// A caller that never comes back leaves its answer behind. Its memory is bounded:
-// delivered answers go first, then new work is refused before it runs, and after
-// the time to keep the rest goes.
+// Callers may never fetch their answers, but the memory for answers is limited: delivered answers
+// are evicted first, then new work is refused before it runs, and the remaining answers expire
+// after their retention.
 func TestStoreIsBounded(t *testing.T) {
 	store := NewStore(1000, time.Minute)
 	add := func(id string) (*Buffer, error) {
@@ -120,7 +120,7 @@
 		}
 	}
 	if _, ok := store.Lookup("1"); ok {
-		t.Error("the delivered answer was kept though memory was short")
+		t.Error("the delivered answer was kept although memory was short")
 	}
 	if _, err := add("5"); err != ErrFull {
 		t.Errorf("a full store gave %v", err)
--- a/coord/answer/assembler.go
+++ b/coord/answer/assembler.go
@@ -6,27 +6,29 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Faults of an answer as it arrives.
+// Errors of an answer that arrives incomplete.
 var (
-	// ErrGap says that a part is missing: parts came out of order.
+	// ErrGap is returned for a part that does not follow the previous one.
 	ErrGap = errors.New("a part of the answer is missing")
-	// ErrShort says that the answer ended with fewer parts or bytes than were made.
+	// ErrShort is returned if the numbers of parts or bytes received differ from those sent.
 	ErrShort = errors.New("the answer is shorter than what was made")
 )
 
-// Assembler puts an answer together on the receiving side. A part that was already
-// had is dropped, so that an attempt over an old link cannot double it; a missing
-// part or a wrong count is an error, so that a short answer never looks whole.
+// Assembler reassembles an answer on the receiving side. It drops parts that were already
+// received, so that a delayed copy from an old link cannot duplicate them. A missing part or a
+// wrong count is an error, so that a truncated answer is never taken for a complete one.
 type Assembler struct {
-	partsReceived uint64 // number of the next part, less one
+	// partsReceived is the number of the last part received, including parts before the first
+	// one that was expected here.
+	partsReceived uint64
 	bytesReceived uint64
-	// startedMidway says that the reader began in the middle, and the bytes before are
-	// not counted here.
+	// startedMidway says that the reader did not begin with part 1, so that bytesReceived
+	// leaves out the parts before.
 	startedMidway bool
 }
 
-// NewAssembler returns an assembler that expects the part with this number first;
-// 1 is the beginning.
+// NewAssembler returns an assembler that expects the part with this number first. Parts are
+// numbered from 1.
 func NewAssembler(first uint64) *Assembler {
 	if first <= 1 {
 		return &Assembler{}
@@ -34,10 +36,10 @@
 	return &Assembler{partsReceived: first - 1, startedMidway: true}
 }
 
-// NextPart is the number of the next part.
+// NextPart returns the number of the next expected part.
 func (a *Assembler) NextPart() uint64 { return a.partsReceived + 1 }
 
-// AddPart takes one part and says whether it is new.
+// AddPart adds a part and reports whether it is new.
 func (a *Assembler) AddPart(p *api.Part) (bool, error) {
 	switch number := p.GetNumber(); {
 	case number <= a.partsReceived:
@@ -50,7 +52,7 @@
 	return true, nil
 }
 
-// CheckEnd checks that the answer is whole.
+// CheckEnd returns ErrShort if the answer is incomplete.
 func (a *Assembler) CheckEnd(e *api.End) error {
 	if e.GetParts() != a.partsReceived {
 		return ErrShort
--- a/coord/answer/example_test.go
+++ b/coord/answer/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/coord/answer"
 )
 
-// A link goes silent in the middle of an answer. The reader attaches again at the
-// part it wants next, and what comes twice is dropped.
+// A link fails in the middle of an answer. The reader attaches again, from a part that it
+// already has, and the assembler drops the duplicate.
 func Example() {
 	store := answer.NewStore(1<<20, time.Minute)
 	buffer, _ := store.Add("answer-1", "north")
@@ -29,7 +29,7 @@
 				fmt.Println("whole:", assembler.CheckEnd(event.GetEnd()) == nil)
 				return
 			case event.GetPart() != nil && parts == 0:
-				return // The link went silent.
+				return // The link failed.
 			case event.GetPart() != nil:
 				parts--
 				isNew, _ := assembler.AddPart(event.GetPart())
--- a/coord/answer/store.go
+++ b/coord/answer/store.go
@@ -1,10 +1,10 @@
-// Package answer keeps the numbered parts of answers until callers have them
-// whole, and puts them together again on the other side of a link.
+// Package answer buffers the numbered parts of answers until callers have received them
+// completely, and reassembles them on the other side of a link.
 //
-// The answer to a request lives at the agent that runs it. A link that goes silent
-// then costs a pause: the entry attaches to the answer again over a new link and
-// goes on at the next part; another entry does the same for a caller that comes
-// back with Last-Event-ID. The package holds no clock, socket or goroutine.
+// The answer to a request is held by the agent that runs the request. If a link fails, the
+// answer is only delayed: the entry attaches to it again over a new link and continues with
+// the next part. Another entry does the same for a caller that reconnects with Last-Event-ID.
+// The package reads no clock, opens no socket and starts no goroutine.
 package answer
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// ErrFull says that the store holds as much as it may and nothing can be let go.
+// ErrFull is returned when the store has reached its limit and can evict nothing.
 var ErrFull = errors.New("the memory for answers is full")
 
-// partOverheadBytes is what a part costs beside its data, bytes.
+// partOverheadBytes is the memory that a part takes besides its data.
 const partOverheadBytes = 64
 
-// Buffer is the answer to one request, as far as it has been made.
+// Buffer holds the answer to one request, as far as it has been produced.
 type Buffer struct {
-	// ID names the answer in the whole system.
+	// ID identifies the answer in the whole system.
 	ID string
-	// Customer may read the answer; nobody else.
+	// Customer is the only customer that may read the answer.
 	Customer string
 
 	head    *api.Head
@@ -36,26 +36,26 @@
 	refusal *api.Refusal
 
 	endedAt   time.Duration
-	delivered *list.Element // in Store.delivered once a caller has it whole
+	delivered *list.Element // in Store.delivered, once a caller has the whole answer
 }
 
-// IsEnded says that nothing more will be added.
+// IsEnded reports whether the answer is closed, so that nothing more will be added.
 func (b *Buffer) IsEnded() bool { return b.end != nil || b.refusal != nil }
 
-// IsDelivered says that a caller has had the answer whole.
+// IsDelivered reports whether a caller has received the whole answer.
 func (b *Buffer) IsDelivered() bool { return b.delivered != nil }
 
-// Refusal returns how the answer failed; nil if it did not.
+// Refusal returns why the answer failed, or nil if it did not.
 func (b *Buffer) Refusal() *api.Refusal { return b.refusal }
 
-// Cursor is how far a reader has come. The zero value is the beginning.
+// Cursor is the position of a reader in an answer. The zero value is the beginning.
 type Cursor struct {
 	headSent  bool
 	partsSent uint64
 	endSent   bool
 }
 
-// CursorAt returns a cursor whose next part is the one with this number.
+// CursorAt returns a cursor whose next part has this number.
 func CursorAt(part uint64) Cursor {
 	if part == 0 {
 		part = 1
@@ -63,8 +63,8 @@
 	return Cursor{partsSent: part - 1}
 }
 
-// Next returns the event that follows the cursor, or nil when the reader has come
-// to the end of what there is. The returned cursor is past the event.
+// Next returns the event at the cursor and the cursor after it, or nil if there is no event
+// yet or the end was read.
 func (b *Buffer) Next(c Cursor) (*api.WorkEvent, Cursor) {
 	switch {
 	case b.head != nil && !c.headSent:
@@ -86,10 +86,10 @@
 	return nil, c
 }
 
-// IsAtEnd says that the reader has had the end.
+// IsAtEnd reports whether the reader has read the end of the answer.
 func (c Cursor) IsAtEnd() bool { return c.endSent }
 
-// Store holds the answers of one agent within a bound of memory.
+// Store holds the answers of one agent within a limit on memory.
 type Store struct {
 	limitBytes int64
 	retention  time.Duration
@@ -98,8 +98,8 @@
 	delivered  *list.List // *Buffer, oldest first
 }
 
-// NewStore returns a store that holds up to limit bytes, and keeps an ended answer
-// that no caller has had whole for as long as keep.
+// NewStore returns a store that holds up to limitBytes of answers, each for as long as
+// retention after its end.
 func NewStore(limitBytes int64, retention time.Duration) *Store {
 	return &Store{
 		limitBytes: limitBytes,
@@ -109,9 +109,9 @@
 	}
 }
 
-// Add begins an answer. It returns ErrFull when the memory is full of answers that
-// somebody may still come for: work must then be refused before it runs, since its
-// answer could not be kept.
+// Add begins an answer. It returns ErrFull if the memory is full of answers that callers may
+// still ask for: the work must then be refused before it runs, because its answer could not be
+// held.
 func (s *Store) Add(id, customer string) (*Buffer, error) {
 	s.evictDelivered()
 	if s.bytes >= s.limitBytes {
@@ -131,8 +131,8 @@
 // SetHead sets the status and header of an answer.
 func (s *Store) SetHead(b *Buffer, head *api.Head) { b.head = head }
 
-// Append adds a part and returns its number. The caller must not change data
-// afterwards. It returns ErrFull when the one answer has outgrown the store.
+// Append adds a part and returns its number. The caller must not change data afterwards. It
+// returns ErrFull if the answer alone exceeds the limit of the store.
 func (s *Store) Append(b *Buffer, data []byte) (uint64, error) {
 	if int64(b.bytes) > s.limitBytes {
 		return 0, ErrFull
@@ -143,7 +143,7 @@
 	return uint64(len(b.parts)), nil
 }
 
-// End closes a whole answer.
+// End closes a complete answer.
 func (s *Store) End(b *Buffer, now time.Duration) {
 	if b.IsEnded() {
 		return
@@ -152,7 +152,7 @@
 	b.endedAt = now
 }
 
-// Fail closes an answer that will not become whole.
+// Fail closes an answer that will not become complete.
 func (s *Store) Fail(b *Buffer, now time.Duration, refusal *api.Refusal) {
 	if b.IsEnded() {
 		return
@@ -161,18 +161,18 @@
 	b.endedAt = now
 }
 
-// MarkDelivered says that a caller has the answer whole. It is kept while there is
-// room, for a caller that asks again with its ticket, and is the first to go.
+// MarkDelivered records that a caller has received the whole answer. The answer is kept for
+// callers that ask for it again with their ticket, but is evicted first when memory is needed.
 func (s *Store) MarkDelivered(b *Buffer) {
 	if b.delivered == nil && b.IsEnded() {
 		b.delivered = s.delivered.PushBack(b)
 	}
 }
 
-// Drop lets go of an answer that was never begun, such as that of refused work.
+// Drop removes an answer whose work did not start, such as that of refused work.
 func (s *Store) Drop(b *Buffer) { s.remove(b) }
 
-// Expire lets go of the ended answers whose time is over and returns their ids.
+// Expire removes the answers that ended longer than the retention ago, and returns their ids.
 func (s *Store) Expire(now time.Duration) []string {
 	var expired []string
 	for id, b := range s.answers {
@@ -186,17 +186,17 @@
 	return expired
 }
 
-// Undelivered counts the answers that no caller has had whole.
+// Undelivered returns the number of answers that no caller has received completely.
 func (s *Store) Undelivered() int { return len(s.answers) - s.delivered.Len() }
 
-// Len counts the answers held; Bytes is the memory they take.
+// Len returns the number of answers held.
 func (s *Store) Len() int { return len(s.answers) }
 
-// Bytes is the memory the answers take.
+// Bytes returns the memory that the answers take.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// evictDelivered lets go of delivered answers, oldest first, while more than half of the
-// memory is taken.
+// evictDelivered removes delivered answers, oldest first, while more than half of the memory is
+// in use.
 func (s *Store) evictDelivered() {
 	for s.bytes > s.limitBytes/2 && s.delivered.Len() > 0 {
 		s.remove(s.delivered.Front().Value.(*Buffer))
