--- a/coord/keybind/property_test.go
+++ b/coord/keybind/property_test.go
@@ -26,9 +26,9 @@
 	clockMargin      = time.Second
 )
 
-// world models a stream, entries that may be replaced at any time, and the agents' state of the
-// tickets that the entries minted.
-type world struct {
+// simulation models a stream, entries that may be replaced at any time, and the agents' state
+// of the tickets that the entries minted.
+type simulation struct {
 	now     time.Duration
 	records []record // by offset; those below first have expired
 	first   int64
@@ -85,70 +85,70 @@
 	return &simEntry{fold: NewFold(), ages: NewAgeTracker(holdTime), batcher: NewBatcher(3, promisedLifetime/2)}
 }
 
-func (w *world) isComplete(e *simEntry) bool {
-	return e.fold.IsComplete(w.wallMs(), holdTime, clockMargin)
+func (sim *simulation) isComplete(e *simEntry) bool {
+	return e.fold.IsComplete(sim.wallMs(), holdTime, clockMargin)
 }
 
-func (w *world) wallMs() int64 { return (w.now + 1000*time.Hour).Milliseconds() }
+func (sim *simulation) wallMs() int64 { return (sim.now + 1000*time.Hour).Milliseconds() }
 
 // handle lets an entry handle one request.
-func (w *world) handle(t *rapid.T, e *simEntry, p simRequest) {
-	if w.sendIfBound(t, e, p) || !w.isComplete(e) {
+func (sim *simulation) handle(t *rapid.T, e *simEntry, p simRequest) {
+	if sim.sendIfBound(t, e, p) || !sim.isComplete(e) {
 		return
 	}
 	if verdict, _ := e.fold.Quotas().Check(Customer{p.key[0]}, 0); verdict != Allowed {
 		return
 	}
 	// The ticket was minted in the first half of its block's lifetime.
-	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: w.now + holdTime}
-	name := &api.Ticket{Seq: uint32(len(w.tickets)), AgentVm: "vm", Customer: p.key[:1]}
-	if e.batcher.Add(w.now, p.arrived, p.key, p.request, name) == nil {
-		w.tickets = append(w.tickets, ticket)
+	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: sim.now + holdTime}
+	name := &api.Ticket{Seq: uint32(len(sim.tickets)), AgentVm: "vm", Customer: p.key[:1]}
+	if e.batcher.Add(sim.now, p.arrived, p.key, p.request, name) == nil {
+		sim.tickets = append(sim.tickets, ticket)
 		e.waiting = append(e.waiting, p)
 	}
 }
 
 // sendIfBound sends a request under the ticket that its key is bound to, and reports whether
 // the entry holds a binding of the key.
-func (w *world) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
+func (sim *simulation) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
 	b, ok := e.fold.Lookup(p.key)
 	if !ok {
 		return false
 	}
-	if b.Unconfirmed || !w.isComplete(e) || b.Request != p.request || !b.IsCurrent(w.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
+	if b.Unconfirmed || !sim.isComplete(e) || b.Request != p.request || !b.IsCurrent(sim.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
 		return true
 	}
 	ticket, err := b.DecodeTicket()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.tickets[ticket.GetSeq()].key != p.key {
+	if sim.tickets[ticket.GetSeq()].key != p.key {
 		t.Fatal("a key is bound to the ticket of another one")
 	}
-	w.sent = append(w.sent, sentRequest{w.tickets[ticket.GetSeq()], p})
+	sim.sent = append(sim.sent, sentRequest{sim.tickets[ticket.GetSeq()], p})
 	return true
 }
 
-func (w *world) beginAppend(t *rapid.T, e *simEntry, allowEmpty bool) {
-	batch, _, ok := e.batcher.BeginAppend(w.now, 0, allowEmpty)
+func (sim *simulation) beginAppend(t *rapid.T, e *simEntry, allowEmpty bool) {
+	batch, _, ok := e.batcher.BeginAppend(sim.now, 0, allowEmpty)
 	if !ok {
 		return
 	}
-	data, err := EncodeRecord(batch, e.fold.Next(), e.ages.ExpiredThrough(w.now), w.wallMs())
+	data, err := EncodeRecord(batch, e.fold.Next(), e.ages.ExpiredThrough(sim.now), sim.wallMs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.inFlight = append(w.inFlight, &pendingAppend{data: data})
+	sim.inFlight = append(sim.inFlight, &pendingAppend{data: data})
 }
 
-func (w *world) read(t *rapid.T, e *simEntry, limit int) {
-	if e.fold.Next() < w.first {
-		e.fold.Restart(w.first)
+func (sim *simulation) read(t *rapid.T, e *simEntry, limit int) {
+	if e.fold.Next() < sim.first {
+		e.fold.Restart(sim.first)
 		e.batcher.Clear()
 		e.waiting = nil
 	}
-	for n := e.fold.Next(); n < int64(len(w.records)) && limit > 0; n++ {
-		keys, err := e.fold.Apply(n, w.records[n].data)
+	for n := e.fold.Next(); n < int64(len(sim.records)) && limit > 0; n++ {
+		keys, err := e.fold.Apply(n, sim.records[n].data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,10 +157,10 @@
 		}
 		limit--
 	}
-	e.ages.Observe(w.now, e.fold.Next()-1)
+	e.ages.Observe(sim.now, e.fold.Next()-1)
 	var stillWaiting []simRequest
 	for _, p := range e.waiting {
-		if !w.sendIfBound(t, e, p) {
+		if !sim.sendIfBound(t, e, p) {
 			stillWaiting = append(stillWaiting, p)
 		}
 	}
@@ -168,36 +168,36 @@
 }
 
 // commitAppend adds the record of an append to the stream.
-func (w *world) commitAppend(i int) {
-	w.records = append(w.records, record{w.inFlight[i].data, w.now})
-	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+func (sim *simulation) commitAppend(i int) {
+	sim.records = append(sim.records, record{sim.inFlight[i].data, sim.now})
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
 }
 
-func (w *world) deliverNewest() {
-	if n := len(w.sent); n > 0 {
-		w.deliver(w.sent[n-1])
+func (sim *simulation) deliverNewest() {
+	if n := len(sim.sent); n > 0 {
+		sim.deliver(sim.sent[n-1])
 	}
 }
 
 // deliver lets the agent decide on the ticket of a request.
-func (w *world) deliver(s sentRequest) {
+func (sim *simulation) deliver(s sentRequest) {
 	switch {
 	case s.ran:
-	case s.void || w.now >= s.expiry:
+	case s.void || sim.now >= s.expiry:
 		s.void = true
-		w.toldNotRun[s.key] = append(w.toldNotRun[s.key], s)
+		sim.toldNotRun[s.key] = append(sim.toldNotRun[s.key], s)
 	default:
 		s.ran = true
-		w.ran[s.key] = append(w.ran[s.key], s.simTicket)
+		sim.ran[s.key] = append(sim.ran[s.key], s.simTicket)
 	}
 }
 
 // checkToldNotRun checks that no request was told "not run" although an earlier request ran of
 // which it was a retry within the promised lifetime.
-func (w *world) checkToldNotRun(t *rapid.T) {
-	for key, all := range w.toldNotRun {
+func (sim *simulation) checkToldNotRun(t *rapid.T) {
+	for key, all := range sim.toldNotRun {
 		for _, refused := range all {
-			for _, ran := range w.ran[key] {
+			for _, ran := range sim.ran[key] {
 				since := refused.request.arrived - ran.arrived
 				if ran != refused.simTicket && since >= 0 && since < promisedLifetime {
 					t.Fatalf("told \"not run\" at a retry %v after a request that runs", since)
@@ -209,9 +209,9 @@
 
 // check checks that a key runs a second time only for a request that arrived after the promised
 // lifetime, counted from the request that it was first bound for.
-func (w *world) check(t *rapid.T) {
-	w.checkToldNotRun(t)
-	for _, all := range w.ran {
+func (sim *simulation) check(t *rapid.T) {
+	sim.checkToldNotRun(t)
+	for _, all := range sim.ran {
 		for i, a := range all {
 			for _, b := range all[:i] {
 				if gap := a.arrived - b.arrived; gap > -promisedLifetime && gap < promisedLifetime {
@@ -220,10 +220,10 @@
 			}
 		}
 	}
-	for i, a := range w.entries {
+	for i, a := range sim.entries {
 		checkQuotas(t, a.fold)
-		for _, b := range w.entries[:i] {
-			w.checkFoldsAgree(t, a, b)
+		for _, b := range sim.entries[:i] {
+			sim.checkFoldsAgree(t, a, b)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 
 // checkFoldsAgree checks that two folds at the same offset with a confirmed binding of a key
 // agree on its ticket.
-func (w *world) checkFoldsAgree(t *rapid.T, a, b *simEntry) {
-	if a.fold.Next() != b.fold.Next() || !w.isComplete(a) || !w.isComplete(b) {
+func (sim *simulation) checkFoldsAgree(t *rapid.T, a, b *simEntry) {
+	if a.fold.Next() != b.fold.Next() || !sim.isComplete(a) || !sim.isComplete(b) {
 		return
 	}
 	for key, inA := range a.fold.bindings {
@@ -260,12 +260,12 @@
 // at most once within the promised lifetime.
 func TestAKeyRunsOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{ran: map[Key][]*simTicket{}, toldNotRun: map[Key][]sentRequest{}}
-		w.retention = rapid.SampledFrom([]time.Duration{promisedLifetime / 5, holdTime, 2 * holdTime}).Draw(t, "retention")
+		sim := &simulation{ran: map[Key][]*simTicket{}, toldNotRun: map[Key][]sentRequest{}}
+		sim.retention = rapid.SampledFrom([]time.Duration{promisedLifetime / 5, holdTime, 2 * holdTime}).Draw(t, "retention")
 		for range 3 {
-			w.entries = append(w.entries, newEntry())
+			sim.entries = append(sim.entries, newEntry())
 		}
-		pickEntry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(w.entries).Draw(t, "entry") }
+		pickEntry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(sim.entries).Draw(t, "entry") }
 		pick := func(t *rapid.T, n int) int {
 			if n == 0 {
 				t.Skip("none")
@@ -273,51 +273,51 @@
 			return rapid.IntRange(0, n-1).Draw(t, "which")
 		}
 		newRequest := func(t *rapid.T) simRequest {
-			return simRequest{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: w.now}
+			return simRequest{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: sim.now}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) { e := pickEntry(t); e.arrivals = append(e.arrivals, newRequest(t)) },
 			"press": func(t *rapid.T) {
 				e := pickEntry(t)
 				for _, p := range e.arrivals {
-					w.handle(t, e, p)
+					sim.handle(t, e, p)
 				}
 				e.arrivals = nil
 			},
 			"press and go on": func(t *rapid.T) {
 				e := pickEntry(t)
-				w.handle(t, e, newRequest(t))
-				w.beginAppend(t, e, false)
+				sim.handle(t, e, newRequest(t))
+				sim.beginAppend(t, e, false)
 			},
-			"take": func(t *rapid.T) { w.beginAppend(t, pickEntry(t), false) },
-			"beat": func(t *rapid.T) { w.beginAppend(t, pickEntry(t), true) },
-			"land": func(t *rapid.T) { w.commitAppend(pick(t, len(w.inFlight))) },
+			"take": func(t *rapid.T) { sim.beginAppend(t, pickEntry(t), false) },
+			"beat": func(t *rapid.T) { sim.beginAppend(t, pickEntry(t), true) },
+			"land": func(t *rapid.T) { sim.commitAppend(pick(t, len(sim.inFlight))) },
 			"land all": func(*rapid.T) {
-				for len(w.inFlight) > 0 {
-					w.commitAppend(0)
+				for len(sim.inFlight) > 0 {
+					sim.commitAppend(0)
 				}
 			},
-			"lose": func(t *rapid.T) { i := pick(t, len(w.inFlight)); w.inFlight = slices.Delete(w.inFlight, i, i+1) },
+			"lose": func(t *rapid.T) { i := pick(t, len(sim.inFlight)); sim.inFlight = slices.Delete(sim.inFlight, i, i+1) },
 			"done": func(*rapid.T) {
-				for _, e := range w.entries {
+				for _, e := range sim.entries {
 					e.batcher.EndAppend()
 				}
 			},
-			"read": func(t *rapid.T) { w.read(t, pickEntry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
+			"read": func(t *rapid.T) { sim.read(t, pickEntry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
 			"read all": func(t *rapid.T) {
 				e := pickEntry(t)
-				w.read(t, e, len(w.records))
-				w.deliverNewest()
+				sim.read(t, e, len(sim.records))
+				sim.deliverNewest()
 			},
-			"replace":        func(t *rapid.T) { w.entries[pick(t, len(w.entries))] = newEntry() },
-			"deliver":        func(t *rapid.T) { w.deliver(w.sent[pick(t, len(w.sent))]) },
-			"deliver newest": func(*rapid.T) { w.deliverNewest() },
-			"void":           func(t *rapid.T) { s := w.sent[pick(t, len(w.sent))]; s.void = !s.ran || s.void },
-			"pass":           func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
-			"pass long":      func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
+			"replace":        func(t *rapid.T) { sim.entries[pick(t, len(sim.entries))] = newEntry() },
+			"deliver":        func(t *rapid.T) { sim.deliver(sim.sent[pick(t, len(sim.sent))]) },
+			"deliver newest": func(*rapid.T) { sim.deliverNewest() },
+			"void":           func(t *rapid.T) { s := sim.sent[pick(t, len(sim.sent))]; s.void = !s.ran || s.void },
+			"pass":           func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
+			"pass long":      func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
 			"expire": func(*rapid.T) {
-				for w.first < int64(len(w.records)) && w.now-w.records[w.first].at > w.retention {
-					w.first++
+				for sim.first < int64(len(sim.records)) && sim.now-sim.records[sim.first].at > sim.retention {
+					sim.first++
 				}
 			},
 			// The limit and the shares differ between entries, and so do their decisions.
@@ -326,7 +326,7 @@
 				f.quotas.limit = rapid.SampledFrom([]int{1, 2, MaxHeldBindings}).Draw(t, "size")
 				f.quotas.SetShares(equalShares(rapid.ByteRange(1, 3).Draw(t, "customers")))
 			},
-			"": w.check,
+			"": sim.check,
 		})
 	})
 }
--- a/coord/ticket/property_test.go
+++ b/coord/ticket/property_test.go
@@ -19,9 +19,9 @@
 	_ = flag.Set("rapid.steps", "100")
 }
 
-// world models one VM, whose agent may be replaced, and callers whose requests arrive in any
-// order, any number of times and at any time.
-type world struct {
+// simulation models one VM, whose agent may be replaced, and callers whose requests arrive in
+// any order, any number of times and at any time.
+type simulation struct {
 	ledger      *Ledger
 	minter      *Minter
 	now         time.Duration
@@ -41,24 +41,24 @@
 	sent    bool
 }
 
-func (w *world) restart() {
-	w.incarnation++
-	name := fmt.Sprintf("i%d", w.incarnation)
-	w.ledger = NewLedger(testVM, name, []byte(name), testLimits)
-	w.now = 0
-	w.startedRuns = map[string]*startedRun{}
+func (sim *simulation) restart() {
+	sim.incarnation++
+	name := fmt.Sprintf("i%d", sim.incarnation)
+	sim.ledger = NewLedger(testVM, name, []byte(name), testLimits)
+	sim.now = 0
+	sim.startedRuns = map[string]*startedRun{}
 }
 
 // checkRefusal checks the ran value of a refusal against what has run so far.
-func (w *world) checkRefusal(t *rapid.T, id string, request byte, d Decision) {
+func (sim *simulation) checkRefusal(t *rapid.T, id string, request byte, d Decision) {
 	if d.Action != Refuse {
 		return
 	}
 	switch d.Ran {
 	case api.Ran_RAN_NO:
-		w.toldNotRun[id] = true
+		sim.toldNotRun[id] = true
 	case api.Ran_RAN_YES:
-		if w.ran[fmt.Sprint(id, request)] != 1 {
+		if sim.ran[fmt.Sprint(id, request)] != 1 {
 			t.Fatalf("%s: %v says that the request ran, but the backend server did not run it once", id, d.Code)
 		}
 	case api.Ran_RAN_UNSPECIFIED:
@@ -71,87 +71,87 @@
 // request may run for which a caller was told "not run".
 func TestAtMostOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{minter: NewMinter(), ran: map[string]int{}, toldNotRun: map[string]bool{}}
-		w.restart()
+		sim := &simulation{minter: NewMinter(), ran: map[string]int{}, toldNotRun: map[string]bool{}}
+		sim.restart()
 		pick := func(t *rapid.T) (*api.Ticket, string) {
-			if len(w.tickets) == 0 {
+			if len(sim.tickets) == 0 {
 				t.Skip("no ticket yet")
 			}
-			tk := rapid.SampledFrom(w.tickets).Draw(t, "ticket")
+			tk := rapid.SampledFrom(sim.tickets).Draw(t, "ticket")
 			return tk, Encode(tk)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"grant": func(*rapid.T) { w.minter.Add(w.now, w.ledger.Grant(w.now)) },
+			"grant": func(*rapid.T) { sim.minter.Add(sim.now, sim.ledger.Grant(sim.now)) },
 			"mint": func(t *rapid.T) {
-				if tk, ok := w.minter.Mint(w.now, testVM, testCustomer); ok {
-					w.tickets = append(w.tickets, tk)
+				if tk, ok := sim.minter.Mint(sim.now, testVM, testCustomer); ok {
+					sim.tickets = append(sim.tickets, tk)
 				}
 			},
 			"begin": func(t *rapid.T) {
 				tk, id := pick(t)
 				request := rapid.ByteRange(0, 1).Draw(t, "request")
-				d := w.ledger.Begin(w.now, tk, testCustomer, [32]byte{request}, id+fmt.Sprint(request))
+				d := sim.ledger.Begin(sim.now, tk, testCustomer, [32]byte{request}, id+fmt.Sprint(request))
 				if d.Action == Run {
-					w.startedRuns[id] = &startedRun{request: request}
+					sim.startedRuns[id] = &startedRun{request: request}
 				}
 				if d.Action == Join && d.AnswerID != id+fmt.Sprint(request) {
 					t.Fatalf("joined the answer of another request: %q", d.AnswerID)
 				}
-				w.checkRefusal(t, id, request, d)
+				sim.checkRefusal(t, id, request, d)
 			},
 			"void": func(t *rapid.T) {
 				tk, id := pick(t)
-				w.checkRefusal(t, id, 0, w.ledger.Void(w.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
+				sim.checkRefusal(t, id, 0, sim.ledger.Void(sim.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
 			},
 			"settle": func(t *rapid.T) {
 				tk, id := pick(t)
-				d := w.ledger.Settle(w.now, tk, testCustomer)
-				if d.Action == Refuse && d.Ran == api.Ran_RAN_YES && w.ran[id] != 1 {
+				d := sim.ledger.Settle(sim.now, tk, testCustomer)
+				if d.Action == Refuse && d.Ran == api.Ran_RAN_YES && sim.ran[id] != 1 {
 					t.Fatalf("%s: settled as run, but it did not run once", id)
 				}
 				if d.Action == Refuse && d.Ran == api.Ran_RAN_NO {
-					w.toldNotRun[id] = true
+					sim.toldNotRun[id] = true
 				}
 			},
 			"send": func(t *rapid.T) {
 				_, id := pick(t)
-				if b := w.startedRuns[id]; b != nil && !b.sent {
+				if b := sim.startedRuns[id]; b != nil && !b.sent {
 					b.sent = true
-					w.ran[id]++
-					w.ran[fmt.Sprint(id, b.request)]++
+					sim.ran[id]++
+					sim.ran[fmt.Sprint(id, b.request)]++
 				}
 			},
 			"abandon": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.startedRuns[id]; b != nil && !b.sent {
-					w.ledger.Abandon(tk)
-					delete(w.startedRuns, id)
-					w.toldNotRun[id] = true
+				if b := sim.startedRuns[id]; b != nil && !b.sent {
+					sim.ledger.Abandon(tk)
+					delete(sim.startedRuns, id)
+					sim.toldNotRun[id] = true
 				}
 			},
 			"end": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.startedRuns[id]; b != nil && b.sent {
-					w.ledger.RecordOutcome(tk, api.Ran_RAN_YES)
-					delete(w.startedRuns, id)
+				if b := sim.startedRuns[id]; b != nil && b.sent {
+					sim.ledger.RecordOutcome(tk, api.Ran_RAN_YES)
+					delete(sim.startedRuns, id)
 				}
 			},
-			"forget":  func(t *rapid.T) { tk, _ := pick(t); w.ledger.ForgetAnswer(tk) },
-			"restart": func(*rapid.T) { w.restart() },
-			"drop":    func(*rapid.T) { w.minter.Drop(testVM) },
-			"pass":    func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second },
+			"forget":  func(t *rapid.T) { tk, _ := pick(t); sim.ledger.ForgetAnswer(tk) },
+			"restart": func(*rapid.T) { sim.restart() },
+			"drop":    func(*rapid.T) { sim.minter.Drop(testVM) },
+			"pass":    func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second },
 			"": func(t *rapid.T) {
-				for id := range w.toldNotRun {
-					if w.ran[id] != 0 {
+				for id := range sim.toldNotRun {
+					if sim.ran[id] != 0 {
 						t.Fatalf("%s: ran, but a caller was told that it did not", id)
 					}
 				}
-				for _, tk := range w.tickets {
-					if id := Encode(tk); w.ran[id] > 1 {
-						t.Fatalf("%s: ran %d times", id, w.ran[id])
+				for _, tk := range sim.tickets {
+					if id := Encode(tk); sim.ran[id] > 1 {
+						t.Fatalf("%s: ran %d times", id, sim.ran[id])
 					}
 				}
-				if s := w.ledger.Stats(); s.Blocks > testLimits.MaxBlocks {
+				if s := sim.ledger.Stats(); s.Blocks > testLimits.MaxBlocks {
 					t.Fatalf("%d blocks held, the limit is %d", s.Blocks, testLimits.MaxBlocks)
 				}
 			},
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keysroom.go
@@ -39,7 +39,7 @@
 // Load: a team whose program makes a new key in each try. Harm prevented: it takes the
 // room of all, and others' first deposit of the hour is refused for 20 minutes; or it is
 // told to come back each second, and does. It is told when enough of its own bindings
-// have run out: a wait shorter than that is for nothing. See keybind.Room for the limits.
+// have run out: a wait shorter than that is for nothing. See keybind.Quotas for the limits.
 // Entries that have read differently far may judge differently. That changes who may
 // append, never what a key is bound to.
 func (k *keys) roomFor(c keybind.Customer) *result.Error {
