--- a/coord/ticket/property_test.go
+++ b/coord/ticket/property_test.go
@@ -11,148 +11,148 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// The seed is fixed so that every run is the same; -rapid.seed, -rapid.checks and
-// -rapid.steps on the command line go before these.
+// The fixed seed makes runs repeatable; -rapid.seed, -rapid.checks and -rapid.steps on the
+// command line override these values.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "500")
 	_ = flag.Set("rapid.steps", "100")
 }
 
-// world is one agent's VM, whose agent may be replaced, with callers whose copies
-// of requests arrive in any order, any number of times and at any time.
-type world struct {
+// simulation models one VM, whose agent may be replaced, and callers whose requests arrive in
+// any order, any number of times and at any time.
+type simulation struct {
 	ledger      *Ledger
 	minter      *Minter
 	now         time.Duration
 	incarnation int
 	tickets     []*api.Ticket
-	// ran counts runs that reached the backend server, by ticket and by request.
+	// ran counts the runs that reached the backend server, by ticket and by request.
 	ran map[string]int
-	// notRun holds tickets for which a caller was told "not run".
-	notRun map[string]bool
-	// open holds what this incarnation has begun and not ended, by ticket.
-	open map[string]*begun
+	// toldNotRun holds tickets for which a caller was told "not run".
+	toldNotRun map[string]bool
+	// startedRuns holds the runs that this incarnation has begun and not ended, by ticket.
+	startedRuns map[string]*startedRun
 }
 
-// begun is a request that the ledger let run; it may still wait in the agent.
-type begun struct {
+// startedRun is a request that the ledger let run. It may still be queued in the agent.
+type startedRun struct {
 	request byte
 	sent    bool
 }
 
-func (w *world) restart() {
-	w.incarnation++
-	name := fmt.Sprintf("i%d", w.incarnation)
-	w.ledger = NewLedger(testVM, name, []byte(name), testLimits)
-	w.now = 0
-	w.open = map[string]*begun{}
+func (sim *simulation) restart() {
+	sim.incarnation++
+	name := fmt.Sprintf("i%d", sim.incarnation)
+	sim.ledger = NewLedger(testVM, name, []byte(name), testLimits)
+	sim.now = 0
+	sim.startedRuns = map[string]*startedRun{}
 }
 
-// checkTold holds the decision against what has run so far.
-func (w *world) checkTold(t *rapid.T, id string, request byte, d Decision) {
+// checkRefusal checks the ran value of a refusal against what has run so far.
+func (sim *simulation) checkRefusal(t *rapid.T, id string, request byte, d Decision) {
 	if d.Action != Refuse {
 		return
 	}
 	switch d.Ran {
 	case api.Ran_RAN_NO:
-		w.notRun[id] = true
+		sim.toldNotRun[id] = true
 	case api.Ran_RAN_YES:
-		if w.ran[fmt.Sprint(id, request)] != 1 {
-			t.Fatalf("%s: told %v, but the ledger of the service disagrees", id, d.Code)
+		if sim.ran[fmt.Sprint(id, request)] != 1 {
+			t.Fatalf("%s: %v says that the request ran, but the backend server did not run it once", id, d.Code)
 		}
 	case api.Ran_RAN_UNSPECIFIED:
-		t.Fatalf("%s: %v says nothing on the run", id, d.Code)
+		t.Fatalf("%s: %v does not say whether the request ran", id, d.Code)
 	}
 }
 
-// A caller's request may be copied, overtaken, delivered after the question that
-// settled it, and presented to a replaced agent. Whatever the order, the service
-// sees each ticket once at most, and whoever was told "not run" was told the truth.
+// A request may be duplicated, reordered, delivered after it was settled, and presented to a
+// replaced agent. In any order, the backend server must run each ticket at most once, and no
+// request may run for which a caller was told "not run".
 func TestAtMostOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{minter: NewMinter(), ran: map[string]int{}, notRun: map[string]bool{}}
-		w.restart()
+		sim := &simulation{minter: NewMinter(), ran: map[string]int{}, toldNotRun: map[string]bool{}}
+		sim.restart()
 		pick := func(t *rapid.T) (*api.Ticket, string) {
-			if len(w.tickets) == 0 {
+			if len(sim.tickets) == 0 {
 				t.Skip("no ticket yet")
 			}
-			tk := rapid.SampledFrom(w.tickets).Draw(t, "ticket")
+			tk := rapid.SampledFrom(sim.tickets).Draw(t, "ticket")
 			return tk, Encode(tk)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"grant": func(*rapid.T) { w.minter.Add(w.now, w.ledger.Grant(w.now)) },
+			"grant": func(*rapid.T) { sim.minter.Add(sim.now, sim.ledger.Grant(sim.now)) },
 			"mint": func(t *rapid.T) {
-				if tk, ok := w.minter.Mint(w.now, testVM, testCustomer); ok {
-					w.tickets = append(w.tickets, tk)
+				if tk, ok := sim.minter.Mint(sim.now, testVM, testCustomer); ok {
+					sim.tickets = append(sim.tickets, tk)
 				}
 			},
 			"begin": func(t *rapid.T) {
 				tk, id := pick(t)
 				request := rapid.ByteRange(0, 1).Draw(t, "request")
-				d := w.ledger.Begin(w.now, tk, testCustomer, [32]byte{request}, id+fmt.Sprint(request))
+				d := sim.ledger.Begin(sim.now, tk, testCustomer, [32]byte{request}, id+fmt.Sprint(request))
 				if d.Action == Run {
-					w.open[id] = &begun{request: request}
+					sim.startedRuns[id] = &startedRun{request: request}
 				}
 				if d.Action == Join && d.AnswerID != id+fmt.Sprint(request) {
 					t.Fatalf("joined the answer of another request: %q", d.AnswerID)
 				}
-				w.checkTold(t, id, request, d)
+				sim.checkRefusal(t, id, request, d)
 			},
 			"void": func(t *rapid.T) {
 				tk, id := pick(t)
-				w.checkTold(t, id, 0, w.ledger.Void(w.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
+				sim.checkRefusal(t, id, 0, sim.ledger.Void(sim.now, tk, testCustomer, [32]byte{0}, api.ResultCode_DRAINING))
 			},
 			"settle": func(t *rapid.T) {
 				tk, id := pick(t)
-				d := w.ledger.Settle(w.now, tk, testCustomer)
-				if d.Action == Refuse && d.Ran == api.Ran_RAN_YES && w.ran[id] != 1 {
-					t.Fatalf("%s: told that it ran", id)
+				d := sim.ledger.Settle(sim.now, tk, testCustomer)
+				if d.Action == Refuse && d.Ran == api.Ran_RAN_YES && sim.ran[id] != 1 {
+					t.Fatalf("%s: settled as run, but it did not run once", id)
 				}
 				if d.Action == Refuse && d.Ran == api.Ran_RAN_NO {
-					w.notRun[id] = true
+					sim.toldNotRun[id] = true
 				}
 			},
 			"send": func(t *rapid.T) {
 				_, id := pick(t)
-				if b := w.open[id]; b != nil && !b.sent {
+				if b := sim.startedRuns[id]; b != nil && !b.sent {
 					b.sent = true
-					w.ran[id]++
-					w.ran[fmt.Sprint(id, b.request)]++
+					sim.ran[id]++
+					sim.ran[fmt.Sprint(id, b.request)]++
 				}
 			},
 			"abandon": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.open[id]; b != nil && !b.sent {
-					w.ledger.Abandon(tk)
-					delete(w.open, id)
-					w.notRun[id] = true
+				if b := sim.startedRuns[id]; b != nil && !b.sent {
+					sim.ledger.Abandon(tk)
+					delete(sim.startedRuns, id)
+					sim.toldNotRun[id] = true
 				}
 			},
 			"end": func(t *rapid.T) {
 				tk, id := pick(t)
-				if b := w.open[id]; b != nil && b.sent {
-					w.ledger.Ended(tk, api.Ran_RAN_YES)
-					delete(w.open, id)
+				if b := sim.startedRuns[id]; b != nil && b.sent {
+					sim.ledger.RecordOutcome(tk, api.Ran_RAN_YES)
+					delete(sim.startedRuns, id)
 				}
 			},
-			"forget":  func(t *rapid.T) { tk, _ := pick(t); w.ledger.Forget(tk) },
-			"restart": func(*rapid.T) { w.restart() },
-			"drop":    func(*rapid.T) { w.minter.Drop(testVM) },
-			"pass":    func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second },
+			"forget":  func(t *rapid.T) { tk, _ := pick(t); sim.ledger.ForgetAnswer(tk) },
+			"restart": func(*rapid.T) { sim.restart() },
+			"drop":    func(*rapid.T) { sim.minter.Drop(testVM) },
+			"pass":    func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second },
 			"": func(t *rapid.T) {
-				for id := range w.notRun {
-					if w.ran[id] != 0 {
-						t.Fatalf("%s: ran, and a caller was told that it did not", id)
+				for id := range sim.toldNotRun {
+					if sim.ran[id] != 0 {
+						t.Fatalf("%s: ran, but a caller was told that it did not", id)
 					}
 				}
-				for _, tk := range w.tickets {
-					if id := Encode(tk); w.ran[id] > 1 {
-						t.Fatalf("%s: ran %d times", id, w.ran[id])
+				for _, tk := range sim.tickets {
+					if id := Encode(tk); sim.ran[id] > 1 {
+						t.Fatalf("%s: ran %d times", id, sim.ran[id])
 					}
 				}
-				if s := w.ledger.Stats(); s.Blocks > testLimits.MaxBlocks {
-					t.Fatalf("%d blocks held, bound is %d", s.Blocks, testLimits.MaxBlocks)
+				if s := sim.ledger.Stats(); s.Blocks > testLimits.MaxBlocks {
+					t.Fatalf("%d blocks held, the limit is %d", s.Blocks, testLimits.MaxBlocks)
 				}
 			},
 		})
