--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -20,9 +20,9 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// tick is how often the control goroutine looks at what time alone changes: silent entries,
+// tickInterval is how often the control goroutine looks at what time alone changes: silent entries,
 // lapsed registrations, beats that are due.
-const tick = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
 // view is what traffic goes by. It is never changed: the control goroutine publishes a new
 // one in its place.
@@ -35,12 +35,12 @@
 	entries int
 	// ready says that this entry takes new connections.
 	ready bool
-	// coordinates says that this entry is the one to coordinate expert maps, engines are the
+	// isCoordinator says that this entry is the one to coordinate expert maps, engines are the
 	// engines that have experts.
-	coordinates bool
-	// followed says that another entry coordinates with a higher number.
-	followed bool
-	engines  []experts.Engine
+	isCoordinator bool
+	// takenOver says that another entry coordinates with a higher number.
+	takenOver bool
+	engines   []experts.Engine
 	// configAt is when the configuration was last known to be the newest, serversAt when the
 	// registrations were.
 	configAt, serversAt time.Duration
@@ -55,29 +55,29 @@
 	operators, servers *keyed.Table
 	registry           *registry.Registry
 	peers              *peering.Table
-	roll               peering.MemberPruner
+	memberPruner       peering.MemberPruner
 	table              *routing.Table
-	// out are the failure domains that operators have taken out.
-	out map[string]bool
+	// domainsOut are the failure domains that operators have taken domainsOut.
+	domainsOut map[string]bool
 	// operatorsAt and serversAt are when the store last answered.
 	operatorsAt, serversAt time.Duration
 	// operatorsChangedAt and serversChangedAt are the offsets behind the last records that
 	// changed what is believed.
 	operatorsChangedAt, serversChangedAt int64
-	// serversAway says that the store did not answer the last read of registrations.
-	serversAway bool
-	changed     bool
-	urgent      bool
-	askedAt     time.Duration
-	asking      bool
-	sequence    uint64
-	census      census
-	// met says that the entries that ever were are known, by the store; started is when this
+	// serversReadFailed says that the store did not answer the last read of registrations.
+	serversReadFailed bool
+	changed           bool
+	heartbeatDue      bool
+	stateRequestedAt  time.Duration
+	stateRequested    bool
+	sequence          uint64
+	entryCounts       entryCounts
+	// membersKnown says that the entries that ever were are known, by the store; started is when this
 	// process did.
-	met     bool
-	started time.Duration
-	// heard are the VMs of the entries that live.
-	heard map[string]bool
+	membersKnown bool
+	startedAt    time.Duration
+	// liveVMs are the VMs of the entries that live.
+	liveVMs map[string]bool
 }
 
 func newControl(g *Gateway, logger log.Logger, now time.Duration) *control {
@@ -85,7 +85,7 @@
 		g: g, logger: logger,
 		operators: keyed.New(), servers: keyed.New(),
 		registry: registry.New(), peers: peering.New(g.settings.IP, peering.Config{}),
-		out: make(map[string]bool), started: now,
+		domainsOut: make(map[string]bool), startedAt: now,
 	}
 	for _, seed := range g.settings.Seeds {
 		c.peers.AddPeer(seed, now)
@@ -95,54 +95,54 @@
 
 // run is the control goroutine.
 func (c *control) run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case n := <-c.g.news:
-			c.takeNews(n)
-		case b := <-c.g.beats:
+		case n := <-c.g.updates:
+			c.applyUpdate(n)
+		case b := <-c.g.heartbeats:
 			c.peers.HandleHeartbeat(b, clock.Now())
-		case s := <-c.g.states:
-			c.takeState(s)
-		case ask := <-c.g.stateRequests:
-			ask.reply <- c.state(ask)
-		case read := <-c.g.rosters:
-			c.takeRoster(read, clock.Now())
+		case s := <-c.g.fetchedStates:
+			c.applyPeerState(s)
+		case req := <-c.g.stateRequests:
+			req.reply <- c.stateBeyond(req)
+		case list := <-c.g.memberLists:
+			c.applyMembers(list, clock.Now())
 		case <-c.g.leave:
-			c.urgent = true
+			c.heartbeatDue = true
 			c.g.leave = nil
 		case <-ticker.C:
 		}
-		c.settle(clock.Now())
+		c.reconcile(clock.Now())
 	}
 }
 
-// takeNews takes in what a follower has read.
-func (c *control) takeNews(n news) {
+// applyUpdate takes in what a follower has read.
+func (c *control) applyUpdate(u topicUpdate) {
 	table := c.operators
-	if n.topic == platform.TopicServers {
+	if u.topic == platform.TopicServers {
 		table = c.servers
-		c.serversAway = n.err != nil
-		if n.err == nil {
+		c.serversReadFailed = u.err != nil
+		if u.err == nil {
 			// Before the records: what lapsed in an outage is kept for a while from now on.
-			c.registry.SetStoreReachable(true, n.at)
+			c.registry.SetStoreReachable(true, u.at)
 		}
 	}
-	if n.err != nil {
+	if u.err != nil {
 		return
 	}
-	if n.topic == platform.TopicServers {
-		c.serversAt = n.at
+	if u.topic == platform.TopicServers {
+		c.serversAt = u.at
 	} else {
-		c.operatorsAt = n.at
+		c.operatorsAt = u.at
 	}
-	c.take(n.topic, table, n.listing, n.records, n.at)
+	c.applyRecords(u.topic, table, u.listing, u.records, u.at)
 }
 
-func (c *control) take(topic string, table *keyed.Table, listing *platform.Listing, records []keyed.Record, now time.Duration) {
+func (c *control) applyRecords(topic string, table *keyed.Table, listing *platform.Listing, records []keyed.Record, now time.Duration) {
 	var changes []keyed.Change
 	if listing != nil {
 		changes = table.Replace(listing.Records, listing.End)
@@ -154,28 +154,28 @@
 	}
 	for _, change := range changes {
 		if topic == platform.TopicServers {
-			if !c.serverChanged(change, now) {
+			if !c.applyServerChange(change, now) {
 				continue
 			}
 			c.serversChangedAt = max(c.serversChangedAt, change.Offset+1)
 		} else {
-			c.operatorsChanged(change)
+			c.applyOperatorChange(change)
 			c.operatorsChangedAt = max(c.operatorsChangedAt, change.Offset+1)
 		}
 		c.changed = true
 		// Entries that do not read the store themselves wait for this.
-		c.urgent = true
+		c.heartbeatDue = true
 	}
 }
 
-func (c *control) operatorsChanged(change keyed.Change) {
+func (c *control) applyOperatorChange(change keyed.Change) {
 	key := platform.ParseOperatorKey(change.Key)
 	switch {
 	case key.FailureDomain != "":
 		if change.Deleted() {
-			delete(c.out, key.FailureDomain)
+			delete(c.domainsOut, key.FailureDomain)
 		} else {
-			c.out[key.FailureDomain] = true
+			c.domainsOut[key.FailureDomain] = true
 		}
 		_ = level.Info(c.logger).Log("msg", "A failure domain was marked.", "failure_domain", key.FailureDomain,
 			"out", !change.Deleted(), "offset", change.Offset)
@@ -192,8 +192,8 @@
 	}
 }
 
-// serverChanged takes in a change of a registration, and returns whether it says anything new.
-func (c *control) serverChanged(change keyed.Change, now time.Duration) bool {
+// applyServerChange takes in a change of a registration, and returns whether it says anything new.
+func (c *control) applyServerChange(change keyed.Change, now time.Duration) bool {
 	if change.Deleted() {
 		c.registry.Remove(change.Key, now)
 		_ = level.Info(c.logger).Log("msg", "A registration is gone.", "server", change.Key, "offset", change.Offset)
@@ -214,87 +214,87 @@
 	return true
 }
 
-// settle brings what is published up to date, and sends the beats that are due.
-func (c *control) settle(now time.Duration) {
+// reconcile brings what is published up to date, and sends the beats that are due.
+func (c *control) reconcile(now time.Duration) {
 	for _, id := range c.registry.Expire(now) {
 		c.changed = true
 		_ = level.Info(c.logger).Log("msg", "A backend server did not register again.", "server", id)
 	}
 	live := c.peers.Live(now)
-	c.logLive(live)
-	c.registry.SetStoreReachable(!c.storeAway(live, now), now)
-	n := census{live: len(live) + 1, mayLive: c.peers.MaybeLiveCount(now) + 1}
-	c.changed = c.changed || n != c.census
-	if c.changed && c.inForce(now) != nil {
+	c.logPeerChanges(live)
+	c.registry.SetStoreReachable(!c.isStoreUnreachable(live, now), now)
+	counts := entryCounts{live: len(live) + 1, maybeLive: c.peers.MaybeLiveCount(now) + 1}
+	c.changed = c.changed || counts != c.entryCounts
+	if c.changed && c.servingTable(now) != nil {
 		c.changed = false
-		c.census = n
-		c.g.fleet.set(c.registry.Registrations(), c.out, c.table, n, now)
+		c.entryCounts = counts
+		c.g.fleet.setServers(c.registry.Registrations(), c.domainsOut, c.table, counts, now)
 	}
-	c.g.fleet.setOthers(othersOf(live), c.pacesOf(live), now)
-	c.publish(live, now)
+	c.g.fleet.setPeerReports(sumInFlight(live), c.reportedPaces(live), now)
+	c.publishView(live, now)
 	self := &api.PeerBeat{Ip: c.g.settings.IP, FailureDomain: c.g.settings.FailureDomain, Serving: c.g.view.Load().ready}
-	c.chooseReads(self, live, now)
-	c.askPeers(live, now)
-	c.beat(live, now)
+	c.decideStoreReads(self, live, now)
+	c.requestPeerState(live, now)
+	c.sendHeartbeats(live, now)
 }
 
-// meetTime is how long a new process waits at most for the store to tell which entries there
+// maxMembersWait is how long a new process waits at most for the store to tell which entries there
 // are. Within three beats of the others it has heard of each: a beat names eight.
-const meetTime = 500 * time.Millisecond
+const maxMembersWait = 500 * time.Millisecond
 
-// inForce returns the configuration to serve by, nil for none yet.
+// servingTable returns the configuration to serve by, nil for none yet.
 //
 // Load: all entries are killed at once and start again. Harm prevented: each takes itself for
 // the only one and sends the whole of what all may, to servers that bear little, in retries
 // and in connections. It serves nothing until it knows which entries there may be.
-func (c *control) inForce(now time.Duration) *routing.Table {
-	if !c.met && now-c.started < meetTime {
+func (c *control) servingTable(now time.Duration) *routing.Table {
+	if !c.membersKnown && now-c.startedAt < maxMembersWait {
 		return nil
 	}
 	return c.table
 }
 
-// logLive logs the entries that are heard of from now on, and those that have gone silent.
-func (c *control) logLive(live []*api.PeerBeat) {
-	same := len(live) == len(c.heard)
+// logPeerChanges logs the entries that are heard of from now on, and those that have gone silent.
+func (c *control) logPeerChanges(live []*api.PeerBeat) {
+	same := len(live) == len(c.liveVMs)
 	for _, b := range live {
-		same = same && c.heard[b.GetVm()]
+		same = same && c.liveVMs[b.GetVm()]
 	}
 	if same {
 		return
 	}
-	heard := make(map[string]bool, len(live))
+	liveVMs := make(map[string]bool, len(live))
 	for _, b := range live {
-		heard[b.GetVm()] = true
-		if !c.heard[b.GetVm()] {
+		liveVMs[b.GetVm()] = true
+		if !c.liveVMs[b.GetVm()] {
 			_ = level.Info(c.logger).Log("msg", "Another entry is heard.", "vm", b.GetVm(), "failure_domain", b.GetFailureDomain(),
 				"serving", b.GetServing(), "live", len(live)+1)
 		}
 	}
-	for vm := range c.heard {
-		if !heard[vm] {
+	for vm := range c.liveVMs {
+		if !liveVMs[vm] {
 			_ = level.Warn(c.logger).Log("msg", "Another entry is silent.", "vm", vm, "live", len(live)+1,
 				"result", result.Label(api.ResultCode_UNREACHABLE))
 		}
 	}
-	c.heard = heard
+	c.liveVMs = liveVMs
 }
 
-// othersOf sums the other entries' requests by backend server.
-func othersOf(live []*api.PeerBeat) map[string]int {
-	others := make(map[string]int)
+// sumInFlight sums the other entries' requests by backend server.
+func sumInFlight(live []*api.PeerBeat) map[string]int {
+	inFlight := make(map[string]int)
 	for _, b := range live {
 		for _, l := range b.GetLoads() {
-			others[l.GetId()] += int(l.GetInFlight())
+			inFlight[l.GetId()] += int(l.GetInFlight())
 		}
 	}
-	return others
+	return inFlight
 }
 
-// publish makes the view that traffic goes by.
-func (c *control) publish(live []*api.PeerBeat, now time.Duration) {
-	table := c.inForce(now)
-	ready := table != nil && !c.g.leaving.Load() && c.g.fleet.usable()
+// publishView makes the view that traffic goes by.
+func (c *control) publishView(live []*api.PeerBeat, now time.Duration) {
+	table := c.servingTable(now)
+	ready := table != nil && !c.g.leaving.Load() && c.g.fleet.hasUsableServer()
 	v := &view{
 		table: table, entries: len(live) + 1, ready: ready,
 		configAt: c.operatorsAt, serversAt: c.serversAt,
@@ -305,11 +305,11 @@
 		}
 	}
 	self := &api.PeerBeat{Ip: c.g.settings.IP, Serving: ready, Leaving: c.g.leaving.Load(), Fence: c.g.experts.Fence()}
-	v.coordinates = peering.SelectCoordinator(self, c.mayCoordinate(live, now)) == c.g.settings.IP
+	v.isCoordinator = peering.SelectCoordinator(self, c.coordinatorCandidates(live, now)) == c.g.settings.IP
 	for _, b := range live {
-		v.followed = v.followed || b.GetFence() > self.GetFence()
+		v.takenOver = v.takenOver || b.GetFence() > self.GetFence()
 	}
-	if table != nil && (v.coordinates || self.GetFence() != 0) {
+	if table != nil && (v.isCoordinator || self.GetFence() != 0) {
 		v.engines = c.engines()
 	}
 	if ready {
@@ -318,8 +318,8 @@
 	old := c.g.view.Load()
 	if old == nil || old.ready != ready {
 		_ = level.Info(c.logger).Log("msg", "Readiness has changed.", "ready", ready, "config_known", table != nil,
-			"leaving", c.g.leaving.Load(), "servers_usable", c.g.fleet.usable())
-		c.urgent = true
+			"leaving", c.g.leaving.Load(), "servers_usable", c.g.fleet.hasUsableServer())
+		c.heartbeatDue = true
 	}
 	if old == nil || !slices.Equal(old.addresses, v.addresses) {
 		_ = level.Info(c.logger).Log("msg", "The entries that serve have changed.", "addresses", len(v.addresses), "live", v.entries)
@@ -327,13 +327,13 @@
 	c.g.view.Store(v)
 }
 
-// mostOthers bounds the entries that a beat names, so that a beat fits into one datagram.
-const mostOthers = 8
+// maxOthers bounds the entries that a beat names, so that a beat fits into one datagram.
+const maxOthers = 8
 
-// beat sends this entry's beat to those that it is due to.
-func (c *control) beat(live []*api.PeerBeat, now time.Duration) {
-	due := c.peers.TakeDue(now, c.urgent)
-	c.urgent = false
+// sendHeartbeats sends this entry's sendHeartbeats to those that it is due to.
+func (c *control) sendHeartbeats(live []*api.PeerBeat, now time.Duration) {
+	due := c.peers.TakeDue(now, c.heartbeatDue)
+	c.heartbeatDue = false
 	if len(due) == 0 {
 		return
 	}
@@ -346,7 +346,7 @@
 		OperatorsAgeMs: -1, ServersAgeMs: -1,
 		OperatorsChanged: c.operatorsChangedAt, ServersChanged: c.serversChangedAt,
 	}
-	if c.g.reads.Load() {
+	if c.g.readsStore.Load() {
 		b.OperatorsAgeMs = (now - c.operatorsAt).Milliseconds()
 		b.ServersAgeMs = (now - c.serversAt).Milliseconds()
 	}
@@ -357,9 +357,9 @@
 		b.Paces = append(b.Paces, &api.ServerPace{Id: id, Pace: float32(pace.Slower), Closed: pace.Closed})
 	}
 	others := make(map[string]bool)
-	for i := range min(len(live), mostOthers) {
-		others[live[(int(c.sequence)*mostOthers+i)%len(live)].GetIp()] = true
+	for i := range min(len(live), maxOthers) {
+		others[live[(int(c.sequence)*maxOthers+i)%len(live)].GetIp()] = true
 	}
 	b.Others = slices.Sorted(maps.Keys(others))
-	c.g.sendBeat(b, due)
+	c.g.sendHeartbeat(b, due)
 }
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -7,9 +7,9 @@
 	"github.com/apricothub/apricothub/internal/experts"
 )
 
-// mayCoordinate returns the other entries that may coordinate. Where engines compare fencing
+// coordinatorCandidates returns the other entries that may coordinate. Where engines compare fencing
 // numbers a silent one is followed early: should it live, its orders are refused.
-func (c *control) mayCoordinate(live []*api.PeerBeat, now time.Duration) []*api.PeerBeat {
+func (c *control) coordinatorCandidates(live []*api.PeerBeat, now time.Duration) []*api.PeerBeat {
 	if c.g.settings.Bounds.Fencing {
 		return c.peers.OnTime(now)
 	}
@@ -30,9 +30,9 @@
 	return engines
 }
 
-// pacesOf returns the backend servers that are slow or closed, by the word of the one that
+// reportedPaces returns the backend servers that are slow or closed, by the word of the one that
 // coordinates.
-func (c *control) pacesOf(live []*api.PeerBeat) map[string]experts.Pace {
+func (c *control) reportedPaces(live []*api.PeerBeat) map[string]experts.Pace {
 	if c.g.experts.Fence() != 0 {
 		return c.g.experts.Paces()
 	}
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// mostAddresses bounds the entries named to one caller.
-	mostAddresses = 64
-	// keepAddresses is how long callers keep an answer: short, since it is the time for
+	// maxAddresses bounds the entries named to one caller.
+	maxAddresses = 64
+	// addressTTL is how long callers keep an answer: short, since it is the time for
 	// which callers go on to an entry that has died, and an answer costs little.
-	keepAddresses = 2 * time.Second
+	addressTTL = 2 * time.Second
 )
 
 // serveResolve tells a caller where to connect.
@@ -28,30 +28,30 @@
 		return
 	}
 	q := platform.ReadResolve(r.URL.Query())
-	keep := keepAddresses
-	if most := g.settings.Bounds.AddressTTL; most > 0 {
-		keep = min(keep, most)
+	ttl := addressTTL
+	if limit := g.settings.Bounds.AddressTTL; limit > 0 {
+		ttl = min(ttl, limit)
 	}
-	if err := platform.WriteResolve(w, chosen(v.addresses, r.RemoteAddr), keep); err != nil {
+	if err := platform.WriteResolve(w, addressesFor(v.addresses, r.RemoteAddr), ttl); err != nil {
 		_ = level.Debug(g.logger).Log("msg", "A caller did not take its addresses.", "host", q.Host, "err", err,
 			"result", result.Label(api.ResultCode_ANSWER_BROKEN))
 	}
 }
 
-// chosen returns the addresses for one caller: all of few, or a part of many that differs
+// addressesFor returns the addresses for one caller: all of few, or a part of many that differs
 // between callers, so that one dead entry hits few of them.
-func chosen(addresses []string, caller string) []string {
-	if len(addresses) <= mostAddresses {
+func addressesFor(addresses []string, caller string) []string {
+	if len(addresses) <= maxAddresses {
 		return addresses
 	}
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(caller))
-	from := int(sum.Sum32() % uint32(len(addresses)))
-	part := make([]string, 0, mostAddresses)
-	for i := range mostAddresses {
-		part = append(part, addresses[(from+i)%len(addresses)])
+	start := int(sum.Sum32() % uint32(len(addresses)))
+	subset := make([]string, 0, maxAddresses)
+	for i := range maxAddresses {
+		subset = append(subset, addresses[(start+i)%len(addresses)])
 	}
-	return part
+	return subset
 }
 
 // serveReady tells the platform whether this entry takes work.
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -41,8 +41,8 @@
 	d := dump{VM: g.settings.VM, Uptime: clock.Now().Round(time.Millisecond).String(), Leaving: g.leaving.Load(), Incarnation: g.incarnation}
 	if v := g.view.Load(); v != nil {
 		d.Ready = v.ready
-		d.ConfigAge = age(v.configAt)
-		d.ServersAge = age(v.serversAt)
+		d.ConfigAge = ageMillis(v.configAt)
+		d.ServersAge = ageMillis(v.serversAt)
 		d.Entries = v.entries
 		d.Addresses = v.addresses
 		if v.table != nil {
@@ -61,7 +61,7 @@
 	for id, s := range f.servers {
 		servers = append(servers, serverDump{
 			ID: id, Service: s.Service, Address: s.Address, FailureDomain: s.FailureDomain,
-			Draining: s.Draining, Ejected: f.judge.Ejected(id, now), Own: s.own, Others: s.others, WorkMs: s.work.Milliseconds(),
+			Draining: s.Draining, Ejected: f.ejector.Ejected(id, now), Own: s.ownInFlight, Others: s.othersInFlight, WorkMs: s.workTime.Milliseconds(),
 		})
 	}
 	slices.SortFunc(servers, func(a, b serverDump) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -12,17 +12,17 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// age is how old a belief is, as logs show it; -1 for one that was never confirmed.
-func age(at time.Duration) int64 {
+// ageMillis is how old a belief is, as logs show it; -1 for one that was never confirmed.
+func ageMillis(at time.Duration) int64 {
 	if at == 0 {
 		return -1
 	}
 	return (clock.Now() - at).Milliseconds()
 }
 
-// inputs are the fields of each line about a request: what was decided on, and how old what
+// requestFields are the fields of each line about a request: what was decided on, and how old what
 // was known is.
-func (g *Gateway) inputs(t *task) []any {
+func (g *Gateway) requestFields(t *task) []any {
 	fields := []any{
 		"took_ms", t.elapsed().Milliseconds(), "waited_ms", t.waited.Milliseconds(),
 		"sent", t.history.sent, "unsent", t.history.unsent,
@@ -30,34 +30,34 @@
 	if t.route != nil {
 		fields = append(fields, "route", t.route.Name, "kind", t.route.Kind, "service", t.service, "team", t.team)
 	} else {
-		fields = append(fields, "host", t.host, "path", t.uri[:min(len(t.uri), maxPath)])
+		fields = append(fields, "host", t.host, "path", t.uri[:min(len(t.uri), maxLoggedPath)])
 	}
-	if t.until > 0 {
-		fields = append(fields, "left_ms", (t.until - clock.Now()).Milliseconds())
+	if t.deadline > 0 {
+		fields = append(fields, "left_ms", (t.deadline - clock.Now()).Milliseconds())
 	}
 	if t.out.lastID != "" {
 		fields = append(fields, "last_event", t.out.lastID)
 	}
 	if v := g.view.Load(); v != nil && v.table != nil {
-		fields = append(fields, "config", v.table.Version, "config_age_ms", age(v.configAt), "servers_age_ms", age(v.serversAt))
+		fields = append(fields, "config", v.table.Version, "config_age_ms", ageMillis(v.configAt), "servers_age_ms", ageMillis(v.serversAt))
 	}
 	return fields
 }
 
-// roomFields are what is known of the places of a request's service.
-func (g *Gateway) roomFields(t *task) []any {
+// slotFields are what is known of the places of a request's service.
+func (g *Gateway) slotFields(t *task) []any {
 	if t.service == "" {
 		return nil
 	}
-	r := g.fleet.room(t.service)
+	r := g.fleet.slotState(t.service)
 	return []any{
-		"running", r.running, "waiting", r.waiting, "free", r.free, "capacity", r.capacity,
-		"registered", r.registered, "entries", r.entries, "room_age_ms", age(r.at),
+		"running", r.running, "waiting", r.queued, "free", r.free, "capacity", r.capacity,
+		"registered", r.registered, "entries", r.entries, "room_age_ms", ageMillis(r.countedAt),
 	}
 }
 
 func serverFields(s placement) []any {
-	return []any{"server", s.ID, "failure_domain", s.FailureDomain, "server_running", s.running, "server_limit", s.limit}
+	return []any{"server", s.ID, "failure_domain", s.FailureDomain, "server_running", s.inFlight, "server_limit", s.limit}
 }
 
 // line is a line about a request, whose fields are put together if it is written.
@@ -69,51 +69,51 @@
 
 // logServed logs a request whose caller has the answer of a backend server. One that was
 // late, or took more than one attempt, is told apart, since it has a cause to be found.
-func (g *Gateway) logServed(t *task, s placement, late lateness) {
+func (g *Gateway) logServed(t *task, s placement, missed lateness) {
 	switch {
-	case late != onTime:
+	case missed != onTime:
 		_ = level.Warn(g.logger).Log(line(t, "A request was served late.", func() [][]any {
-			return [][]any{{"late", late}, serverFields(s), t.times(), g.inputs(t), g.roomFields(t)}
+			return [][]any{{"late", missed}, serverFields(s), t.timingFields(), g.requestFields(t), g.slotFields(t)}
 		})...)
 	case len(t.tried) > 1:
 		_ = level.Warn(g.logger).Log(line(t, "A request was served after another attempt.", func() [][]any {
-			return [][]any{serverFields(s), t.times(), g.inputs(t)}
+			return [][]any{serverFields(s), t.timingFields(), g.requestFields(t)}
 		})...)
 	default:
 		_ = level.Info(g.logger).Log(line(t, "A request was served.", func() [][]any {
-			return [][]any{serverFields(s), g.inputs(t)}
+			return [][]any{serverFields(s), g.requestFields(t)}
 		})...)
 	}
 }
 
-// times are the fields that tell how an answer came.
-func (t *task) times() []any {
+// timingFields are the fields that tell how an answer came.
+func (t *task) timingFields() []any {
 	return []any{
-		"tried", len(t.tried), "first_ms", (t.out.firstAt - t.arrived).Milliseconds(), "gap_ms", t.out.gap.Milliseconds(),
+		"tried", len(t.tried), "first_ms", (t.out.begunAt - t.arrivedAt).Milliseconds(), "gap_ms", t.out.maxEventGap.Milliseconds(),
 	}
 }
 
 // logEnd logs a request that ended otherwise.
 func (g *Gateway) logEnd(t *task, msg string, code api.ResultCode) {
 	_ = level.Warn(g.logger).Log(line(t, msg, func() [][]any {
-		return [][]any{{"result", result.Label(code), "tried", len(t.tried)}, g.inputs(t), g.roomFields(t)}
+		return [][]any{{"result", result.Label(code), "tried", len(t.tried)}, g.requestFields(t), g.slotFields(t)}
 	})...)
 }
 
-// logGone logs a request whose caller did not wait for the answer.
-func (g *Gateway) logGone(t *task) {
+// logCallerGone logs a request whose caller did not wait for the answer.
+func (g *Gateway) logCallerGone(t *task) {
 	_ = level.Warn(g.logger).Log(line(t, "The caller has gone.", func() [][]any {
-		return [][]any{{"tried", len(t.tried)}, g.inputs(t)}
+		return [][]any{{"tried", len(t.tried)}, g.requestFields(t)}
 	})...)
 }
 
 // logAttempt logs an attempt that did not end the request, and whether another one follows.
-func (g *Gateway) logAttempt(t *task, s placement, v verdict, again bool, why string, err error) {
+func (g *Gateway) logAttempt(t *task, s placement, outcome attemptOutcome, retry bool, why string, err error) {
 	_ = level.Warn(g.logger).Log(line(t, "An attempt came to nothing.", func() [][]any {
-		failure := []any{"verdict", v, "result", result.Label(v.code()), "err", err, "again", again}
-		if !again {
+		failure := []any{"verdict", outcome, "result", result.Label(outcome.resultCode()), "err", err, "again", retry}
+		if !retry {
 			failure = append(failure, "why", why)
 		}
-		return [][]any{serverFields(s), failure, g.inputs(t)}
+		return [][]any{serverFields(s), failure, g.requestFields(t)}
 	})...)
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -21,230 +21,230 @@
 )
 
 const (
-	// queueRoom is the part of its concurrency that may wait at a backend server beyond it:
+	// serverQueueRatio is the part of its concurrency that may wait at a backend server beyond it:
 	// enough that none idles for the age of what entries know of each other. What waits at
 	// an entry can still go to any server, or be told to come back.
-	queueRoom = 0.25
-	// workWeight is the number of requests over which the time of the work is averaged.
-	workWeight = 16
-	// retryShare is the part of the retry budget of all entries that this process plans
+	serverQueueRatio = 0.25
+	// workTimeSamples is the number of requests over which the time of the work is averaged.
+	workTimeSamples = 16
+	// retryBudgetShare is the part of the retry budget of all entries that this process plans
 	// with: entries that have just come or gone are counted late.
-	retryShare = 0.8
+	retryBudgetShare = 0.8
 )
 
-// bounds is what all entries together may do to a service or a backend server.
-type bounds struct {
-	coldOver, coldSlack float64
-	retryRatio          float64
-	retrySlack          float64
+// limits is what all entries together may do to a service or a backend server.
+type limits struct {
+	coldMaxRatio, coldSlack float64
+	retryRatio              float64
+	retryReserve            float64
 }
 
 // fleet is what this process knows of the backend servers. It is safe for use by many
 // goroutines.
 type fleet struct {
-	bounds bounds
+	limits limits
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	table   *place.Table
-	judge   *eject.Tracker
-	watch   *silence.Detector
-	servers map[string]*server
-	budgets map[string]*place.RetryBudget
-	// entries is the number of live entries, mayLive that of those that may be at work, this
+	mu              sync.Mutex
+	rng             *rand.Rand
+	table           *place.Table
+	ejector         *eject.Tracker
+	silenceDetector *silence.Detector
+	servers         map[string]*server
+	budgets         map[string]*place.RetryBudget
+	// entries is the number of live entries, maybeLive that of those that may be at work, this
 	// one included.
-	entries, mayLive int
+	entries, maybeLive int
 
 	admitter *admit.Admitter
-	waiting  map[uint64]*waiter
+	queue    map[uint64]*queuedRequest
 	lastID   uint64
-	// teamsOf is the version of the configuration that the admitter's teams are of.
-	teamsOf int64
+	// teamsVersion is the version of the configuration that the admitter's teams are of.
+	teamsVersion int64
 	// engines are the services whose servers are engines.
 	engines map[string]bool
-	// shut are the services of which this entry has seen itself that no server takes work.
-	shut map[string]bool
+	// refusing are the services of which this entry has seen itself that no server takes work.
+	refusing map[string]bool
 	// registered is what all servers of a service can hold, whether they may get work now or
 	// not, and running this entry's requests there.
 	registered, running map[string]int
 	// queued are the requests of a service that wait here, rooms what was last counted.
-	queued map[string]int
-	rooms  map[string]room
+	queued     map[string]int
+	slotStates map[string]slotState
 
 	logger log.Logger
-	// leftOut counts how often a server was left out.
-	leftOut metrics.Counter
+	// ejections counts how often a server was left out.
+	ejections metrics.Counter
 }
 
 // server is one backend server.
 type server struct {
 	registry.Server
 	service *routing.Service
-	// leaves says that it gets no new work, since it drains or its failure domain is out.
-	leaves bool
-	// own is this process's work there, others that of the other entries.
-	own, others int
-	work        time.Duration
-	// pace is how many times slower than usual it is, by its own word; closed says that it
+	// isLeaving says that it gets no new work, since it drains or its failure domain is out.
+	isLeaving bool
+	// ownInFlight is this process's work there, othersInFlight that of the other entries.
+	ownInFlight, othersInFlight int
+	workTime                    time.Duration
+	// slowdown is how many times slower than usual it is, by its own word; closed says that it
 	// takes no work now.
-	pace   float64
-	closed bool
+	slowdown float64
+	closed   bool
 	// arrivals bounds the requests a second; nil where there is no bound.
 	arrivals *arrivals.Share
 }
 
-func newFleet(b bounds, rng *rand.Rand) *fleet {
+func newFleet(l limits, rng *rand.Rand) *fleet {
 	return &fleet{
-		bounds: b,
+		limits: l,
 		rng:    rng,
 		// Reports here are the other entries' own counts, a fraction of a second old.
-		table:    place.NewTable(rng, place.Config{QueueRatio: queueRoom, TrustStaleReports: true}),
-		judge:    eject.New(eject.Config{}),
-		watch:    silence.New(silence.Config{}),
-		engines:  make(map[string]bool),
-		servers:  make(map[string]*server),
-		budgets:  make(map[string]*place.RetryBudget),
-		entries:  1,
-		mayLive:  1,
-		admitter: admit.New(admit.Config{Queue: mostWaiting, MaxWait: longestWait, MostRetry: comeBackMost}),
-		waiting:  make(map[uint64]*waiter),
-		running:  make(map[string]int),
-		queued:   make(map[string]int),
-		rooms:    make(map[string]room),
-		logger:   log.NewNopLogger(),
-		leftOut:  metrics.NilCounter{},
-		shut:     make(map[string]bool),
+		table:           place.NewTable(rng, place.Config{QueueRatio: serverQueueRatio, TrustStaleReports: true}),
+		ejector:         eject.New(eject.Config{}),
+		silenceDetector: silence.New(silence.Config{}),
+		engines:         make(map[string]bool),
+		servers:         make(map[string]*server),
+		budgets:         make(map[string]*place.RetryBudget),
+		entries:         1,
+		maybeLive:       1,
+		admitter:        admit.New(admit.Config{Queue: maxQueued, MaxWait: maxQueueWait, MostRetry: maxRetryAfter}),
+		queue:           make(map[uint64]*queuedRequest),
+		running:         make(map[string]int),
+		queued:          make(map[string]int),
+		slotStates:      make(map[string]slotState),
+		logger:          log.NewNopLogger(),
+		ejections:       metrics.NilCounter{},
+		refusing:        make(map[string]bool),
 	}
 }
 
 func offer(service string) string { return "service:" + service }
 
-// census is how many entries there are, this one included.
-type census struct {
-	// live are heard, mayLive are at work for all that is known.
-	live, mayLive int
+// entryCounts is how many entries there are, this one included.
+type entryCounts struct {
+	// live are heard, maybeLive are at work for all that is known.
+	live, maybeLive int
 }
 
-// set replaces the backend servers, with the failure domains that operators have taken out
+// setServers replaces the backend servers, with the failure domains that operators have taken out
 // and the number of entries.
-func (f *fleet) set(entries []registry.Registration, out map[string]bool, cfg *routing.Table, n census, now time.Duration) {
+func (f *fleet) setServers(registrations []registry.Registration, domainsOut map[string]bool, cfg *routing.Table, counts entryCounts, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entries = max(n.live, 1)
-	f.mayLive = max(n.mayLive, f.entries)
+	f.entries = max(counts.live, 1)
+	f.maybeLive = max(counts.maybeLive, f.entries)
 	f.setTeams(cfg)
 	f.registered = make(map[string]int)
 	f.engines = make(map[string]bool)
-	for service := range f.rooms {
+	for service := range f.slotStates {
 		if cfg.Service(service) == nil {
-			delete(f.rooms, service)
+			delete(f.slotStates, service)
 		}
 	}
 	old := f.servers
-	f.servers = make(map[string]*server, len(entries))
-	placed := make([]place.Server, 0, len(entries))
-	for _, e := range entries {
-		service := cfg.Service(e.Service)
+	f.servers = make(map[string]*server, len(registrations))
+	placed := make([]place.Server, 0, len(registrations))
+	for _, r := range registrations {
+		service := cfg.Service(r.Service)
 		if service == nil {
 			continue
 		}
-		s := old[e.ID]
+		s := old[r.ID]
 		if s == nil {
 			s = &server{}
 		}
-		if s.StartedAtUnixMs != e.StartedAtUnixMs {
-			s.work = 0
+		if s.StartedAtUnixMs != r.StartedAtUnixMs {
+			s.workTime = 0
 		}
-		s.Server = e.Server
+		s.Server = r.Server
 		s.service = service
-		f.engines[e.Service] = service.Engine != nil
-		f.boundArrivals(s, now)
-		f.servers[e.ID] = s
+		f.engines[r.Service] = service.Engine != nil
+		f.limitArrivals(s, now)
+		f.servers[r.ID] = s
 		weight := 1.0
-		s.leaves = e.Draining || out[e.FailureDomain]
-		if s.leaves {
+		s.isLeaving = r.Draining || domainsOut[r.FailureDomain]
+		if s.isLeaving {
 			weight = 0
 		} else {
-			f.registered[e.Service] += e.Concurrency
+			f.registered[r.Service] += r.Concurrency
 		}
-		placed = append(placed, place.Server{VM: e.ID, Domain: e.FailureDomain, Offers: []string{offer(e.Service)}, Weight: weight})
+		placed = append(placed, place.Server{VM: r.ID, Domain: r.FailureDomain, Offers: []string{offer(r.Service)}, Weight: weight})
 	}
 	f.table.SetServers(placed)
 	known := func(id string) bool { return f.servers[id] != nil }
-	f.judge.Retain(known)
-	f.watch.Retain(known)
-	f.refresh(now)
+	f.ejector.Retain(known)
+	f.silenceDetector.Retain(known)
+	f.updatePlacement(now)
 }
 
-// boundArrivals sets how many requests a second this entry sends to a server.
+// limitArrivals sets how many requests a second this entry sends to a server.
 //
 // Load: a backend server that is cold, or turns cold without a word, while others are gone
 // and their work comes to it. Harm prevented: it falls over. The bound is for all entries
 // together; each keeps to its part without asking, and does so also while the server is
 // taken as warm, since what a server says of itself is late.
-func (f *fleet) boundArrivals(s *server, now time.Duration) {
+func (f *fleet) limitArrivals(s *server, now time.Duration) {
 	if s.service.ColdRate <= 0 {
 		s.arrivals = nil
 		return
 	}
-	bound := arrivals.Limit{Rate: s.service.ColdRate, MaxRatio: f.bounds.coldOver, Slack: f.bounds.coldSlack}
+	limit := arrivals.Limit{Rate: s.service.ColdRate, MaxRatio: f.limits.coldMaxRatio, Slack: f.limits.coldSlack}
 	if s.arrivals == nil {
-		s.arrivals = arrivals.NewShare(bound, f.mayLive, f.rng.Float64(), now)
+		s.arrivals = arrivals.NewShare(limit, f.maybeLive, f.rng.Float64(), now)
 		return
 	}
-	s.arrivals.Set(bound, f.mayLive, now)
+	s.arrivals.Set(limit, f.maybeLive, now)
 }
 
-// setOthers takes the work of the other entries by server, and the servers that are slow.
-func (f *fleet) setOthers(others map[string]int, paces map[string]experts.Pace, now time.Duration) {
+// setPeerReports takes the work of the other entries by server, and the servers that are slow.
+func (f *fleet) setPeerReports(others map[string]int, paces map[string]experts.Pace, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.servers {
-		s.others = others[id]
-		f.setPace(id, s, paces[id])
+		s.othersInFlight = others[id]
+		f.setSlowdown(id, s, paces[id])
 	}
-	f.refresh(now)
+	f.updatePlacement(now)
 }
 
-// setPace takes in how slow a server is. The caller holds the lock.
-func (f *fleet) setPace(id string, s *server, p experts.Pace) {
-	limit, closed := s.limit(), s.closed
-	s.pace, s.closed = p.Slower, p.Closed
-	if s.limit() != limit || s.closed != closed {
+// setSlowdown takes in how slow a server is. The caller holds the lock.
+func (f *fleet) setSlowdown(id string, s *server, p experts.Pace) {
+	oldLimit, wasClosed := s.inFlightLimit(), s.closed
+	s.slowdown, s.closed = p.Slower, p.Closed
+	if s.inFlightLimit() != oldLimit || s.closed != wasClosed {
 		_ = level.Info(f.logger).Log("msg", "A backend server gets work by its pace.", "server", id, "service", s.Service,
-			"pace", s.pace, "closed", s.closed, "limit", s.limit())
+			"pace", s.slowdown, "closed", s.closed, "limit", s.inFlightLimit())
 	}
 }
 
-// limit is the number of requests to have at a server at once.
+// inFlightLimit is the number of requests to have at a server at once.
 //
 // Load: one engine of a lock-step group that is several times slower. Harm prevented: all
 // ranks wait in every pass for what it reads and writes for its own requests. It gets the
 // fewer the slower it is, none from some two times on; its part of the experts is moved
 // elsewhere, too.
-func (s *server) limit() int {
-	slower := max(s.pace, 1)
-	return int(float64(s.Concurrency) / (slower * slower * slower))
+func (s *server) inFlightLimit() int {
+	slowdown := max(s.slowdown, 1)
+	return int(float64(s.Concurrency) / (slowdown * slowdown * slowdown))
 }
 
-// spared says whether a server is too slow for any request. When all of its service are, none
+// isTooSlow says whether a server is too slow for any request. When all of its service are, none
 // is: slow answers are better than none.
-func (s *server) spared(paced map[string]bool) bool {
-	return s.limit() == 0 && paced[s.Service]
+func (s *server) isTooSlow(hasFast map[string]bool) bool {
+	return s.inFlightLimit() == 0 && hasFast[s.Service]
 }
 
-// refresh tells the placement what is known of each server. The caller holds the lock.
-func (f *fleet) refresh(now time.Duration) {
-	out := make(map[string]int)
-	all := make(map[string]int)
-	// paced are the services that have a server which is fast enough and may get work.
-	paced := make(map[string]bool)
+// updatePlacement tells the placement what is known of each server. The caller holds the lock.
+func (f *fleet) updatePlacement(now time.Duration) {
+	unavailable := make(map[string]int)
+	total := make(map[string]int)
+	// hasFast are the services that have a server which is fast enough and may get work.
+	hasFast := make(map[string]bool)
 	for id, s := range f.servers {
-		all[s.Service]++
-		if f.isOut(id, now) {
-			out[s.Service]++
-		} else if s.limit() > 0 && !s.closed && !s.leaves {
-			paced[s.Service] = true
+		total[s.Service]++
+		if f.isUnavailable(id, now) {
+			unavailable[s.Service]++
+		} else if s.inFlightLimit() > 0 && !s.closed && !s.isLeaving {
+			hasFast[s.Service] = true
 		}
 	}
 	for id, s := range f.servers {
@@ -252,44 +252,44 @@
 			s.arrivals.Tick(now)
 		}
 		f.table.Report(id, now, place.Report{
-			Limit: s.limit(), FullLimit: s.Concurrency, Running: s.own + s.others, WorkTime: s.work,
+			Limit: s.inFlightLimit(), FullLimit: s.Concurrency, Running: s.ownInFlight + s.othersInFlight, WorkTime: s.workTime,
 		})
 		// When all of a service fail, something else is at fault, and none is worse than
 		// the others.
-		f.table.SetSuspect(id, s.closed || s.spared(paced) || f.shut[s.Service] || f.isOut(id, now) && out[s.Service] < all[s.Service])
+		f.table.SetSuspect(id, s.closed || s.isTooSlow(hasFast) || f.refusing[s.Service] || f.isUnavailable(id, now) && unavailable[s.Service] < total[s.Service])
 	}
-	f.admit(now)
+	f.updateCapacity(now)
 }
 
-// isOut says whether a server is left out for what it does: it fails, or its VM is silent. The
+// isUnavailable says whether a server is left out for what it does: it fails, or its VM is silent. The
 // caller holds the lock.
-func (f *fleet) isOut(id string, now time.Duration) bool {
-	return f.judge.Ejected(id, now) || f.watch.IsSilent(id)
+func (f *fleet) isUnavailable(id string, now time.Duration) bool {
+	return f.ejector.Ejected(id, now) || f.silenceDetector.IsSilent(id)
 }
 
-// need is what placing a request takes.
-type need struct {
-	service string
-	tried   []string
-	left    time.Duration
+// pickRequest is what placing a request takes.
+type pickRequest struct {
+	service  string
+	tried    []string
+	timeLeft time.Duration
 }
 
 // placement is a backend server that a request goes to, with what was known of it then.
 type placement struct {
 	registry.Server
-	// running are the requests there, this one included, and limit the most to have there.
-	running, limit int
+	// inFlight are the requests there, this one included, and limit the most to have there.
+	inFlight, limit int
 }
 
 // pick chooses a backend server and counts the request as sent there; end it with done. The
 // caller holds the lock.
-func (f *fleet) pick(n need, now time.Duration) (placement, api.ResultCode) {
-	avoid := append([]string(nil), n.tried...)
-	cold := false
+func (f *fleet) pick(req pickRequest, now time.Duration) (placement, api.ResultCode) {
+	avoid := append([]string(nil), req.tried...)
+	skippedCold := false
 	for {
-		id, code := f.table.Pick(now, place.Request{Offer: offer(n.service), Avoid: avoid, TimeLeft: n.left})
+		id, code := f.table.Pick(now, place.Request{Offer: offer(req.service), Avoid: avoid, TimeLeft: req.timeLeft})
 		if code != api.ResultCode_OK {
-			if cold {
+			if skippedCold {
 				code = api.ResultCode_COLD
 			}
 			return placement{}, code
@@ -297,47 +297,47 @@
 		s := f.servers[id]
 		if s.arrivals != nil && !s.arrivals.Allow(now) {
 			avoid = append(avoid, id)
-			cold = true
+			skippedCold = true
 			continue
 		}
-		s.own++
+		s.ownInFlight++
 		f.table.Started(id, now)
-		return placement{Server: s.Server, running: s.own + s.others, limit: s.limit()}, api.ResultCode_OK
+		return placement{Server: s.Server, inFlight: s.ownInFlight + s.othersInFlight, limit: s.inFlightLimit()}, api.ResultCode_OK
 	}
 }
 
-// load is one server with this entry's requests there.
-type load struct {
+// serverLoad is one server with this entry's requests there.
+type serverLoad struct {
 	id       string
 	inFlight int
 }
 
 // loads returns this entry's own requests at each server that has any.
-func (f *fleet) loads() []load {
+func (f *fleet) loads() []serverLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var loads []load
+	var loads []serverLoad
 	for id, s := range f.servers {
-		if s.own > 0 {
-			loads = append(loads, load{id, s.own})
+		if s.ownInFlight > 0 {
+			loads = append(loads, serverLoad{id, s.ownInFlight})
 		}
 	}
 	return loads
 }
 
-// connections is the number of connections that this entry may have to a server.
-func (f *fleet) connections(id string) int {
+// maxConnections is the number of maxConnections that this entry may have to a server.
+func (f *fleet) maxConnections(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[id]
 	if s == nil || s.service.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, s.service.MaxConnections/f.mayLive)
+	return max(1, s.service.MaxConnections/f.maybeLive)
 }
 
-// usable says whether any backend server may get work.
-func (f *fleet) usable() bool {
+// hasUsableServer says whether any backend server may get work.
+func (f *fleet) hasUsableServer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -348,7 +348,7 @@
 	return false
 }
 
-func (f *fleet) known(id string) bool {
+func (f *fleet) isKnown(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[id] != nil
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -15,8 +15,8 @@
 
 const msec = time.Millisecond
 
-// service is the configuration of one service with engines that are cold for a while.
-func service(coldRate float64) *routing.Table {
+// serviceTable is the configuration of one serviceTable with engines that are cold for a while.
+func serviceTable(coldRate float64) *routing.Table {
 	return routing.NewTable(&routing.Config{
 		Version:  1,
 		Services: []routing.Service{{Name: "app", ColdRate: coldRate, Engine: &routing.Engine{Concurrency: 12}}},
@@ -24,7 +24,7 @@
 	})
 }
 
-func entries(n, concurrency int) []registry.Registration {
+func registrations(n, concurrency int) []registry.Registration {
 	var out []registry.Registration
 	for i := range n {
 		out = append(out, registry.Registration{Server: registry.Server{
@@ -40,13 +40,13 @@
 	if len(seed) > 0 {
 		rng = rand.New(rand.NewPCG(seed[0], 1))
 	}
-	f := newFleet(bounds{coldOver: 1.5, coldSlack: 5, retryRatio: 0.2, retrySlack: 92}, rng)
-	f.set(entries(n, concurrency), nil, service(coldRate), census{live, live}, 0)
+	f := newFleet(limits{coldMaxRatio: 1.5, coldSlack: 5, retryRatio: 0.2, retryReserve: 92}, rng)
+	f.setServers(registrations(n, concurrency), nil, serviceTable(coldRate), entryCounts{live, live}, 0)
 	return f
 }
 
-func (f *fleet) pickFor(now time.Duration) (string, api.ResultCode) {
-	s, code := f.another(need{service: "app"}, now)
+func (f *fleet) pickApp(now time.Duration) (string, api.ResultCode) {
+	s, code := f.pickForRetry(pickRequest{service: "app"}, now)
 	return s.ID, code
 }
 
@@ -62,13 +62,13 @@
 	var sent []time.Duration
 	for now := time.Duration(0); now < 10*time.Second; now += 2 * msec {
 		for _, f := range fleets {
-			if id, code := f.pickFor(now); code == api.ResultCode_OK {
-				f.done(id, fateServed, msec, now)
+			if id, code := f.pickApp(now); code == api.ResultCode_OK {
+				f.endAttempt(id, outcomeServed, msec, now)
 				sent = append(sent, now)
 			}
 		}
 	}
-	const most = rate*1.5 + 5
+	const maxPerSecond = rate*1.5 + 5
 	for i := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -76,8 +76,8 @@
 				n++
 			}
 		}
-		if float64(n) > most {
-			t.Fatalf("%d requests in the second from %v, %v at most", n, sent[i], most)
+		if float64(n) > maxPerSecond {
+			t.Fatalf("%d requests in the second from %v, %v at most", n, sent[i], maxPerSecond)
 		}
 	}
 	if len(sent) < int(rate*8) {
@@ -89,21 +89,21 @@
 // attempts stay within the budget that they share.
 func TestRetriesOfAllEntriesStayWithinTheBudget(t *testing.T) {
 	const live, requests = 8, 60
-	again := 0
+	retries := 0
 	for range live {
 		f := newTestFleet(3, 6, live, 0)
 		for range requests {
-			f.first("app")
-			if f.again("app") {
-				again++
+			f.countRequest("app")
+			if f.spendRetry("app") {
+				retries++
 			}
 		}
 	}
-	if most := 0.2*live*requests + 92; float64(again) > most {
-		t.Errorf("%d second attempts, %v at most", again, most)
+	if maxRetries := 0.2*live*requests + 92; float64(retries) > maxRetries {
+		t.Errorf("%d second attempts, %v at most", retries, maxRetries)
 	}
-	if again < live*requests/10 {
-		t.Errorf("only %d second attempts", again)
+	if retries < live*requests/10 {
+		t.Errorf("only %d second attempts", retries)
 	}
 }
 
@@ -126,7 +126,7 @@
 		kept := runs[:0]
 		for _, r := range runs {
 			if r.until <= now {
-				fleets[r.entry].done(r.id, fateServed, 1500*msec, now)
+				fleets[r.entry].endAttempt(r.id, outcomeServed, 1500*msec, now)
 				continue
 			}
 			kept = append(kept, r)
@@ -135,7 +135,7 @@
 		entry := int(now/(10*msec)) % live
 		// 60 requests a second that take 1.5 s: 7.5 at each engine.
 		if now%(50*msec) < 30*msec {
-			if id, code := fleets[entry].pickFor(now); code == api.ResultCode_OK {
+			if id, code := fleets[entry].pickApp(now); code == api.ResultCode_OK {
 				runs = append(runs, run{entry, id, now + 1500*msec})
 			}
 		}
@@ -147,7 +147,7 @@
 						others[r.id]++
 					}
 				}
-				f.setOthers(others, nil, now)
+				f.setPeerReports(others, nil, now)
 			}
 		}
 		if now > 5*time.Second {
@@ -159,9 +159,9 @@
 		}
 	}
 	// What an engine works on at once, and what may wait there.
-	const most = 12 + 12*queueRoom
-	if float64(busiest) > most {
-		t.Errorf("an engine had %d requests, with 7.5 on average and %v at most", busiest, most)
+	const maxInFlight = 12 + 12*serverQueueRatio
+	if float64(busiest) > maxInFlight {
+		t.Errorf("an engine had %d requests, with 7.5 on average and %v at most", busiest, maxInFlight)
 	}
 }
 
@@ -169,10 +169,10 @@
 // others, so that it gets hardly any.
 func TestASlowEngineGetsLittle(t *testing.T) {
 	f := newTestFleet(12, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
 	got := map[string]int{}
 	for range 90 {
-		if id, code := f.pickFor(0); code == api.ResultCode_OK {
+		if id, code := f.pickApp(0); code == api.ResultCode_OK {
 			got[id]++
 		}
 	}
@@ -185,7 +185,7 @@
 // are not sent from one engine to the next; nobody waits for longer than callers stay.
 func TestRequestsWaitForABrokenGroup(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	if !f.shed("i-0") || f.shed("i-1") {
+	if !f.markRefusing("i-0") || f.markRefusing("i-1") {
 		t.Fatal("an engine with room that refuses must shut its service, once")
 	}
 	type outcome struct {
@@ -196,7 +196,7 @@
 	now := time.Duration(0)
 	for range cap(outcomes) {
 		go func() {
-			_, s, err := f.enter(context.Background(), &task{route: &routing.Route{}, service: "app", team: "north"}, now)
+			_, s, err := f.admitRequest(context.Background(), &task{route: &routing.Route{}, service: "app", team: "north"}, now)
 			if err != nil {
 				outcomes <- outcome{err: err}
 				return
@@ -206,7 +206,7 @@
 	}
 	for end := time.Now().Add(generous); ; time.Sleep(msec) {
 		f.mu.Lock()
-		waiting := len(f.waiting)
+		waiting := len(f.queue)
 		f.mu.Unlock()
 		if waiting+len(outcomes) == cap(outcomes) {
 			break
@@ -215,7 +215,7 @@
 			t.Fatalf("%d wait", waiting)
 		}
 	}
-	f.opened("app")
+	f.clearRefusing("app")
 	for range cap(outcomes) {
 		if o := <-outcomes; o.server == "" {
 			t.Errorf("refused with %v though the group opened", o.err)
@@ -226,8 +226,8 @@
 // An engine that is full refuses. That says nothing of its group.
 func TestAFullEngineShutsNothing(t *testing.T) {
 	f := newTestFleet(1, 1, 1, 0)
-	id, _ := f.pickFor(0)
-	if f.shed(id) {
+	id, _ := f.pickApp(0)
+	if f.markRefusing(id) {
 		t.Error("the service was shut")
 	}
 }
@@ -239,23 +239,23 @@
 	const picks = 2000
 	f := newTestFleet(4, 12, 1, 0)
 	slow := map[string]experts.Pace{"i-1": {Slower: 5}}
-	f.setOthers(nil, slow, 0)
+	f.setPeerReports(nil, slow, 0)
 	// While all are idle, and then until the fast ones are full.
 	for i := range 2 * picks {
-		id, code := f.pickFor(0)
+		id, code := f.pickApp(0)
 		if code == api.ResultCode_OK && id == "i-1" {
 			t.Fatal("a request went to the slow server")
 		}
 		if code == api.ResultCode_OK && i < picks {
-			f.done(id, fateServed, msec, 0)
+			f.endAttempt(id, outcomeServed, msec, 0)
 		}
 	}
 	for id := range f.servers {
 		slow[id] = experts.Pace{Slower: 5}
 	}
 	all := newTestFleet(4, 12, 1, 0)
-	all.setOthers(nil, slow, 0)
-	if _, code := all.pickFor(0); code != api.ResultCode_OK {
+	all.setPeerReports(nil, slow, 0)
+	if _, code := all.pickApp(0); code != api.ResultCode_OK {
 		t.Errorf("with all servers slow: %v", code)
 	}
 }
@@ -264,11 +264,11 @@
 // left, and callers wait longer instead of being refused.
 func TestASlowServerServesWhenTheFastOnesAreOut(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	both := entries(2, 12)
+	both := registrations(2, 12)
 	both[0].FailureDomain = "out"
-	f.set(both, map[string]bool{"out": true}, service(0), census{1, 1}, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	if id, code := f.pickFor(0); code != api.ResultCode_OK || id != "i-1" {
+	f.setServers(both, map[string]bool{"out": true}, serviceTable(0), entryCounts{1, 1}, 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	if id, code := f.pickApp(0); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
 }
@@ -277,10 +277,10 @@
 // is left.
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	f.judge.RecordUnreachable("i-0", 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
-	if id, code := f.pickFor(msec); code != api.ResultCode_OK || id != "i-1" {
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.ejector.RecordUnreachable("i-0", 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
+	if id, code := f.pickApp(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follower.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// answerTime is how long the store may take for one call, beyond the time for which it
+	// storeTimeout is how long the store may take for one call, beyond the time for which it
 	// is asked to wait: far more than its few milliseconds, and with the wait well below the
 	// time within which a configuration must be in force, so that a connection gone silent
 	// is noticed in time.
-	answerTime = 600 * time.Millisecond
-	// operatorsWait is how long the store is asked to wait for a record of operators.
-	operatorsWait = 1200 * time.Millisecond
-	// serversEach is the time between two reads of the registrations, which change all the
+	storeTimeout = 600 * time.Millisecond
+	// operatorsLongPoll is how long the store is asked to wait for a record of operators.
+	operatorsLongPoll = 1200 * time.Millisecond
+	// serversInterval is the time between two reads of the registrations, which change all the
 	// time: a read that waits would end with each heartbeat of any server. A leaving server
 	// must be known within the drain bound, 2 s at the shortest.
-	serversEach = 700 * time.Millisecond
-	// retryFirst and retryMost bound the time between calls while the store does not answer;
+	serversInterval = 700 * time.Millisecond
+	// minRetryInterval and retryMost bound the time between calls while the store does not answer;
 	// it is short, since registrations and configuration wait to be read when it is back.
 	// Where there are many entries those that others read for take longer.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// idleEach is the time between two reads of an entry that others read for: it heals what
+	minRetryInterval = 100 * time.Millisecond
+	maxRetryInterval = 400 * time.Millisecond
+	// idleInterval is the time between two reads of an entry that others read for: it heals what
 	// those may have missed, and costs a tenth of a call a second.
-	idleEach = 10 * time.Second
-	// idleLook is how often such an entry looks whether it has to read itself.
-	idleLook = 50 * time.Millisecond
+	idleInterval = 10 * time.Second
+	// idleCheckInterval is how often such an entry looks whether it has to read itself.
+	idleCheckInterval = 50 * time.Millisecond
 )
 
-// news is what a follower has read of one topic.
-type news struct {
+// topicUpdate is what a follower has read of one topic.
+type topicUpdate struct {
 	topic string
 	// listing is set in place of records when all keys were read anew.
 	listing *platform.Listing
@@ -50,8 +50,8 @@
 	at  time.Duration
 }
 
-// reader is what a follower needs of the store.
-type reader interface {
+// storeReader is what a follower needs of the store.
+type storeReader interface {
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) ([]keyed.Record, error)
 	Newest(ctx context.Context, topic string) (platform.Listing, error)
 }
@@ -59,58 +59,58 @@
 // follower reads one topic and sends what it reads to the control goroutine.
 type follower struct {
 	topic string
-	store reader
-	// wait is how long each read waits for a record, each the time between two reads.
-	wait, each time.Duration
-	// needed says whether this entry is to read the topic now. Without need it reads once in
+	store storeReader
+	// wait is how long interval read waits for a record, interval the time between two reads.
+	wait, interval time.Duration
+	// isNeeded says whether this entry is to read the topic now. Without need it reads once in
 	// idleEach.
-	needed func() bool
-	// most returns the longest time between two calls while the store does not answer.
-	most   func() time.Duration
-	logger log.Logger
-	out    chan<- news
+	isNeeded func() bool
+	// maxBackoff returns the longest time between two calls while the store does not answer.
+	maxBackoff func() time.Duration
+	logger     log.Logger
+	updates    chan<- topicUpdate
 }
 
 // run follows the topic until the context ends.
 func (f *follower) run(ctx context.Context) error {
 	next := int64(-1)
-	pause := retryFirst
-	away := time.Duration(0)
+	backoff := minRetryInterval
+	failingSince := time.Duration(0)
 	for {
-		n, err := f.read(ctx, &next)
+		u, err := f.read(ctx, &next)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		n.err = err
-		wait := f.each
+		u.err = err
+		wait := f.interval
 		if err != nil {
-			if away == 0 {
-				away = n.at
+			if failingSince == 0 {
+				failingSince = u.at
 				_ = level.Warn(f.logger).Log("msg", "The store does not answer.", "topic", f.topic,
 					"result", result.Label(api.ResultCode_LOG_UNAVAILABLE), "err", err)
 			}
-			wait = pause
-			pause = min(2*pause, f.most())
+			wait = backoff
+			backoff = min(2*backoff, f.maxBackoff())
 		} else {
-			if away != 0 {
-				_ = level.Info(f.logger).Log("msg", "The store answers again.", "topic", f.topic, "away_ms", (n.at - away).Milliseconds())
+			if failingSince != 0 {
+				_ = level.Info(f.logger).Log("msg", "The store answers again.", "topic", f.topic, "away_ms", (u.at - failingSince).Milliseconds())
 			}
-			away = 0
-			pause = retryFirst
+			failingSince = 0
+			backoff = minRetryInterval
 		}
 		select {
-		case f.out <- n:
+		case f.updates <- u:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := f.rest(ctx, wait); err != nil {
+		if err := f.waitForNext(ctx, wait); err != nil {
 			return err
 		}
 	}
 }
 
-// rest waits until the next read is due.
-func (f *follower) rest(ctx context.Context, wait time.Duration) error {
+// waitForNext waits until the next read is due.
+func (f *follower) waitForNext(ctx context.Context, wait time.Duration) error {
 	began := clock.Now()
 	for {
 		select {
@@ -118,31 +118,31 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if f.needed() || clock.Now()-began >= idleEach {
+		if f.isNeeded() || clock.Now()-began >= idleInterval {
 			return nil
 		}
-		wait = idleLook
+		wait = idleCheckInterval
 	}
 }
 
 // read reads once: all keys at the start and when the log no longer keeps the next offset,
 // or else what is new.
-func (f *follower) read(ctx context.Context, next *int64) (news, error) {
-	n := news{topic: f.topic}
-	callCtx, cancel := context.WithTimeout(ctx, f.wait+answerTime)
+func (f *follower) read(ctx context.Context, next *int64) (topicUpdate, error) {
+	u := topicUpdate{topic: f.topic}
+	callCtx, cancel := context.WithTimeout(ctx, f.wait+storeTimeout)
 	defer cancel()
 	if *next < 0 {
 		listing, err := f.store.Newest(callCtx, f.topic)
-		n.at = clock.Now()
+		u.at = clock.Now()
 		if err != nil {
-			return n, err
+			return u, err
 		}
-		n.listing = &listing
+		u.listing = &listing
 		*next = listing.End
-		return n, nil
+		return u, nil
 	}
 	records, err := f.store.Read(callCtx, f.topic, *next, f.wait)
-	n.at = clock.Now()
+	u.at = clock.Now()
 	if err != nil {
 		var expired *platform.ExpiredError
 		if errors.As(err, &expired) {
@@ -151,11 +151,11 @@
 			*next = -1
 			return f.read(ctx, next)
 		}
-		return n, err
+		return u, err
 	}
-	n.records = records
+	u.records = records
 	if len(records) > 0 {
 		*next = records[len(records)-1].Offset + 1
 	}
-	return n, nil
+	return u, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,22 +30,22 @@
 )
 
 const (
-	// connectTime is how long a connection to a backend server may take to stand: a
+	// connectTimeout is how long a connection to a backend server may take to stand: a
 	// network's delay many times over, and little of the shortest deadline, so that another
 	// server can still be tried.
-	connectTime = 250 * time.Millisecond
-	// headerTime and idleTime bound a caller's connection; callers reuse connections that
+	connectTimeout = 250 * time.Millisecond
+	// headerTimeout and idleTime bound a caller's connection; callers reuse connections that
 	// were idle for up to a few seconds less than the platform's limits say.
-	headerTime = 5 * time.Second
-	idleTime   = 60 * time.Second
-	// maxHeader bounds a request's header, bytes.
-	maxHeader = 64 << 10
-	// newsRoom is the number of reads that may wait for the control goroutine.
-	newsRoom = 16
-	// beatRoom is the number of beats that may.
-	beatRoom = 256
-	// sweepEach is the time between two looks for idle connections whose time is over.
-	sweepEach = 500 * time.Millisecond
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 60 * time.Second
+	// maxHeaderBytes bounds a request's header, bytes.
+	maxHeaderBytes = 64 << 10
+	// maxPendingUpdates is the number of reads that may wait for the control goroutine.
+	maxPendingUpdates = 16
+	// maxPendingHeartbeats is the number of beats that may.
+	maxPendingHeartbeats = 256
+	// sweepInterval is the time between two looks for idle connections whose time is over.
+	sweepInterval = 500 * time.Millisecond
 )
 
 // Gateway is one entry.
@@ -61,22 +61,22 @@
 	listen      net.ListenConfig
 	socket      *net.UDPConn
 	peerClient  *http.Client
-	// meetEach is membersEach, but for tests.
-	meetEach time.Duration
+	// membersInterval is membersEach, but for tests.
+	membersInterval time.Duration
 
 	view    atomic.Pointer[view]
 	leaving atomic.Bool
-	// reads says that this entry reads the store, for itself or for others too.
-	reads atomic.Bool
-	// probeMost is the longest time between two calls while the store does not answer, ns.
-	probeMost atomic.Int64
+	// readsStore says that this entry readsStore the store, for itself or for others too.
+	readsStore atomic.Bool
+	// probeInterval is the longest time between two calls while the store does not answer, ns.
+	probeInterval atomic.Int64
 
 	// What the control goroutine takes in.
-	news          chan news
-	beats         chan *api.PeerBeat
-	states        chan fetched
+	updates       chan topicUpdate
+	heartbeats    chan *api.PeerBeat
+	fetchedStates chan fetchedState
 	stateRequests chan stateRequest
-	rosters       chan roster
+	memberLists   chan memberList
 	leave         chan struct{}
 	// stopped is closed when the process ends.
 	stopped chan struct{}
@@ -84,39 +84,39 @@
 
 func newGateway(s *platform.Settings, logger log.Logger) *Gateway {
 	transport := &http.Transport{
-		DialContext:           (&net.Dialer{Timeout: answerTime, Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()}).DialContext,
+		DialContext:           (&net.Dialer{Timeout: storeTimeout, Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()}).DialContext,
 		MaxIdleConnsPerHost:   4,
 		IdleConnTimeout:       10 * time.Second,
 		DisableCompression:    true,
-		ResponseHeaderTimeout: operatorsWait + answerTime,
+		ResponseHeaderTimeout: operatorsLongPoll + storeTimeout,
 	}
-	counts := newCounters()
+	counters := newCounters()
 	g := &Gateway{
 		settings: s, logger: logger, incarnation: rand.Uint64(),
-		store: platform.NewStore(s.Store.Address, countedStore{transport, counts}),
-		fleet: newFleet(bounds{
-			coldOver: s.Bounds.ColdOver, coldSlack: s.Bounds.ColdSlack,
-			retryRatio: s.Bounds.RetryRatio, retrySlack: s.Bounds.RetrySlack,
+		store: platform.NewStore(s.Store.Address, countingTransport{transport, counters}),
+		fleet: newFleet(limits{
+			coldMaxRatio: s.Bounds.ColdOver, coldSlack: s.Bounds.ColdSlack,
+			retryRatio: s.Bounds.RetryRatio, retryReserve: s.Bounds.RetrySlack,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		pool:    upstream.NewPool(connectTime),
+		pool:    upstream.NewPool(connectTimeout),
 		listen:  net.ListenConfig{Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()},
-		metrics: counts,
+		metrics: counters,
 		peerClient: &http.Client{Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: connectTime}).DialContext,
+			DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
 			DisableKeepAlives: true,
 		}},
-		meetEach:      membersEach,
-		news:          make(chan news, newsRoom),
-		beats:         make(chan *api.PeerBeat, beatRoom),
-		states:        make(chan fetched),
-		stateRequests: make(chan stateRequest),
-		rosters:       make(chan roster),
-		leave:         make(chan struct{}),
-		stopped:       make(chan struct{}),
+		membersInterval: membersInterval,
+		updates:         make(chan topicUpdate, maxPendingUpdates),
+		heartbeats:      make(chan *api.PeerBeat, maxPendingHeartbeats),
+		fetchedStates:   make(chan fetchedState),
+		stateRequests:   make(chan stateRequest),
+		memberLists:     make(chan memberList),
+		leave:           make(chan struct{}),
+		stopped:         make(chan struct{}),
 	}
-	g.fleet.leftOut = counts.ejected
+	g.fleet.ejections = counters.ejected
 	g.fleet.logger = logging.Part(logger, "servers")
-	g.reads.Store(true)
+	g.readsStore.Store(true)
 	g.experts = experts.New(s.VM, s.PeerPort, g, g.store, logging.Part(logger, "experts"))
 	return g
 }
@@ -128,7 +128,7 @@
 
 func (g *Gateway) run(ctx context.Context) error {
 	defer close(g.stopped)
-	if err := g.listenBeats(); err != nil {
+	if err := g.listenHeartbeats(); err != nil {
 		return err
 	}
 	endpoints, err := g.listenAll()
@@ -141,19 +141,19 @@
 		"ip", s.IP, "store", s.Store.Address, "seeds", len(s.Seeds))
 	var group run.Group
 	// Whatever ends the group, the processes around the traffic stop last.
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	partsCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	add := func(part func(context.Context) error) {
-		group.Add(func() error { return part(inner) }, func(error) { cancel() })
+	addPart := func(part func(context.Context) error) {
+		group.Add(func() error { return part(partsCtx) }, func(error) { cancel() })
 	}
-	add(newControl(g, logging.Part(g.logger, "control"), clock.Now()).run)
-	add(g.follower(platform.TopicOperators, operatorsWait, 0).run)
-	add(g.follower(platform.TopicServers, 0, serversEach).run)
-	add(g.hear)
-	add(g.meet)
-	add(g.sweep)
-	add(g.experts.Run)
-	group.Add(func() error { return g.serveAll(ctx, inner, endpoints) }, func(error) { cancel() })
+	addPart(newControl(g, logging.Part(g.logger, "control"), clock.Now()).run)
+	addPart(g.newFollower(platform.TopicOperators, operatorsLongPoll, 0).run)
+	addPart(g.newFollower(platform.TopicServers, 0, serversInterval).run)
+	addPart(g.receiveHeartbeats)
+	addPart(g.maintainMembership)
+	addPart(g.sweepConnections)
+	addPart(g.experts.Run)
+	group.Add(func() error { return g.serveAll(ctx, partsCtx, endpoints) }, func(error) { cancel() })
 	err = group.Run()
 	_ = g.socket.Close()
 	_ = level.Info(g.logger).Log("msg", "The process stops.", "uptime_ms", clock.Now().Milliseconds())
@@ -166,13 +166,13 @@
 // Coordinates implements experts.Beliefs.
 func (g *Gateway) Coordinates() bool {
 	v := g.view.Load()
-	return v != nil && v.coordinates
+	return v != nil && v.isCoordinator
 }
 
 // Leaving implements experts.Beliefs.
 func (g *Gateway) Leaving() bool {
 	v := g.view.Load()
-	return g.leaving.Load() && v != nil && !v.followed
+	return g.leaving.Load() && v != nil && !v.takenOver
 }
 
 // Engines implements experts.Beliefs.
@@ -184,16 +184,16 @@
 	return v.engines
 }
 
-func (g *Gateway) follower(topic string, wait, each time.Duration) *follower {
-	return &follower{topic: topic, store: g.store, wait: wait, each: each, needed: g.reads.Load, most: g.probePause, logger: logging.Part(g.logger, "store"), out: g.news}
+func (g *Gateway) newFollower(topic string, wait, interval time.Duration) *follower {
+	return &follower{topic: topic, store: g.store, wait: wait, interval: interval, isNeeded: g.readsStore.Load, maxBackoff: g.maxProbeInterval, logger: logging.Part(g.logger, "store"), updates: g.updates}
 }
 
-// probePause is the longest time between two calls while the store does not answer.
-func (g *Gateway) probePause() time.Duration {
-	return max(retryMost, time.Duration(g.probeMost.Load()))
+// maxProbeInterval is the longest time between two calls while the store does not answer.
+func (g *Gateway) maxProbeInterval() time.Duration {
+	return max(maxRetryInterval, time.Duration(g.probeInterval.Load()))
 }
 
-func (g *Gateway) listenBeats() error {
+func (g *Gateway) listenHeartbeats() error {
 	addr := &net.UDPAddr{IP: net.ParseIP(g.settings.IP), Port: g.settings.PeerPort}
 	socket, err := net.ListenUDP("udp4", addr)
 	if err != nil {
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// sweep closes idle connections in time, and the socket for beats at the end.
-func (g *Gateway) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEach)
+// sweepConnections closes idle connections in time, and the socket for beats at the end.
+func (g *Gateway) sweepConnections(ctx context.Context) error {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -213,7 +213,7 @@
 			_ = g.socket.Close()
 			return ctx.Err()
 		case <-ticker.C:
-			g.pool.Sweep(g.fleet.known)
+			g.pool.Sweep(g.fleet.isKnown)
 		}
 	}
 }
@@ -278,7 +278,7 @@
 
 func (g *Gateway) newServer(e endpoint) *http.Server {
 	return &http.Server{
-		Handler: e.handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHeader,
+		Handler: e.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: logging.Library(logging.Part(g.logger, e.name), "The library for HTTP reports an error.",
 			result.Label(api.ResultCode_INTERNAL)),
 	}
@@ -313,9 +313,9 @@
 }
 
 const (
-	// leaveTime is how long a stopping entry still takes requests: callers keep an answer
+	// leaveDelay is how long a stopping entry still takes requests: callers keep an answer
 	// on where to connect for keepAddresses, and ask again when they need a connection.
-	leaveTime = 2500 * time.Millisecond
+	leaveDelay = 2500 * time.Millisecond
 	// stopMargin is what is left of the grace period for the process to end by itself.
 	stopMargin = 500 * time.Millisecond
 	// defaultGrace is the grace period where the settings are silent.
@@ -334,7 +334,7 @@
 	g.leaving.Store(true)
 	close(leave)
 	_ = level.Info(g.logger).Log("msg", "The process leaves.", "grace_ms", grace.Milliseconds())
-	time.Sleep(min(leaveTime, grace/3))
+	time.Sleep(min(leaveDelay, grace/3))
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin-(clock.Now()-began))
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// world starts a store with the usual configuration, backend servers that answer as given,
+// startWorld starts a store with the usual configuration, backend servers that answer as given,
 // and one entry.
-func world(t *testing.T, answers ...fakeplatform.Answer) (*fakeplatform.Store, []*fakeplatform.Server, *entry) {
+func startWorld(t *testing.T, answers ...fakeplatform.Answer) (*fakeplatform.Store, []*fakeplatform.Server, *entry) {
 	t.Helper()
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1", "key-2")
@@ -31,7 +31,7 @@
 // stays here, and the team's name is that of the key's holder, whatever the caller wrote.
 func TestARequestGoesThroughUnchanged(t *testing.T) {
 	t.Parallel()
-	_, servers, e := world(t, fakeplatform.Echo)
+	_, servers, e := startWorld(t, fakeplatform.Echo)
 	r := e.ask("POST", "/push/a%2Fb//c?q=1&q=%20", "r1", func(req *http.Request) {
 		req.URL.Opaque = "/push/a%2Fb//c"
 		req.Header.Set("Tenant", "forged")
@@ -61,7 +61,7 @@
 		}
 		return false
 	}
-	_, servers, e := world(t, drop, drop)
+	_, servers, e := startWorld(t, drop, drop)
 	for _, kept := range []bool{false, true} {
 		if kept {
 			// Leave connections behind that can be used again.
@@ -93,7 +93,7 @@
 // goes over a connection of its own.
 func TestAPushGoesOverANewConnection(t *testing.T) {
 	t.Parallel()
-	_, servers, e := world(t, fakeplatform.Echo)
+	_, servers, e := startWorld(t, fakeplatform.Echo)
 	for i := range 6 {
 		id := "n" + string(rune('a'+i))
 		if r := e.ask("GET", "/look/1", id); r.status != 200 {
@@ -114,7 +114,7 @@
 // to come back.
 func TestARefusedPushHasNotRun(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -127,7 +127,7 @@
 // One server fails all look-ups. A look-up may run again, and callers see no failure.
 func TestALookUpGoesToAnotherServer(t *testing.T) {
 	t.Parallel()
-	_, servers, e := world(t, fakeplatform.Echo, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, servers, e := startWorld(t, fakeplatform.Echo, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 500 Oops\r\nUpstream-Signature: bad\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -144,7 +144,7 @@
 // When all servers fail, the caller gets the failure that a server gave, with its signature.
 func TestTheServersFailureIsPassedOn(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 500 Oops\r\nUpstream-Signature: bad\r\nContent-Length: 4\r\n\r\noops")
 		return true
 	})
@@ -160,7 +160,7 @@
 func TestASecondAnswerReachesNobody(t *testing.T) {
 	t.Parallel()
 	last := ""
-	_, servers, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, servers, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		id := s.Request.Header.Get("Attempt-Id")
 		text := fakeplatform.Whole(id, "answer to "+id)
 		if last != "" {
@@ -191,7 +191,7 @@
 	t.Parallel()
 	release := make(chan struct{})
 	defer close(release)
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		<-release
 		return false
 	})
@@ -204,7 +204,7 @@
 // new version, and an entry without any says that it is starting.
 func TestAConfigurationComesIntoForce(t *testing.T) {
 	t.Parallel()
-	store, _, e := world(t, fakeplatform.Echo)
+	store, _, e := startWorld(t, fakeplatform.Echo)
 	if r := e.ask("GET", "/look/1", "a", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 200 {
 		t.Fatalf("before: %+v", r)
 	}
@@ -225,7 +225,7 @@
 // callers are told when to come back.
 func TestLeavingServersGetNothing(t *testing.T) {
 	t.Parallel()
-	store, servers, e := world(t, fakeplatform.Echo, fakeplatform.Echo)
+	store, servers, e := startWorld(t, fakeplatform.Echo, fakeplatform.Echo)
 	store.Register(servers[0], "draining")
 	e.until("the server is known to drain", func() bool { return e.fleet.dump(0)[0].Draining })
 	before := len(servers[0].Got())
@@ -247,11 +247,11 @@
 // still come, asks them to close, and ends what is under way.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	t.Parallel()
-	go1 := make(chan struct{})
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	finishStream := make(chan struct{})
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		if strings.HasPrefix(s.Request.RequestURI, "/draft/") {
 			_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
-			<-go1
+			<-finishStream
 			_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(2))+"0\r\n\r\n")
 			return true
 		}
@@ -272,7 +272,7 @@
 	if r := e.ask("GET", "/look/1", "late"); r.status != 200 || r.header.Get("Connection") != "close" && r.err != nil {
 		t.Errorf("a caller that still came got %+v", r)
 	}
-	close(go1)
+	close(finishStream)
 	if r := <-stream; r.body != fakeplatform.Event(1)+fakeplatform.Event(2) || r.err != nil {
 		t.Errorf("the stream under way ended as %+v", r)
 	}
@@ -324,7 +324,7 @@
 	door := store.Door(t)
 	hearing.Store.Address = door.Address
 	one, two := start(t, reading), start(t, hearing)
-	two.until("the second one leaves reading to the first", func() bool { return !two.reads.Load() })
+	two.until("the second one leaves reading to the first", func() bool { return !two.readsStore.Load() })
 	two.until("no read is under way", func() bool { return door.Under.Load() == 0 })
 	before := door.Calls.Load()
 	store.Configure(2, fakeplatform.Routes(), "key-1")
@@ -337,7 +337,7 @@
 		t.Errorf("it called the store %d times meanwhile", n)
 	}
 	one.cancel()
-	two.until("it reads for itself", func() bool { return two.reads.Load() && door.Calls.Load() > before+3 })
+	two.until("it reads for itself", func() bool { return two.readsStore.Load() && door.Calls.Load() > before+3 })
 	store.Configure(3, fakeplatform.Routes(), "key-1")
 	two.until("it has the version after that", func() bool { return two.view.Load().table.Version == 3 })
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -18,11 +18,11 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// defaultBody bounds a body until the configuration does, bytes.
-const defaultBody = 4 << 20
+// defaultMaxBody bounds a body until the configuration does, bytes.
+const defaultMaxBody = 4 << 20
 
-// maxPath bounds the path that a log line shows.
-const maxPath = 80
+// maxLoggedPath bounds the path that a log line shows.
+const maxLoggedPath = 80
 
 // task is one request of a caller on its way through.
 type task struct {
@@ -34,12 +34,12 @@
 	service           string
 	team              string
 	priority          int
-	arrived           time.Duration
-	// until is when this entry gives up, by the caller's deadline and the route's timeout;
+	arrivedAt         time.Duration
+	// deadline is when this entry gives up, by the caller's deadline and the route's timeout;
 	// zero for never.
-	until time.Duration
-	// deadline is when the caller does; zero when it does not say.
 	deadline time.Duration
+	// callerDeadline is when the caller does; zero when it does not say.
+	callerDeadline time.Duration
 
 	// waited is how long it waited for its turn.
 	waited  time.Duration
@@ -50,12 +50,12 @@
 	out *output
 }
 
-// left is the time until a moment; zero stands for no bound.
-func left(until, now time.Duration) time.Duration {
-	if until == 0 {
+// timeLeft is the time until a moment; zero stands for no bound.
+func timeLeft(deadline, now time.Duration) time.Duration {
+	if deadline == 0 {
 		return 0
 	}
-	return max(until-now, time.Millisecond)
+	return max(deadline-now, time.Millisecond)
 }
 
 // ServeHTTP serves one request of a caller.
@@ -66,32 +66,32 @@
 		// The caller opens its next connection elsewhere.
 		w.Header().Set("Connection", "close")
 	}
-	t := &task{Request: platform.ReadRequest(r.Header), arrived: clock.Now(), method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header}
+	t := &task{Request: platform.ReadRequest(r.Header), arrivedAt: clock.Now(), method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header}
 	if t.Left > 0 {
-		t.deadline = t.arrived + t.Left
-		t.until = t.deadline
+		t.callerDeadline = t.arrivedAt + t.Left
+		t.deadline = t.callerDeadline
 	}
-	t.out = &output{w: w, rc: http.NewResponseController(w), between: g.metrics.between}
-	if err := g.intake(t, v, r); err != nil {
+	t.out = &output{w: w, rc: http.NewResponseController(w), eventGaps: g.metrics.eventGaps}
+	if err := g.prepare(t, v, r); err != nil {
 		g.refuse(t, err)
 		return
 	}
 	ctx := r.Context()
-	if t.until > 0 {
+	if t.deadline > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, left(t.until, clock.Now()))
+		ctx, cancel = context.WithTimeout(ctx, timeLeft(t.deadline, clock.Now()))
 		defer cancel()
-		_ = t.out.rc.SetWriteDeadline(time.Now().Add(left(t.until, clock.Now()) + writeGrace))
+		_ = t.out.rc.SetWriteDeadline(time.Now().Add(timeLeft(t.deadline, clock.Now()) + writeGrace))
 	}
-	g.pass(ctx, t)
+	g.forward(ctx, t)
 }
 
 // writeGrace is how long beyond the deadline a caller may take to read the end of its
 // answer.
 const writeGrace = time.Second
 
-// intake finds the route and the team of a request, and reads its body.
-func (g *Gateway) intake(t *task, v *view, r *http.Request) *result.Error {
+// prepare finds the route and the team of a request, and reads its body.
+func (g *Gateway) prepare(t *task, v *view, r *http.Request) *result.Error {
 	if v == nil || v.table == nil {
 		return result.New(api.ResultCode_STARTING)
 	}
@@ -104,8 +104,8 @@
 		return err
 	}
 	t.service = t.route.Choose(rand.Float64())
-	if t.route.Timeout > 0 && (t.until == 0 || t.arrived+t.route.Timeout < t.until) {
-		t.until = t.arrived + t.route.Timeout
+	if t.route.Timeout > 0 && (t.deadline == 0 || t.arrivedAt+t.route.Timeout < t.deadline) {
+		t.deadline = t.arrivedAt + t.route.Timeout
 	}
 	return t.readBody(r, v.table.Limits.BodyBytes)
 }
@@ -132,7 +132,7 @@
 // slow caller, and the request can be sent again.
 func (t *task) readBody(r *http.Request, limit int) *result.Error {
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(t.out.w, r.Body, int64(limit)))
 	if err != nil {
@@ -146,11 +146,11 @@
 	return nil
 }
 
-// pass takes a request to one backend server after another, until the caller has its answer
+// forward takes a request to one backend server after another, until the caller has its answer
 // or no further attempt is allowed.
-func (g *Gateway) pass(ctx context.Context, t *task) {
-	g.fleet.first(t.service)
-	id, s, err := g.fleet.enter(ctx, t, clock.Now())
+func (g *Gateway) forward(ctx context.Context, t *task) {
+	g.fleet.countRequest(t.service)
+	id, s, err := g.fleet.admitRequest(ctx, t, clock.Now())
 	if err != nil {
 		t.waited = t.elapsed()
 		g.giveUp(ctx, t, err)
@@ -159,84 +159,84 @@
 	t.waited = t.elapsed()
 	began := clock.Now()
 	took := time.Duration(0)
-	defer func() { g.fleet.finish(id, t.service, took, clock.Now()) }()
+	defer func() { g.fleet.endRequest(id, t.service, took, clock.Now()) }()
 	for {
 		t.tried = append(t.tried, s.ID)
-		end := g.attempt(ctx, t, s)
-		v := end.verdict
-		switch v {
+		attempted := g.attempt(ctx, t, s)
+		outcome := attempted.outcome
+		switch outcome {
 		case delivered:
 			took = clock.Now() - began
 			g.served(t, s)
 			return
-		case over:
-			g.expired(ctx, t)
+		case abandoned:
+			g.endExpired(ctx, t)
 			return
 		case unsent:
 		case notRun:
-			if g.fleet.shed(s.ID) {
-				go g.watch(s.Server)
+			if g.fleet.markRefusing(s.ID) {
+				go g.watchRefusing(s.Server)
 			}
 		case moved:
 			t.history.mayHaveRun = true
-			g.logAttempt(t, s, v, true, "", end.err)
+			g.logAttempt(t, s, outcome, true, "", attempted.err)
 			g.metrics.moved.Inc(1)
-			g.goesOn(t)
-			s = end.next
+			g.countRetry(t)
+			s = attempted.next
 			continue
-		case ranBadly, broken:
+		case serverError, broken:
 			t.history.mayHaveRun = true
 		}
-		goOn, why := another(v, t.route, t.history)
-		if goOn && v != unsent && !g.fleet.again(t.service) {
-			goOn, why = false, "the retry budget is spent"
+		retry, why := shouldRetry(outcome, t.route, t.history)
+		if retry && outcome != unsent && !g.fleet.spendRetry(t.service) {
+			retry, why = false, "the retry budget is spent"
 		}
-		g.logAttempt(t, s, v, goOn, why, end.err)
-		if !goOn {
+		g.logAttempt(t, s, outcome, retry, why, attempted.err)
+		if !retry {
 			g.giveUp(ctx, t, result.New(api.ResultCode_SATURATED))
 			return
 		}
-		if s, err = g.another(ctx, t); err != nil {
+		if s, err = g.waitForRetryServer(ctx, t); err != nil {
 			g.giveUp(ctx, t, err)
 			return
 		}
-		g.goesOn(t)
+		g.countRetry(t)
 	}
 }
 
-// goesOn counts a request that goes to one more backend server.
-func (g *Gateway) goesOn(t *task) {
-	g.metrics.again.Inc(1)
+// countRetry counts a request that goes to one more backend server.
+func (g *Gateway) countRetry(t *task) {
+	g.metrics.retries.Inc(1)
 	if t.out.begun {
 		g.metrics.resumed.Inc(1)
 	}
 }
 
 const (
-	// anotherWait is how long a request waits at most for another backend server once it has
+	// maxRetryServerWait is how long a request waits at most for another backend server once it has
 	// been to one, and anotherEach how often it looks.
-	anotherWait = time.Second
-	anotherEach = 25 * time.Millisecond
+	maxRetryServerWait  = time.Second
+	retryServerInterval = 25 * time.Millisecond
 )
 
-// another finds one more backend server for a request that has its turn already. A request
+// waitForRetryServer finds one more backend server for a request that has its turn already. A request
 // that has not run waits for a while if there is none; one of which the caller has some of
 // the answer, too.
-func (g *Gateway) another(ctx context.Context, t *task) (placement, *result.Error) {
+func (g *Gateway) waitForRetryServer(ctx context.Context, t *task) (placement, *result.Error) {
 	began := clock.Now()
 	for {
 		now := clock.Now()
-		s, code := g.fleet.another(need{service: t.service, tried: t.tried, left: left(t.until, now)}, now)
+		s, code := g.fleet.pickForRetry(pickRequest{service: t.service, tried: t.tried, timeLeft: timeLeft(t.deadline, now)}, now)
 		if code == api.ResultCode_OK {
 			return s, nil
 		}
-		if now-began > anotherWait {
+		if now-began > maxRetryServerWait {
 			return placement{}, result.New(code)
 		}
 		select {
 		case <-ctx.Done():
 			return placement{}, result.New(code)
-		case <-time.After(anotherEach):
+		case <-time.After(retryServerInterval):
 		}
 	}
 }
@@ -245,12 +245,12 @@
 func (g *Gateway) giveUp(ctx context.Context, t *task, err *result.Error) {
 	switch {
 	case t.out.begun:
-		g.cut(t, api.ResultCode_ANSWER_BROKEN)
+		g.abortAnswer(t, api.ResultCode_ANSWER_BROKEN)
 	case t.out.fallback != nil:
 		t.out.deliverFallback()
 		g.served(t, t.out.fallback.server)
 	case ctx.Err() != nil:
-		g.expired(ctx, t)
+		g.endExpired(ctx, t)
 	case t.history.mayHaveRun:
 		g.refuse(t, result.New(api.ResultCode_OUTCOME_UNKNOWN))
 	default:
@@ -258,15 +258,15 @@
 	}
 }
 
-// expired ends a request whose time is up or whose caller has gone.
-func (g *Gateway) expired(ctx context.Context, t *task) {
+// endExpired ends a request whose time is up or whose caller has gone.
+func (g *Gateway) endExpired(ctx context.Context, t *task) {
 	switch {
 	case ctx.Err() != context.DeadlineExceeded:
-		g.metrics.gone.Inc(1)
-		g.logGone(t)
+		g.metrics.callersGone.Inc(1)
+		g.logCallerGone(t)
 		panic(http.ErrAbortHandler)
 	case t.out.begun:
-		g.cut(t, api.ResultCode_DEADLINE_EXCEEDED)
+		g.abortAnswer(t, api.ResultCode_DEADLINE_EXCEEDED)
 	case t.out.fallback != nil:
 		t.out.deliverFallback()
 		g.served(t, t.out.fallback.server)
@@ -277,10 +277,10 @@
 	}
 }
 
-// cut ends an answer that has begun and cannot be made whole, in a way that the caller
+// abortAnswer ends an answer that has begun and cannot be made whole, in a way that the caller
 // notices.
-func (g *Gateway) cut(t *task, code api.ResultCode) {
-	g.metrics.result(code)
+func (g *Gateway) abortAnswer(t *task, code api.ResultCode) {
+	g.metrics.countResult(code)
 	g.logEnd(t, "An answer was broken off.", code)
 	panic(http.ErrAbortHandler)
 }
@@ -288,25 +288,25 @@
 // served counts and logs a request whose caller has the answer of a backend server.
 func (g *Gateway) served(t *task, server placement) {
 	g.metrics.served.Inc(1)
-	late := t.late()
-	if late != onTime {
+	missed := t.missedObjective()
+	if missed != onTime {
 		g.metrics.late.Inc(1)
-		g.metrics.lateBy(late)
+		g.metrics.countLate(missed)
 	}
 	g.metrics.took.Update(t.elapsed().Milliseconds())
 	g.metrics.waited.Update(t.waited.Milliseconds())
-	if t.out.firstAt > 0 {
-		g.metrics.first.Update((t.out.firstAt - t.arrived).Milliseconds())
+	if t.out.begunAt > 0 {
+		g.metrics.firstEvent.Update((t.out.begunAt - t.arrivedAt).Milliseconds())
 	}
-	g.metrics.ended(t.route.Kind.String(), t.team, true)
-	g.logServed(t, server, late)
+	g.metrics.countEnded(t.route.Kind.String(), t.team, true)
+	g.logServed(t, server, missed)
 }
 
 // refuse answers with a result of the system's own.
 func (g *Gateway) refuse(t *task, err *result.Error) {
-	g.metrics.result(err.Code)
+	g.metrics.countResult(err.Code)
 	if t.route != nil {
-		g.metrics.ended(t.route.Kind.String(), t.team, false)
+		g.metrics.countEnded(t.route.Kind.String(), t.team, false)
 	}
 	g.logEnd(t, "A request was refused.", err.Code)
 	h := t.out.w.Header()
@@ -314,7 +314,7 @@
 	platform.OwnHeader(h, t.ID)
 	if h.Get("Retry-After") != "" {
 		// Callers here take fractions, and have little time to spend on whole seconds.
-		h.Set("Retry-After", strconv.FormatFloat(g.comeBack(t, err).Seconds(), 'f', 2, 64))
+		h.Set("Retry-After", strconv.FormatFloat(g.retryAfter(t, err).Seconds(), 'f', 2, 64))
 	}
 	h.Set("Content-Type", "application/json")
 	t.out.w.WriteHeader(result.Of(err.Code).HTTP)
@@ -322,30 +322,30 @@
 }
 
 const (
-	// comeBackLeast and comeBackMost bound the time after which a caller is told to come
+	// minRetryAfter and comeBackMost bound the time after which a caller is told to come
 	// back: room appears as requests end, within a second or two.
-	comeBackLeast = 200 * time.Millisecond
-	comeBackMost  = 1500 * time.Millisecond
-	// comeBackPart is the part of the time left that a caller is told to wait at most: it
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 1500 * time.Millisecond
+	// maxRetryAfterRatio is the part of the time left that a caller is told to wait at most: it
 	// must still get its answer after that.
-	comeBackPart = 0.25
+	maxRetryAfterRatio = 0.25
 )
 
-// comeBack is when a refused caller should come back.
+// retryAfter is when a refused caller should come back.
 //
 // Load: many callers refused at the same moment, as when a group of engines breaks. Harm
 // prevented: all of them come back at the same moment and are refused again. Each is told
 // another time, over the span in which room appears.
-func (g *Gateway) comeBack(t *task, err *result.Error) time.Duration {
-	most := comeBackMost
+func (g *Gateway) retryAfter(t *task, err *result.Error) time.Duration {
+	longest := maxRetryAfter
 	if err.RetryAfter > 0 {
-		most = err.RetryAfter
+		longest = err.RetryAfter
 	}
-	if t.deadline > 0 {
-		most = min(most, time.Duration(comeBackPart*float64(left(t.deadline, clock.Now()))))
+	if t.callerDeadline > 0 {
+		longest = min(longest, time.Duration(maxRetryAfterRatio*float64(timeLeft(t.callerDeadline, clock.Now()))))
 	}
-	if most <= comeBackLeast {
-		return most
+	if longest <= minRetryAfter {
+		return longest
 	}
-	return comeBackLeast + rand.N(most-comeBackLeast)
+	return minRetryAfter + rand.N(longest-minRetryAfter)
 }
--- a/internal/gateway/stuck_test.go
+++ b/internal/gateway/hang_test.go
@@ -13,11 +13,11 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// inTime is well within the 6 s that callers of these tests have.
-const inTime = 4 * time.Second
+// maxAnswerTime is well within the 6 s that callers of these tests have.
+const maxAnswerTime = 4 * time.Second
 
-// hang takes a request and never answers it.
-func hang(conn net.Conn) bool {
+// neverAnswer takes a request and never answers it.
+func neverAnswer(conn net.Conn) bool {
 	_, _ = conn.Read(make([]byte, 1))
 	return false
 }
@@ -30,18 +30,18 @@
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s))
 		if s.ResumeAfter() == "" {
 			_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(1)+fakeplatform.Event(2)))
-			return hang(conn)
+			return neverAnswer(conn)
 		}
 		_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(3))+"0\r\n\r\n")
 		return true
 	}
-	_, _, e := world(t, answer, answer)
+	_, _, e := startWorld(t, answer, answer)
 	began := time.Now()
 	r := e.ask("POST", "/draft/1", "d1")
 	if want := fakeplatform.Event(1) + fakeplatform.Event(2) + fakeplatform.Event(3); r.body != want || r.err != nil {
 		t.Errorf("the caller got %q, %v", r.body, r.err)
 	}
-	if took := time.Since(began); took > inTime {
+	if took := time.Since(began); took > maxAnswerTime {
 		t.Errorf("it took %v", took)
 	}
 }
@@ -52,16 +52,16 @@
 	var asked atomic.Int32
 	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
 		if asked.Add(1) == 1 {
-			return hang(conn)
+			return neverAnswer(conn)
 		}
 		return fakeplatform.Echo(s, conn)
 	}
-	_, _, e := world(t, answer, answer)
+	_, _, e := startWorld(t, answer, answer)
 	began := time.Now()
 	if r := e.ask("GET", "/look/1", "l1"); r.body != "answer to l1" {
 		t.Errorf("the caller got %v", r)
 	}
-	if took := time.Since(began); took > inTime {
+	if took := time.Since(began); took > maxAnswerTime {
 		t.Errorf("it took %v", took)
 	}
 }
@@ -73,9 +73,9 @@
 	var asked atomic.Int32
 	answer := func(_ fakeplatform.Seen, conn net.Conn) bool {
 		asked.Add(1)
-		return hang(conn)
+		return neverAnswer(conn)
 	}
-	_, _, e := world(t, answer, answer)
+	_, _, e := startWorld(t, answer, answer)
 	r := e.ask("POST", "/push/1", "p1")
 	if r.status != http.StatusGatewayTimeout || asked.Load() != 1 {
 		t.Errorf("the caller got %v, and %d servers the push", r, asked.Load())
@@ -88,11 +88,11 @@
 	t.Parallel()
 	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
 		if s.ID() == "l1" && !s.First {
-			return hang(conn)
+			return neverAnswer(conn)
 		}
 		return fakeplatform.Echo(s, conn)
 	}
-	_, servers, e := world(t, answer, answer)
+	_, servers, e := startWorld(t, answer, answer)
 	e.until("a connection to each server is kept", func() bool {
 		e.ask("GET", "/look/1", "first")
 		return len(servers[0].Got()) > 0 && len(servers[1].Got()) > 0
@@ -119,7 +119,7 @@
 		}
 		return true
 	}
-	_, servers, e := world(t, answer, answer)
+	_, servers, e := startWorld(t, answer, answer)
 	if r := e.ask("GET", "/look/1", "long"); len(r.body) != pieces*size || r.err != nil {
 		t.Errorf("the caller got %d bytes of %d, %v", len(r.body), pieces*size, r.err)
 	}
--- a/internal/gateway/lateness.go
+++ b/internal/gateway/lateness.go
@@ -8,13 +8,13 @@
 
 // Aims for routes that name none.
 const (
-	// usualFirst is the time to the first event of a stream.
-	usualFirst = 560 * time.Millisecond
-	// usualPause is the time between two events, which a reader notices.
-	usualPause = 640 * time.Millisecond
-	// usualPart is the part of its time that a whole answer may take: at the next such delay
+	// defaultFirstEvent is the time to the first event of a stream.
+	defaultFirstEvent = 560 * time.Millisecond
+	// defaultMaxPause is the time between two events, which a reader notices.
+	defaultMaxPause = 640 * time.Millisecond
+	// defaultDeadlineRatio is the part of its time that a whole answer may take: at the next such delay
 	// it would miss its deadline.
-	usualPart = 0.5
+	defaultDeadlineRatio = 0.5
 )
 
 // lateness says by what an answer came later than its route aims at.
@@ -28,30 +28,30 @@
 	lateWhole lateness = "whole"
 )
 
-// late says by what an answer was late.
-func (t *task) late() lateness {
+// missedObjective says by what an answer was missedObjective.
+func (t *task) missedObjective() lateness {
 	if t.route.Kind == routing.Stream {
 		switch {
-		case t.out.firstAt-t.arrived > orElse(t.route.Objective, usualFirst):
+		case t.out.begunAt-t.arrivedAt > orDefault(t.route.Objective, defaultFirstEvent):
 			return lateFirst
-		case t.out.gap > orElse(t.route.Pause, usualPause):
+		case t.out.maxEventGap > orDefault(t.route.Pause, defaultMaxPause):
 			return latePause
 		}
 		return onTime
 	}
-	aim := t.route.Objective
-	if aim == 0 && t.until > 0 {
-		aim = time.Duration(usualPart * float64(t.until-t.arrived))
+	objective := t.route.Objective
+	if objective == 0 && t.deadline > 0 {
+		objective = time.Duration(defaultDeadlineRatio * float64(t.deadline-t.arrivedAt))
 	}
-	if aim > 0 && t.elapsed() > aim {
+	if objective > 0 && t.elapsed() > objective {
 		return lateWhole
 	}
 	return onTime
 }
 
-func orElse(aim, usual time.Duration) time.Duration {
-	if aim > 0 {
-		return aim
+func orDefault(objective, fallback time.Duration) time.Duration {
+	if objective > 0 {
+		return objective
 	}
-	return usual
+	return fallback
 }
--- a/internal/gateway/lateness_test.go
+++ b/internal/gateway/lateness_test.go
@@ -29,8 +29,8 @@
 		{"whole answer", once, 0, 0, lateWhole},
 	} {
 		arrived := clock.Now() - time.Second
-		task := &task{route: c.route, arrived: arrived, out: &output{firstAt: arrived + c.first, gap: c.gap}}
-		if got := task.late(); got != c.want {
+		task := &task{route: c.route, arrivedAt: arrived, out: &output{begunAt: arrived + c.first, maxEventGap: c.gap}}
+		if got := task.missedObjective(); got != c.want {
 			t.Errorf("%s: %q, not %q", c.name, got, c.want)
 		}
 	}
--- a/internal/gateway/kept_test.go
+++ b/internal/gateway/leftover_test.go
@@ -18,7 +18,7 @@
 func TestTheRestOfALongRefusalIsNobodysAnswer(t *testing.T) {
 	t.Parallel()
 	leftover := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 7\r\n\r\ncrossed"
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		if s.Request.Header.Get("Attempt-Id") != "full" {
 			if !s.First {
 				_, _ = io.WriteString(conn, leftover)
@@ -27,7 +27,7 @@
 		}
 		_, _ = io.WriteString(conn, fmt.Sprintf(
 			"HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: full\r\nNot-Executed: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: %d\r\n\r\n%s",
-			maxHeld+len(leftover), strings.Repeat("x", maxHeld)))
+			maxBufferedBytes+len(leftover), strings.Repeat("x", maxBufferedBytes)))
 		return true
 	})
 	if r := e.ask("GET", "/look/1", "full"); r.status != http.StatusServiceUnavailable {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -15,24 +15,24 @@
 const (
 	// topicMembers holds the entries, each under the name of its VM.
 	topicMembers = "keyed.members"
-	// membersEach is the time between two reads of the members. They are read at the start,
+	// membersInterval is the time between two reads of the members. They are read at the start,
 	// and again for what beats cannot heal: two halves that never heard of each other.
-	membersEach = 20 * time.Second
+	membersInterval = 20 * time.Second
 )
 
-// roster is the list of members as it was read.
-type roster struct {
-	names []peering.Member
-	// gone takes the names to take off the list.
-	gone chan []peering.Member
+// memberList is the list of members as it was read.
+type memberList struct {
+	members []peering.Member
+	// removals takes the names to take off the list.
+	removals chan []peering.Member
 }
 
-// meet makes this entry known to the others through the store, and learns of them. Each
+// maintainMembership makes this entry known to the others through the store, and learns of them. Each
 // writes before it reads: of two that start at the same time one at least learns of the
 // other, and the first beat makes both known. One whose name others have taken off the list,
 // as after a long silence, writes it again.
-func (g *Gateway) meet(ctx context.Context) error {
-	listed := false
+func (g *Gateway) maintainMembership(ctx context.Context) error {
+	isListed := false
 	wait := time.Duration(0)
 	for {
 		select {
@@ -40,21 +40,21 @@
 			return ctx.Err()
 		case <-time.After(wait):
 		}
-		written := listed || g.writeMember(ctx)
-		names, read := g.readMembers(ctx)
-		wait = g.meetEach
+		written := isListed || g.writeSelf(ctx)
+		members, read := g.readMembers(ctx)
+		wait = g.membersInterval
 		if !written || !read {
-			wait = retryMost
+			wait = maxRetryInterval
 			continue
 		}
-		listed = false
-		for _, n := range names {
-			listed = listed || n == peering.Member{VM: g.settings.VM, IP: g.settings.IP}
+		isListed = false
+		for _, m := range members {
+			isListed = isListed || m == peering.Member{VM: g.settings.VM, IP: g.settings.IP}
 		}
 	}
 }
 
-func (g *Gateway) writeMember(ctx context.Context) bool {
+func (g *Gateway) writeSelf(ctx context.Context) bool {
 	if err := g.putMember(ctx, peering.Member{VM: g.settings.VM, IP: g.settings.IP}); err != nil {
 		_ = level.Warn(g.logger).Log("msg", "The store did not take this entry's name.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
@@ -64,17 +64,17 @@
 }
 
 // putMember writes a name; one without an IP is taken off the list.
-func (g *Gateway) putMember(ctx context.Context, n peering.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+func (g *Gateway) putMember(ctx context.Context, m peering.Member) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	_, err := g.store.Put(ctx, topicMembers, n.VM, []byte(n.IP))
+	_, err := g.store.Put(ctx, topicMembers, m.VM, []byte(m.IP))
 	return err
 }
 
 // readMembers reads the list, has the control goroutine learn it, and takes off it what that
 // says.
 func (g *Gateway) readMembers(ctx context.Context) ([]peering.Member, bool) {
-	readCtx, cancel := context.WithTimeout(ctx, answerTime)
+	readCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	listing, err := g.store.Newest(readCtx, topicMembers)
 	if err != nil {
@@ -82,52 +82,52 @@
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		return nil, false
 	}
-	read := roster{gone: make(chan []peering.Member, 1)}
+	list := memberList{removals: make(chan []peering.Member, 1)}
 	for _, r := range listing.Records {
 		if net.ParseIP(string(r.Value)) != nil {
-			read.names = append(read.names, peering.Member{VM: r.Key, IP: string(r.Value)})
+			list.members = append(list.members, peering.Member{VM: r.Key, IP: string(r.Value)})
 		}
 	}
 	select {
-	case g.rosters <- read:
+	case g.memberLists <- list:
 	case <-ctx.Done():
 		return nil, false
 	}
 	select {
-	case gone := <-read.gone:
-		g.takeOff(ctx, gone)
-		return read.names, true
+	case removals := <-list.removals:
+		g.removeMembers(ctx, removals)
+		return list.members, true
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// takeOff takes names off the list. What fails is tried again at the next read.
-func (g *Gateway) takeOff(ctx context.Context, gone []peering.Member) {
-	for _, n := range gone {
-		if err := g.putMember(ctx, peering.Member{VM: n.VM}); err != nil {
-			_ = level.Warn(g.logger).Log("msg", "The name of an entry that is gone stays in the list.", "vm", n.VM, "err", err,
+// removeMembers takes names off the list. What fails is tried again at the next read.
+func (g *Gateway) removeMembers(ctx context.Context, removals []peering.Member) {
+	for _, m := range removals {
+		if err := g.putMember(ctx, peering.Member{VM: m.VM}); err != nil {
+			_ = level.Warn(g.logger).Log("msg", "The name of an entry that is gone stays in the list.", "vm", m.VM, "err", err,
 				"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 			return
 		}
-		_ = level.Info(g.logger).Log("msg", "The name of an entry that is gone was taken off the list.", "vm", n.VM, "ip", n.IP)
+		_ = level.Info(g.logger).Log("msg", "The name of an entry that is gone was taken off the list.", "vm", m.VM, "ip", m.IP)
 	}
 }
 
-// takeRoster learns the entries of the list, and returns those to take off it: only the entry
+// applyMembers learns the entries of the list, and returns those to take off it: only the entry
 // that coordinates takes any off, so that each name is taken off once.
-func (c *control) takeRoster(read roster, now time.Duration) {
+func (c *control) applyMembers(list memberList, now time.Duration) {
 	live := map[string]bool{c.g.settings.IP: true}
 	for _, b := range c.peers.Live(now) {
 		live[b.GetIp()] = true
 	}
-	for _, n := range read.names {
-		c.peers.AddPeer(n.IP, now)
+	for _, m := range list.members {
+		c.peers.AddPeer(m.IP, now)
 	}
-	gone := c.roll.SelectRemovals(read.names, live, now)
-	if v := c.g.view.Load(); v == nil || !v.coordinates {
-		gone = nil
+	removals := c.memberPruner.SelectRemovals(list.members, live, now)
+	if v := c.g.view.Load(); v == nil || !v.isCoordinator {
+		removals = nil
 	}
-	read.gone <- gone
-	c.met = true
+	list.removals <- removals
+	c.membersKnown = true
 }
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// listed returns the IP that the store's list has for a VM; empty for none.
-func listed(t *testing.T, store *platform.Store, vm string) string {
+// listedIP returns the IP that the store's list has for a VM; empty for none.
+func listedIP(t *testing.T, store *platform.Store, vm string) string {
 	t.Helper()
 	listing, err := store.Newest(context.Background(), topicMembers)
 	if err != nil {
@@ -36,13 +36,13 @@
 	store.Configure(1, fakeplatform.Routes(), "key-1")
 	store.Serve(t, "i-a", fakeplatform.Echo)
 	g := newGateway(settingsFor(store), log.NewNopLogger())
-	g.meetEach = 20 * msec
+	g.membersInterval = 20 * msec
 	e := launch(t, g)
 	e.untilReady()
 	vm := e.settings.VM
-	e.until("its name stands in the list", func() bool { return listed(t, g.store, vm) != "" })
+	e.until("its name stands in the list", func() bool { return listedIP(t, g.store, vm) != "" })
 	store.Put(topicMembers, vm, "")
-	e.until("its name stands in the list again", func() bool { return listed(t, g.store, vm) == e.settings.IP })
+	e.until("its name stands in the list again", func() bool { return listedIP(t, g.store, vm) == e.settings.IP })
 }
 
 // VMs that were replaced long ago stand in the list. The entry that coordinates takes them off;
@@ -50,15 +50,15 @@
 // for long.
 func TestTheCoordinatorTakesNamesOffTheList(t *testing.T) {
 	t.Parallel()
-	w := newAwayWorld(t)
+	w := newControlWorld(t)
 	names := []peering.Member{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
 	read := func(coordinates bool, now time.Duration) []peering.Member {
 		t.Helper()
-		w.beat(0, now)
-		w.g.view.Store(&view{coordinates: coordinates})
-		r := roster{names: names, gone: make(chan []peering.Member, 1)}
-		w.takeRoster(r, now)
-		return <-r.gone
+		w.heartbeat(0, now)
+		w.g.view.Store(&view{isCoordinator: coordinates})
+		r := memberList{members: names, removals: make(chan []peering.Member, 1)}
+		w.applyMembers(r, now)
+		return <-r.removals
 	}
 	if gone := read(true, time.Minute); len(gone) != 0 {
 		t.Errorf("%v are gone at once", gone)
--- a/internal/gateway/away_test.go
+++ b/internal/gateway/outage_test.go
@@ -14,61 +14,61 @@
 
 const registration = `{"service":"app","address":"10.0.0.9:80","zone":"a","concurrency":4,"state":"ready","cold-remaining-ms":0,"sequence":1,"born":1}`
 
-// awayWorld is the control of one entry, in virtual time, with another one whose beats it
+// controlWorld is the control of one entry, in virtual time, with another one whose beats it
 // hears.
-type awayWorld struct {
+type controlWorld struct {
 	*control
-	other    *api.PeerBeat
-	sequence uint64
+	other        *api.PeerBeat
+	beatSequence uint64
 }
 
-func newAwayWorld(t *testing.T) *awayWorld {
+func newControlWorld(t *testing.T) *controlWorld {
 	g := newGateway(settingsFor(fakeplatform.NewStore(t)), log.NewNopLogger())
-	if err := g.listenBeats(); err != nil {
+	if err := g.listenHeartbeats(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		close(g.stopped)
 		_ = g.socket.Close()
 	})
-	w := &awayWorld{
+	w := &controlWorld{
 		control: newControl(g, log.NewNopLogger(), 0),
 		other:   &api.PeerBeat{Vm: "other", Ip: fakeplatform.OwnIP(), FailureDomain: "a", Incarnation: 1, Serving: true},
 	}
-	w.servers(t, 1, registration, 0)
+	w.reportServers(t, 1, registration, 0)
 	if n := len(w.registry.Registrations()); n != 1 {
 		t.Fatalf("%d servers at the start", n)
 	}
 	return w
 }
 
-// servers has the other entry tell what the store holds: one registration, empty when it is
+// reportServers has the other entry tell what the store holds: one registration, empty when it is
 // gone.
-func (w *awayWorld) servers(t *testing.T, next int64, value string, now time.Duration) {
+func (w *controlWorld) reportServers(t *testing.T, next int64, value string, now time.Duration) {
 	t.Helper()
 	topic := &api.KeyedTopic{Known: true, Next: next}
 	if value != "" {
 		topic.Records = []*api.KeyedRecord{{Key: "i-9", Value: []byte(value), Offset: next - 1}}
 	}
-	w.takeTopic(platform.TopicServers, w.control.servers, topic, now)
-	w.settle(now)
+	w.applyTopic(platform.TopicServers, w.control.servers, topic, now)
+	w.reconcile(now)
 }
 
-// beat has the other entry say how old its own word of the store is.
-func (w *awayWorld) beat(age, now time.Duration) {
-	w.sequence++
+// heartbeat has the other entry say how old its own word of the store is.
+func (w *controlWorld) heartbeat(age, now time.Duration) {
+	w.beatSequence++
 	b := &api.PeerBeat{
-		Vm: w.other.Vm, Ip: w.other.Ip, FailureDomain: w.other.FailureDomain, Incarnation: 1, Sequence: w.sequence,
+		Vm: w.other.Vm, Ip: w.other.Ip, FailureDomain: w.other.FailureDomain, Incarnation: 1, Sequence: w.beatSequence,
 		Serving: true, OperatorsAgeMs: age.Milliseconds(), ServersAgeMs: age.Milliseconds(),
 	}
 	w.peers.HandleHeartbeat(b, now)
-	w.settle(now)
+	w.reconcile(now)
 }
 
-// read is what comes of this entry's own read of the registrations.
-func (w *awayWorld) read(err error, now time.Duration) {
-	w.takeNews(news{topic: platform.TopicServers, err: err, at: now})
-	w.settle(now)
+// readServers is what comes of this entry's own readServers of the registrations.
+func (w *controlWorld) readServers(err error, now time.Duration) {
+	w.applyUpdate(topicUpdate{topic: platform.TopicServers, err: err, at: now})
+	w.reconcile(now)
 }
 
 // Callers reach a server two seconds and more after it has left. One read of this entry had
@@ -77,15 +77,15 @@
 // register again.
 func TestAReadThatFailsWhileOthersReadKeepsNoServer(t *testing.T) {
 	t.Parallel()
-	w := newAwayWorld(t)
+	w := newControlWorld(t)
 	now := 10 * time.Second
-	w.beat(200*msec, now)
-	w.read(errors.New("the connection has gone silent"), now+100*msec)
+	w.heartbeat(200*msec, now)
+	w.readServers(errors.New("the connection has gone silent"), now+100*msec)
 	for range 20 {
 		now += 200 * msec
-		w.beat(300*msec, now)
+		w.heartbeat(300*msec, now)
 	}
-	w.servers(t, 3, "", now)
+	w.reportServers(t, 3, "", now)
 	if n := len(w.registry.Registrations()); n != 0 {
 		t.Error("the server that has left gets work")
 	}
@@ -95,26 +95,26 @@
 // kept until the servers have had time to register again, whoever reads the store first.
 func TestAnOutageForAllKeepsServers(t *testing.T) {
 	t.Parallel()
-	for name, back := range map[string]func(w *awayWorld, now time.Duration){
-		"this entry reads it first": func(w *awayWorld, now time.Duration) { w.read(nil, now) },
-		"the other reads it first":  func(w *awayWorld, now time.Duration) { w.beat(0, now) },
+	for name, back := range map[string]func(w *controlWorld, now time.Duration){
+		"this entry reads it first": func(w *controlWorld, now time.Duration) { w.readServers(nil, now) },
+		"the other reads it first":  func(w *controlWorld, now time.Duration) { w.heartbeat(0, now) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAwayWorld(t)
+			w := newControlWorld(t)
 			now := 10 * time.Second
 			for age := time.Duration(0); age < 8*time.Second; age += 200 * msec {
 				now += 200 * msec
-				w.beat(age, now)
-				w.read(errors.New("down"), now)
+				w.heartbeat(age, now)
+				w.readServers(errors.New("down"), now)
 			}
 			now += 200 * msec
 			back(w, now)
-			w.servers(t, 3, "", now+10*msec)
-			w.settle(now + 1900*msec)
+			w.reportServers(t, 3, "", now+10*msec)
+			w.reconcile(now + 1900*msec)
 			if n := len(w.registry.Registrations()); n != 1 {
 				t.Fatal("the server had no time to register again")
 			}
-			w.settle(now + 2100*msec)
+			w.reconcile(now + 2100*msec)
 			if n := len(w.registry.Registrations()); n != 0 {
 				t.Error("the server did not register again and gets work")
 			}
@@ -127,16 +127,16 @@
 // ever, so that its return is noticed, and with a few entries all do.
 func TestProbesOfAnOutageAreBounded(t *testing.T) {
 	for _, entries := range []int{1, 7, 12} {
-		if pause := probePause(false, entries); pause > retryMost {
-			t.Errorf("%d entries: a pause of %v", entries, pause)
+		if interval := probeInterval(false, entries); interval > maxRetryInterval {
+			t.Errorf("%d entries: a pause of %v", entries, interval)
 		}
 	}
 	for _, entries := range []int{45, 490} {
-		if rate := float64(entries) / probePause(false, entries).Seconds(); rate > probesPerSecond+1 {
+		if rate := float64(entries) / probeInterval(false, entries).Seconds(); rate > probesPerSecond+1 {
 			t.Errorf("%d entries: %.0f calls a second", entries, rate)
 		}
-		if pause := probePause(true, entries); pause > retryMost {
-			t.Errorf("%d entries: the reader of a failure domain pauses for %v", entries, pause)
+		if interval := probeInterval(true, entries); interval > maxRetryInterval {
+			t.Errorf("%d entries: the reader of a failure domain pauses for %v", entries, interval)
 		}
 	}
 }
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -18,19 +18,19 @@
 	rc *http.ResponseController
 	// begun says that the head of the answer has been written.
 	begun bool
-	// firstAt is when it was; zero before.
-	firstAt time.Duration
-	// eventAt is when the last event was passed on, and gap the longest time between two.
-	eventAt, gap time.Duration
-	between      metrics.Histogram
+	// begunAt is when it was; zero before.
+	begunAt time.Duration
+	// lastEventAt is when the last event was passed on, and maxEventGap the longest time between two.
+	lastEventAt, maxEventGap time.Duration
+	eventGaps                metrics.Histogram
 	// lastID is the ID of the last event passed on.
 	lastID string
 	// fallback is the failure that a backend server answered, for when no other does better.
-	fallback *heldAnswer
+	fallback *bufferedAnswer
 }
 
-// heldAnswer is an answer that was read whole.
-type heldAnswer struct {
+// bufferedAnswer is an answer that was read whole.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -40,16 +40,16 @@
 // begin writes the head of an answer.
 func (o *output) begin(status int, header http.Header) {
 	o.begun = true
-	o.firstAt = clock.Now()
+	o.begunAt = clock.Now()
 	h := o.w.Header()
-	closing := h.Get("Connection")
+	connection := h.Get("Connection")
 	maps.Copy(h, header)
-	if closing != "" {
-		h.Set("Connection", closing)
+	if connection != "" {
+		h.Set("Connection", connection)
 	}
 	// The library would add what the backend server did not say.
 	for _, name := range []string{"Content-Type", "Date"} {
-		if _, said := h[name]; !said {
+		if _, isSet := h[name]; !isSet {
 			h[name] = nil
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // deliver writes an answer that was read whole.
-func (o *output) deliver(a *heldAnswer) error {
+func (o *output) deliver(a *bufferedAnswer) error {
 	if a.header.Get("Content-Length") == "" && len(a.body) > 0 {
 		a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
@@ -68,8 +68,8 @@
 
 func (o *output) deliverFallback() { _ = o.deliver(o.fallback) }
 
-// event passes one event on at once.
-func (o *output) event(e sse.Event) error {
+// writeEvent passes one writeEvent on at once.
+func (o *output) writeEvent(e sse.Event) error {
 	if _, err := o.w.Write(e.Raw); err != nil {
 		return err
 	}
@@ -77,10 +77,10 @@
 		o.lastID = e.ID
 	}
 	now := clock.Now()
-	if o.eventAt > 0 {
-		o.gap = max(o.gap, now-o.eventAt)
-		o.between.Update((now - o.eventAt).Milliseconds())
+	if o.lastEventAt > 0 {
+		o.maxEventGap = max(o.maxEventGap, now-o.lastEventAt)
+		o.eventGaps.Update((now - o.lastEventAt).Milliseconds())
 	}
-	o.eventAt = now
+	o.lastEventAt = now
 	return o.rc.Flush()
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// maxBeat bounds one beat, bytes; a datagram cannot be larger.
-	maxBeat = 64 << 10
+	// maxHeartbeatBytes bounds one beat, bytes; a datagram cannot be larger.
+	maxHeartbeatBytes = 64 << 10
 	// statePath is where an entry asks another for what it holds of the store.
 	statePath = "/state"
 	// queryOperators and queryServers are the offsets up to which it has read both topics.
 	queryOperators = "operators"
 	queryServers   = "servers"
-	// stateTime bounds such a question.
-	stateTime = time.Second
-	// maxState bounds its answer, bytes: a configuration of hundreds of routes and
+	// stateTimeout bounds such a question.
+	stateTimeout = time.Second
+	// maxStateBytes bounds its answer, bytes: a configuration of hundreds of routes and
 	// registrations of thousands of servers.
-	maxState = 16 << 20
+	maxStateBytes = 16 << 20
 )
 
-// sendBeat sends a beat to other entries. Beats that do not arrive are not missed: the next
+// sendHeartbeat sends a beat to other entries. Beats that do not arrive are not missed: the next
 // one says it all again.
-func (g *Gateway) sendBeat(b *api.PeerBeat, ips []string) {
+func (g *Gateway) sendHeartbeat(b *api.PeerBeat, ips []string) {
 	data, err := proto.Marshal(b)
-	if err != nil || len(data) > maxBeat {
+	if err != nil || len(data) > maxHeartbeatBytes {
 		_ = level.Error(g.logger).Log("msg", "A beat cannot be sent.", "bytes", len(data), "err", err,
 			"result", result.Label(api.ResultCode_INTERNAL))
 		return
@@ -51,9 +51,9 @@
 	}
 }
 
-// hear passes the beats of other entries to the control goroutine.
-func (g *Gateway) hear(ctx context.Context) error {
-	buf := make([]byte, maxBeat)
+// receiveHeartbeats passes the beats of other entries to the control goroutine.
+func (g *Gateway) receiveHeartbeats(ctx context.Context) error {
+	buf := make([]byte, maxHeartbeatBytes)
 	for {
 		n, _, err := g.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -69,7 +69,7 @@
 			continue
 		}
 		select {
-		case g.beats <- b:
+		case g.heartbeats <- b:
 		default:
 			// The control goroutine is behind; the next beat says the same, newer.
 		}
@@ -79,16 +79,16 @@
 // serveState answers another entry with what this one holds of the store.
 func (g *Gateway) serveState(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	ask := stateRequest{
-		operators: number(query.Get(queryOperators)), servers: number(query.Get(queryServers)),
+	req := stateRequest{
+		operators: parseOffset(query.Get(queryOperators)), servers: parseOffset(query.Get(queryServers)),
 		reply: make(chan *api.PeerState, 1),
 	}
 	select {
-	case g.stateRequests <- ask:
+	case g.stateRequests <- req:
 	case <-r.Context().Done():
 		return
 	}
-	data, err := proto.Marshal(<-ask.reply)
+	data, err := proto.Marshal(<-req.reply)
 	if err != nil {
 		result.WriteHTTP(w, err)
 		return
@@ -104,8 +104,8 @@
 	reply              chan *api.PeerState
 }
 
-// number reads an offset; what is none counts as the first, so that all is told.
-func number(text string) int64 {
+// parseOffset reads an offset; what is none counts as the first, so that all is told.
+func parseOffset(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -115,15 +115,15 @@
 
 // fetchState asks another entry for what it holds of the store.
 func (g *Gateway) fetchState(ip string, operators, servers int64) {
-	state, err := g.askState(ip, operators, servers)
+	state, err := g.requestState(ip, operators, servers)
 	select {
-	case g.states <- fetched{from: ip, state: state, err: err}:
+	case g.fetchedStates <- fetchedState{from: ip, state: state, err: err}:
 	case <-g.stopped:
 	}
 }
 
-func (g *Gateway) askState(ip string, operators, servers int64) (*api.PeerState, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), stateTime)
+func (g *Gateway) requestState(ip string, operators, servers int64) (*api.PeerState, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s%s?%s=%d&%s=%d", g.peerAddress(ip), statePath, queryOperators, operators, queryServers, servers)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -138,7 +138,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("state: status %d", resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxState))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "state")
 	}
--- a/internal/gateway/shut.go
+++ b/internal/gateway/refusing.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	// shutEach is the time between two questions whether a group is open again.
-	shutEach = 150 * time.Millisecond
-	// shutMost is how long a group counts as broken without a word of it: longer than ranks
+	// openCheckInterval is the time between two questions whether a group is open again.
+	openCheckInterval = 150 * time.Millisecond
+	// maxRefusingTime is how long a group counts as broken without a word of it: longer than ranks
 	// take to form a group, after which requests tell.
-	shutMost = 5 * time.Second
+	maxRefusingTime = 5 * time.Second
 )
 
-// shed says that an engine with room has refused a request. It returns true when its service
+// markRefusing says that an engine with room has refused a request. It returns true when its service
 // is to be watched from now on, and gets nothing until then.
 //
 // Load: a rank of a lock-step group that crashes, or all of them after a loss of power: every
 // engine refuses until the group has formed again. Harm prevented: each request is sent to
 // one engine after the other, refused by all, and out of attempts when the group is back a
 // second later. One engine is asked how it is instead, and the requests wait.
-func (f *fleet) shed(id string) bool {
+func (f *fleet) markRefusing(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[id]
-	if s == nil || s.service.Engine == nil || f.shut[s.Service] || s.own+s.others >= s.Concurrency {
+	if s == nil || s.service.Engine == nil || f.refusing[s.Service] || s.ownInFlight+s.othersInFlight >= s.Concurrency {
 		return false
 	}
-	f.shut[s.Service] = true
-	f.refresh(clock.Now())
+	f.refusing[s.Service] = true
+	f.updatePlacement(clock.Now())
 	return true
 }
 
-// opened says that a service takes work again.
-func (f *fleet) opened(service string) {
+// clearRefusing says that a service takes work again.
+func (f *fleet) clearRefusing(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.shut, service)
-	f.refresh(clock.Now())
+	delete(f.refusing, service)
+	f.updatePlacement(clock.Now())
 }
 
-// watch asks an engine that refused a request until its group is open.
-func (g *Gateway) watch(s registry.Server) {
+// watchRefusing asks an engine that refused a request until its group is open.
+func (g *Gateway) watchRefusing(s registry.Server) {
 	began := clock.Now()
 	_ = level.Warn(g.logger).Log("msg", "A service refuses work and gets none until it is open.", "service", s.Service, "server", s.ID,
 		"result", result.Label(api.ResultCode_SATURATED))
-	open := false
-	for !open && clock.Now()-began < shutMost {
-		open = g.open(s)
-		if !open {
+	isOpen := false
+	for !isOpen && clock.Now()-began < maxRefusingTime {
+		isOpen = g.isGroupOpen(s)
+		if !isOpen {
 			select {
-			case <-time.After(shutEach):
+			case <-time.After(openCheckInterval):
 			case <-g.stopped:
 				return
 			}
 		}
-		if !g.fleet.known(s.ID) {
+		if !g.fleet.isKnown(s.ID) {
 			break
 		}
 	}
-	g.fleet.opened(s.Service)
+	g.fleet.clearRefusing(s.Service)
 	_ = level.Info(g.logger).Log("msg", "A service that refused work was watched.", "service", s.Service, "server", s.ID,
-		"open", open, "took_ms", (clock.Now() - began).Milliseconds())
+		"open", isOpen, "took_ms", (clock.Now() - began).Milliseconds())
 }
 
-// open says whether an engine's group is open, by the process beside it, or by the engine
+// isGroupOpen says whether an engine's group is isGroupOpen, by the process beside it, or by the engine
 // itself when that does not answer.
-func (g *Gateway) open(s registry.Server) bool {
+func (g *Gateway) isGroupOpen(s registry.Server) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), platform.EngineTime)
 	defer cancel()
-	beside, err := ranks.Beside(s.Address, g.settings.PeerPort)
+	rankAgent, err := ranks.Beside(s.Address, g.settings.PeerPort)
 	if err != nil {
 		return true
 	}
-	reply, err := ranks.Via(ctx, g.peerClient, beside, &api.RankRequest{})
+	reply, err := ranks.Via(ctx, g.peerClient, rankAgent, &api.RankRequest{})
 	if err != nil {
 		reply = ranks.Ask(ctx, platform.NewEngine(s.Address, g.peerClient), &api.RankRequest{})
 	}
--- a/internal/gateway/again_test.go
+++ b/internal/gateway/retry_test.go
@@ -15,26 +15,26 @@
 	chat := &routing.Route{Kind: routing.Stream, Attempts: 2}
 	for _, c := range []struct {
 		name  string
-		v     verdict
+		v     attemptOutcome
 		route *routing.Route
 		h     history
 		want  bool
 	}{
 		{"a push whose answer was lost", broken, once, history{sent: 1, mayHaveRun: true}, false},
-		{"a push that failed", ranBadly, once, history{sent: 1, mayHaveRun: true}, false},
+		{"a push that failed", serverError, once, history{sent: 1, mayHaveRun: true}, false},
 		{"a push that was refused", notRun, once, history{sent: 1}, true},
 		{"a push that was refused, with no attempt left", notRun, &routing.Route{Attempts: 1}, history{sent: 1}, false},
 		{"a push that was not sent", unsent, once, history{unsent: 1}, true},
-		{"a push that could not be sent anywhere", unsent, once, history{unsent: mostUnsent}, false},
+		{"a push that could not be sent anywhere", unsent, once, history{unsent: maxUnsent}, false},
 		{"a look-up whose answer was lost", broken, lookup, history{sent: 1, mayHaveRun: true}, true},
 		{"a look-up with no attempt left", broken, lookup, history{sent: 2, mayHaveRun: true}, false},
 		{"a draft broken off", broken, draft, history{sent: 1, mayHaveRun: true}, true},
 		{"a stream broken off that cannot be resumed", broken, chat, history{sent: 1, mayHaveRun: true}, false},
 		{"a stream refused", notRun, chat, history{sent: 1}, true},
-		{"a caller that has gone", over, lookup, history{sent: 1}, false},
+		{"a caller that has gone", abandoned, lookup, history{sent: 1}, false},
 		{"an answer", delivered, lookup, history{sent: 1}, false},
 	} {
-		if got, _ := another(c.v, c.route, c.h); got != c.want {
+		if got, _ := shouldRetry(c.v, c.route, c.h); got != c.want {
 			t.Errorf("%s: another %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -55,7 +55,7 @@
 		{"a draft at its last server", routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}, history{sent: 1}, false},
 		{"a look-up", routing.Route{Kind: routing.Idempotent, Attempts: 2}, history{}, true},
 	} {
-		if got := mayMove(&c.route, c.h); got != c.want {
+		if got := canMove(&c.route, c.h); got != c.want {
 			t.Errorf("%s: may be moved %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -14,49 +14,49 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// askPeersEach is the least time between two questions to other entries for what the store
+// stateRequestInterval is the least time between two questions to other entries for what the store
 // would have said.
-const askPeersEach = 300 * time.Millisecond
+const stateRequestInterval = 300 * time.Millisecond
 
-// freshFor is how long what an entry was told by the store counts as fresh: the longest time
+// maxFreshAge is how long what an entry was told by the store counts as fresh: the longest time
 // between two answers in a calm, and a margin. Past it the others read for themselves, well
 // before a configuration or a leaving server must be known.
-const freshFor = 1500 * time.Millisecond
+const maxFreshAge = 1500 * time.Millisecond
 
-// chooseReads decides whether this entry reads the store: as the one for its failure domain,
+// decideStoreReads decides whether this entry reads the store: as the one for its failure domain,
 // while it does not know enough, or while nobody it hears has fresh word of both topics.
-func (c *control) chooseReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
-	duty := peering.IsDomainReader(self, live)
-	c.g.probeMost.Store(int64(probePause(duty, len(live)+1)))
-	reads := duty || !c.operators.Ready() || !c.servers.Ready()
-	operators, servers := freshest(live)
-	reads = reads || operators > freshFor || servers > freshFor
-	if !reads {
-		c.operatorsAt = max(c.operatorsAt, now-operators)
-		c.serversAt = max(c.serversAt, now-servers)
-		c.serversAway = false
+func (c *control) decideStoreReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
+	isReader := peering.IsDomainReader(self, live)
+	c.g.probeInterval.Store(int64(probeInterval(isReader, len(live)+1)))
+	mustRead := isReader || !c.operators.Ready() || !c.servers.Ready()
+	operatorsAge, serversAge := freshestAges(live)
+	mustRead = mustRead || operatorsAge > maxFreshAge || serversAge > maxFreshAge
+	if !mustRead {
+		c.operatorsAt = max(c.operatorsAt, now-operatorsAge)
+		c.serversAt = max(c.serversAt, now-serversAge)
+		c.serversReadFailed = false
 	}
-	c.g.reads.Store(reads)
+	c.g.readsStore.Store(mustRead)
 }
 
 // probesPerSecond bounds the calls a second of all entries together that are not their failure
 // domain's reader, for each topic, while the store does not answer.
 const probesPerSecond = 30
 
-// probePause is the time between two calls of an entry while the store does not answer.
+// probeInterval is the time between two calls of an entry while the store does not answer.
 //
 // Load: an outage of the store, in which nobody has fresh word and every entry reads for itself.
 // Harm prevented: calls that grow with the entries, and meet a store that has just come back.
 // The readers of the failure domains notice its return as soon as before, and the others hear
 // of it from them.
-func probePause(duty bool, entries int) time.Duration {
-	if duty {
+func probeInterval(isReader bool, entries int) time.Duration {
+	if isReader {
 		return 0
 	}
 	return time.Duration(float64(entries) / probesPerSecond * float64(time.Second))
 }
 
-// storeAway says that the store answers nobody, so that registrations may lapse although their
+// isStoreUnreachable says that the store answers nobody, so that registrations may lapse although their
 // servers live.
 //
 // Load: a read of this entry that fails while others read, as when its connection goes silent
@@ -64,32 +64,32 @@
 // long after others have begun to read for it, and goes on sending to servers that have left.
 // A read that fails counts only once nobody has fresh word, which is long before the first
 // registration can lapse.
-func (c *control) storeAway(live []*api.PeerBeat, now time.Duration) bool {
-	_, servers := freshest(live)
-	return c.serversAway && min(servers, now-c.serversAt) > freshFor
+func (c *control) isStoreUnreachable(live []*api.PeerBeat, now time.Duration) bool {
+	_, serversAge := freshestAges(live)
+	return c.serversReadFailed && min(serversAge, now-c.serversAt) > maxFreshAge
 }
 
-// freshest returns the ages of the newest word that a live entry has from the store itself.
-func freshest(live []*api.PeerBeat) (operators, servers time.Duration) {
-	operators, servers = time.Hour, time.Hour
+// freshestAges returns the ages of the newest word that a live entry has from the store itself.
+func freshestAges(live []*api.PeerBeat) (operatorsAge, serversAge time.Duration) {
+	operatorsAge, serversAge = time.Hour, time.Hour
 	for _, b := range live {
 		if ms := b.GetOperatorsAgeMs(); ms >= 0 {
-			operators = min(operators, time.Duration(ms)*time.Millisecond)
+			operatorsAge = min(operatorsAge, time.Duration(ms)*time.Millisecond)
 		}
 		if ms := b.GetServersAgeMs(); ms >= 0 {
-			servers = min(servers, time.Duration(ms)*time.Millisecond)
+			serversAge = min(serversAge, time.Duration(ms)*time.Millisecond)
 		}
 	}
-	return operators, servers
+	return operatorsAge, serversAge
 }
 
-// askPeers fetches from another entry what it has read beyond this one.
+// requestPeerState fetches from another entry what it has read beyond this one.
 //
 // Load: the store turns this entry away and serves the others, or others read it for this
 // one. Harm prevented: it goes on by an old configuration, lets in a key that was taken
 // away, and sends to a failure domain that is out.
-func (c *control) askPeers(live []*api.PeerBeat, now time.Duration) {
-	if c.asking || now-c.askedAt < askPeersEach {
+func (c *control) requestPeerState(live []*api.PeerBeat, now time.Duration) {
+	if c.stateRequested || now-c.stateRequestedAt < stateRequestInterval {
 		return
 	}
 	var ahead []*api.PeerBeat
@@ -98,43 +98,43 @@
 			ahead = append(ahead, b)
 		}
 	}
-	if len(ahead) == 0 || c.g.reads.Load() && !c.stale(now) {
+	if len(ahead) == 0 || c.g.readsStore.Load() && !c.isStale(now) {
 		return
 	}
-	c.asking = true
-	c.askedAt = now
+	c.stateRequested = true
+	c.stateRequestedAt = now
 	// Any of them, so that one is not asked by all.
 	b := ahead[rand.IntN(len(ahead))]
 	go c.g.fetchState(b.GetIp(), c.operators.NextOffset(), c.servers.NextOffset())
 }
 
-// stale says that this entry's own reads of the store are late: others may know more.
-func (c *control) stale(now time.Duration) bool {
-	return c.serversAway || !c.operators.Ready() || now-c.operatorsAt > freshFor || now-c.serversAt > freshFor
+// isStale says that this entry's own reads of the store are late: others may know more.
+func (c *control) isStale(now time.Duration) bool {
+	return c.serversReadFailed || !c.operators.Ready() || now-c.operatorsAt > maxFreshAge || now-c.serversAt > maxFreshAge
 }
 
-// fetched is what another entry holds, or nil when it did not answer.
-type fetched struct {
+// fetchedState is what another entry holds, or nil when it did not answer.
+type fetchedState struct {
 	from  string
 	state *api.PeerState
 	err   error
 }
 
-func (c *control) takeState(f fetched) {
-	c.asking = false
+func (c *control) applyPeerState(f fetchedState) {
+	c.stateRequested = false
 	if f.err != nil {
 		_ = level.Warn(c.logger).Log("msg", "Another entry did not tell what it holds.", "address", f.from, "err", f.err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		return
 	}
 	now := clock.Now()
-	c.takeTopic(platform.TopicOperators, c.operators, f.state.GetOperators(), now)
-	c.takeTopic(platform.TopicServers, c.servers, f.state.GetServers(), now)
+	c.applyTopic(platform.TopicOperators, c.operators, f.state.GetOperators(), now)
+	c.applyTopic(platform.TopicServers, c.servers, f.state.GetServers(), now)
 	_ = level.Info(c.logger).Log("msg", "Took what another entry holds.", "address", f.from,
 		"operators_next", c.operators.NextOffset(), "servers_next", c.servers.NextOffset())
 }
 
-func (c *control) takeTopic(topic string, table *keyed.Table, t *api.KeyedTopic, now time.Duration) {
+func (c *control) applyTopic(topic string, table *keyed.Table, t *api.KeyedTopic, now time.Duration) {
 	if !t.GetKnown() {
 		return
 	}
@@ -142,16 +142,16 @@
 	for _, r := range t.GetRecords() {
 		listing.Records = append(listing.Records, keyed.Record{Key: r.GetKey(), Value: r.GetValue(), Offset: r.GetOffset()})
 	}
-	c.take(topic, table, listing, nil, now)
+	c.applyRecords(topic, table, listing, nil, now)
 }
 
-// state is what this entry holds beyond what another one has read.
-func (c *control) state(ask stateRequest) *api.PeerState {
+// stateBeyond is what this entry holds beyond what another one has read.
+func (c *control) stateBeyond(req stateRequest) *api.PeerState {
 	state := &api.PeerState{}
-	if c.operatorsChangedAt > ask.operators || ask.operators == 0 {
+	if c.operatorsChangedAt > req.operators || req.operators == 0 {
 		state.Operators = topicState(c.operators)
 	}
-	if c.serversChangedAt > ask.servers || ask.servers == 0 {
+	if c.serversChangedAt > req.servers || req.servers == 0 {
 		state.Servers = topicState(c.servers)
 	}
 	return state
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -28,19 +28,19 @@
 	settings.Store.Address = door.Address
 	opening, open := make(chan struct{}), make(chan struct{})
 	// The library may try a second kind of socket.
-	tellOpening := sync.OnceFunc(func() { close(opening) })
+	signalOpening := sync.OnceFunc(func() { close(opening) })
 	g := newGateway(settings, log.NewNopLogger())
 	usual := g.listen.Control
 	g.listen.Control = func(network, address string, c syscall.RawConn) error {
 		if address == settings.Listen.Callers {
-			tellOpening()
+			signalOpening()
 			<-open
 		}
 		return usual(network, address, c)
 	}
 	e := launch(t, g)
 	<-opening
-	time.Sleep(aWhile)
+	time.Sleep(settleTime)
 	if n := door.Calls.Load(); n != 0 {
 		t.Errorf("the entry called the store %d times while it did not listen", n)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// aWhile is time enough for an entry to read the store many times over.
-const aWhile = 300 * time.Millisecond
+// settleTime is time enough for an entry to read the store many times over.
+const settleTime = 300 * time.Millisecond
 
 // The address for callers is taken by another process. The entry's process ends and says why.
 func TestAnEntryThatCannotListenEnds(t *testing.T) {
@@ -79,7 +79,7 @@
 // process must end instead, so that the platform starts it again.
 func TestAnEntryEndsWithAnyOfItsParts(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, fakeplatform.Echo)
+	_, _, e := startWorld(t, fakeplatform.Echo)
 	_ = e.socket.Close()
 	select {
 	case err := <-e.done:
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -32,7 +32,7 @@
 		_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(3))+fakeplatform.Chunk(fakeplatform.Event(4))+"0\r\n\r\n")
 		return true
 	}
-	_, _, e := world(t, answer, answer)
+	_, _, e := startWorld(t, answer, answer)
 	r := e.ask("POST", "/draft/1", "d1")
 	if want := fakeplatform.Event(1) + fakeplatform.Event(2) + fakeplatform.Event(3) + fakeplatform.Event(4); r.body != want || r.err != nil {
 		t.Errorf("the caller got %q, %v", r.body, r.err)
@@ -46,7 +46,7 @@
 // early must not look whole.
 func TestABrokenStreamLooksBroken(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		return false
 	})
@@ -59,7 +59,7 @@
 // right, and what comes next would make it worse.
 func TestEventsOutOfOrderArePassedOnToNobody(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)+fakeplatform.Event(2)+fakeplatform.Event(2))+"0\r\n\r\n")
 		return true
 	})
@@ -72,7 +72,7 @@
 func TestACallerThatLeavesEndsTheWork(t *testing.T) {
 	t.Parallel()
 	ended := make(chan struct{})
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
