--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -99,7 +99,7 @@
 }
 
 func admission(n int, saturated bool) func(int) {
-	a := admit.New(admit.Config{Queue: 1 << 16, MaxWait: time.Hour})
+	a := admit.New(admit.Config{MaxQueue: 1 << 16, MaxWait: time.Hour})
 	plans := []admit.PlanShare{{Name: "gold", Share: 3}, {Name: "basic", Share: 1}}
 	customers := make([]admit.CustomerShare, n)
 	for i := range customers {
@@ -111,7 +111,7 @@
 	var id uint64
 	offer := func(i int) {
 		id++
-		a.Offer(0, admit.Request{ID: id, Customer: customers[i%n].Name, Offer: "model:m", Deadline: time.Hour})
+		a.Admit(0, admit.Request{ID: id, Customer: customers[i%n].Name, Offer: "model:m", Deadline: time.Hour})
 	}
 	if !saturated {
 		return func(i int) {
@@ -155,7 +155,7 @@
 }
 
 func limiting() func(int) {
-	l := cold.New(cold.Config{Cold: 2, Full: 32}, 0)
+	l := cold.New(cold.Config{ColdLimit: 2, FullLimit: 32}, 0)
 	return func(i int) {
 		now := time.Duration(i) * time.Millisecond
 		l.TryStart(now)
--- a/decide/balance/pace.go
+++ b/decide/balance/pace.go
@@ -6,104 +6,105 @@
 	"time"
 )
 
-// RankWork is what one rank did since the last observation.
+// RankWork is the work of one rank since the last observation.
 type RankWork struct {
-	// Tokens counts the tokens of the rank's experts, Time how long it took for them.
+	// Tokens is the number of tokens that the rank's experts processed, Time how long that took.
 	Tokens float64
 	Time   time.Duration
 }
 
 const (
-	// paceWindows is the number of observations whose median counts as a rank's pace. A
-	// rank that stalls for a second or two must not have its experts moved, and moved
-	// back when it goes on: only what lasts for most of the observations is believed.
-	paceWindows = 5
-	// paceNoise is the deviation from 1 up to which a pace counts as usual. Measured
-	// times of healthy ranks differ by a few hundredths, and following them would load
-	// experts for nothing.
-	paceNoise = 0.05
-	// maxPace bounds a rank's pace. A rank three times slower holds the group up
-	// whatever stands on it, since every expert must stand somewhere: it is for the
-	// platform to replace, and emptying it would only load experts twice.
-	maxPace = 3
+	// slowdownWindow is the number of observations whose median is a rank's slowdown. The experts
+	// of a rank that stalls for a second or two must not be moved away and back again: only a
+	// slowdown that lasts for most of the observations counts.
+	slowdownWindow = 5
+	// slowdownTolerance is the deviation from 1 up to which a slowdown counts as 1. The measured
+	// times of healthy ranks differ by a few hundredths; following them would load experts for
+	// nothing.
+	slowdownTolerance = 0.05
+	// maxSlowdown limits the slowdown of a rank in decisions. A rank that is three times slower
+	// delays the group whatever it holds, since every expert needs a rank. The platform has to
+	// replace it, and moving its experts away would only load them twice.
+	maxSlowdown = 3
 )
 
-// paces follows how fast the ranks of a group are, each against the usual one.
-type paces struct {
-	windows [][]float64 // of the newest observations, each with all ranks
-	next    int
+// slowdownTracker tracks the speed of each rank of a group relative to the typical rank.
+type slowdownTracker struct {
+	observations [][]float64 // the latest, each with all ranks
+	next         int
 }
 
-// observe takes one observation of all ranks. One that does not tell of every rank says
-// nothing of what is usual, and is left out.
-func (p *paces) observe(ranks []RankWork) {
-	each := make([]float64, len(ranks))
+// observe records one observation of all ranks. An observation that lacks a rank is ignored, since
+// it does not show what is typical of the group.
+func (p *slowdownTracker) observe(ranks []RankWork) {
+	slowdowns := make([]float64, len(ranks))
 	for i, work := range ranks {
 		if work.Tokens <= 0 || work.Time <= 0 {
 			return
 		}
-		each[i] = work.Time.Seconds() / work.Tokens
+		slowdowns[i] = work.Time.Seconds() / work.Tokens
 	}
-	usual := median(each)
-	for i := range each {
-		each[i] /= usual
+	typical := median(slowdowns)
+	for i := range slowdowns {
+		slowdowns[i] /= typical
 	}
-	if len(p.windows) < paceWindows {
-		p.windows = append(p.windows, each)
+	if len(p.observations) < slowdownWindow {
+		p.observations = append(p.observations, slowdowns)
 		return
 	}
-	p.windows[p.next] = each
-	p.next = (p.next + 1) % paceWindows
+	p.observations[p.next] = slowdowns
+	p.next = (p.next + 1) % slowdownWindow
 }
 
-// lasting returns the median pace of each rank; nil while too little was seen.
-func (p *paces) lasting() []float64 {
-	if len(p.windows) < paceWindows {
+// medians returns the median slowdown of each rank, or nil while there are too few observations.
+func (p *slowdownTracker) medians() []float64 {
+	if len(p.observations) < slowdownWindow {
 		return nil
 	}
-	medians := make([]float64, len(p.windows[0]))
-	seen := make([]float64, paceWindows)
+	medians := make([]float64, len(p.observations[0]))
+	recent := make([]float64, slowdownWindow)
 	for rank := range medians {
-		for i, window := range p.windows {
-			seen[i] = window[rank]
+		for i, observation := range p.observations {
+			recent[i] = observation[rank]
 		}
-		medians[rank] = median(seen)
+		medians[rank] = median(recent)
 	}
 	return medians
 }
 
-// known returns the pace of each rank that decisions go by; nil while too little was seen.
-func (p *paces) known() []float64 {
-	known := p.lasting()
-	for rank, pace := range known {
-		known[rank] = min(max(pace, 1/float64(maxPace)), maxPace)
-		if d := pace - 1; -paceNoise < d && d < paceNoise {
-			known[rank] = 1
+// effective returns the slowdown of each rank to be used in decisions, or nil while there are too
+// few observations.
+func (p *slowdownTracker) effective() []float64 {
+	slowdowns := p.medians()
+	for rank, slowdown := range slowdowns {
+		slowdowns[rank] = min(max(slowdown, 1/float64(maxSlowdown)), maxSlowdown)
+		if d := slowdown - 1; -slowdownTolerance < d && d < slowdownTolerance {
+			slowdowns[rank] = 1
 		}
 	}
-	return known
+	return slowdowns
 }
 
-// SlowRank is a rank that stays slower than moving its experts can make good.
+// SlowRank is a rank so slow that moving its experts does not compensate for it.
 type SlowRank struct {
-	// Rank is its number in the group, Pace its time for a token over the usual one.
-	Rank int
-	Pace float64
+	// Rank is its number in the group, Slowdown its time per token relative to the typical rank.
+	Rank     int
+	Slowdown float64
 }
 
-// slow returns the ranks past maxPace, the slowest first.
-func (p *paces) slow() []SlowRank {
+// slowRanks returns the ranks above maxSlowdown, the slowest first.
+func (p *slowdownTracker) slowRanks() []SlowRank {
 	var slow []SlowRank
-	for rank, pace := range p.lasting() {
-		if pace > maxPace {
-			slow = append(slow, SlowRank{Rank: rank, Pace: pace})
+	for rank, slowdown := range p.medians() {
+		if slowdown > maxSlowdown {
+			slow = append(slow, SlowRank{Rank: rank, Slowdown: slowdown})
 		}
 	}
-	slices.SortStableFunc(slow, func(a, b SlowRank) int { return cmp.Compare(b.Pace, a.Pace) })
+	slices.SortStableFunc(slow, func(a, b SlowRank) int { return cmp.Compare(b.Slowdown, a.Slowdown) })
 	return slow
 }
 
-// median returns the middle of the values, the lower of two.
+// median returns the middle value, the lower of the two if their number is even.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[(len(sorted)-1)/2]
--- a/decide/subset/keeper.go
+++ b/decide/subset/keeper.go
@@ -5,205 +5,207 @@
 	"time"
 )
 
-// Health is what a client knows of one server.
+// Health is what a client knows about one server.
 type Health int
 
 const (
-	// Unknown: there is no link, and nothing speaks against one.
+	// Unknown means that there is no link and no known reason against one.
 	Unknown Health = iota
-	// Usable: the link stands and carries work.
+	// Usable means that the link is established and carries work.
 	Usable
-	// Silent: the link does not stand, or is not heard.
+	// Silent means that the link is not established, or nothing is received on it.
 	Silent
-	// Out: the server takes no work, and the client has been told so: it is marked out,
-	// or it stops.
-	Out
+	// Unavailable means that the server has told the client that it takes no work: it is marked
+	// out, or it is stopping.
+	Unavailable
 )
 
 const (
-	// settle is how long a server may be silent before it counts as lost: longer than a
-	// link takes to be made, or a link that went silent to be dialled anew, on a busy
-	// machine. With the silence that makes a link suspect, 0.6 s, it is 1.6 s.
-	settle = time.Second
-	// hold is how long all own servers must be there before the further ones are let go,
-	// and how long a further one that was lost is not tried again. A domain that comes
-	// back comes back cold, and its load shifts over 10 s; let go sooner, the further
-	// ones would be missed in that time.
-	hold = 30 * time.Second
-	// report is how long a link stands before the first report of its server is surely
-	// there, by which work is placed: two heartbeats and some.
-	report = 500 * time.Millisecond
-	// handover is how long a server that is not the client's own any more is used on, for
-	// want of those that are.
-	handover = 5 * time.Second
+	// lostAfter is how long a server may be silent before it counts as lost. It is longer than it
+	// takes to establish a link, or to redial a link that went silent, on a busy machine. Together
+	// with the 0.6 s of silence after which a link is suspect, it is 1.6 s.
+	lostAfter = time.Second
+	// fallbackHold is how long all assigned servers must be healthy before the fallbacks are
+	// released, and how long a lost fallback is not tried again. A failure domain returns cold and
+	// its load shifts back over 10 s; the fallbacks are still needed in that time.
+	fallbackHold = 30 * time.Second
+	// firstReportDelay is how long a link must be established until the first report of its server,
+	// which placement needs, is certain to have arrived: slightly more than two heartbeats.
+	firstReportDelay = 500 * time.Millisecond
+	// maxHandover is how long a previously assigned server is still used while newly assigned ones
+	// are not ready.
+	maxHandover = 5 * time.Second
 )
 
-// Keeper keeps one client linked to enough servers of one offer while some are lost.
+// LinkSelector selects the servers of one offer that a client links to, and replaces lost ones.
 //
-// Load: a failure domain is taken out or dies, and with it a third of the servers, or
-// half of those that a client happens to have. Harm prevented: the client is left with
-// one or two links, its work queues there and is refused, while servers that it is not
-// linked to stand idle. With less than three quarters of its servers it takes further
-// ones until it has as many as before.
+// When a failure domain is taken out or dies, a client loses a third of its servers, or half if
+// they are distributed unfavourably. With one or two links left, its requests would queue there and
+// be refused, while servers without a link to it are idle. With less than three quarters of its
+// assigned servers healthy, the client adds fallbacks until it has as many as before.
 //
-// The limit is as many further ones as own ones: with more, a client that sees nobody for
-// a fault of its own would dial everybody. They come one after another in an order of
-// each client's own, so that the load of those lost is spread over all that are left.
-type Keeper struct {
-	own, order []string
-	further    []string
-	// lost is since when a server has been silent; skip until when a further one is not
-	// tried.
-	lost, skip map[string]time.Duration
-	// whole is since when all own servers are there; negative while they are not.
-	whole time.Duration
-	// old are servers that were own before the last Set, used until the links to the new
-	// ones stand; since is the first look at them, stood since when all own links stand.
+// There are at most as many fallbacks as assigned servers: without this limit, a client that
+// reaches nobody because of a fault of its own would dial every server. Each client has its own
+// order of fallbacks, so that the load of lost servers is spread over all that remain.
+type LinkSelector struct {
+	assigned, fallbackOrder []string
+	fallbacks               []string
+	// silentSince is the time since which a server has been silent, and skipUntil the time until
+	// which a fallback is not tried.
+	silentSince, skipUntil map[string]time.Duration
+	// completeSince is the time since which all assigned servers are healthy; negative if they are
+	// not.
+	completeSince time.Duration
+	// previous holds servers that were assigned before the last SetServers, which are used until
+	// the links to the new ones are established. handoverStart is the time of the first Update
+	// after SetServers, and linkedSince the time since which all assigned servers have been usable;
+	// both are negative if unset.
 	//
-	// Load: one entry is replaced, and others' subsets move with it. Harm prevented: an
-	// entry with few links drops those it has and refuses all work until the new ones
-	// stand.
-	old          []string
-	since, stood time.Duration
-	pending      bool
+	// When one entry is replaced, the subsets of others change too. An entry with few links that
+	// dropped them at once would refuse all requests until the new links are established.
+	previous                   []string
+	handoverStart, linkedSince time.Duration
+	hasPendingLink             bool
 }
 
-// NewKeeper returns a keeper without servers.
-func NewKeeper() *Keeper {
-	return &Keeper{lost: make(map[string]time.Duration), skip: make(map[string]time.Duration), whole: -1, stood: -1}
+// NewLinkSelector returns a LinkSelector without servers.
+func NewLinkSelector() *LinkSelector {
+	return &LinkSelector{silentSince: make(map[string]time.Duration), skipUntil: make(map[string]time.Duration), completeSince: -1, linkedSince: -1}
 }
 
-// Set takes the client's own servers, by [Assign], and the others by [Further].
-// Further ones that are linked are kept unless they have become own, or are gone.
-func (k *Keeper) Set(own, order []string) {
-	was := append(slices.Clone(k.own), k.old...)
-	k.old = slices.DeleteFunc(was, func(vm string) bool { return !slices.Contains(order, vm) })
-	k.since, k.stood = -1, -1
-	k.own, k.order = own, order
-	k.further = slices.DeleteFunc(k.further, func(vm string) bool { return !slices.Contains(order, vm) })
-	known := func(vm string) bool { return slices.Contains(own, vm) || slices.Contains(order, vm) }
-	for vm := range k.lost {
-		if !known(vm) {
-			delete(k.lost, vm)
+// SetServers sets the client's assigned servers, from [Assign], and the others, from
+// [FallbackOrder]. Current fallbacks are kept unless they are now assigned or do not exist any
+// more.
+func (s *LinkSelector) SetServers(assigned, fallbackOrder []string) {
+	previous := append(slices.Clone(s.assigned), s.previous...)
+	s.previous = slices.DeleteFunc(previous, func(vm string) bool { return !slices.Contains(fallbackOrder, vm) })
+	s.handoverStart, s.linkedSince = -1, -1
+	s.assigned, s.fallbackOrder = assigned, fallbackOrder
+	s.fallbacks = slices.DeleteFunc(s.fallbacks, func(vm string) bool { return !slices.Contains(fallbackOrder, vm) })
+	isKnown := func(vm string) bool { return slices.Contains(assigned, vm) || slices.Contains(fallbackOrder, vm) }
+	for vm := range s.silentSince {
+		if !isKnown(vm) {
+			delete(s.silentSince, vm)
 		}
 	}
-	for vm := range k.skip {
-		if !known(vm) {
-			delete(k.skip, vm)
+	for vm := range s.skipUntil {
+		if !isKnown(vm) {
+			delete(s.skipUntil, vm)
 		}
 	}
 }
 
-// Tick returns the servers to link to: the own ones, and further ones while too many of
-// those are lost.
-func (k *Keeper) Tick(now time.Duration, health func(vm string) Health) []string {
-	good := 0
-	for _, vm := range k.own {
-		if !k.isLost(now, vm, health(vm)) {
-			good++
+// Update returns the servers to link to: the assigned ones, fallbacks while too many of them are
+// lost, and previous ones during a handover.
+func (s *LinkSelector) Update(now time.Duration, health func(vm string) Health) []string {
+	healthy := 0
+	for _, vm := range s.assigned {
+		if !s.isLost(now, vm, health(vm)) {
+			healthy++
 		}
 	}
-	k.dropLost(now, health)
-	k.letGo(now, good)
-	if 4*(good+len(k.further)) < 3*len(k.own) {
-		k.take(now, good, health)
+	s.dropLostFallbacks(now, health)
+	s.releaseFallbacks(now, healthy)
+	if 4*(healthy+len(s.fallbacks)) < 3*len(s.assigned) {
+		s.addFallbacks(now, healthy, health)
 	}
-	k.handOver(now, health)
-	k.pending = slices.ContainsFunc(slices.Concat(k.own, k.further), func(vm string) bool {
-		return k.mayCome(now, vm, health(vm))
+	s.dropPrevious(now, health)
+	s.hasPendingLink = slices.ContainsFunc(slices.Concat(s.assigned, s.fallbacks), func(vm string) bool {
+		return s.isPending(now, vm, health(vm))
 	})
-	return slices.Concat(k.own, k.further, k.old)
+	return slices.Concat(s.assigned, s.fallbacks, s.previous)
 }
 
-// Pending says that a server is to be linked, as of the last Tick, and that its link may
-// stand at any moment.
-func (k *Keeper) Pending() bool { return k.pending }
+// HasPendingLink reports whether, as of the last Update, the link to an assigned server or a
+// fallback is about to be established.
+func (s *LinkSelector) HasPendingLink() bool { return s.hasPendingLink }
 
-// mayCome says that a server has no link, and has not been waited for for long.
-func (k *Keeper) mayCome(now time.Duration, vm string, h Health) bool {
-	since, silent := k.lost[vm]
-	return (h == Silent || h == Unknown) && (!silent || now-since < settle)
+// isPending reports whether a server has no link and has been silent for less than lostAfter.
+func (s *LinkSelector) isPending(now time.Duration, vm string, h Health) bool {
+	since, silent := s.silentSince[vm]
+	return (h == Silent || h == Unknown) && (!silent || now-since < lostAfter)
 }
 
-// handOver lets go of the old servers once all own ones are linked and have reported, or
-// the time for it is over.
-func (k *Keeper) handOver(now time.Duration, health func(vm string) Health) {
-	if len(k.old) == 0 {
+// dropPrevious removes the previous servers once all assigned ones are linked and have reported, or
+// after maxHandover.
+func (s *LinkSelector) dropPrevious(now time.Duration, health func(vm string) Health) {
+	if len(s.previous) == 0 {
 		return
 	}
-	if k.since < 0 {
-		k.since = now
+	if s.handoverStart < 0 {
+		s.handoverStart = now
 	}
-	stand := !slices.ContainsFunc(k.own, func(vm string) bool { return health(vm) != Usable })
+	allLinked := !slices.ContainsFunc(s.assigned, func(vm string) bool { return health(vm) != Usable })
 	switch {
-	case !stand:
-		k.stood = -1
-	case k.stood < 0:
-		k.stood = now
+	case !allLinked:
+		s.linkedSince = -1
+	case s.linkedSince < 0:
+		s.linkedSince = now
 	}
-	if stand && now-k.stood >= report || now-k.since >= handover {
-		k.old = nil
+	if allLinked && now-s.linkedSince >= firstReportDelay || now-s.handoverStart >= maxHandover {
+		s.previous = nil
 		return
 	}
-	k.old = slices.DeleteFunc(k.old, func(vm string) bool { return health(vm) != Usable || slices.Contains(k.further, vm) })
+	s.previous = slices.DeleteFunc(s.previous, func(vm string) bool { return health(vm) != Usable || slices.Contains(s.fallbacks, vm) })
 }
 
-// Whole is how many servers there are for each that the client links to.
-func (k *Keeper) Whole() float64 {
-	linked := len(k.own) + len(k.further)
+// ServersPerLink is the ratio of all servers to those that the client links to.
+func (s *LinkSelector) ServersPerLink() float64 {
+	linked := len(s.assigned) + len(s.fallbacks)
 	if linked == 0 {
 		return 1
 	}
-	return float64(len(k.own)+len(k.order)) / float64(linked)
+	return float64(len(s.assigned)+len(s.fallbackOrder)) / float64(linked)
 }
 
-// isLost notes how long a server has been silent.
-func (k *Keeper) isLost(now time.Duration, vm string, h Health) bool {
+// isLost reports whether a server is lost, and records since when it has been silent.
+func (s *LinkSelector) isLost(now time.Duration, vm string, h Health) bool {
 	if h != Silent {
-		delete(k.lost, vm)
-		return h == Out
+		delete(s.silentSince, vm)
+		return h == Unavailable
 	}
-	since, silent := k.lost[vm]
+	since, silent := s.silentSince[vm]
 	if !silent {
-		k.lost[vm] = now
+		s.silentSince[vm] = now
 		return false
 	}
-	return now-since >= settle
+	return now-since >= lostAfter
 }
 
-// dropLost lets go of further servers that are lost too.
-func (k *Keeper) dropLost(now time.Duration, health func(vm string) Health) {
-	k.further = slices.DeleteFunc(k.further, func(vm string) bool {
-		if !k.isLost(now, vm, health(vm)) {
+// dropLostFallbacks removes fallbacks that are lost as well.
+func (s *LinkSelector) dropLostFallbacks(now time.Duration, health func(vm string) Health) {
+	s.fallbacks = slices.DeleteFunc(s.fallbacks, func(vm string) bool {
+		if !s.isLost(now, vm, health(vm)) {
 			return false
 		}
-		delete(k.lost, vm)
-		k.skip[vm] = now + hold
+		delete(s.silentSince, vm)
+		s.skipUntil[vm] = now + fallbackHold
 		return true
 	})
 }
 
-// letGo lets go of the further servers once all own ones have been there for long enough.
-func (k *Keeper) letGo(now time.Duration, good int) {
+// releaseFallbacks removes all fallbacks once all assigned servers have been healthy for
+// fallbackHold.
+func (s *LinkSelector) releaseFallbacks(now time.Duration, healthy int) {
 	switch {
-	case good < len(k.own):
-		k.whole = -1
-	case k.whole < 0:
-		k.whole = now
-	case now-k.whole >= hold:
-		k.further = nil
+	case healthy < len(s.assigned):
+		s.completeSince = -1
+	case s.completeSince < 0:
+		s.completeSince = now
+	case now-s.completeSince >= fallbackHold:
+		s.fallbacks = nil
 	}
 }
 
-// take adds further servers until there are as many as the client's own.
-func (k *Keeper) take(now time.Duration, good int, health func(vm string) Health) {
-	for _, vm := range k.order {
-		if good+len(k.further) >= len(k.own) {
+// addFallbacks adds fallbacks until the client has as many servers as are assigned to it.
+func (s *LinkSelector) addFallbacks(now time.Duration, healthy int, health func(vm string) Health) {
+	for _, vm := range s.fallbackOrder {
+		if healthy+len(s.fallbacks) >= len(s.assigned) {
 			return
 		}
-		if now < k.skip[vm] || slices.Contains(k.further, vm) || health(vm) == Out {
+		if now < s.skipUntil[vm] || slices.Contains(s.fallbacks, vm) || health(vm) == Unavailable {
 			continue
 		}
-		k.further = append(k.further, vm)
+		s.fallbacks = append(s.fallbacks, vm)
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -64,17 +64,17 @@
 	for service, concurrency := range f.registered {
 		key := offer(service)
 		free, capacity := f.table.Slots(key, now)
-		presence := admit.Here
+		presence := admit.Available
 		switch {
 		case concurrency == 0:
-			presence = admit.None
+			presence = admit.Unavailable
 		case capacity == 0:
-			presence = admit.Coming
+			presence = admit.Pending
 		}
-		f.admitter.SetPresence(key, presence)
-		f.admitter.Expect(key, concurrency/f.entries)
-		f.admitter.SetTotal(key, capacity, f.entries)
-		f.admitter.SetCapacity(key, admit.Part(f.running[service], free, capacity, f.entries))
+		f.admitter.SetAvailability(key, presence)
+		f.admitter.ExpectSlots(key, concurrency/f.entries)
+		f.admitter.SetTotalCapacity(key, capacity, f.entries)
+		f.admitter.SetCapacity(key, admit.EntrySlots(f.running[service], free, capacity, f.entries))
 		f.slotStates[service] = slotState{free: free, capacity: capacity, registered: concurrency, countedAt: now}
 	}
 	f.releaseQueued(now)
@@ -106,7 +106,7 @@
 		f.resolve(id, admission{server: s})
 		return
 	}
-	if !f.admitter.Postpone(now, id) {
+	if !f.admitter.Requeue(now, id) {
 		f.resolve(id, admission{err: result.New(code)})
 	}
 }
@@ -171,7 +171,7 @@
 		deadline = now + noDeadline
 	}
 	q := &queuedRequest{request: pickRequest{service: t.service, timeLeft: timeLeft(t.deadline, now)}, admitted: make(chan admission, 1)}
-	d := f.admitter.Offer(now, admit.Request{
+	d := f.admitter.Admit(now, admit.Request{
 		ID: id, Customer: t.team, Offer: offer(t.service), Deadline: deadline, Priority: -t.priority,
 	})
 	if d.Action == admit.Refuse {
