--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -64,14 +64,14 @@
 	for service, concurrency := range f.registered {
 		key := offer(service)
 		free, capacity := f.table.Slots(key, now)
-		presence := admit.Available
+		availability := admit.Available
 		switch {
 		case concurrency == 0:
-			presence = admit.Unavailable
+			availability = admit.Unavailable
 		case capacity == 0:
-			presence = admit.Pending
+			availability = admit.Pending
 		}
-		f.admitter.SetAvailability(key, presence)
+		f.admitter.SetAvailability(key, availability)
 		f.admitter.ExpectSlots(key, concurrency/f.entries)
 		f.admitter.SetTotalCapacity(key, capacity, f.entries)
 		f.admitter.SetCapacity(key, admit.EntrySlots(f.running[service], free, capacity, f.entries))
