--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -102,8 +102,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case n := <-c.g.updates:
-			c.applyUpdate(n)
+		case u := <-c.g.updates:
+			c.applyUpdate(u)
 		case b := <-c.g.heartbeats:
 			c.peers.HandleHeartbeat(b, clock.Now())
 		case s := <-c.g.fetchedStates:
@@ -248,8 +248,8 @@
 // servingTable returns the configuration to serve by, nil for none yet.
 //
 // When all entries are killed at once and start again, each would take itself for the only one, and
-// send the servers the retries and connections that all entries together may. So an entry serves
-// nothing until it knows which entries there may be.
+// send servers with little capacity the retries and connections that all entries together may. So
+// an entry serves nothing until it knows which entries there may be.
 func (c *control) servingTable(now time.Duration) *routing.Table {
 	if !c.membersKnown && now-c.startedAt < maxMembersWait {
 		return nil
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -106,11 +106,11 @@
 func (g *Gateway) removeMembers(ctx context.Context, removals []peering.Member) {
 	for _, m := range removals {
 		if err := g.putMember(ctx, peering.Member{VM: m.VM}); err != nil {
-			_ = level.Warn(g.logger).Log("msg", "An entry that has stopped could not be removed from the list of entries.", "vm", m.VM, "err", err,
+			_ = level.Warn(g.logger).Log("msg", "A silent entry could not be removed from the list of entries.", "vm", m.VM, "err", err,
 				"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 			return
 		}
-		_ = level.Info(g.logger).Log("msg", "An entry that has stopped was removed from the list of entries.", "vm", m.VM, "ip", m.IP)
+		_ = level.Info(g.logger).Log("msg", "A silent entry was removed from the list of entries.", "vm", m.VM, "ip", m.IP)
 	}
 }
 
--- a/internal/logging/sentences_test.go
+++ b/internal/logging/sentences_test.go
@@ -51,7 +51,7 @@
 	"The entry is stopping. It has left the list of addresses.":           true,
 	"The expert map is given a new version.":                              true,
 	"The log has truncated records; all keys are read again.":             true,
-	"An entry that has stopped was removed from the list of entries.":     true,
+	"A silent entry was removed from the list of entries.":                true,
 	"The process leaves.":                                                 true,
 	"The process starts.":                                                 true,
 	"The process stops.":                                                  true,
