--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// mostAddresses bounds the entries named to one caller.
-	mostAddresses = 64
-	// keepAddresses is how long callers keep an answer: short, since it is the time for
-	// which callers go on to an entry that has died, and an answer costs little.
-	keepAddresses = 2 * time.Second
+	// maxAddresses limits the entries named to one caller.
+	maxAddresses = 64
+	// addressTTL is how long callers keep an answer. It is short, since callers go on connecting to
+	// an entry that has died for as long, and an answer costs little.
+	addressTTL = 2 * time.Second
 )
 
-// serveResolve tells a caller where to connect.
+// serveResolve answers a caller that asks where to connect.
 func (g *Gateway) serveResolve(w http.ResponseWriter, r *http.Request) {
 	v := g.view.Load()
 	if v == nil || len(v.addresses) == 0 {
@@ -28,33 +28,33 @@
 		return
 	}
 	q := platform.ReadResolve(r.URL.Query())
-	keep := keepAddresses
-	if most := g.settings.Bounds.AddressTTL; most > 0 {
-		keep = min(keep, most)
+	ttl := addressTTL
+	if limit := g.settings.Bounds.AddressTTL; limit > 0 {
+		ttl = min(ttl, limit)
 	}
-	if err := platform.WriteResolve(w, chosen(v.addresses, r.RemoteAddr), keep); err != nil {
-		_ = level.Debug(g.logger).Log("msg", "A caller did not take its addresses.", "host", q.Host, "err", err,
+	if err := platform.WriteResolve(w, addressesFor(v.addresses, r.RemoteAddr), ttl); err != nil {
+		_ = level.Debug(g.logger).Log("msg", "The list of addresses could not be sent to a caller.", "host", q.Host, "err", err,
 			"result", result.Label(api.ResultCode_ANSWER_BROKEN))
 	}
 }
 
-// chosen returns the addresses for one caller: all of few, or a part of many that differs
-// between callers, so that one dead entry hits few of them.
-func chosen(addresses []string, caller string) []string {
-	if len(addresses) <= mostAddresses {
+// addressesFor returns the addresses for one caller: all of them if they are few, or else a subset
+// that differs between callers, so that one dead entry affects few of them.
+func addressesFor(addresses []string, caller string) []string {
+	if len(addresses) <= maxAddresses {
 		return addresses
 	}
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(caller))
-	from := int(sum.Sum32() % uint32(len(addresses)))
-	part := make([]string, 0, mostAddresses)
-	for i := range mostAddresses {
-		part = append(part, addresses[(from+i)%len(addresses)])
+	start := int(sum.Sum32() % uint32(len(addresses)))
+	subset := make([]string, 0, maxAddresses)
+	for i := range maxAddresses {
+		subset = append(subset, addresses[(start+i)%len(addresses)])
 	}
-	return part
+	return subset
 }
 
-// serveReady tells the platform whether this entry takes work.
+// serveReady answers the platform's readiness probe.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if v := g.view.Load(); v == nil || !v.ready || g.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/gateway/lateness_test.go
+++ b/internal/gateway/lateness_test.go
@@ -8,8 +8,8 @@
 	"github.com/apricothub/apricothub/internal/routing"
 )
 
-// The line about a late answer says whether its caller waited for the first event or for a
-// later one, by the aims of the route.
+// The log line of a late answer must show whether its caller waited for the first event or for a
+// later one, by the objectives of the route.
 func TestLateness(t *testing.T) {
 	const ms = time.Millisecond
 	stream := &routing.Route{Kind: routing.Stream, Objective: 400 * ms, Pause: 120 * ms}
@@ -29,8 +29,8 @@
 		{"whole answer", once, 0, 0, lateWhole},
 	} {
 		arrived := clock.Now() - time.Second
-		task := &task{route: c.route, arrived: arrived, out: &output{firstAt: arrived + c.first, gap: c.gap}}
-		if got := task.late(); got != c.want {
+		task := &task{route: c.route, arrivedAt: arrived, out: &output{begunAt: arrived + c.first, maxEventGap: c.gap}}
+		if got := task.missedObjective(); got != c.want {
 			t.Errorf("%s: %q, not %q", c.name, got, c.want)
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// maxBeat bounds one beat, bytes; a datagram cannot be larger.
-	maxBeat = 64 << 10
-	// statePath is where an entry asks another for what it holds of the store.
+	// maxHeartbeatBytes limits one heartbeat; a datagram cannot be larger.
+	maxHeartbeatBytes = 64 << 10
+	// statePath is where an entry asks another for the records that it holds of the store.
 	statePath = "/state"
 	// queryOperators and queryServers are the offsets up to which it has read both topics.
 	queryOperators = "operators"
 	queryServers   = "servers"
-	// stateTime bounds such a question.
-	stateTime = time.Second
-	// maxState bounds its answer, bytes: a configuration of hundreds of routes and
-	// registrations of thousands of servers.
-	maxState = 16 << 20
+	// stateTimeout limits such a request.
+	stateTimeout = time.Second
+	// maxStateBytes limits its answer: a configuration of hundreds of routes and registrations of
+	// thousands of servers.
+	maxStateBytes = 16 << 20
 )
 
-// sendBeat sends a beat to other entries. Beats that do not arrive are not missed: the next
-// one says it all again.
-func (g *Gateway) sendBeat(b *api.PeerBeat, ips []string) {
+// sendHeartbeat sends a heartbeat to other entries. Lost heartbeats need no retry: the next one
+// carries the whole state again.
+func (g *Gateway) sendHeartbeat(b *api.PeerBeat, ips []string) {
 	data, err := proto.Marshal(b)
-	if err != nil || len(data) > maxBeat {
-		_ = level.Error(g.logger).Log("msg", "A beat cannot be sent.", "bytes", len(data), "err", err,
+	if err != nil || len(data) > maxHeartbeatBytes {
+		_ = level.Error(g.logger).Log("msg", "A heartbeat cannot be encoded or is too large, and is not sent.", "bytes", len(data), "err", err,
 			"result", result.Label(api.ResultCode_INTERNAL))
 		return
 	}
@@ -46,49 +46,49 @@
 		if err != nil {
 			continue
 		}
-		// The error is that of an unreachable VM; silence tells the same.
+		// An error means that the VM is unreachable, which its missing heartbeats show as well.
 		_, _ = g.socket.WriteToUDPAddrPort(data, netip.AddrPortFrom(addr, uint16(g.settings.PeerPort)))
 	}
 }
 
-// hear passes the beats of other entries to the control goroutine.
-func (g *Gateway) hear(ctx context.Context) error {
-	buf := make([]byte, maxBeat)
+// receiveHeartbeats passes the heartbeats of other entries to the control goroutine.
+func (g *Gateway) receiveHeartbeats(ctx context.Context) error {
+	buf := make([]byte, maxHeartbeatBytes)
 	for {
 		n, _, err := g.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return errors.Wrap(err, "beats")
+			return errors.Wrap(err, "receive heartbeats")
 		}
 		b := &api.PeerBeat{}
 		if err := proto.Unmarshal(buf[:n], b); err != nil {
-			_ = level.Warn(g.logger).Log("msg", "A beat cannot be read.", "bytes", n, "err", err,
+			_ = level.Warn(g.logger).Log("msg", "A heartbeat from another entry could not be decoded and is ignored.", "bytes", n, "err", err,
 				"result", result.Label(api.ResultCode_BAD_REQUEST))
 			continue
 		}
 		select {
-		case g.beats <- b:
+		case g.heartbeats <- b:
 		default:
-			// The control goroutine is behind; the next beat says the same, newer.
+			// The control goroutine is behind; the next heartbeat carries the same state, newer.
 		}
 	}
 }
 
-// serveState answers another entry with what this one holds of the store.
+// serveState answers another entry with the records that this one holds of the store.
 func (g *Gateway) serveState(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	ask := stateRequest{
-		operators: number(query.Get(queryOperators)), servers: number(query.Get(queryServers)),
+	req := stateRequest{
+		operators: parseOffset(query.Get(queryOperators)), servers: parseOffset(query.Get(queryServers)),
 		reply: make(chan *api.PeerState, 1),
 	}
 	select {
-	case g.stateRequests <- ask:
+	case g.stateRequests <- req:
 	case <-r.Context().Done():
 		return
 	}
-	data, err := proto.Marshal(<-ask.reply)
+	data, err := proto.Marshal(<-req.reply)
 	if err != nil {
 		result.WriteHTTP(w, err)
 		return
@@ -97,15 +97,15 @@
 	_, _ = w.Write(data)
 }
 
-// stateRequest asks the control goroutine for what this entry holds beyond the offsets that
-// another one has read up to.
+// stateRequest asks the control goroutine for the records beyond the offsets that another entry has
+// read up to.
 type stateRequest struct {
 	operators, servers int64
 	reply              chan *api.PeerState
 }
 
-// number reads an offset; what is none counts as the first, so that all is told.
-func number(text string) int64 {
+// parseOffset parses an offset. An invalid one counts as zero, so that all records are sent.
+func parseOffset(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -113,38 +113,38 @@
 	return n
 }
 
-// fetchState asks another entry for what it holds of the store.
+// fetchState asks another entry for the records that it holds of the store.
 func (g *Gateway) fetchState(ip string, operators, servers int64) {
-	state, err := g.askState(ip, operators, servers)
+	state, err := g.requestState(ip, operators, servers)
 	select {
-	case g.states <- fetched{from: ip, state: state, err: err}:
+	case g.fetchedStates <- fetchedState{from: ip, state: state, err: err}:
 	case <-g.stopped:
 	}
 }
 
-func (g *Gateway) askState(ip string, operators, servers int64) (*api.PeerState, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), stateTime)
+func (g *Gateway) requestState(ip string, operators, servers int64) (*api.PeerState, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s%s?%s=%d&%s=%d", g.peerAddress(ip), statePath, queryOperators, operators, queryServers, servers)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "state")
+		return nil, errors.Wrap(err, "request peer state")
 	}
 	resp, err := g.peerClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "state")
+		return nil, errors.Wrap(err, "request peer state")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("state: status %d", resp.StatusCode)
+		return nil, errors.Errorf("request peer state: status %d", resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxState))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "state")
+		return nil, errors.Wrap(err, "request peer state")
 	}
 	state := &api.PeerState{}
 	if err := proto.Unmarshal(data, state); err != nil {
-		return nil, errors.Wrap(err, "state")
+		return nil, errors.Wrap(err, "request peer state")
 	}
 	return state, nil
 }
