--- a/coord/keybind/room.go
+++ b/coord/keybind/room.go
@@ -6,210 +6,216 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// customerSize is the size of a customer's digest as it stands in tickets, bytes.
-const customerSize = 8
+// customerDigestSize is the size of the customer's digest in tickets, in bytes.
+const customerDigestSize = 8
 
 // Customer is the digest of a customer's name, as tickets carry it.
-type Customer [customerSize]byte
+type Customer [customerDigestSize]byte
 
-// CustomerOf returns the customer of a ticket.
-func CustomerOf(t *api.Ticket) Customer { return CustomerFrom(t.GetCustomer()) }
+// CustomerOfTicket returns the customer of a ticket.
+func CustomerOfTicket(t *api.Ticket) Customer { return CustomerFromDigest(t.GetCustomer()) }
 
-// CustomerFrom returns the customer of a digest. One of another size is cut or filled.
-func CustomerFrom(digest []byte) Customer {
+// CustomerFromDigest returns the customer of a digest. A digest of another size is truncated or
+// padded with zeros.
+func CustomerFromDigest(digest []byte) Customer {
 	var c Customer
 	copy(c[:], digest)
 	return c
 }
 
 const (
-	// ownPart is the part of a room that customers have of their own, by their shares;
-	// the rest is lent. What is lent can't be taken back, so that a place is either sure
-	// or can be lent, and never both. With half, a customer can be sure of half of what
-	// it has when all want more.
-	ownPart = 0.5
-	// leastOwn is the number of places that each customer has of its own whatever its
-	// share, as long as these are not above ownPart: rounded down, the share of a small
-	// one in thousands is none, and it could never bind a key.
-	leastOwn = 4
-	// eagerness is the ratio of what one customer may borrow to what it leaves for others
-	// to borrow. One alone gets 4/5 of what is lent, and two 4/9 each: more would leave
-	// too little for the next one until the first one's places come free.
-	eagerness = 4
-	// leastWeight is the weight in borrowing of a customer without share.
-	leastWeight = 1.0 / 1024
-	// hardFactor times the size is what a room takes at most. It is met only when shares
-	// changed while places were lent.
-	hardFactor = 1.5
+	// guaranteedFraction is the fraction of the limit that is guaranteed to customers by their
+	// shares; the rest is lent. Lent capacity can't be taken back before its bindings expire,
+	// so capacity is either guaranteed or lendable, never both. With one half, a customer is
+	// guaranteed half of what it gets when all customers want more.
+	guaranteedFraction = 0.5
+	// minGuaranteedBindings is guaranteed to each customer whatever its share, as long as the
+	// sum stays within guaranteedFraction. Otherwise the share of a small customer among
+	// thousands would round down to 0, and it could never bind a key.
+	minGuaranteedBindings = 4
+	// borrowFactor is the ratio of what one customer may borrow to what it leaves for others to
+	// borrow. A single borrower gets 4/5 of the lendable capacity, two get 4/9 each. A higher
+	// ratio would leave too little for the next customer until the first one's bindings expire.
+	borrowFactor = 4
+	// minWeight is the borrowing weight of a customer without a share.
+	minWeight = 1.0 / 1024
+	// hardLimitFactor times the limit is never exceeded. More than the limit is held only if
+	// shares change while capacity is lent.
+	hardLimitFactor = 1.5
 )
 
-// Room divides places between customers by their shares. A place that was given is not
-// taken back before its time.
+// Quotas divides a limit on bindings between customers by their shares. A binding that was
+// admitted is not revoked before it expires.
 //
-// Load: one customer that wants more than all places, beside others that want few, late.
-// Harm prevented: the one takes all, and for as long as places are kept the others'
-// price pushes and deposits are refused. So each customer has places of its own, that
-// nobody borrows: whether it may take one of these depends on its own count alone, and
-// on nothing that another does. The rest is lent, weighted max-min: a customer may have
-// borrowed eagerness times its weight of what is left to borrow, so that several who
-// want more come to equal parts by weight, and something is left for who comes late.
+// Without quotas, one customer could take the whole limit, and the price pushes and deposits of
+// others would be refused until its bindings expire. So each customer has a guaranteed quota
+// that nobody borrows: whether it may use it depends on its own count alone. The rest is lent
+// with weighted max-min fairness: a customer may borrow up to borrowFactor times its weight
+// times what is left to borrow. Several customers that want more converge to parts in
+// proportion to their weights, and some capacity is left for customers that come later.
 //
-// A room counts what it is told, and refuses nobody by itself: see Ask.
-type Room struct {
-	size     int
-	shares   map[Customer]float64
-	most     float64
-	least    float64
-	lendable int
-	held     map[Customer]int
-	total    int
-	// lent is how many places customers hold beyond their own, together.
-	lent int
-	// promised is how many places that come free were named to callers already.
-	promised map[Customer]int
+// Quotas counts the bindings that it is told about and enforces nothing by itself: see Check.
+type Quotas struct {
+	limit         int
+	shares        map[Customer]float64
+	maxShare      float64
+	minGuaranteed float64
+	lendable      int
+	held          map[Customer]int
+	total         int
+	// borrowed is the number of bindings that all customers hold beyond their guaranteed quotas.
+	borrowed int
+	// announced is the number of each customer's expiring bindings that refused callers were
+	// already told to wait for.
+	announced map[Customer]int
 }
 
-// NewRoom returns a room of so many places. Until SetShares only the sum counts.
-func NewRoom(size int) *Room {
-	return &Room{size: size, lendable: size, held: make(map[Customer]int), promised: make(map[Customer]int)}
+// NewQuotas returns quotas that divide a limit. Until SetShares is called, only the total is
+// limited.
+func NewQuotas(limit int) *Quotas {
+	return &Quotas{limit: limit, lendable: limit, held: make(map[Customer]int), announced: make(map[Customer]int)}
 }
 
-// SetShares replaces the customers' parts of the whole, whose sum is 1 at most. Places
-// that are held stay held.
-func (r *Room) SetShares(shares map[Customer]float64) {
-	r.shares, r.most, r.lendable = shares, 0, r.size
-	r.least = min(leastOwn, ownPart*float64(r.size)/float64(max(len(shares), 1)))
+// SetShares replaces the customers' shares, whose sum is at most 1. Bindings that are held stay
+// held.
+func (q *Quotas) SetShares(shares map[Customer]float64) {
+	q.shares, q.maxShare, q.lendable = shares, 0, q.limit
+	q.minGuaranteed = min(minGuaranteedBindings, guaranteedFraction*float64(q.limit)/float64(max(len(shares), 1)))
 	for c, share := range shares {
-		r.most = max(r.most, share)
-		r.lendable -= r.Own(c)
+		q.maxShare = max(q.maxShare, share)
+		q.lendable -= q.Guaranteed(c)
 	}
-	r.lent = 0
-	for c, n := range r.held {
-		r.lent += max(n-r.Own(c), 0)
+	q.borrowed = 0
+	for c, n := range q.held {
+		q.borrowed += max(n-q.Guaranteed(c), 0)
 	}
 }
 
-// Own is how many places are a customer's own.
-func (r *Room) Own(c Customer) int {
-	share, ok := r.shares[c]
+// Guaranteed returns a customer's guaranteed quota.
+func (q *Quotas) Guaranteed(c Customer) int {
+	share, ok := q.shares[c]
 	if !ok {
 		return 0
 	}
-	rest := ownPart*float64(r.size) - r.least*float64(len(r.shares))
-	return int(r.least + share*rest)
+	proportional := guaranteedFraction*float64(q.limit) - q.minGuaranteed*float64(len(q.shares))
+	return int(q.minGuaranteed + share*proportional)
 }
 
-// Held is how many places a customer holds, Total all customers.
-func (r *Room) Held(c Customer) int { return r.held[c] }
+// Held returns the number of bindings that a customer holds.
+func (q *Quotas) Held(c Customer) int { return q.held[c] }
 
-// Total is how many places are held.
-func (r *Room) Total() int { return r.total }
+// Total returns the number of bindings that all customers hold.
+func (q *Quotas) Total() int { return q.total }
 
-// Lent is how many places are held beyond their customers' own, of how many.
-func (r *Room) Lent() (lent, lendable int) { return r.lent, r.lendable }
+// Borrowed returns the number of bindings held beyond the guaranteed quotas, and the capacity
+// that can be lent.
+func (q *Quotas) Borrowed() (borrowed, lendable int) { return q.borrowed, q.lendable }
 
-// Customers returns how many places each customer holds. It must not be changed.
-func (r *Room) Customers() map[Customer]int { return r.held }
+// HeldByCustomer returns the number of bindings that each customer holds. The caller must not
+// change the map.
+func (q *Quotas) HeldByCustomer() map[Customer]int { return q.held }
 
-// count changes the number of places that a customer holds.
-func (r *Room) count(c Customer, by int) {
-	own, before := r.Own(c), r.held[c]
-	if by < 0 {
-		r.keepPromises(c, -by)
+// adjust changes the number of bindings that a customer holds.
+func (q *Quotas) adjust(c Customer, delta int) {
+	guaranteed, before := q.Guaranteed(c), q.held[c]
+	if delta < 0 {
+		q.reduceAnnounced(c, -delta)
 	}
-	after := before + by
-	r.total += by
-	r.lent += max(after-own, 0) - max(before-own, 0)
+	after := before + delta
+	q.total += delta
+	q.borrowed += max(after-guaranteed, 0) - max(before-guaranteed, 0)
 	if after == 0 {
-		delete(r.held, c)
+		delete(q.held, c)
 		return
 	}
-	r.held[c] = after
+	q.held[c] = after
 }
 
-// Promise takes the number of a customer's places that must come free for a request, and
-// returns the number for one more beside those who were told before, at any of so many
-// entries.
+// StaggerRetry takes the number n of a customer's bindings that must expire before a request
+// can be admitted, and returns the number for one more request after the callers that were
+// refused before, at any of so many entries.
 //
-// Load: a burst of which a thousand are refused in the same second, at all entries. Harm
-// prevented: all are told when the next place comes free, come back together, and all but
-// one are refused again. Each entry takes what the others tell to be as much as what it
-// tells itself. The number is not much above what the customer holds: whoever comes back
-// then has waited for a whole turn of its places.
-func (r *Room) Promise(c Customer, n, entries int) int {
-	n += r.promised[c]
-	r.promised[c] = min(r.promised[c]+entries, r.held[c])
+// Without it, all requests of a burst that is refused within a second would be told when the
+// next binding expires, retry together, and all but one would be refused again. Each entry
+// assumes that the others refuse as many requests as it does itself. The result is not much
+// above what the customer holds: a caller that retries then has waited until all of these
+// bindings have expired.
+func (q *Quotas) StaggerRetry(c Customer, n, entries int) int {
+	n += q.announced[c]
+	q.announced[c] = min(q.announced[c]+entries, q.held[c])
 	return n
 }
 
-// keepPromises says that so many places have come free for those who were told.
-func (r *Room) keepPromises(c Customer, places int) {
-	if left := r.promised[c] - places; left > 0 {
-		r.promised[c] = left
+// reduceAnnounced records that bindings have expired that refused callers were told to wait
+// for.
+func (q *Quotas) reduceAnnounced(c Customer, freed int) {
+	if remaining := q.announced[c] - freed; remaining > 0 {
+		q.announced[c] = remaining
 		return
 	}
-	delete(r.promised, c)
+	delete(q.announced, c)
 }
 
-// empty forgets what is held.
-func (r *Room) empty() {
-	clear(r.held)
-	clear(r.promised)
-	r.total, r.lent = 0, 0
+// reset clears all counts.
+func (q *Quotas) reset() {
+	clear(q.held)
+	clear(q.announced)
+	q.total, q.borrowed = 0, 0
 }
 
-// weight is a customer's weight in borrowing, 1 for the largest share.
-func (r *Room) weight(c Customer) float64 {
-	if r.most == 0 {
+// weight returns a customer's borrowing weight, which is 1 for the largest share.
+func (q *Quotas) weight(c Customer) float64 {
+	if q.maxShare == 0 {
 		return 1
 	}
-	return max(r.shares[c]/r.most, leastWeight)
+	return max(q.shares[c]/q.maxShare, minWeight)
 }
 
-// Verdict says whether a customer may take one more place.
+// Verdict tells whether a customer may hold one more binding.
 type Verdict int
 
 // The verdicts.
 const (
-	// Free says that it may.
-	Free Verdict = iota
-	// BeyondShare says that the customer holds its part.
-	BeyondShare
-	// Full says that there is no place for anybody.
+	// Allowed means that it may.
+	Allowed Verdict = iota
+	// OverShare means that the customer has used up its guaranteed quota and what it may borrow.
+	OverShare
+	// Full means that no capacity is left.
 	Full
 )
 
-// Ask says whether a customer may take one more place, besides some that it is about to
-// take already. If not it returns how many places must come free first: of the
-// customer's own with BeyondShare, of all with Full.
-func (r *Room) Ask(c Customer, taking int) (Verdict, int) {
-	if r.shares == nil {
-		return r.within(r.size)
+// Check tells whether a customer may hold one more binding besides those that are pending. If
+// not, it returns how many bindings must expire first: of the customer's with OverShare, of all
+// customers' with Full.
+func (q *Quotas) Check(c Customer, pending int) (Verdict, int) {
+	if q.shares == nil {
+		return q.checkTotal(q.limit)
 	}
-	own, held := r.Own(c), r.held[c]
-	beyond := held + taking - own
-	if beyond < 0 {
-		return r.within(int(hardFactor * float64(r.size)))
+	guaranteed, held := q.Guaranteed(c), q.held[c]
+	aboveGuaranteed := held + pending - guaranteed
+	if aboveGuaranteed < 0 {
+		return q.checkTotal(int(hardLimitFactor * float64(q.limit)))
 	}
-	weight := eagerness * r.weight(c)
-	left := r.lendable - r.lent + max(held-own, 0) - beyond
-	// With n places of its own back it has n less, and n more are left.
-	byWeight := (float64(beyond+1) - weight*float64(left)) / (1 + weight)
-	// The first place is lent whatever the weight, or one of little weight got none.
-	n := max(min(int(math.Ceil(byWeight)), beyond), 1-left)
+	weight := borrowFactor * q.weight(c)
+	available := q.lendable - q.borrowed + max(held-guaranteed, 0) - aboveGuaranteed
+	// If n of its bindings expire, the customer has borrowed n less and n more are available.
+	excess := (float64(aboveGuaranteed+1) - weight*float64(available)) / (1 + weight)
+	// The first binding is lent whatever the weight; otherwise a customer of little weight would
+	// get none.
+	n := max(min(int(math.Ceil(excess)), aboveGuaranteed), 1-available)
 	switch {
 	case n <= 0:
-		return Free, 0
-	case held+taking == 0:
+		return Allowed, 0
+	case held+pending == 0:
 		return Full, n
 	}
-	return BeyondShare, min(n, beyond+1)
+	return OverShare, min(n, aboveGuaranteed+1)
 }
 
-// within says whether the sum of all places is below a limit.
-func (r *Room) within(limit int) (Verdict, int) {
-	if r.total < limit {
-		return Free, 0
+// checkTotal tells whether the number of all bindings is below a limit.
+func (q *Quotas) checkTotal(limit int) (Verdict, int) {
+	if q.total < limit {
+		return Allowed, 0
 	}
-	return Full, r.total - limit + 1
+	return Full, q.total - limit + 1
 }
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -269,7 +269,7 @@
 // zero time instead, an entry that has just started would wait and have no tickets.
 func (d *directory) requestTickets(now time.Duration, vm string, peer *member.Peer) {
 	requestedAt, requested := d.blockRequestedAt[vm]
-	if !d.minter.Low(now, vm) || requested && now-requestedAt < blockRetryInterval {
+	if !d.minter.NeedsBlock(now, vm) || requested && now-requestedAt < blockRetryInterval {
 		return
 	}
 	d.blockRequestedAt[vm] = now
--- a/internal/entry/relay.go
+++ b/internal/entry/follow.go
@@ -104,7 +104,7 @@
 	}
 	attach := &api.Attach{
 		AnswerId: f.answerID,
-		From:     f.assembler.Wanted(),
+		From:     f.assembler.NextPart(),
 		Customer: f.attempt.req.caller.name,
 	}
 	return &api.Open{Body: &api.Open_Attach{Attach: attach}}
@@ -202,7 +202,7 @@
 		if !f.out.hasHead() {
 			return false, errNoHead
 		}
-		isNew, err := f.assembler.Part(body.Part)
+		isNew, err := f.assembler.AddPart(body.Part)
 		if err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
@@ -213,7 +213,7 @@
 		if !f.out.hasHead() {
 			return false, errNoHead
 		}
-		if err := f.assembler.End(body.End); err != nil {
+		if err := f.assembler.CheckEnd(body.End); err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
 		return true, f.out.writeEnd(body.End)
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -56,7 +56,7 @@
 
 	mu      sync.Mutex
 	fold    *keybind.Fold
-	ages    *keybind.Ages
+	ages    *keybind.AgeTracker
 	batcher *keybind.Batcher
 	// customerNames are the names of the customers with shares, by digest.
 	customerNames map[keybind.Customer]string
@@ -117,8 +117,8 @@
 		},
 		counts:       newKeyCounters(e.registry),
 		logger:       e.logger,
-		fold:         keybind.New(),
-		ages:         keybind.NewAges(retention),
+		fold:         keybind.NewFold(),
+		ages:         keybind.NewAgeTracker(retention),
 		batcher:      keybind.NewBatcher(int(s.GetWaiting()), lifetime/maxWaitDivisor),
 		waiting:      make(map[keybind.Key]*keyWait),
 		wakeAppender: make(chan struct{}, 1),
@@ -139,7 +139,7 @@
 func (k *keyBinder) lookUp(key keybind.Key) (keybind.Binding, bool, *result.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	b, ok := k.fold.Get(key)
+	b, ok := k.fold.Lookup(key)
 	if ok && !k.isUsable(b) {
 		return b, false, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetryInterval)
 	}
@@ -149,11 +149,11 @@
 // isUsable says whether it is certain that the key is still bound as this entry knows it.
 func (k *keyBinder) isUsable(b keybind.Binding) bool {
 	maxAge := k.retention - k.lifetime/maxWaitDivisor
-	return !b.Unsure && k.confirmed() && b.Current(time.Now().UnixMilli(), maxAge, maxClockSkew)
+	return !b.Unconfirmed && k.confirmed() && b.IsCurrent(time.Now().UnixMilli(), maxAge, maxClockSkew)
 }
 
 func (k *keyBinder) confirmed() bool {
-	return k.fold.Proven(time.Now().UnixMilli(), k.retention, maxClockSkew)
+	return k.fold.IsComplete(time.Now().UnixMilli(), k.retention, maxClockSkew)
 }
 
 // checkReady returns why no key can be bound now, before anything is appended.
@@ -208,7 +208,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	key := own.key
-	if b, ok := k.fold.Get(key); ok {
+	if b, ok := k.fold.Lookup(key); ok {
 		if !k.isUsable(b) {
 			own.appended = true
 			return nil, b, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetryInterval)
@@ -236,14 +236,14 @@
 
 // enqueue queues a key's binding for the next append; the lock is held.
 func (k *keyBinder) enqueue(own *ownKey, t *api.Ticket) *result.Error {
-	if !k.batcher.Asked(own.key) {
+	if !k.batcher.IsPending(own.key) {
 		// Several requests may have passed checkReady at once when space was left for one key.
 		if err := k.checkQuota(own.customer); err != nil {
 			return err
 		}
 	}
 	switch err := k.batcher.Add(clock.Now(), own.arrived, own.key, own.request, t); {
-	case errors.Is(err, keybind.ErrBeyondShare):
+	case errors.Is(err, keybind.ErrOverShare):
 		k.counts.beyond.Inc(1)
 		return result.Refuse(api.ResultCode_OVER_SHARE, keyRetryInterval, "As many keys of the customer's own wait to be bound as it has room for. Come back with the same key, or take a ticket.")
 	case errors.Is(err, keybind.ErrFull):
--- a/internal/entry/keystream.go
+++ b/internal/entry/keyslog.go
@@ -81,10 +81,10 @@
 		}
 		k.lastRecord = now
 	}
-	k.ages.Saw(now, k.fold.Next()-1)
+	k.ages.Observe(now, k.fold.Next()-1)
 	k.refusedForSpace = k.refusedForSpace && k.fold.Released() == released
 	k.counts.held.Update(int64(k.fold.Held()))
-	lent, _ := k.fold.Room().Lent()
+	lent, _ := k.fold.Quotas().Borrowed()
 	k.counts.lent.Update(int64(lent))
 	return nil
 }
@@ -169,15 +169,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := clock.Now()
-	batch, wait, ok := k.batcher.Take(now, interval, k.keepaliveDue())
+	batch, wait, ok := k.batcher.BeginAppend(now, interval, k.keepaliveDue())
 	if !ok {
 		return nil, wait
 	}
-	record, err := keybind.Record(batch, k.fold.Next(), k.ages.Released(now), time.Now().UnixMilli())
+	record, err := keybind.EncodeRecord(batch, k.fold.Next(), k.ages.ExpiredThrough(now), time.Now().UnixMilli())
 	if err != nil {
 		// The record cannot be encoded, which is a programming error. Its bindings are lost.
 		_ = k.logger.Log("msg", "A record of keys could not be encoded. Its keys are lost.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
-		k.batcher.Done()
+		k.batcher.EndAppend()
 		return nil, 0
 	}
 	k.counts.appends.Inc(1)
@@ -195,7 +195,7 @@
 	if k.fold.Next() == 0 || k.readFailing {
 		return false
 	}
-	if k.refusedForSpace && k.ages.Released(clock.Now()) > k.fold.Released() {
+	if k.refusedForSpace && k.ages.ExpiredThrough(clock.Now()) > k.fold.Released() {
 		return true
 	}
 	return clock.Now()-k.lastRecord > k.retention/4+k.keepaliveJitter
@@ -213,7 +213,7 @@
 func (k *keyBinder) handleAppended(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	unconfirmed := k.batcher.Done()
+	unconfirmed := k.batcher.EndAppend()
 	if err == nil {
 		k.appendFailedAt = 0
 		return
@@ -237,7 +237,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for key, wait := range waits {
-		if k.waiting[key] == wait && !k.batcher.Asked(key) {
+		if k.waiting[key] == wait && !k.batcher.IsPending(key) {
 			k.releaseWaiters(key)
 		}
 	}
--- a/internal/entry/keyquota.go
+++ b/internal/entry/keysroom.go
@@ -24,14 +24,14 @@
 	byDigest := make(map[keybind.Customer]float64, len(shares))
 	names := make(map[keybind.Customer]string, len(shares))
 	for name, share := range shares {
-		c := keybind.CustomerFrom(ticket.CustomerDigest(name))
+		c := keybind.CustomerFromDigest(ticket.CustomerDigest(name))
 		byDigest[c], names[c] = share, name
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.customerNames = names
-	k.fold.Room().SetShares(byDigest)
-	k.batcher.Room().SetShares(byDigest)
+	k.fold.Quotas().SetShares(byDigest)
+	k.batcher.Quotas().SetShares(byDigest)
 }
 
 // checkQuota returns why a customer cannot bind another key now; the lock is held.
@@ -39,21 +39,21 @@
 // Without quotas, a team whose program makes a new key for each try would use up the space of all,
 // and other teams' first keys would be refused for 20 minutes. The retry delay is the time until
 // enough of the customer's own bindings are released: with one second, callers would retry each
-// second in vain. keybind.Room has the limits. Entries that have read the stream to different
+// second in vain. keybind.Quotas has the limits. Entries that have read the stream to different
 // offsets may decide differently, which affects who may append, but never what a key is bound to.
 func (k *keyBinder) checkQuota(c keybind.Customer) *result.Error {
-	quota := k.fold.Room()
-	verdict, n := quota.Ask(c, k.batcher.Room().Held(c))
+	quota := k.fold.Quotas()
+	verdict, n := quota.Check(c, k.batcher.Quotas().Held(c))
 	switch verdict {
-	case keybind.BeyondShare:
+	case keybind.OverShare:
 		k.refusedForSpace = true
 		k.counts.beyond.Inc(1)
 		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", quota.Held(c))
-		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.OldestAtMs(c, quota.Promise(c, n, k.entries()))), text)
+		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.NthOldestOfCustomerAtMs(c, quota.StaggerRetry(c, n, k.entries()))), text)
 	case keybind.Full:
 		k.refusedForSpace = true
-		return result.Refuse(api.ResultCode_KEYS_FULL, k.timeUntilReleased(k.fold.FirstAtMs(n)))
-	case keybind.Free:
+		return result.Refuse(api.ResultCode_KEYS_FULL, k.timeUntilReleased(k.fold.NthOldestAtMs(n)))
+	case keybind.Allowed:
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 func (k *keyBinder) timeUntilReleased(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
 	// Records are released in steps, which take effect with the next read of the stream.
-	maxWait := k.retention + keybind.ReleaseStep(k.retention) + (idlePollFactor+1)*k.poll
+	maxWait := k.retention + keybind.MaxReleaseDelay(k.retention) + (idlePollFactor+1)*k.poll
 	return min(max(maxWait-age, keyRetryInterval), maxWait)
 }
 
@@ -101,8 +101,8 @@
 		Answers:   !k.readFailing && k.appendFailedAt == 0,
 		Customers: k.largestHolders(),
 	}
-	s.Lent, s.Lendable = k.fold.Room().Lent()
-	for _, key := range k.fold.Newest(maxDumped) {
+	s.Lent, s.Lendable = k.fold.Quotas().Borrowed()
+	for _, key := range k.fold.NewestKeys(maxDumped) {
 		s.Newest = append(s.Newest, hex.EncodeToString(key[:]))
 	}
 	return s
@@ -110,14 +110,14 @@
 
 // largestHolders returns the customers with the most bindings; the lock is held.
 func (k *keyBinder) largestHolders() []customerKeys {
-	quota := k.fold.Room()
-	all := make([]customerKeys, 0, len(quota.Customers()))
-	for c, held := range quota.Customers() {
+	quota := k.fold.Quotas()
+	all := make([]customerKeys, 0, len(quota.HeldByCustomer()))
+	for c, held := range quota.HeldByCustomer() {
 		name, ok := k.customerNames[c]
 		if !ok {
 			name = hex.EncodeToString(c[:]) + ", not in the plans"
 		}
-		all = append(all, customerKeys{Customer: name, Held: held, Own: quota.Own(c)})
+		all = append(all, customerKeys{Customer: name, Held: held, Own: quota.Guaranteed(c)})
 	}
 	slices.SortFunc(all, func(a, b customerKeys) int {
 		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Customer, b.Customer))
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -37,14 +37,14 @@
 // readOwnKey reads a caller's own key for a request that runs at most once.
 func readOwnKey(req *request, h http.Header) error {
 	values := h.Values(headerTicket)
-	if len(values) != 1 || !keybind.ValidKey(values[0]) {
+	if len(values) != 1 || !keybind.IsValidKey(values[0]) {
 		return result.New(api.ResultCode_KEY_INVALID)
 	}
 	work := req.work
 	req.ownKey = &ownKey{
 		arrived:  req.arrived,
 		key:      keybind.KeyOf(req.caller.name, values[0]),
-		customer: keybind.CustomerFrom(ticket.CustomerDigest(req.caller.name)),
+		customer: keybind.CustomerFromDigest(ticket.CustomerDigest(req.caller.name)),
 		request:  keybind.RequestOf(work.GetService(), work.GetMethod(), work.GetPath(), string(work.GetBody())),
 	}
 	return nil
@@ -61,7 +61,7 @@
 		return false
 	}
 	_, err := ticket.Decode(text)
-	return err != nil && !looksLikeTicket(text) && keybind.ValidKey(text)
+	return err != nil && !looksLikeTicket(text) && keybind.IsValidKey(text)
 }
 
 // isFirstTry says whether the caller states that there is no earlier copy of the request.
@@ -91,7 +91,7 @@
 	if b.Request != r.ownKey.request {
 		return result.New(api.ResultCode_KEY_REUSED)
 	}
-	t, err := b.OpenTicket()
+	t, err := b.DecodeTicket()
 	if err != nil {
 		return result.New(api.ResultCode_INTERNAL, err.Error()+".")
 	}
--- a/internal/entry/ownkey_test.go
+++ b/internal/entry/ownkey_test.go
@@ -53,7 +53,7 @@
 		key := keybind.KeyOf(customer, strconv.Itoa(i))
 		all = append(all, &api.KeyBinding{Key: key[:], Request: key[:], Ticket: named})
 	}
-	record, _ := keybind.Record(all, e.keys.fold.Next(), -1, time.Now().Add(-time.Minute).UnixMilli())
+	record, _ := keybind.EncodeRecord(all, e.keys.fold.Next(), -1, time.Now().Add(-time.Minute).UnixMilli())
 	if _, err := e.keys.fold.Apply(e.keys.fold.Next(), record); err != nil {
 		t.Fatal(err)
 	}
@@ -68,11 +68,11 @@
 	push := func() reply {
 		return sendRequest(t, url, "/services/s/push", "Idempotency-Key", "new", headerFirstTry, "yes", "Apricothub-Deadline-Ms", "300")
 	}
-	holdKeys(t, e, "loud", keybind.MaxHeld)
+	holdKeys(t, e, "loud", keybind.MaxHeldBindings)
 	if got := push(); strings.Contains(got.result, "KEYS_FULL") || strings.Contains(got.result, "OVER_SHARE") {
 		t.Errorf("a customer without any key is refused: %+v", got)
 	}
-	holdKeys(t, e, "c", keybind.MaxHeld/2+1)
+	holdKeys(t, e, "c", keybind.MaxHeldBindings/2+1)
 	got := push()
 	if !strings.Contains(got.result, "OVER_SHARE") || got.ran != "no" {
 		t.Errorf("the loud customer: %+v", got)
@@ -82,15 +82,15 @@
 		t.Errorf("retry after %d s, want about 19 minutes", wait)
 	}
 	state := e.keys.dump()
-	if c := state.Customers[1]; c.Customer != "c" || c.Held != keybind.MaxHeld/2+1 || c.Own != keybind.MaxHeld/2 || state.Lent <= state.Lendable {
+	if c := state.Customers[1]; c.Customer != "c" || c.Held != keybind.MaxHeldBindings/2+1 || c.Own != keybind.MaxHeldBindings/2 || state.Lent <= state.Lendable {
 		t.Errorf("the dump shows %+v", state)
 	}
 	// Nobody else binds a key, and the bindings are at the end of their retention. This entry must
 	// release them with a record of its own instead of waiting for the next record of a caller.
 	e.keys.mu.Lock()
 	defer e.keys.mu.Unlock()
-	e.keys.ages = keybind.NewAges(e.keys.retention)
-	e.keys.ages.Saw(clock.Now()-e.keys.retention, 1)
+	e.keys.ages = keybind.NewAgeTracker(e.keys.retention)
+	e.keys.ages.Observe(clock.Now()-e.keys.retention, 1)
 	if !e.keys.keepaliveDue() {
 		t.Error("no keepalive record is due although bindings can be released")
 	}
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -12,135 +12,137 @@
 )
 
 const (
-	// mostWaiting bounds the requests that wait at one entry for one service.
-	mostWaiting = 512
-	// longestWait is the longest expected wait with which a request is taken, and the
-	// longest that one waits: callers of a stream leave after two seconds without an event,
-	// and the first one takes some hundred milliseconds.
-	longestWait = 1300 * time.Millisecond
-	// waitPart is the part of the time left that a request waits at most: what is begun
-	// later is late for its caller.
-	waitPart = 0.4
-	// plan is the plan that all teams share: the configuration weighs none against another.
-	plan = "teams"
-	// burst is the number of requests that a team may have above its share while others
-	// wait: callers of one team come together.
-	burst = 4
-	// endless stands for no deadline.
-	endless = time.Hour
+	// maxQueued limits the requests that are queued at one entry for one service.
+	maxQueued = 512
+	// maxQueueWait is the longest expected wait with which a request is queued, and the longest
+	// time that one stays queued. Callers of a stream leave after two seconds without an event, and
+	// the first event takes some hundred milliseconds.
+	maxQueueWait = 1300 * time.Millisecond
+	// maxQueueWaitRatio limits the wait to this share of the time left until the deadline. A
+	// request that starts later misses its deadline.
+	maxQueueWaitRatio = 0.4
+	// teamsPlan is the plan that all teams share: the configuration gives all teams the same
+	// weight.
+	teamsPlan = "teams"
+	// teamBurst is the number of requests that a team may have above its share while others wait,
+	// since callers of one team arrive together.
+	teamBurst = 4
+	// noDeadline replaces the deadline of a request that has none.
+	noDeadline = time.Hour
 )
 
-// waiter is a request that waits for its turn.
-type waiter struct {
-	need need
-	// turn receives the outcome; it has room for it.
-	turn chan turn
+// queuedRequest is a request that waits for admission.
+type queuedRequest struct {
+	request pickRequest
+	// admitted receives the outcome. It is buffered, so the sender never blocks.
+	admitted chan admission
 }
 
-// turn is the outcome of waiting: a backend server, or a refusal.
-type turn struct {
+// admission is the outcome of waiting: a backend server, or a refusal.
+type admission struct {
 	server placement
 	err    *result.Error
 }
 
-// setTeams tells the admitter which teams there are. The caller holds the lock.
+// setTeams passes the teams of a configuration to the admitter. The caller holds the lock.
 func (f *fleet) setTeams(cfg *routing.Table) {
-	if cfg.Version == f.teamsOf {
+	if cfg.Version == f.teamsVersion {
 		return
 	}
-	f.teamsOf = cfg.Version
-	// Requests without a key share what one team has.
-	customers := []admit.CustomerShare{{Name: "", Plan: plan, Weight: 1, Burst: burst}}
+	f.teamsVersion = cfg.Version
+	// Requests without a key share the quota of one team.
+	customers := []admit.CustomerShare{{Name: "", Plan: teamsPlan, Weight: 1, Burst: teamBurst}}
 	for _, name := range cfg.TeamNames() {
-		customers = append(customers, admit.CustomerShare{Name: name, Plan: plan, Weight: 1, Burst: burst})
+		customers = append(customers, admit.CustomerShare{Name: name, Plan: teamsPlan, Weight: 1, Burst: teamBurst})
 	}
-	f.admitter.SetPlans([]admit.PlanShare{{Name: plan, Share: 1}}, customers)
+	f.admitter.SetPlans([]admit.PlanShare{{Name: teamsPlan, Share: 1}}, customers)
 }
 
-// admit measures the room for each service anew and lets those go on whose turn it is. The
-// caller holds the lock.
-func (f *fleet) admit(now time.Duration) {
-	for service, held := range f.registered {
+// updateCapacity recalculates the slots of each service and starts the queued requests that now
+// fit. The caller holds the lock.
+func (f *fleet) updateCapacity(now time.Duration) {
+	for service, concurrency := range f.registered {
 		key := offer(service)
 		free, capacity := f.table.Slots(key, now)
-		presence := admit.Available
+		availability := admit.Available
 		switch {
-		case held == 0:
-			presence = admit.Unavailable
+		case concurrency == 0:
+			availability = admit.Unavailable
 		case capacity == 0:
-			presence = admit.Pending
+			availability = admit.Pending
 		}
-		f.admitter.SetAvailability(key, presence)
-		f.admitter.ExpectSlots(key, held/f.entries)
+		f.admitter.SetAvailability(key, availability)
+		f.admitter.ExpectSlots(key, concurrency/f.entries)
 		f.admitter.SetTotalCapacity(key, capacity, f.entries)
 		f.admitter.SetCapacity(key, admit.EntrySlots(f.running[service], free, capacity, f.entries))
-		f.rooms[service] = room{free: free, capacity: capacity, registered: held, at: now}
+		f.slotStates[service] = slotState{free: free, capacity: capacity, registered: concurrency, countedAt: now}
 	}
-	f.release(now)
+	f.releaseQueued(now)
 }
 
-// release lets those go on whose turn it is. The caller holds the lock.
-func (f *fleet) release(now time.Duration) {
+// releaseQueued starts or refuses the queued requests that the admitter selects. The caller holds
+// the lock.
+func (f *fleet) releaseQueued(now time.Duration) {
 	for _, r := range f.admitter.Next(now) {
-		w := f.waiting[r.ID]
-		if w == nil {
+		q := f.queue[r.ID]
+		if q == nil {
 			f.admitter.Cancel(now, r.ID)
 			continue
 		}
 		if r.Action == admit.Refuse {
-			f.end(r.ID, turn{err: refusal(r.Decision)})
+			f.resolve(r.ID, admission{err: refusal(r.Decision)})
 			continue
 		}
-		f.start(r.ID, w, now)
+		f.placeQueued(r.ID, q, now)
 	}
 }
 
-// start places a request whose turn it is; one for which no server is found waits on. The
-// caller holds the lock.
-func (f *fleet) start(id uint64, w *waiter, now time.Duration) {
-	s, code := f.pick(w.need, now)
+// placeQueued places a request that the admitter has started. If no server is found, the request
+// stays queued. The caller holds the lock.
+func (f *fleet) placeQueued(id uint64, q *queuedRequest, now time.Duration) {
+	s, code := f.pick(q.request, now)
 	if code == api.ResultCode_OK {
-		f.running[w.need.service]++
-		f.end(id, turn{server: s})
+		f.running[q.request.service]++
+		f.resolve(id, admission{server: s})
 		return
 	}
 	if !f.admitter.Requeue(now, id) {
-		f.end(id, turn{err: result.New(code)})
+		f.resolve(id, admission{err: result.New(code)})
 	}
 }
 
-// room is what this entry knew of the places at the servers of a service.
-type room struct {
-	// free and capacity are the places at servers that may get work now, registered those
-	// at all servers that operators let have any.
+// slotState is what this entry knew of the slots at the servers of a service.
+type slotState struct {
+	// free and capacity count the slots at servers that may get work now, registered those at all
+	// servers that neither drain nor are in a failure domain that is out.
 	free, capacity, registered int
-	// running and waiting are this entry's requests, there and here.
-	running, waiting int
-	entries          int
-	// at is when the places were counted.
-	at time.Duration
+	// running are this entry's requests at servers, queued those that wait at this entry.
+	running, queued int
+	entries         int
+	// countedAt is when the slots were counted.
+	countedAt time.Duration
 }
 
-// room returns what is known of the places of a service.
-func (f *fleet) room(service string) room {
+// slotState returns what is known of the slots of a service.
+func (f *fleet) slotState(service string) slotState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.rooms[service]
-	r.running, r.waiting, r.entries = f.running[service], f.queued[service], f.entries
+	r := f.slotStates[service]
+	r.running, r.queued, r.entries = f.running[service], f.queued[service], f.entries
 	return r
 }
 
-func (f *fleet) end(id uint64, t turn) {
-	w := f.waiting[id]
-	f.forget(id, w)
-	w.turn <- t
+func (f *fleet) resolve(id uint64, a admission) {
+	q := f.queue[id]
+	f.dequeue(id, q)
+	q.admitted <- a
 }
 
-// forget takes a request out of those that wait. The caller holds the lock.
-func (f *fleet) forget(id uint64, w *waiter) {
-	delete(f.waiting, id)
-	if f.queued[w.need.service]--; f.queued[w.need.service] <= 0 {
-		delete(f.queued, w.need.service)
+// dequeue removes a request from the queue. The caller holds the lock.
+func (f *fleet) dequeue(id uint64, q *queuedRequest) {
+	delete(f.queue, id)
+	if f.queued[q.request.service]--; f.queued[q.request.service] <= 0 {
+		delete(f.queued, q.request.service)
 	}
 }
 
@@ -150,77 +152,78 @@
 	return err
 }
 
-// placeID is the right of a request to run, which finish gives back.
-type placeID uint64
+// admissionID identifies an admitted request. Pass it to endRequest.
+type admissionID uint64
 
-// enter waits until a request may run, and places it. A nil error comes with a server; end
-// its attempt with done, and the request with finish.
+// admitRequest waits until a request may run, and places it. When the error is nil, the caller must
+// end the attempt at the returned server with endAttempt, and the request with endRequest.
 //
-// Load: bursts, outages of all backend servers for a second or two, one team with many times
-// the requests of the others. Harm prevented: a request that could run a moment later is
-// refused; one that cannot be met waits until its caller has gone; a small team waits behind
-// a large one.
-func (f *fleet) enter(ctx context.Context, t *task, now time.Duration) (placeID, placement, *result.Error) {
+// Requests are queued because a burst, or an outage of all backend servers for a second or two,
+// would otherwise refuse requests that could run a moment later. Requests that cannot meet their
+// deadline are refused at once, instead of waiting until their caller has gone. Shares per team
+// keep a team with many times the requests of the others from delaying the small ones.
+func (f *fleet) admitRequest(ctx context.Context, t *task, now time.Duration) (admissionID, placement, *result.Error) {
 	f.mu.Lock()
 	f.lastID++
 	id := f.lastID
-	until := t.until
-	if until == 0 {
-		until = now + endless
+	deadline := t.deadline
+	if deadline == 0 {
+		deadline = now + noDeadline
 	}
-	w := &waiter{need: need{service: t.service, left: left(t.until, now)}, turn: make(chan turn, 1)}
+	q := &queuedRequest{request: pickRequest{service: t.service, timeLeft: timeLeft(t.deadline, now)}, admitted: make(chan admission, 1)}
 	d := f.admitter.Admit(now, admit.Request{
-		ID: id, Customer: t.team, Offer: offer(t.service), Deadline: until, Priority: -t.priority,
+		ID: id, Customer: t.team, Offer: offer(t.service), Deadline: deadline, Priority: -t.priority,
 	})
 	if d.Action == admit.Refuse {
 		f.mu.Unlock()
 		return 0, placement{}, refusal(d)
 	}
-	f.waiting[id] = w
+	f.queue[id] = q
 	f.queued[t.service]++
 	if d.Action == admit.Start {
-		f.start(id, w, now)
+		f.placeQueued(id, q, now)
 	}
 	f.mu.Unlock()
-	return f.wait(ctx, id, w, min(longestWait, time.Duration(waitPart*float64(until-now))))
+	return f.awaitAdmission(ctx, id, q, min(maxQueueWait, time.Duration(maxQueueWaitRatio*float64(deadline-now))))
 }
 
-// wait waits for a request's turn.
-func (f *fleet) wait(ctx context.Context, id uint64, w *waiter, most time.Duration) (placeID, placement, *result.Error) {
-	timer := time.NewTimer(most)
+// awaitAdmission waits until a request is admitted or refused, for maxWait at most.
+func (f *fleet) awaitAdmission(ctx context.Context, id uint64, q *queuedRequest, maxWait time.Duration) (admissionID, placement, *result.Error) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case t := <-w.turn:
-		return placeID(id), t.server, t.err
+	case a := <-q.admitted:
+		return admissionID(id), a.server, a.err
 	case <-ctx.Done():
 	case <-timer.C:
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
-	case t := <-w.turn:
-		// Its turn came at the same moment.
-		return placeID(id), t.server, t.err
+	case a := <-q.admitted:
+		// The request was admitted at the same moment.
+		return admissionID(id), a.server, a.err
 	default:
 	}
-	f.forget(id, w)
+	f.dequeue(id, q)
 	f.admitter.Cancel(clock.Now(), id)
 	return 0, placement{}, result.New(api.ResultCode_SATURATED)
 }
 
-// another places a request once more that has its turn already; end the attempt with done.
-func (f *fleet) another(n need, now time.Duration) (placement, api.ResultCode) {
+// pickForRetry picks a server for another attempt of a request that is already admitted. End the
+// attempt with endAttempt.
+func (f *fleet) pickForRetry(req pickRequest, now time.Duration) (placement, api.ResultCode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pick(n, now)
+	return f.pick(req, now)
 }
 
-// finish gives back the right to run. took is the time of the work, zero when it tells
-// nothing of the usual.
-func (f *fleet) finish(id placeID, service string, took, now time.Duration) {
+// endRequest ends an admitted request and frees its share. took is how long it was served; zero
+// keeps it out of the admitter's moving average.
+func (f *fleet) endRequest(id admissionID, service string, took, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.running[service] = max(f.running[service]-1, 0)
 	f.admitter.Done(now, uint64(id), took)
-	f.admit(now)
+	f.updateCapacity(now)
 }
