--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -18,7 +18,7 @@
 
 const (
 	// reattachTimeout is how long to wait for a new link to an agent that holds an answer. It
-	// covers the time until a silent link is closed and dialled again.
+	// covers the time until a silent link is closed and dialled again, with a margin.
 	reattachTimeout = 4 * time.Second
 	// pollInterval is the interval of checks while waiting for a link, a ticket block or capacity.
 	pollInterval = 10 * time.Millisecond
@@ -42,7 +42,7 @@
 	}
 	e.directory.countRequest()
 	var tried []string
-	mayHaveRun := false // of any attempt
+	mayHaveRun := false // by any attempt so far
 	for n := 1; ; n++ {
 		a, refused := e.placeAttempt(ctx, req, adm, tried, n)
 		if refused != nil {
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -149,10 +149,10 @@
 // isUsable says whether it is certain that the key is still bound as this entry knows it.
 func (k *keyBinder) isUsable(b keybind.Binding) bool {
 	maxAge := k.retention - k.lifetime/maxWaitDivisor
-	return !b.Unconfirmed && k.confirmed() && b.IsCurrent(time.Now().UnixMilli(), maxAge, maxClockSkew)
+	return !b.Unconfirmed && k.isComplete() && b.IsCurrent(time.Now().UnixMilli(), maxAge, maxClockSkew)
 }
 
-func (k *keyBinder) confirmed() bool {
+func (k *keyBinder) isComplete() bool {
 	return k.fold.IsComplete(time.Now().UnixMilli(), k.retention, maxClockSkew)
 }
 
@@ -167,7 +167,7 @@
 	switch {
 	case k.readFailing || down:
 		return result.Refuse(api.ResultCode_LOG_UNAVAILABLE, keyRetryInterval, "The log does not answer, and a key of the caller's own needs it. Come back with the same key.")
-	case !k.confirmed():
+	case !k.isComplete():
 		return result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetryInterval)
 	}
 	return k.checkQuota(c)
@@ -215,7 +215,7 @@
 		}
 		return nil, b, nil
 	}
-	if !k.confirmed() {
+	if !k.isComplete() {
 		// Records were lost after the request was accepted.
 		return nil, keybind.Binding{}, result.Refuse(api.ResultCode_KEYS_UNPROVEN, keyRetryInterval)
 	}
--- a/internal/entry/keyslog.go
+++ b/internal/entry/keyslog.go
@@ -84,8 +84,8 @@
 	k.ages.Observe(now, k.fold.Next()-1)
 	k.refusedForSpace = k.refusedForSpace && k.fold.Released() == released
 	k.counts.held.Update(int64(k.fold.Held()))
-	lent, _ := k.fold.Quotas().Borrowed()
-	k.counts.lent.Update(int64(lent))
+	borrowed, _ := k.fold.Quotas().Borrowed()
+	k.counts.lent.Update(int64(borrowed))
 	return nil
 }
 
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keysroom.go
@@ -42,14 +42,14 @@
 // second in vain. keybind.Quotas has the limits. Entries that have read the stream to different
 // offsets may decide differently, which affects who may append, but never what a key is bound to.
 func (k *keyBinder) checkQuota(c keybind.Customer) *result.Error {
-	quota := k.fold.Quotas()
-	verdict, n := quota.Check(c, k.batcher.Quotas().Held(c))
+	quotas := k.fold.Quotas()
+	verdict, n := quotas.Check(c, k.batcher.Quotas().Held(c))
 	switch verdict {
 	case keybind.OverShare:
 		k.refusedForSpace = true
 		k.counts.beyond.Inc(1)
-		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", quota.Held(c))
-		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.NthOldestOfCustomerAtMs(c, quota.StaggerRetry(c, n, k.entries()))), text)
+		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", quotas.Held(c))
+		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.NthOldestOfCustomerAtMs(c, quotas.StaggerRetry(c, n, k.entries()))), text)
 	case keybind.Full:
 		k.refusedForSpace = true
 		return result.Refuse(api.ResultCode_KEYS_FULL, k.timeUntilReleased(k.fold.NthOldestAtMs(n)))
@@ -97,7 +97,7 @@
 		Waiting:   len(k.waiting),
 		Next:      k.fold.Next(),
 		Released:  k.fold.Released(),
-		Proven:    k.confirmed(),
+		Proven:    k.isComplete(),
 		Answers:   !k.readFailing && k.appendFailedAt == 0,
 		Customers: k.largestHolders(),
 	}
@@ -110,14 +110,14 @@
 
 // largestHolders returns the customers with the most bindings; the lock is held.
 func (k *keyBinder) largestHolders() []customerKeys {
-	quota := k.fold.Quotas()
-	all := make([]customerKeys, 0, len(quota.HeldByCustomer()))
-	for c, held := range quota.HeldByCustomer() {
+	quotas := k.fold.Quotas()
+	all := make([]customerKeys, 0, len(quotas.HeldByCustomer()))
+	for c, held := range quotas.HeldByCustomer() {
 		name, ok := k.customerNames[c]
 		if !ok {
 			name = hex.EncodeToString(c[:]) + ", not in the plans"
 		}
-		all = append(all, customerKeys{Customer: name, Held: held, Own: quota.Guaranteed(c)})
+		all = append(all, customerKeys{Customer: name, Held: held, Own: quotas.Guaranteed(c)})
 	}
 	slices.SortFunc(all, func(a, b customerKeys) int {
 		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Customer, b.Customer))
