--- a/internal/entry/usuals.go
+++ b/internal/entry/usuals.go
@@ -11,9 +11,9 @@
 // replacement of an agent, and is short enough that the mix of prompts is the same.
 const baselineTTL = 10 * time.Minute
 
-// baselineCache keeps the baselines (api.Usual) that agents have learned about their backend servers,
-// for the agents that replace them. Agents have no disk, and without the baseline a new agent spends
-// half a minute or more at the cold limit of a warm engine.
+// baselineCache keeps the baselines (api.Usual) that agents have learned about their backend
+// servers, for the agents that replace them. Agents have no disk, and without the baseline a new
+// agent spends half a minute or more at the cold limit of a warm engine.
 type baselineCache struct {
 	byVM map[string]*cachedBaseline
 }
