--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -147,10 +147,10 @@
 
 // writeFailure answers with an error and what goes with it.
 func writeFailure(w http.ResponseWriter, err error, failure adminapi.Failure) {
-	e := result.From(err)
+	e := result.FromError(err)
 	failure.Error = e.Detail()
 	e.SetHeader(w.Header())
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(result.Of(e.Code).HTTP)
+	w.WriteHeader(result.Lookup(e.Code).HTTP)
 	_ = json.NewEncoder(w).Encode(failure)
 }
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -141,7 +141,7 @@
 	if err == nil {
 		return api.ResultCode_OK
 	}
-	return result.From(err).Code
+	return result.FromError(err).Code
 }
 
 func TestPublishAndFetch(t *testing.T) {
--- a/internal/admin/publish.go
+++ b/internal/admin/publish.go
@@ -160,7 +160,7 @@
 		h.refuse(w, record.GetChangeId(), err, list)
 		return
 	}
-	if err != nil && !refusedBefore(err) && result.From(err).Ran != api.Ran_RAN_UNKNOWN {
+	if err != nil && !refusedBefore(err) && result.FromError(err).Ran != api.Ran_RAN_UNKNOWN {
 		result.WriteHTTP(w, err)
 		return
 	}
@@ -238,7 +238,7 @@
 func notConfirmed(change adminapi.Change, wait waiting) *result.Error {
 	text := fmt.Sprintf("After %s the change is %s, not %s.", wait.timeout, change.State, wait.state)
 	if wait.appendErr != nil && change.State == adminapi.Pending {
-		text += " The platform's log gave no answer: " + result.From(wait.appendErr).Text + "."
+		text += " The platform's log gave no answer: " + result.FromError(wait.appendErr).Text + "."
 	}
 	if len(change.Missing) > 0 {
 		text += " These have not shown that they hold it: " + change.Named() + "."
--- a/internal/command/cli/cli.go
+++ b/internal/command/cli/cli.go
@@ -87,7 +87,7 @@
 	}
 	var e *result.Error
 	if errors.As(err, &e) {
-		return result.Of(e.Code).Exit
+		return result.Lookup(e.Code).Exit
 	}
 	return exitError
 }
@@ -127,7 +127,7 @@
 	}
 	client, err := adminclient.New(address, token)
 	if err != nil {
-		return nil, Usage("%s", result.From(err).Text)
+		return nil, Usage("%s", result.FromError(err).Text)
 	}
 	return client, nil
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -47,7 +47,7 @@
 	case adminapi.Failure:
 		code := api.ResultCode(answer.Error.Code)
 		result.SetHeader(w.Header(), code)
-		w.WriteHeader(result.Of(code).HTTP)
+		w.WriteHeader(result.Lookup(code).HTTP)
 		_ = json.NewEncoder(w).Encode(answer)
 	default:
 		result.SetHeader(w.Header(), api.ResultCode_OK)
--- a/internal/command/mark/mark.go
+++ b/internal/command/mark/mark.go
@@ -151,7 +151,7 @@
 }
 
 func explain(err error, id string) error {
-	e := result.From(err)
+	e := result.FromError(err)
 	switch e.Code {
 	case api.ResultCode_CONFLICT:
 		return result.New(e.Code, "Another mark of this name came first, and nothing was marked. Look at status, then mark again.")
--- a/internal/command/publish/publish.go
+++ b/internal/command/publish/publish.go
@@ -212,7 +212,7 @@
 // explain tells the operator how to go on.
 func (a *arguments) explain(err error, id string) error {
 	again := fmt.Sprintf("To learn what became of it, run the same command with -i %s: it makes no second change.", id)
-	e := result.From(err)
+	e := result.FromError(err)
 	switch e.Code {
 	case api.ResultCode_CONFLICT:
 		return explainConflict(err, a.list)
--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -280,7 +280,7 @@
 	public := httptest.NewUnstartedServer(nil)
 	count := &writes{Listener: public.Listener}
 	public.Config = httpguard.NewServer(e.settings.GetLimits(), e.handler(), log.NewNopLogger())
-	public.Listener = httpguard.Listener(count, 10)
+	public.Listener = httpguard.LimitListener(count, 10)
 	public.Start()
 	defer public.Close()
 	for range 3 {
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -122,7 +122,7 @@
 	s := *e.node.State()
 	s.Linked, s.ServeUntil = false, clock.Now()+time.Minute
 	named, err := e.addresses(&s)
-	if result.From(err).Code != api.ResultCode_STARTING {
+	if result.FromError(err).Code != api.ResultCode_STARTING {
 		t.Errorf("got %v, %v", named, err)
 	}
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -254,7 +254,7 @@
 	defer e.hold(t.GetAgentVm())()
 	peer, err := e.ticketAgent(ctx, t)
 	if err != nil {
-		return settlement{err: result.From(err)}
+		return settlement{err: result.FromError(err)}
 	}
 	open := &api.Open{Body: &api.Open_Settle{Settle: &api.Settle{Ticket: t, Customer: customer}}}
 	unknown := settlement{err: result.New(api.ResultCode_OUTCOME_UNKNOWN)}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -226,7 +226,7 @@
 }
 
 func (e *entry) servePublic(work context.Context, server *http.Server, ln net.Listener) error {
-	err := server.Serve(httpguard.Listener(ln, int(e.settings.GetLimits().GetConnections())))
+	err := server.Serve(httpguard.LimitListener(ln, int(e.settings.GetLimits().GetConnections())))
 	if errors.Is(err, http.ErrServerClosed) {
 		<-work.Done()
 		return work.Err()
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -39,12 +39,12 @@
 	}
 }
 
-func label(err error) string { return result.Label(result.From(err).Code) }
+func label(err error) string { return result.Label(result.FromError(err).Code) }
 
 // fault says whether a request failed by a fault, and nobody can say that it has not run.
 func fault(err error) bool {
-	failed := result.From(err)
-	return failed.Ran != api.Ran_RAN_NO && result.Of(failed.Code).HTTP >= http.StatusInternalServerError
+	failed := result.FromError(err)
+	return failed.Ran != api.Ran_RAN_NO && result.Lookup(failed.Code).HTTP >= http.StatusInternalServerError
 }
 
 func inputs(record *journal.Record, state *member.State, err error) []any {
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -236,7 +236,7 @@
 	}()
 	public := httptest.NewUnstartedServer(nil)
 	public.Config = httpguard.NewServer(e.settings.GetLimits(), e.handler(), log.NewNopLogger())
-	public.Listener = httpguard.Listener(public.Listener, 1000)
+	public.Listener = httpguard.LimitListener(public.Listener, 1000)
 	public.Start()
 	t.Cleanup(func() {
 		public.Close()
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -77,7 +77,7 @@
 	if err == nil {
 		return nil
 	}
-	return result.From(err)
+	return result.FromError(err)
 }
 
 // lost says what an answer is worth whose agent is gone.
--- a/internal/entry/guesses.go
+++ b/internal/entry/guesses.go
@@ -54,7 +54,7 @@
 	if known {
 		return true
 	}
-	if g.rates.Spent(now, address) {
+	if g.rates.IsExhausted(now, address) {
 		return false
 	}
 	g.mu.Lock()
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -99,7 +99,7 @@
 
 // countResult counts the refusals by their code.
 func (e *entry) countResult(err error) {
-	name := result.Of(result.From(err).Code).Name
+	name := result.Lookup(result.FromError(err).Code).Name
 	metrics.GetOrRegisterCounter("entry.results."+name, e.registry).Inc(1)
 }
 
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -167,7 +167,7 @@
 	if !o.begun() {
 		return err
 	}
-	text, _ := json.Marshal(result.Body{Error: result.From(err).Detail()})
+	text, _ := json.Marshal(result.Body{Error: result.FromError(err).Detail()})
 	_, _ = fmt.Fprintf(o.w, "event: error\ndata: %s\n\n", text)
 	_ = o.control.Flush()
 	return &abortedError{cause: err}
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -141,7 +141,7 @@
 
 // unknown is an error that does not say "not run".
 func unknown(err error) error {
-	told := *result.From(err)
+	told := *result.FromError(err)
 	if told.Ran != api.Ran_RAN_NO {
 		return err
 	}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -330,7 +330,7 @@
 		return result.New(api.ResultCode_TICKET_INVALID)
 	}
 	settled := e.settle(r.Context(), t, who.name).err
-	info := result.Of(settled.Code)
+	info := result.Lookup(settled.Code)
 	return writeJSON(w, settledAnswer{
 		Ran:  result.RanName(settled.Ran),
 		Code: info.Number,
--- a/internal/explain/render.go
+++ b/internal/explain/render.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			return
 		}
-		info := result.Of(api.ResultCode(code))
+		info := result.Lookup(api.ResultCode(code))
 		r.printf("\n%s: %s Ran: %s.\n", l.Result, info.Doc, result.RanName(info.Ran))
 		return
 	}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -317,7 +317,7 @@
 		h.Set("Retry-After", strconv.FormatFloat(g.comeBack(t, err).Seconds(), 'f', 2, 64))
 	}
 	h.Set("Content-Type", "application/json")
-	t.out.w.WriteHeader(result.Of(err.Code).HTTP)
+	t.out.w.WriteHeader(result.Lookup(err.Code).HTTP)
 	_ = json.NewEncoder(t.out.w).Encode(result.Body{Error: err.Detail()})
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -99,7 +99,7 @@
 
 // result counts an answer of the system's own.
 func (c *counters) result(code api.ResultCode) {
-	metrics.GetOrRegisterCounter(resultPrefix+result.Of(code).Name, c.registry).Inc(1)
+	metrics.GetOrRegisterCounter(resultPrefix+result.Lookup(code).Name, c.registry).Inc(1)
 }
 
 // countedStore counts the calls of the platform's store.
--- a/internal/httpguard/after.go
+++ b/internal/httpguard/after.go
@@ -9,14 +9,14 @@
 // connectionKey finds the connection in the context of its requests.
 type connectionKey struct{}
 
-// watch has a server tell connections of a Listener when an answer has been written.
-func watch(server *http.Server) *http.Server {
+// trackAnswers has a server tell connections of a Listener when an answer has been written.
+func trackAnswers(server *http.Server) *http.Server {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, c)
 	}
 	server.ConnState = func(c net.Conn, state http.ConnState) {
 		if conn, ok := c.(*connection); ok && (state == http.StateIdle || state == http.StateClosed) {
-			conn.answered()
+			conn.notifyAnswered()
 		}
 	}
 	return server
@@ -35,16 +35,16 @@
 func AfterAnswer(ctx context.Context, f func(sent bool)) bool {
 	conn, ok := ctx.Value(connectionKey{}).(*connection)
 	if ok {
-		conn.after = f
+		conn.onAnswered = f
 	}
 	return ok
 }
 
-// answered calls what waits for the end of an answer.
-func (c *connection) answered() {
-	if f := c.after; f != nil {
-		c.after = nil
-		f(!c.broken)
+// notifyAnswered calls what waits for the end of an answer.
+func (c *connection) notifyAnswered() {
+	if f := c.onAnswered; f != nil {
+		c.onAnswered = nil
+		f(!c.writeFailed)
 	}
 }
 
@@ -52,7 +52,7 @@
 func (c *connection) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.broken = true
+		c.writeFailed = true
 	}
 	return n, err
 }
--- a/internal/httpguard/after_test.go
+++ b/internal/httpguard/after_test.go
@@ -15,7 +15,7 @@
 // A caller takes its answer, or cannot be written to any more. Whoever keeps the answer
 // for a caller that comes back is told which, once, and not before it is written.
 func TestAfterAnswer(t *testing.T) {
-	told := make(chan bool, 2)
+	sentResults := make(chan bool, 2)
 	returned := false
 	server := httptest.NewUnstartedServer(nil)
 	server.Config = NewServer(&api.Limits{HeaderBytes: 1 << 16}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -27,11 +27,11 @@
 			w.Header().Set("Connection", "close")
 		}
 		_, _ = io.WriteString(w, "answer")
-		if !AfterAnswer(r.Context(), func(sent bool) { told <- sent && returned }) {
+		if !AfterAnswer(r.Context(), func(sent bool) { sentResults <- sent && returned }) {
 			t.Error("the connection is not known")
 		}
 	}), log.NewNopLogger())
-	server.Listener = Listener(server.Listener, 10)
+	server.Listener = LimitListener(server.Listener, 10)
 	server.Start()
 	defer server.Close()
 	for path, want := range map[string]bool{"/": true, "/closes": true, "/broken": false} {
@@ -43,7 +43,7 @@
 			_ = resp.Body.Close()
 		}
 		select {
-		case sent := <-told:
+		case sent := <-sentResults:
 			if sent != want {
 				t.Errorf("%s: sent %v, want %v", path, sent, want)
 			}
@@ -51,7 +51,7 @@
 			t.Errorf("%s: nobody was told", path)
 		}
 	}
-	if len(told) > 0 {
+	if len(sentResults) > 0 {
 		t.Error("told twice")
 	}
 }
--- a/internal/httpguard/httpguard.go
+++ b/internal/httpguard/httpguard.go
@@ -26,7 +26,7 @@
 // connection is. Answers are streams, so that writing has no limit here: the
 // handler sets one by the deadline of each request.
 func NewServer(limits *api.Limits, handler http.Handler, logger log.Logger) *http.Server {
-	return watch(&http.Server{
+	return trackAnswers(&http.Server{
 		Handler:           limitHeader(limits.GetHeaderBytes(), handler),
 		ReadHeaderTimeout: time.Duration(limits.GetReadHeaderMs()) * time.Millisecond,
 		ReadTimeout:       time.Duration(limits.GetReadBodyMs()) * time.Millisecond,
@@ -47,14 +47,14 @@
 	})
 }
 
-// separators counts the colon, the space and the line end of a header line.
-const separators = 4
+// headerLineOverhead counts the colon, the space and the line end of a header line.
+const headerLineOverhead = 4
 
 func headerBytes(r *http.Request) int64 {
 	size := int64(len(r.RequestURI))
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += int64(len(name) + len(value) + separators)
+			size += int64(len(name) + len(value) + headerLineOverhead)
 		}
 	}
 	return size
@@ -68,9 +68,9 @@
 		return nil, tooLarge
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	var past *http.MaxBytesError
+	var maxBytesErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &past):
+	case errors.As(err, &maxBytesErr):
 		return nil, tooLarge
 	case err != nil:
 		// Part of a request must never run as if it were the whole.
@@ -79,11 +79,11 @@
 	return body, nil
 }
 
-// Listener bounds the connections held at once. Past the bound new ones wait in the
+// LimitListener bounds the connections held at once. Past the bound new ones wait in the
 // kernel's queue; without it a flood of idle connections would take the memory
 // that work needs.
-func Listener(inner net.Listener, connections int) net.Listener {
-	return &listener{Listener: inner, slots: make(chan struct{}, connections), closed: make(chan struct{})}
+func LimitListener(inner net.Listener, maxConnections int) net.Listener {
+	return &listener{Listener: inner, slots: make(chan struct{}, maxConnections), closed: make(chan struct{})}
 }
 
 type listener struct {
@@ -120,10 +120,10 @@
 	net.Conn
 	once    sync.Once
 	release func()
-	// after waits for the end of an answer, and broken says that a write has failed. Only
+	// onAnswered waits for the end of an answer, and broken says that a write has failed. Only
 	// the goroutine that serves the connection has them.
-	after  func(sent bool)
-	broken bool
+	onAnswered  func(sent bool)
+	writeFailed bool
 }
 
 // Close implements net.Conn.
--- a/internal/httpguard/httpguard_test.go
+++ b/internal/httpguard/httpguard_test.go
@@ -20,7 +20,7 @@
 const timeout = 300 * time.Millisecond
 
 // serve starts a server that reads the body and counts the requests it took whole.
-func serve(t *testing.T, connections int) (address string, whole *atomic.Int64) {
+func serve(t *testing.T, maxConnections int) (address string, whole *atomic.Int64) {
 	t.Helper()
 	limits := &api.Limits{
 		HeaderBytes: 2048, BodyBytes: 4096, ReadHeaderMs: timeout.Milliseconds(),
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = server.Serve(Listener(inner, connections)) }()
+	go func() { _ = server.Serve(LimitListener(inner, maxConnections)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return inner.Addr().String(), whole
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := Listener(inner, 1)
+	ln := LimitListener(inner, 1)
 	dial(t, inner.Addr().String())
 	if _, err := ln.Accept(); err != nil {
 		t.Fatal(err)
@@ -162,8 +162,8 @@
 
 // An answer takes longer than the time that a caller has for sending its body, which it
 // sent at once. The limit is for the body: the answer must not be cut by it.
-func TestALongAnswerOutlivesTheTimeForTheBody(t *testing.T) {
-	gone := make(chan error, 1)
+func TestBodyTimeoutDoesNotCutLongAnswers(t *testing.T) {
+	contextErrs := make(chan error, 1)
 	server := NewServer(&api.Limits{HeaderBytes: 4096, ReadHeaderMs: 200, ReadBodyMs: 200, IdleMs: 1000},
 		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if _, err := ReadBody(w, r, 100); err != nil {
@@ -173,7 +173,7 @@
 			case <-r.Context().Done():
 			case <-time.After(500 * time.Millisecond):
 			}
-			gone <- r.Context().Err()
+			contextErrs <- r.Context().Err()
 			_, _ = w.Write([]byte("whole"))
 		}), log.NewNopLogger())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,7 +192,7 @@
 		if err != nil || string(body) != "whole" {
 			t.Errorf("%q, %v", body, err)
 		}
-		if err := <-gone; err != nil {
+		if err := <-contextErrs; err != nil {
 			t.Errorf("the request was given up: %v", err)
 		}
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -112,7 +112,7 @@
 	r.TookMs = (now - r.began).Milliseconds()
 	r.Result = result.Label(api.ResultCode_OK)
 	if err != nil {
-		e := result.From(err)
+		e := result.FromError(err)
 		r.Result, r.Ran, r.Text = result.Label(e.Code), result.RanName(e.Ran), clip(e.Text)
 		r.RetryAfterMs = e.RetryAfter.Milliseconds()
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -46,7 +46,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	limiter := k.limiterOf(now, key, rate.Limit(perSecond), max(burst, 1))
+	limiter := k.limiterFor(now, key, rate.Limit(perSecond), max(burst, 1))
 	if limiter.AllowN(now, 1) {
 		return true, 0
 	}
@@ -54,19 +54,19 @@
 	return false, time.Duration(math.Ceil(missing / perSecond * float64(time.Second)))
 }
 
-// Spent reports whether a request of the key would be past its rate, and takes none into
+// IsExhausted reports whether a request of the key would be past its rate, and takes none into
 // account.
-func (k *Keyed) Spent(now time.Time, key string) bool {
+func (k *Keyed) IsExhausted(now time.Time, key string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	at, ok := k.buckets[key]
-	return ok && at.Value.(*bucket).limiter.TokensAt(now) < 1
+	element, ok := k.buckets[key]
+	return ok && element.Value.(*bucket).limiter.TokensAt(now) < 1
 }
 
-func (k *Keyed) limiterOf(now time.Time, key string, limit rate.Limit, burst int) *rate.Limiter {
-	if at, ok := k.buckets[key]; ok {
-		k.recent.MoveToFront(at)
-		limiter := at.Value.(*bucket).limiter
+func (k *Keyed) limiterFor(now time.Time, key string, limit rate.Limit, burst int) *rate.Limiter {
+	if element, ok := k.buckets[key]; ok {
+		k.recent.MoveToFront(element)
+		limiter := element.Value.(*bucket).limiter
 		if limiter.Limit() != limit {
 			limiter.SetLimitAt(now, limit)
 		}
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -10,7 +10,7 @@
 
 // One customer's script goes wild. It is held to its rate and told when to come
 // back; the other keys notice nothing.
-func TestOneKeyGoesWild(t *testing.T) {
+func TestKeysAreLimitedSeparately(t *testing.T) {
 	k := New(10)
 	allowed := 0
 	for i := range 1000 {
@@ -33,7 +33,7 @@
 }
 
 // The wait that a refusal names is exact: who comes back then is let in.
-func TestWaitIsEnough(t *testing.T) {
+func TestRetryAfterIsExact(t *testing.T) {
 	k := New(10)
 	now := start
 	for range 50 {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestChangedRate(t *testing.T) {
+func TestChangedRateKeepsTokens(t *testing.T) {
 	k := New(10)
 	k.Allow(start, "key", 1, 1)
 	if ok, _ := k.Allow(start.Add(100*time.Millisecond), "key", 1, 1); ok {
--- a/internal/result/http.go
+++ b/internal/result/http.go
@@ -37,16 +37,16 @@
 
 // Detail gives the error as it stands in a body.
 func (e *Error) Detail() Detail {
-	info := Of(e.Code)
+	info := Lookup(e.Code)
 	return Detail{
 		Code: info.Number, Name: info.Name, Message: e.Text, Ran: RanName(e.Ran),
-		RetryAfterMs: milliseconds(e.wait()),
+		RetryAfterMs: milliseconds(e.retryAfter()),
 	}
 }
 
-// wait is the time that the answer tells the caller to stay away.
-func (e *Error) wait() time.Duration {
-	if e.RetryAfter <= 0 && Of(e.Code).RetryAfter {
+// retryAfter is the time that the answer tells the caller to stay away.
+func (e *Error) retryAfter() time.Duration {
+	if e.RetryAfter <= 0 && Lookup(e.Code).RetryAfter {
 		return defaultRetryAfter
 	}
 	return max(e.RetryAfter, 0)
@@ -56,7 +56,7 @@
 // come back.
 func (e *Error) SetHeader(h http.Header) {
 	SetHeader(h, e.Code)
-	if wait := e.wait(); wait > 0 {
+	if wait := e.retryAfter(); wait > 0 {
 		// Whole seconds by the standard; rounded up, so that nobody comes
 		// back before the time.
 		seconds := (wait + time.Second - 1) / time.Second
@@ -66,22 +66,22 @@
 
 // SetHeader writes the name of a result; use it for OK.
 func SetHeader(h http.Header, code api.ResultCode) {
-	info := Of(code)
+	info := Lookup(code)
 	h.Set(Header, fmt.Sprintf("%d %s", info.Number, info.Name))
 }
 
 // WriteHTTP answers with the error. It must come before the header is written.
 func WriteHTTP(w http.ResponseWriter, err error) {
-	e := From(err)
+	e := FromError(err)
 	e.SetHeader(w.Header())
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Del("Content-Length")
-	w.WriteHeader(Of(e.Code).HTTP)
+	w.WriteHeader(Lookup(e.Code).HTTP)
 	_ = json.NewEncoder(w).Encode(Body{Error: e.Detail()})
 }
 
-// maxBody bounds how much of an answer ReadHTTP takes.
-const maxBody = 64 << 10
+// maxBodyBytes bounds how much of an answer ReadHTTP takes.
+const maxBodyBytes = 64 << 10
 
 // ReadHTTP turns an answer that carries a result other than OK into an error, and
 // returns nil for any other answer. It reads the body only for an error.
@@ -93,18 +93,18 @@
 	}
 	e := New(api.ResultCode(code))
 	var body Body
-	if json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&body) != nil {
+	if json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&body) != nil {
 		return e
 	}
 	if body.Error.Message != "" {
 		e.Text = body.Error.Message
 	}
-	e.Ran = ranNamed(body.Error.Ran)
+	e.Ran = parseRan(body.Error.Ran)
 	e.RetryAfter = time.Duration(body.Error.RetryAfterMs) * time.Millisecond
 	return e
 }
 
-func ranNamed(name string) api.Ran {
+func parseRan(name string) api.Ran {
 	switch name {
 	case "no":
 		return api.Ran_RAN_NO
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -34,8 +34,8 @@
 	RetryAfter bool
 }
 
-// exitDefault is the exit status of a code that names none.
-const exitDefault = 1
+// defaultExit is the exit status of a code that names none.
+const defaultExit = 1
 
 // table is filled once, at start, and only read afterwards.
 var table = readTable()
@@ -52,16 +52,16 @@
 			Exit: int(row.GetExit()), RetryAfter: row.GetRetryAfter(),
 		}
 		if info.Exit == 0 && info.Number != 0 {
-			info.Exit = exitDefault
+			info.Exit = defaultExit
 		}
 		rows[api.ResultCode(value.Number())] = info
 	}
 	return rows
 }
 
-// Of returns the row of a code. A number that this version does not know, as a
+// Lookup returns the row of a code. A number that this version does not know, as a
 // newer process may send, is treated as INTERNAL under its own number.
-func Of(code api.ResultCode) Info {
+func Lookup(code api.ResultCode) Info {
 	if info, ok := table[code]; ok {
 		return info
 	}
@@ -72,7 +72,7 @@
 
 // Label is a code's number and name, as logs and dumps show it.
 func Label(code api.ResultCode) string {
-	info := Of(code)
+	info := Lookup(code)
 	return fmt.Sprintf("%d %s", info.Number, info.Name)
 }
 
@@ -100,7 +100,7 @@
 // New makes an error with the code's own Ran. The texts are joined; with none, the
 // text is the table's.
 func New(code api.ResultCode, text ...string) *Error {
-	info := Of(code)
+	info := Lookup(code)
 	e := &Error{Code: code, Ran: info.Ran, Text: info.Doc}
 	if len(text) > 0 {
 		e.Text = strings.Join(text, " ")
@@ -126,9 +126,9 @@
 	return Label(e.Code) + ": " + e.Text
 }
 
-// From finds the result in an error's chain. An error without one is a fault of
+// FromError finds the result in an error's chain. An error without one is a fault of
 // apricothub: INTERNAL, of which nobody can tell whether the request ran.
-func From(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -55,9 +55,9 @@
 			if !strings.Contains(w.Body.String(), test.body) || strings.Contains(w.Body.String(), "secret detail") {
 				t.Errorf("body %s", w.Body)
 			}
-			again := ReadHTTP(w.Result())
-			if want := From(test.err); again.Code != want.Code || again.Ran != want.Ran || again.Text != want.Text {
-				t.Errorf("read back as %+v", again)
+			decoded := ReadHTTP(w.Result())
+			if want := FromError(test.err); decoded.Code != want.Code || decoded.Ran != want.Ran || decoded.Text != want.Text {
+				t.Errorf("read back as %+v", decoded)
 			}
 		})
 	}
@@ -65,11 +65,11 @@
 
 func TestRefusalRoundTrip(t *testing.T) {
 	e := Refuse(api.ResultCode_SATURATED, 1500*time.Microsecond, "full")
-	again := FromRefusal(e.Refusal())
-	if again.Code != e.Code || again.Ran != e.Ran || again.Text != e.Text || again.RetryAfter != 2*time.Millisecond {
-		t.Errorf("got %+v", again)
+	decoded := FromRefusal(e.Refusal())
+	if decoded.Code != e.Code || decoded.Ran != e.Ran || decoded.Text != e.Text || decoded.RetryAfter != 2*time.Millisecond {
+		t.Errorf("got %+v", decoded)
 	}
-	if got := FromRefusal(&api.Refusal{Code: 9999}); got.Ran != api.Ran_RAN_UNKNOWN || Of(9999).HTTP != 500 {
+	if got := FromRefusal(&api.Refusal{Code: 9999}); got.Ran != api.Ran_RAN_UNKNOWN || Lookup(9999).HTTP != 500 {
 		t.Errorf("a code of a newer version: %+v", got)
 	}
 }
