--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -33,8 +33,8 @@
 	// ticketMaxBlocks bounds the memory for used tickets: two bits each, 4 MB in all.
 	// 490 entries ask for some 1,310 blocks within a ticket's lifetime even when idle.
 	ticketMaxBlocks = 16384
-	// housekeepingEvery is the time between looks for old answers.
-	housekeepingEvery = time.Second
+	// housekeepingInterval is the time between looks for old answers.
+	housekeepingInterval = time.Second
 )
 
 // counters are the agent's metrics.
@@ -62,14 +62,14 @@
 	logger   log.Logger
 
 	// Owned by the member's control goroutine.
-	status uint64
-	keptAt time.Duration
-	// reported is the newest report, without its number; nil to send one anew.
-	reported   *api.BackendStatus
-	reportedAt time.Duration
+	reportSeq        uint64
+	lastHousekeeping time.Duration
+	// lastReport is the newest report, without its number; nil to send one anew.
+	lastReport   *api.BackendStatus
+	lastReportAt time.Duration
 
-	// spare are the links that entries do not keep for new work.
-	spare map[*link.Session]bool
+	// spareLinks are the links that entries do not keep for new work.
+	spareLinks map[*link.Session]bool
 
 	groupStatus atomic.Pointer[api.GroupStatus]
 }
@@ -86,13 +86,13 @@
 	defer stop()
 	var group run.Group
 	group.Add(func() error { return a.node.Run(work, ln) }, func(error) { stop() })
-	group.Add(func() error { return a.executor.watch(work) }, func(error) { stop() })
-	group.Add(func() error { return a.executor.carryOut(work) }, func(error) { stop() })
+	group.Add(func() error { return a.executor.pollEngine(work) }, func(error) { stop() })
+	group.Add(func() error { return a.executor.runOrders(work) }, func(error) { stop() })
 	group.Add(func() error { return a.serveAdmin(work) }, func(error) { stop() })
 	if a.group != nil {
 		group.Add(func() error { return a.group.run(work) }, func(error) { stop() })
 	}
-	group.Add(func() error { return a.drainAfter(ctx, work) }, func(error) { stop() })
+	group.Add(func() error { return a.drain(ctx, work) }, func(error) { stop() })
 	_ = logger.Log("msg", "The agent has started.", "incarnation", a.self.GetIncarnation())
 	err = group.Run()
 	if errors.Is(err, context.Canceled) {
@@ -112,12 +112,12 @@
 	}
 	registry := metrics.NewRegistry()
 	a := &agent{
-		settings: settings,
-		self:     self,
-		registry: registry,
-		logger:   logger,
-		spare:    make(map[*link.Session]bool),
-		executor: newExecutor(self, settings.GetBackend(), logger, newCounters(registry)),
+		settings:   settings,
+		self:       self,
+		registry:   registry,
+		logger:     logger,
+		spareLinks: make(map[*link.Session]bool),
+		executor:   newExecutor(self, settings.GetBackend(), logger, newCounters(registry)),
 	}
 	p := settings.GetPlatform()
 	timeout := time.Duration(p.GetRequestTimeoutMs()) * time.Millisecond
@@ -130,15 +130,15 @@
 		LogReaders: int(p.GetLogReaders()),
 		Logger:     logger,
 		Registry:   registry,
-		Dials:      func(vm platform.VM) bool { return a.group != nil && a.group.dials(vm) },
+		Dials:      func(vm platform.VM) bool { return a.group != nil && a.group.shouldDial(vm) },
 		Hooks: member.Hooks{
 			Tick:    a.tick,
 			Peers:   a.peersChanged,
-			Message: a.message,
-			Stream:  a.executor.serve,
+			Message: a.handleMessage,
+			Stream:  a.executor.serveStream,
 		},
 	})
-	a.executor.follow(a.node)
+	a.executor.refuseByState(a.node)
 	if settings.GetGroup().GetName() != "" {
 		a.group = newGroup(a)
 	}
@@ -156,16 +156,16 @@
 
 // tick reports to the entries and looks after the executor.
 func (a *agent) tick(now time.Duration) {
-	a.executor.pump(now)
-	if now-a.keptAt > housekeepingEvery {
-		a.keptAt = now
+	a.executor.dispatch(now)
+	if now-a.lastHousekeeping > housekeepingInterval {
+		a.lastHousekeeping = now
 		a.executor.housekeeping(now)
 	}
 	a.report(now)
 }
 
-// reportEvery is the longest time between two reports that say the same.
-const reportEvery = time.Second
+// reportInterval is the longest time between two reports that say the same.
+const reportInterval = time.Second
 
 // report tells the entries of the backend server, when there is something new to tell,
 // when a link is new, and once in a while. It goes with the next heartbeat, unless it is
@@ -174,44 +174,44 @@
 	status := a.executor.status(now)
 	status.Group = a.settings.GetGroup().GetName()
 	status.GroupStatus = a.groupStatus.Load()
-	status.Entries = a.entries(a.node.State())
-	if a.reported != nil && now-a.reportedAt < reportEvery && proto.Equal(status, a.reported) {
+	status.Entries = a.countEntries(a.node.State())
+	if a.lastReport != nil && now-a.lastReportAt < reportInterval && proto.Equal(status, a.lastReport) {
 		return
 	}
-	urgent := a.reported == nil || pressing(status, a.reported)
-	a.reported = proto.CloneOf(status)
-	a.reportedAt = now
-	a.status++
-	status.Seq = a.status
+	urgent := a.lastReport == nil || isUrgent(status, a.lastReport)
+	a.lastReport = proto.CloneOf(status)
+	a.lastReportAt = now
+	a.reportSeq++
+	status.Seq = a.reportSeq
 	for _, peer := range a.node.State().Peers {
 		if peer.Hello.GetRole() == api.Role_ROLE_ENTRY {
-			send(peer.Session, &api.Control{Body: &api.Control_Status{Status: status}}, urgent)
+			sendReport(peer.Session, &api.Control{Body: &api.Control_Status{Status: status}}, urgent)
 		}
 	}
 }
 
-// message takes what entries ask on the control stream.
-func (a *agent) message(peer *member.Peer, m *api.Control) {
+// handleMessage takes what entries ask on the control stream.
+func (a *agent) handleMessage(peer *member.Peer, m *api.Control) {
 	if m.GetGroup() != nil && a.group != nil {
-		a.group.message(m.GetGroup())
+		a.group.handleMessage(m.GetGroup())
 		return
 	}
 	if order := m.GetRollout(); order != nil {
-		a.executor.takeOrder(order, a.node.State().View.ListOffset(api.ListName_LIST_USES))
+		a.executor.acceptOrder(order, a.node.State().View.ListOffset(api.ListName_LIST_USES))
 		return
 	}
 	if use := m.GetUse(); use != nil {
-		a.spare[peer.Session] = use.GetSpare()
+		a.spareLinks[peer.Session] = use.GetSpare()
 		return
 	}
-	if usual := m.GetUsual(); usual != nil {
-		a.executor.inherit(usual)
+	if baseline := m.GetUsual(); baseline != nil {
+		a.executor.inherit(baseline)
 		return
 	}
 	if m.GetBlockRequest() == nil {
 		return
 	}
-	block := a.executor.grant(clock.Now())
+	block := a.executor.grantTickets(clock.Now())
 	if block == nil {
 		_ = a.logger.Log("msg", "No block of tickets can be granted; the memory for them is full.", "result", result.Label(api.ResultCode_SATURATED), "vm", peer.Hello.GetVm())
 		return
@@ -219,8 +219,8 @@
 	peer.Session.Post(&api.Control{Body: &api.Control_Block{Block: block}})
 }
 
-// drainAfter waits for the planned stop and then for the last piece of work.
-func (a *agent) drainAfter(ctx, work context.Context) error {
+// drain waits for the planned stop and then for the last piece of work.
+func (a *agent) drain(ctx, work context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-work.Done():
@@ -231,17 +231,17 @@
 	links := a.settings.GetLink()
 	// Work sent before the entries heard of the stop is still on its way; it must
 	// be told "not run", not cut.
-	wait(work, time.Duration(2*links.GetHeartbeatMs()+links.GetSuspectMs())*time.Millisecond)
-	limit := clock.Now() + time.Duration(a.settings.GetBackend().GetDrainMs())*time.Millisecond
-	for !a.executor.idle(clock.Now()) && clock.Now() < limit {
-		wait(work, 20*time.Millisecond)
+	sleep(work, time.Duration(2*links.GetHeartbeatMs()+links.GetSuspectMs())*time.Millisecond)
+	deadline := clock.Now() + time.Duration(a.settings.GetBackend().GetDrainMs())*time.Millisecond
+	for !a.executor.isIdle(clock.Now()) && clock.Now() < deadline {
+		sleep(work, 20*time.Millisecond)
 	}
-	_ = a.logger.Log("msg", "The agent has stopped.", "idle", a.executor.idle(clock.Now()))
+	_ = a.logger.Log("msg", "The agent has stopped.", "idle", a.executor.isIdle(clock.Now()))
 	return context.Canceled
 }
 
-// grant gives an entry a block of tickets.
-func (e *executor) grant(now time.Duration) *api.TicketBlock {
+// grantTickets gives an entry a block of tickets.
+func (e *executor) grantTickets(now time.Duration) *api.TicketBlock {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ledger.Grant(now)
@@ -252,7 +252,7 @@
 	refusing := e.refusing(now)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.asked && refusing == api.ResultCode_OK {
+	if !e.runningKnown && refusing == api.ResultCode_OK {
 		refusing = api.ResultCode_STARTING
 	}
 	if refusing == api.ResultCode_OK && e.limiter.IsBackingOff(now) {
@@ -261,11 +261,11 @@
 	return &api.BackendStatus{
 		Service:      e.settings.GetService(),
 		Model:        e.settings.GetModel(),
-		ModelVersion: e.loads.version,
-		Adapters:     e.loads.adapters,
-		Loading:      e.loads.order != nil,
-		OrderFence:   e.loads.order.GetFence(),
-		Fixed:        e.loads.fixed,
+		ModelVersion: e.model.version,
+		Adapters:     e.model.adapters,
+		Loading:      e.model.order != nil,
+		OrderFence:   e.model.order.GetFence(),
+		Fixed:        e.model.takesNoOrders,
 		Refusing:     refusing,
 		Limit:        int32(e.limiter.Limit()),
 		Running:      int32(e.limiter.Running()),
@@ -274,7 +274,7 @@
 		Cold:         e.limiter.IsCold(),
 		WorkUs:       e.limiter.WorkTime().Microseconds(),
 		Prefixes:     e.prefixes.hashes,
-		Silent:       e.silence.long(now),
-		Usual:        usual(e.limiter),
+		Silent:       e.silence.isSilent(now),
+		Usual:        warmBaseline(e.limiter),
 	}
 }
--- a/internal/agent/ask.go
+++ b/internal/agent/ask.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// askTimeout is how long a question over a kept connection may take.
-	askTimeout = time.Second
-	// maxControlAnswer bounds an answer of the engine's own interface, bytes.
-	maxControlAnswer = 4 << 20
+	// queryTimeout is how long a question over a kept connection may take.
+	queryTimeout = time.Second
+	// maxControlAnswerBytes bounds an answer of the engine's own interface, bytes.
+	maxControlAnswerBytes = 4 << 20
 )
 
-// newAsking returns the transport of questions. A question may be asked twice, so that
+// newQueryTransport returns the transport of questions. A question may be asked twice, so that
 // connections may be kept, one for each of the watchers.
-func newAsking() *http.Transport {
+func newQueryTransport() *http.Transport {
 	return &http.Transport{
 		DisableCompression:  true,
 		Proxy:               nil,
@@ -29,22 +29,22 @@
 	}
 }
 
-// ask puts one question to the engine's own interface, over a connection kept from the
+// query puts one question to the engine's own interface, over a connection kept from the
 // last one: most of what an agent without work spent was a connection for each question.
 //
 // A kept connection may have gone silent for good while new ones work: an engine that is
 // warm would be taken for cold again and again. So no answer over a kept one is followed
 // by the same question over a new one, and only that one's failure counts.
-func (b *backend) ask(ctx context.Context, path string, answer any) (int, error) {
-	status, err := b.call(ctx, b.asking, askTimeout, http.MethodGet, path, nil, answer)
+func (b *backend) query(ctx context.Context, path string, answer any) (int, error) {
+	status, err := b.callOver(ctx, b.queryTransport, queryTimeout, http.MethodGet, path, nil, answer)
 	if status != 0 || err == nil || ctx.Err() != nil {
 		return status, err
 	}
-	return b.control(ctx, http.MethodGet, path, nil, answer)
+	return b.callControl(ctx, http.MethodGet, path, nil, answer)
 }
 
-// call makes one call of the engine's own interface over a transport.
-func (b *backend) call(ctx context.Context, over *http.Transport, timeout time.Duration, method, path string, body, answer any) (int, error) {
+// callOver makes one callOver of the engine's own interface over a transport.
+func (b *backend) callOver(ctx context.Context, transport *http.Transport, timeout time.Duration, method, path string, body, answer any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reader io.Reader
@@ -60,7 +60,7 @@
 	if err != nil {
 		return 0, err
 	}
-	resp, err := over.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return 0, err
 	}
@@ -72,7 +72,7 @@
 		return resp.StatusCode, nil
 	}
 	// Only a connection whose answer was read to its end is kept.
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlAnswerBytes))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// maxEvent bounds one event of a streamed answer, bytes.
-	maxEvent = 1 << 20
+	// maxEventBytes bounds one event of a streamed answer, bytes.
+	maxEventBytes = 1 << 20
 	// partSize is the size of a part of an answer that is not a stream of events.
 	partSize = 32 << 10
 	// doneEvent is how an engine ends a streamed completion.
@@ -36,11 +36,11 @@
 	orderTimeout = time.Hour
 )
 
-// errNotDone says that a stream ended without the mark that it is whole.
-var errNotDone = errors.New("the stream ended before [DONE]")
+// errIncompleteStream says that a stream ended without the mark that it is whole.
+var errIncompleteStream = errors.New("the stream ended before [DONE]")
 
-// errInterim says that a backend server sent interim answers without end.
-var errInterim = errors.New("the backend server sent too many interim answers")
+// errTooManyInterim says that a backend server sent interim answers without end.
+var errTooManyInterim = errors.New("the backend server sent too many interim answers")
 
 // backendError is a failure at the backend server.
 type backendError struct {
@@ -59,8 +59,8 @@
 	// oneshot sends work; transport the little of it that oneshot doesn't take, and orders.
 	oneshot   *oneshot
 	transport *http.Transport
-	// asking keeps its connections: a question may be asked twice.
-	asking *http.Transport
+	// queryTransport keeps its connections: a question may be asked twice.
+	queryTransport *http.Transport
 }
 
 // newBackend returns a client that can send each request only once.
@@ -81,7 +81,7 @@
 			DisableCompression: true,
 			Proxy:              nil,
 		},
-		asking: newAsking(),
+		queryTransport: newQueryTransport(),
 	}
 }
 
@@ -113,7 +113,7 @@
 // roundTrip sends a request over a connection of its own. connected is called once that
 // stands.
 func (b *backend) roundTrip(req *http.Request, connected func()) (*http.Response, error) {
-	if b.oneshot.takes(req) {
+	if b.oneshot.canSend(req) {
 		return b.oneshot.roundTrip(req, connected)
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected() }}
@@ -122,22 +122,22 @@
 
 // readParts hands the parts of an answer to take, and returns an error unless the
 // answer came whole.
-func readParts(resp *http.Response, take func([]byte) error) error {
+func readParts(resp *http.Response, handle func([]byte) error) error {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return readEvents(resp.Body, take)
+		return readEvents(resp.Body, handle)
 	}
-	return readPlain(resp.Body, take)
+	return readPlain(resp.Body, handle)
 }
 
 // readEvents takes one event as one part, so that a caller can go on after any.
-func readEvents(body io.Reader, take func([]byte) error) error {
+func readEvents(body io.Reader, handle func([]byte) error) error {
 	reader := bufio.NewReader(body)
 	var event []byte
 	done := false
 	for {
 		line, err := reader.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > maxEvent {
+		if len(event) > maxEventBytes {
 			return errors.New("an event of the answer is too large")
 		}
 		switch {
@@ -146,7 +146,7 @@
 		case err == io.EOF && done && len(event) == 0:
 			return nil
 		case err == io.EOF:
-			return errNotDone
+			return errIncompleteStream
 		case err != nil:
 			return err
 		}
@@ -154,7 +154,7 @@
 			continue
 		}
 		done = done || bytes.HasPrefix(event, []byte(doneEvent))
-		if err := take(event); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 		event = nil
@@ -163,17 +163,17 @@
 
 // readPlain fills parts. It reads by hand: io.ReadFull reports a body's true end in the
 // middle of a part by the same error that net/http gives for a body that was cut.
-func readPlain(body io.Reader, take func([]byte) error) error {
+func readPlain(body io.Reader, handle func([]byte) error) error {
 	for {
 		part := make([]byte, partSize)
-		n, err := fill(body, part)
+		n, err := readFull(body, part)
 		if n < partSize {
 			// The answer is kept, and counted by its bytes: thousands of short ones would
 			// take many times the memory that is set for answers.
 			part = bytes.Clone(part[:n])
 		}
 		if n > 0 {
-			if err := take(part); err != nil {
+			if err := handle(part); err != nil {
 				return err
 			}
 		}
@@ -186,9 +186,9 @@
 	}
 }
 
-// fill reads until the part is full or the body ends, and passes the body's own error
+// readFull reads until the part is full or the body ends, and passes the body's own error
 // on as it is.
-func fill(body io.Reader, part []byte) (int, error) {
+func readFull(body io.Reader, part []byte) (int, error) {
 	n := 0
 	for n < len(part) {
 		read, err := body.Read(part[n:])
@@ -200,42 +200,42 @@
 	return n, nil
 }
 
-// running asks a model engine what it still runs. A backend server that does not
+// queryRunning asks a model engine what it still runs. A backend server that does not
 // know the question runs nothing that matters here.
-func (b *backend) running(ctx context.Context) ([]string, error) {
+func (b *backend) queryRunning(ctx context.Context) ([]string, error) {
 	var answer struct {
 		IDs []string `json:"ids"`
 	}
-	status, err := b.ask(ctx, "/engine/running", &answer)
+	status, err := b.query(ctx, "/engine/running", &answer)
 	if status == http.StatusNotFound {
 		return nil, nil
 	}
 	return answer.IDs, err
 }
 
-// saysCold asks a model engine whether it is in cold start, as far as it knows; its
+// queryCold asks a model engine whether it is in cold start, as far as it knows; its
 // reports lag.
-func (b *backend) saysCold(ctx context.Context) (bool, error) {
+func (b *backend) queryCold(ctx context.Context) (bool, error) {
 	var answer struct {
 		Cold bool `json:"cold"`
 	}
-	status, err := b.ask(ctx, "/engine/load", &answer)
-	return answer.Cold, unlessMissing(status, err)
+	status, err := b.query(ctx, "/engine/load", &answer)
+	return answer.Cold, mapNotFound(status, err)
 }
 
-// errMissing says that the engine does not know a question.
-var errMissing = errors.New("the engine has no such interface")
+// errUnsupported says that the engine does not know a question.
+var errUnsupported = errors.New("the engine has no such interface")
 
-func unlessMissing(status int, err error) error {
+func mapNotFound(status int, err error) error {
 	if status == http.StatusNotFound {
-		return errMissing
+		return errUnsupported
 	}
 	return err
 }
 
-// cacheEvents asks an engine for the prefixes that came into its cache since an event,
+// queryCacheEvents asks an engine for the prefixes that came into its cache since an event,
 // and returns the number to ask from next.
-func (b *backend) cacheEvents(ctx context.Context, from uint64) ([]uint64, uint64, error) {
+func (b *backend) queryCacheEvents(ctx context.Context, from uint64) ([]uint64, uint64, error) {
 	var answer struct {
 		Events []struct {
 			Op     string `json:"op"`
@@ -243,28 +243,28 @@
 		} `json:"events"`
 		Next uint64 `json:"next"`
 	}
-	status, err := b.ask(ctx, fmt.Sprintf("/engine/events?from=%d", from), &answer)
+	status, err := b.query(ctx, fmt.Sprintf("/engine/events?from=%d", from), &answer)
 	var added []uint64
 	for _, event := range answer.Events {
 		if event.Op == "add" {
 			added = append(added, event.Prefix)
 		}
 	}
-	return added, answer.Next, unlessMissing(status, err)
+	return added, answer.Next, mapNotFound(status, err)
 }
 
-// held is what an engine says that it has loaded.
-type held struct {
+// loadedModel is what an engine says that it has loaded.
+type loadedModel struct {
 	// Version is empty when it holds what it was started with.
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// holds asks an engine what it has loaded.
-func (b *backend) holds(ctx context.Context) (held, error) {
-	var answer held
-	status, err := b.ask(ctx, "/engine/version", &answer)
-	return answer, unlessMissing(status, err)
+// queryLoaded asks an engine what it has loaded.
+func (b *backend) queryLoaded(ctx context.Context) (loadedModel, error) {
+	var answer loadedModel
+	status, err := b.query(ctx, "/engine/version", &answer)
+	return answer, mapNotFound(status, err)
 }
 
 // Kinds of orders.
@@ -284,16 +284,16 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// errOldFence says that the engine has had an order with a higher fencing number.
-var errOldFence = errors.New("the engine has had a newer order")
+// errStaleFence says that the engine has had an order with a higher fencing number.
+var errStaleFence = errors.New("the engine has had a newer order")
 
-// order gives an order and waits until it has been carried out.
-func (b *backend) order(ctx context.Context, order engineOrder) error {
-	status, err := b.controlWithin(ctx, orderTimeout, http.MethodPost, "/engine/orders", order, nil)
+// sendOrder gives an sendOrder and waits until it has been carried out.
+func (b *backend) sendOrder(ctx context.Context, order engineOrder) error {
+	status, err := b.callControlWithin(ctx, orderTimeout, http.MethodPost, "/engine/orders", order, nil)
 	if status == http.StatusConflict {
-		return errOldFence
+		return errStaleFence
 	}
-	return unlessMissing(status, err)
+	return mapNotFound(status, err)
 }
 
 // expertCounts is what an engine tells of its experts and ranks, as running counts.
@@ -310,32 +310,32 @@
 	Seconds float64 `json:"seconds"`
 }
 
-// experts asks an engine for the counts of its experts and ranks.
-func (b *backend) experts(ctx context.Context) (expertCounts, error) {
+// queryExperts asks an engine for the counts of its queryExperts and ranks.
+func (b *backend) queryExperts(ctx context.Context) (expertCounts, error) {
 	var answer expertCounts
-	_, err := b.ask(ctx, "/engine/experts", &answer)
+	_, err := b.query(ctx, "/engine/experts", &answer)
 	return answer, err
 }
 
 // cancel asks a model engine to give up one request.
 func (b *backend) cancel(ctx context.Context, id string) error {
 	body := map[string]string{"id": id}
-	_, err := b.control(ctx, http.MethodPost, "/engine/cancel", body, nil)
+	_, err := b.callControl(ctx, http.MethodPost, "/engine/cancel", body, nil)
 	return err
 }
 
 // loadMap has an engine fetch the weights of an expert map, however long it takes.
 func (b *backend) loadMap(ctx context.Context, body any) error {
-	_, err := b.controlWithin(ctx, mapLoadTimeout, http.MethodPost, "/engine/map/load", body, nil)
+	_, err := b.callControlWithin(ctx, mapLoadTimeout, http.MethodPost, "/engine/map/load", body, nil)
 	return err
 }
 
-// control makes one short call of the engine's own interface.
-func (b *backend) control(ctx context.Context, method, path string, body, answer any) (int, error) {
-	return b.controlWithin(ctx, dialTimeout, method, path, body, answer)
+// callControl makes one short call of the engine's own interface.
+func (b *backend) callControl(ctx context.Context, method, path string, body, answer any) (int, error) {
+	return b.callControlWithin(ctx, dialTimeout, method, path, body, answer)
 }
 
-// controlWithin makes one call of the engine's own interface, with JSON both ways.
-func (b *backend) controlWithin(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (int, error) {
-	return b.call(ctx, b.transport, timeout, method, path, body, answer)
+// callControlWithin makes one call of the engine's own interface, with JSON both ways.
+func (b *backend) callControlWithin(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (int, error) {
+	return b.callOver(ctx, b.transport, timeout, method, path, body, answer)
 }
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -29,7 +29,7 @@
 	}{
 		{name: "with a body", method: "POST", body: `{"price":1}`},
 		{name: "without a body", method: "POST"},
-		{name: "with a body too large for oneshot", method: "POST", body: strings.Repeat("x", oneshotBody+1)},
+		{name: "with a body too large for oneshot", method: "POST", body: strings.Repeat("x", maxOneshotBodyBytes+1)},
 		{name: "idempotent method", method: "PUT", body: "x"},
 		{name: "idempotent method without a body", method: "DELETE"},
 		{name: "idempotency key", method: "POST", body: "x", headers: []*api.Header{{Name: "Idempotency-Key", Value: "k"}}},
@@ -179,25 +179,25 @@
 	settings.AnswerBytes = 1 << 20
 	settings.AnswerKeepMs = 60_000
 	settings.TicketLifetimeMs = 60_000
-	e := newExecutor(&api.Hello{Vm: "agent-1", Incarnation: "inc"}, settings, discard{}, newCounters(newRegistry()))
+	e := newExecutor(&api.Hello{Vm: "agent-1", Incarnation: "inc"}, settings, discardLogger{}, newCounters(newRegistry()))
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode_OK }
-	e.asked = true
+	e.runningKnown = true
 	return e
 }
 
-type discard struct{}
+type discardLogger struct{}
 
-func (discard) Log(...any) error { return nil }
+func (discardLogger) Log(...any) error { return nil }
 
 // A service gives thousands of short answers, and the agent keeps each for a while. They
 // took 32 KB each, of which the bound on memory counted the bytes of the answer.
 func TestShortAnswersTakeLittleMemory(t *testing.T) {
 	var parts [][]byte
-	take := func(part []byte) error {
+	handle := func(part []byte) error {
 		parts = append(parts, part)
 		return nil
 	}
-	if err := readPlain(strings.NewReader("done"), take); err != nil {
+	if err := readPlain(strings.NewReader("done"), handle); err != nil {
 		t.Fatal(err)
 	}
 	if len(parts) != 1 || string(parts[0]) != "done" || cap(parts[0]) > 64 {
@@ -205,7 +205,7 @@
 	}
 	parts = nil
 	text := strings.Repeat("0123456789", partSize/4)
-	if err := readPlain(strings.NewReader(text), take); err != nil {
+	if err := readPlain(strings.NewReader(text), handle); err != nil {
 		t.Fatal(err)
 	}
 	var whole strings.Builder
--- a/internal/agent/cancel_test.go
+++ b/internal/agent/cancel_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", ColdLimit: 1, FullLimit: 1})
-	j, refused := e.take(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Method: "POST", Path: "/v1/completions", DeadlineMs: 5000, RequestId: "r"})
+	j, refused := e.accept(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Method: "POST", Path: "/v1/completions", DeadlineMs: 5000, RequestId: "r"})
 	if refused != nil {
 		t.Fatal(refused)
 	}
@@ -39,7 +39,7 @@
 	e.mu.Lock()
 	j.cancel()
 	e.mu.Unlock()
-	end(t, e, j)
+	awaitEnd(t, e, j)
 	for running := 1; running > 0; time.Sleep(time.Millisecond) {
 		e.mu.Lock()
 		running = e.limiter.Running()
--- a/internal/agent/deliver.go
+++ b/internal/agent/deliver.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// serve takes one stream that an entry opened.
-func (e *executor) serve(_ *link.Session, open *api.Open, stream *link.Stream) {
+// serveStream takes one stream that an entry opened.
+func (e *executor) serveStream(_ *link.Session, open *api.Open, stream *link.Stream) {
 	switch body := open.GetBody().(type) {
 	case *api.Open_Work:
 		e.serveWork(body.Work, stream)
@@ -25,11 +25,11 @@
 }
 
 func (e *executor) serveWork(work *api.Work, stream *link.Stream) {
-	e.counts.taken.Inc(1)
+	e.counters.taken.Inc(1)
 	arrived := clock.Now()
-	j, refused := e.take(work)
+	j, refused := e.accept(work)
 	if refused != nil {
-		e.note(work, arrived, 0, refused)
+		e.recordRequest(work, arrived, 0, refused)
 		_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: refused}})
 		return
 	}
@@ -42,7 +42,7 @@
 	ok = ok && j.work.GetCustomer() == attach.GetCustomer()
 	e.mu.Unlock()
 	if !ok {
-		unknown := refusal(api.ResultCode_ANSWER_UNKNOWN, api.Ran_RAN_UNKNOWN, "The answer is not held any more.", 0)
+		unknown := newRefusal(api.ResultCode_ANSWER_UNKNOWN, api.Ran_RAN_UNKNOWN, "The answer is not held any more.", 0)
 		_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: unknown}})
 		return
 	}
@@ -52,22 +52,22 @@
 // serveSettle answers what became of a ticket. The ledger voids one it has not seen:
 // "not seen" alone would not be true a moment later.
 func (e *executor) serveSettle(settle *api.Settle, stream *link.Stream) {
-	decision := e.settle(settle)
+	decision := e.settleTicket(settle)
 	if decision.Action == ticket.Join {
 		_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Accepted{Accepted: &api.Accepted{AnswerId: decision.AnswerID}}})
 		return
 	}
-	settled := refusal(decision.Code, decision.Ran, decision.Text, 0)
+	settled := newRefusal(decision.Code, decision.Ran, decision.Text, 0)
 	_ = stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Refusal{Refusal: settled}})
 }
 
-func (e *executor) settle(settle *api.Settle) ticket.Decision {
+func (e *executor) settleTicket(settle *api.Settle) ticket.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
 	decision := e.ledger.Settle(now, settle.GetTicket(), settle.GetCustomer())
 	if decision.Ran == api.Ran_RAN_NO {
-		e.told = now
+		e.ticketRefusedAt = now
 	}
 	return decision
 }
@@ -78,24 +78,24 @@
 	e.mu.Lock()
 	j.readers++
 	e.mu.Unlock()
-	defer e.leave(j)
+	defer e.removeReader(j)
 	accepted := &api.Accepted{AnswerId: j.buffer.ID}
 	if err := stream.Send(&api.WorkEvent{Body: &api.WorkEvent_Accepted{Accepted: accepted}}); err != nil {
 		return
 	}
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		e.readSignals(j, stream)
 	}()
 	var events []proto.Message
 	for !cursor.Closed() {
 		var changed chan struct{}
-		events, cursor, changed = e.next(j, events[:0], cursor)
+		events, cursor, changed = e.nextEvents(j, events[:0], cursor)
 		if len(events) == 0 {
 			select {
 			case <-changed:
-			case <-gone:
+			case <-closed:
 				return
 			}
 			continue
@@ -104,20 +104,20 @@
 			return
 		}
 	}
-	e.awaitDone(gone)
+	e.awaitDone(closed)
 }
 
-// maxEvents bounds the events that go out by one write: with parts of the largest size
+// maxEventsPerWrite bounds the events that go out by one write: with parts of the largest size
 // that is half a megabyte of buffer for each reader of an answer.
-const maxEvents = 16
+const maxEventsPerWrite = 16
 
-// next appends the events that follow the cursor and are here: what has come together
+// nextEvents appends the events that follow the cursor and are here: what has come together
 // goes out together, and a token never waits for another. The channel is closed when
 // there are more.
-func (e *executor) next(j *job, events []proto.Message, cursor answer.Cursor) ([]proto.Message, answer.Cursor, chan struct{}) {
+func (e *executor) nextEvents(j *job, events []proto.Message, cursor answer.Cursor) ([]proto.Message, answer.Cursor, chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(events) < maxEvents {
+	for len(events) < maxEventsPerWrite {
 		event, after := j.buffer.Next(cursor)
 		if event == nil {
 			break
@@ -131,11 +131,11 @@
 // doneTimeout is how long the receiver of a whole answer has to say so.
 const doneTimeout = 30 * time.Second
 
-func (e *executor) awaitDone(gone <-chan struct{}) {
+func (e *executor) awaitDone(closed <-chan struct{}) {
 	timer := time.NewTimer(doneTimeout)
 	defer timer.Stop()
 	select {
-	case <-gone:
+	case <-closed:
 	case <-timer.C:
 	}
 }
@@ -165,14 +165,14 @@
 func (e *executor) cancelJob(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if j.repeatable() && j.cancel != nil {
+	if j.isRepeatable() && j.cancel != nil {
 		j.cancel()
 	}
 }
 
-func (e *executor) leave(j *job) {
+func (e *executor) removeReader(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.readers--
-	j.alone = clock.Now()
+	j.unreadSince = clock.Now()
 }
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -12,7 +12,7 @@
 // alone, to one that stops, and to an agent of its group. It says two: counting the others,
 // each entry would take too small a part of its room.
 func TestOnlyEntriesThatSendWorkAreCounted(t *testing.T) {
-	a := &agent{spare: make(map[*link.Session]bool)}
+	a := &agent{spareLinks: make(map[*link.Session]bool)}
 	state := &member.State{Peers: make(map[string]*member.Peer)}
 	add := func(vm string, role api.Role, draining bool) *member.Peer {
 		state.Peers[vm] = &member.Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}, Draining: draining}
@@ -20,21 +20,21 @@
 	}
 	add("e1", api.Role_ROLE_ENTRY, false)
 	moved := add("e2", api.Role_ROLE_ENTRY, false)
-	once := add("e3", api.Role_ROLE_ENTRY, false)
+	ticketOnly := add("e3", api.Role_ROLE_ENTRY, false)
 	add("e4", api.Role_ROLE_ENTRY, true)
 	add("a2", api.Role_ROLE_AGENT, false)
-	use := func(peer *member.Peer, spare bool) {
-		a.message(peer, &api.Control{Body: &api.Control_Use{Use: &api.LinkUse{Spare: spare}}})
+	setSpare := func(peer *member.Peer, spare bool) {
+		a.handleMessage(peer, &api.Control{Body: &api.Control_Use{Use: &api.LinkUse{Spare: spare}}})
 	}
-	use(once, true)
-	use(moved, true)
-	use(moved, false)
-	if n := a.entries(state); n != 2 {
+	setSpare(ticketOnly, true)
+	setSpare(moved, true)
+	setSpare(moved, false)
+	if n := a.countEntries(state); n != 2 {
 		t.Errorf("%d entries, want 2", n)
 	}
 	delete(state.Peers, "e3")
 	a.peersChanged(state)
-	if len(a.spare) != 1 {
-		t.Errorf("%d links remembered, want that of e2", len(a.spare))
+	if len(a.spareLinks) != 1 {
+		t.Errorf("%d links remembered, want that of e2", len(a.spareLinks))
 	}
 }
--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -18,11 +18,11 @@
 
 func newRegistry() metrics.Registry { return metrics.NewRegistry() }
 
-// mint makes a ticket of the executor's agent.
-func mint(t *testing.T, e *executor) *api.Ticket {
+// mintTicket makes a ticket of the executor's agent.
+func mintTicket(t *testing.T, e *executor) *api.Ticket {
 	t.Helper()
 	minter := ticket.NewMinter()
-	minter.Add(clock.Now(), e.grant(clock.Now()))
+	minter.Add(clock.Now(), e.grantTickets(clock.Now()))
 	minted, ok := minter.Mint(clock.Now(), e.vm, "c")
 	if !ok {
 		t.Fatal("no ticket")
@@ -30,7 +30,7 @@
 	return minted
 }
 
-func push(ticket *api.Ticket) *api.Work {
+func pushWork(ticket *api.Ticket) *api.Work {
 	return &api.Work{
 		RequestId:  "r",
 		Kind:       api.WorkKind_WORK_CALL,
@@ -44,8 +44,8 @@
 	}
 }
 
-// end waits for the end of a job's answer and returns its refusal, if any.
-func end(t *testing.T, e *executor, j *job) *api.Refusal {
+// awaitEnd waits for the awaitEnd of a job's answer and returns its refusal, if any.
+func awaitEnd(t *testing.T, e *executor, j *job) *api.Refusal {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
 	for time.Now().Before(limit) {
@@ -76,17 +76,17 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
-	first, refused := e.take(push(minted))
+	minted := mintTicket(t, e)
+	first, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	second, refused := e.take(push(minted))
+	second, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	close(hold)
-	if first != second || end(t, e, first) != nil || runs.Load() != 1 {
+	if first != second || awaitEnd(t, e, first) != nil || runs.Load() != 1 {
 		t.Errorf("same job %v, %d runs", first == second, runs.Load())
 	}
 	event, _ := first.buffer.Next(answer.From(1))
@@ -110,24 +110,24 @@
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 1, ColdLimit: 1, Queue: 4})
 	var refusing atomic.Int32 // OK
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode(refusing.Load()) }
-	if _, refused := e.take(push(mint(t, e))); refused != nil {
+	if _, refused := e.accept(pushWork(mintTicket(t, e))); refused != nil {
 		t.Fatal(refused)
 	}
-	waiting := mint(t, e)
-	j, refused := e.take(push(waiting))
+	waiting := mintTicket(t, e)
+	j, refused := e.accept(pushWork(waiting))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	refusing.Store(int32(api.ResultCode_OUT_OF_SERVICE))
-	e.pump(clock.Now())
-	got := end(t, e, j)
+	e.dispatch(clock.Now())
+	got := awaitEnd(t, e, j)
 	if got.GetCode() != api.ResultCode_OUT_OF_SERVICE || got.GetRan() != api.Ran_RAN_NO {
 		t.Errorf("the waiting push got %v", got)
 	}
 	refusing.Store(int32(api.ResultCode_OK))
-	again, refused := e.take(push(waiting))
+	again, refused := e.accept(pushWork(waiting))
 	if refused == nil {
-		refused = end(t, e, again)
+		refused = awaitEnd(t, e, again)
 	}
 	if refused.GetRan() != api.Ran_RAN_NO {
 		t.Errorf("the same ticket later got %v", refused)
@@ -147,11 +147,11 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
+	minted := mintTicket(t, e)
 	for range 3 {
-		j, refused := e.take(push(minted))
+		j, refused := e.accept(pushWork(minted))
 		if refused == nil {
-			refused = end(t, e, j)
+			refused = awaitEnd(t, e, j)
 		}
 		if refused.GetRan() != api.Ran_RAN_UNKNOWN {
 			t.Errorf("got %v, want unknown", refused)
@@ -169,18 +169,18 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8})
-	var looks atomic.Int32
+	var checks atomic.Int32
 	e.refusing = func(time.Duration) api.ResultCode {
-		if looks.Add(1) == 1 {
+		if checks.Add(1) == 1 {
 			return api.ResultCode_OK
 		}
 		return api.ResultCode_ISOLATED
 	}
-	j, refused := e.take(push(mint(t, e)))
+	j, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	if got := end(t, e, j); got.GetRan() != api.Ran_RAN_NO || runs.Load() != 0 {
+	if got := awaitEnd(t, e, j); got.GetRan() != api.Ran_RAN_NO || runs.Load() != 0 {
 		t.Errorf("got %v after %d runs", got, runs.Load())
 	}
 }
@@ -196,21 +196,21 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2, Queue: 4})
-	e.asked = false
-	if _, refused := e.take(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c"}); refused.GetCode() != api.ResultCode_STARTING {
+	e.runningKnown = false
+	if _, refused := e.accept(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c"}); refused.GetCode() != api.ResultCode_STARTING {
 		t.Errorf("work before the question was answered got %v", refused)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = e.adopt(ctx) }()
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 3 })
+	go func() { _ = e.adoptRunning(ctx) }()
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 3 })
 	list.Store(`{"ids":["c","new"]}`)
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 1 })
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 1 })
 	list.Store(`{"ids":["new"]}`)
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 0 })
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 0 })
 }
 
-func await(t *testing.T, done func() bool) {
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		if done() {
@@ -223,38 +223,38 @@
 // The service closes without an answer, so nobody knows whether the push ran. The
 // caller hears "unknown"; then room is needed, and the record of it is let go of. The
 // caller asks again and must not hear "it ran", or the store keeps the old price.
-func TestUnknownStaysUnknownWhenLetGoOf(t *testing.T) {
-	for _, swept := range []bool{false, true} {
+func TestUnknownOutcomeSurvivesEviction(t *testing.T) {
+	for _, evicted := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}))
 		defer server.Close()
 		e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-		minted := mint(t, e)
-		j, refused := e.take(push(minted))
+		minted := mintTicket(t, e)
+		j, refused := e.accept(pushWork(minted))
 		if refused != nil {
 			t.Fatal(refused)
 		}
-		if refused := end(t, e, j); refused.GetRan() != api.Ran_RAN_UNKNOWN {
+		if refused := awaitEnd(t, e, j); refused.GetRan() != api.Ran_RAN_UNKNOWN {
 			t.Fatalf("the first answer is %v", refused)
 		}
 		e.mu.Lock()
 		e.answers.Delivered(j.buffer)
 		e.answers = answer.NewStore(1<<20, time.Minute)
-		if !swept {
+		if !evicted {
 			delete(e.jobs, j.buffer.ID)
 		}
 		e.mu.Unlock()
 		e.housekeeping(clock.Now())
-		if _, refused := e.take(push(minted)); refused.GetRan() != api.Ran_RAN_UNKNOWN {
-			t.Errorf("swept %v: the second answer is %v", swept, refused)
+		if _, refused := e.accept(pushWork(minted)); refused.GetRan() != api.Ran_RAN_UNKNOWN {
+			t.Errorf("swept %v: the second answer is %v", evicted, refused)
 		}
 	}
 }
 
 // An engine tells of its prefix cache late and with gaps. What came in is told to the
 // entries for a second and then no more; an engine without the interface is asked once.
-func TestReportsTellNewPrefixes(t *testing.T) {
+func TestReportsIncludeNewPrefixes(t *testing.T) {
 	var asked atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
@@ -271,15 +271,15 @@
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go e.watchPrefixes(ctx)
-	await(t, func() bool {
-		told := e.status(clock.Now()).GetPrefixes()
-		return len(told) == 2 && told[0] == 7 && told[1] == 9
+	go e.pollPrefixes(ctx)
+	waitUntil(t, func() bool {
+		reported := e.status(clock.Now()).GetPrefixes()
+		return len(reported) == 2 && reported[0] == 7 && reported[1] == 9
 	})
-	await(t, func() bool { return len(e.status(clock.Now()).GetPrefixes()) == 0 })
+	waitUntil(t, func() bool { return len(e.status(clock.Now()).GetPrefixes()) == 0 })
 	other := testExecutor(t, server.URL+"/none", &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	before := asked.Load()
-	other.watchCold(ctx)
+	other.pollCold(ctx)
 	if n := asked.Load() - before; n < 1 || other.limiter.IsBackingOff(clock.Now()) {
 		t.Errorf("asked %d times", n)
 	}
@@ -288,33 +288,33 @@
 // A ticket names an agent. Shown with a call of another service, or with a completion, the
 // entry sends the request to that agent; its backend server would be asked what it is not
 // for. It must be refused, and the ticket stays good for its own service.
-func TestOnlyItsOwnServiceIsAsked(t *testing.T) {
+func TestTicketOfAnotherServiceIsRefused(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
-	other, completion := push(minted), push(minted)
+	minted := mintTicket(t, e)
+	other, completion := pushWork(minted), pushWork(minted)
 	other.Service = "deposits"
 	completion.Kind, completion.Model = api.WorkKind_WORK_COMPLETION, "m"
-	unticketed := push(nil)
+	unticketed := pushWork(nil)
 	unticketed.Service = "deposits"
 	for _, work := range []*api.Work{other, completion, unticketed} {
-		if _, refused := e.take(work); refused.GetRan() != api.Ran_RAN_NO {
+		if _, refused := e.accept(work); refused.GetRan() != api.Ran_RAN_NO {
 			t.Errorf("%v: %v", work, refused)
 		}
 	}
-	j, refused := e.take(push(minted))
+	j, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	if refused := end(t, e, j); refused != nil || runs.Load() != 1 {
+	if refused := awaitEnd(t, e, j); refused != nil || runs.Load() != 1 {
 		t.Errorf("%v after %d runs", refused, runs.Load())
 	}
 }
 
 // An operator looks for a request by its id in the dump of the agent that had it.
-func TestTheJournalTellsWhatBecameOfARequest(t *testing.T) {
+func TestJournalRecordsOutcomes(t *testing.T) {
 	status := atomic.Int32{}
 	status.Store(http.StatusOK)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(int(status.Load())) }))
@@ -325,11 +325,11 @@
 	}
 	for id, code := range map[string]int{"good": http.StatusOK, "bad": http.StatusInternalServerError} {
 		status.Store(int32(code))
-		j, refused := e.take(work(id))
+		j, refused := e.accept(work(id))
 		if refused != nil {
 			t.Fatal(refused)
 		}
-		end(t, e, j)
+		awaitEnd(t, e, j)
 	}
 	limit := time.Now().Add(5 * time.Second)
 	dump := e.journal.Dump(clock.Now())
@@ -348,17 +348,17 @@
 // A full agent refuses thousands of requests a second, and entries send large prompts.
 // Neither the refused requests nor the bodies of those that have ended may fill the
 // memory until the time for which answers are kept is over.
-func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
+func TestEndedRequestsFreeMemory(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 1, ColdLimit: 1, Queue: 0})
-	running, refused := e.take(push(mint(t, e)))
+	running, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	for range 100 {
-		if _, refused := e.take(push(nil)); refused.GetRan() != api.Ran_RAN_NO {
+		if _, refused := e.accept(pushWork(nil)); refused.GetRan() != api.Ran_RAN_NO {
 			t.Fatal("a full agent takes work")
 		}
 	}
@@ -366,7 +366,7 @@
 		t.Errorf("%d answers are held", held)
 	}
 	close(hold)
-	end(t, e, running)
+	awaitEnd(t, e, running)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(running.work.GetBody()) > 0 {
@@ -377,30 +377,30 @@
 // The backend server turns cold with its places full and two requests waiting: a draft,
 // and a push with a ticket. The draft's entry hears "not run" at once and places it
 // elsewhere; the push, which may run nowhere else, keeps its place.
-func TestTurningColdGivesBackWhatMayRunElsewhere(t *testing.T) {
+func TestTurningColdRefusesQueuedRepeatableWork(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer server.Close()
 	defer close(hold)
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 4, ColdLimit: 4, Queue: 4})
 	for range 4 {
-		if _, refused := e.take(push(nil)); refused != nil {
+		if _, refused := e.accept(pushWork(nil)); refused != nil {
 			t.Fatal(refused)
 		}
 	}
-	ticketed, refused := e.take(push(mint(t, e)))
+	ticketed, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	draft, refused := e.take(push(nil))
+	draft, refused := e.accept(pushWork(nil))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	e.mu.Lock()
 	e.limiter.Adopt(5)
 	e.mu.Unlock()
-	e.pump(clock.Now())
-	if got := end(t, e, draft); got.GetCode() != api.ResultCode_COLD || got.GetRan() != api.Ran_RAN_NO {
+	e.dispatch(clock.Now())
+	if got := awaitEnd(t, e, draft); got.GetCode() != api.ResultCode_COLD || got.GetRan() != api.Ran_RAN_NO {
 		t.Errorf("the waiting draft got %v", got)
 	}
 	e.mu.Lock()
--- a/internal/agent/group.go
+++ b/internal/agent/group.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// groupTick is the time between looks at the clock and at the engine's step.
-	groupTick = 50 * time.Millisecond
-	// engineNumber is the one engine behind an agent.
-	engineNumber = 0
-	// taskQueue bounds what waits for the engine; the state machines ask again for
+	// groupTickInterval is the time between looks at the clock and at the engine's step.
+	groupTickInterval = 50 * time.Millisecond
+	// engineIndex is the one engine behind an agent.
+	engineIndex = 0
+	// maxQueuedTasks bounds what waits for the engine; the state machines ask again for
 	// what is lost with a connection.
-	taskQueue = 256
+	maxQueuedTasks = 256
 )
 
 // group runs the agent's part of one expert-parallel group, and the coordinator's on
@@ -33,24 +33,24 @@
 	settings *api.Group
 	self     *api.Hello
 	node     *member.Node
-	giver    *giver
+	engine   *engineClient
 	backend  *backend
 	logger   log.Logger
 
 	events chan func()
 	tasks  chan task
 
-	agent       *expertmap.Agent
-	coordinator *expertmap.Coordinator
-	maps        *maps
-	rebalancer  *rebalancer // nil where experts are left to the engines
-	lastMap     uint64      // the map that the engine holds, for what a load must fetch
-	loading     uint64      // the map that was last asked for
-	loaders     map[uint64]bool
-	connections uint64 // to the engine, so far
-	members     []string
-	started     bool
-	seenStep    uint64
+	agent           *expertmap.Agent
+	coordinator     *expertmap.Coordinator
+	placements      *placementSet
+	rebalancer      *rebalancer // nil where experts are left to the engines
+	loadedMap       uint64      // the map that the engine holds, for what a load must fetch
+	requestedMap    uint64      // the map that was last asked for
+	activeLoads     map[uint64]bool
+	connectionCount uint64 // to the engine, so far
+	members         []string
+	started         bool
+	engineStep      uint64
 	// publish shows the coordinator's status to the agent's reports.
 	publish func(*api.GroupStatus)
 }
@@ -64,16 +64,16 @@
 func newGroup(a *agent) *group {
 	settings := a.settings.GetGroup()
 	g := &group{
-		settings: settings,
-		self:     a.self,
-		node:     a.node,
-		giver:    newGiver(a.settings.GetBackend().GetUrl(), a.self.GetIncarnation()),
-		backend:  a.executor.backend,
-		logger:   a.logger,
-		events:   make(chan func(), 1024),
-		loaders:  make(map[uint64]bool),
-		tasks:    make(chan task, taskQueue),
-		publish:  a.groupStatus.Store,
+		settings:    settings,
+		self:        a.self,
+		node:        a.node,
+		engine:      newEngineClient(a.settings.GetBackend().GetUrl(), a.self.GetIncarnation()),
+		backend:     a.executor.backend,
+		logger:      a.logger,
+		events:      make(chan func(), 1024),
+		activeLoads: make(map[uint64]bool),
+		tasks:       make(chan task, maxQueuedTasks),
+		publish:     a.groupStatus.Store,
 		agent: expertmap.NewAgent(expertmap.AgentConfig{
 			Group:       settings.GetName(),
 			VM:          a.self.GetVm(),
@@ -81,7 +81,7 @@
 			Engines:     1,
 		}),
 	}
-	g.maps = newMaps(settings)
+	g.placements = newPlacementSet(settings)
 	if settings.GetFirstRank() == 0 {
 		g.coordinator = expertmap.NewCoordinator(expertmap.CoordinatorConfig{
 			Group:       settings.GetName(),
@@ -93,9 +93,9 @@
 	return g
 }
 
-// dials says that of two agents of a group, the one whose name comes first opens the
+// shouldDial says that of two agents of a group, the one whose name comes first opens the
 // link.
-func (g *group) dials(vm platform.VM) bool {
+func (g *group) shouldDial(vm platform.VM) bool {
 	return vm.Role == platform.RoleBackend && vm.Group == g.settings.GetName() && vm.ID > g.self.GetVm()
 }
 
@@ -104,11 +104,11 @@
 	go g.serveEngine(ctx)
 	if g.settings.GetExperts() > 0 {
 		if g.coordinator != nil {
-			g.rebalancer = newRebalancer(g.maps, g.logger)
+			g.rebalancer = newRebalancer(g.placements, g.logger)
 		}
-		go g.watchExperts(ctx)
+		go g.pollExperts(ctx)
 	}
-	ticker := time.NewTicker(groupTick)
+	ticker := time.NewTicker(groupTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -131,11 +131,11 @@
 	}
 }
 
-// message takes a message of another agent; it must not wait, since it comes from the
-// member's control goroutine. A message lost to a full queue is sent again.
-func (g *group) message(m *api.GroupMessage) {
+// handleMessage takes a handleMessage of another agent; it must not wait, since it comes from the
+// member's control goroutine. A handleMessage lost to a full queue is sent again.
+func (g *group) handleMessage(m *api.GroupMessage) {
 	select {
-	case g.events <- func() { g.deliver(m) }:
+	case g.events <- func() { g.dispatch(m) }:
 	default:
 	}
 }
@@ -153,19 +153,19 @@
 
 // forgetOldMaps keeps the placements that are loaded, being loaded, held or planned.
 func (g *group) forgetOldMaps() {
-	used := map[uint64]bool{g.lastMap: true, g.loading: true}
+	usedVersions := map[uint64]bool{g.loadedMap: true, g.requestedMap: true}
 	status := g.agent.Status()
 	for _, r := range append(status.Acked, status.Given...) {
-		used[r.Map] = true
+		usedVersions[r.Map] = true
 	}
 	if g.coordinator != nil {
 		status := g.coordinator.Status()
-		used[status.Target] = true
+		usedVersions[status.Target] = true
 		for _, r := range status.Plan {
-			used[r.Map] = true
+			usedVersions[r.Map] = true
 		}
 	}
-	g.maps.keepOnly(used)
+	g.placements.retain(usedVersions)
 }
 
 // updateMembers takes the group's VMs from the platform's list. Ranges are planned
@@ -178,8 +178,8 @@
 		}
 	}
 	slices.Sort(members)
-	whole := int64(len(members))*g.settings.GetRanks() == g.settings.GetSize()
-	if !whole || slices.Equal(members, g.members) {
+	complete := int64(len(members))*g.settings.GetRanks() == g.settings.GetSize()
+	if !complete || slices.Equal(members, g.members) {
 		return
 	}
 	g.members = members
@@ -203,13 +203,13 @@
 			return
 		}
 		for range ready.Reads {
-			g.queue(task{read: true})
+			g.queueTask(task{read: true})
 		}
 		for _, order := range ready.Orders {
-			g.queue(task{order: &order})
+			g.queueTask(task{order: &order})
 		}
 		for _, load := range ready.Loads {
-			g.loading = load.Map
+			g.requestedMap = load.Map
 			g.startLoad(ctx, load.Map)
 		}
 		for _, envelope := range messages {
@@ -218,20 +218,20 @@
 	}
 }
 
-// queue hands a task to the engine's goroutine. A full queue means an engine that does
+// queueTask hands a task to the engine's goroutine. A full queueTask means an engine that does
 // not answer: its connection is given up, and all begins again with the read.
-func (g *group) queue(t task) {
+func (g *group) queueTask(t task) {
 	select {
 	case g.tasks <- t:
 	default:
-		g.giver.disconnect()
+		g.engine.disconnect()
 	}
 }
 
 func (g *group) send(e expertmap.Envelope) {
-	g.attach(e.Message)
+	g.attachMaps(e.Message)
 	if e.To == g.self.GetVm() {
-		g.deliver(e.Message)
+		g.dispatch(e.Message)
 		return
 	}
 	if peer, ok := g.node.State().Peers[e.To]; ok {
@@ -239,15 +239,15 @@
 	}
 }
 
-// deliver gives a message to the state machine that it is for.
-func (g *group) deliver(m *api.GroupMessage) {
-	g.detach(m)
+// dispatch gives a message to the state machine that it is for.
+func (g *group) dispatch(m *api.GroupMessage) {
+	g.storeMaps(m)
 	switch m.GetBody().(type) {
 	case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
 		g.agent.HandleMessage(m)
 	case *api.GroupMessage_Ranks:
 		if g.rebalancer != nil {
-			g.rebalancer.ranks.take(m.GetFromVm(), m.GetRanks())
+			g.rebalancer.rankWork.addReport(m.GetFromVm(), m.GetRanks())
 		}
 	default:
 		if g.coordinator != nil {
@@ -259,22 +259,22 @@
 // serveEngine keeps one connection to the engine and does tasks over it in order.
 func (g *group) serveEngine(ctx context.Context) {
 	for ctx.Err() == nil {
-		state, err := g.giver.connect(ctx)
+		state, err := g.engine.connect(ctx)
 		if err != nil {
-			_ = g.logger.Log("level", "debug", "msg", "The engine's map could not be read.", "result", backendFailed, "err", err)
-			wait(ctx, giverRetry)
+			_ = g.logger.Log("level", "debug", "msg", "The engine's map could not be read.", "result", backendFailedLabel, "err", err)
+			sleep(ctx, engineRetryInterval)
 			continue
 		}
 		g.dropTasks()
 		g.post(ctx, func() {
-			g.connections++
-			g.agent.EngineUp(engineNumber)
-			g.wantFirst(state)
+			g.connectionCount++
+			g.agent.EngineUp(engineIndex)
+			g.adoptInitialMap(state)
 		})
 		err = g.serveConnection(ctx)
-		g.giver.disconnect()
-		_ = g.logger.Log("msg", "The connection to the engine has ended.", "result", backendFailed, "err", err)
-		g.post(ctx, func() { g.agent.EngineDown(engineNumber) })
+		g.engine.disconnect()
+		_ = g.logger.Log("msg", "The connection to the engine has ended.", "result", backendFailedLabel, "err", err)
+		g.post(ctx, func() { g.agent.EngineDown(engineIndex) })
 	}
 }
 
@@ -290,65 +290,65 @@
 }
 
 func (g *group) serveConnection(ctx context.Context) error {
-	ticker := time.NewTicker(groupTick)
+	ticker := time.NewTicker(groupTickInterval)
 	defer ticker.Stop()
 	for {
 		var err error
 		select {
 		case t := <-g.tasks:
-			err = g.do(ctx, t)
+			err = g.runTask(ctx, t)
 		case <-ticker.C:
-			err = g.poll(ctx)
+			err = g.reportStep(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		if err != nil {
 			return err
 		}
-		if !g.giver.connected() {
-			return errNewConnection
+		if !g.engine.isConnected() {
+			return errConnectionEnded
 		}
 	}
 }
 
-func (g *group) do(ctx context.Context, t task) error {
+func (g *group) runTask(ctx context.Context, t task) error {
 	if t.order != nil {
-		return g.give(ctx, *t.order)
+		return g.sendOrder(ctx, *t.order)
 	}
-	state, err := g.giver.read(ctx)
+	state, err := g.engine.readState(ctx)
 	if err != nil {
 		return err
 	}
-	g.post(ctx, func() { g.agent.EngineStateRead(engineNumber, state.state()) })
+	g.post(ctx, func() { g.agent.EngineStateRead(engineIndex, state.engineState()) })
 	return nil
 }
 
-func (g *group) give(ctx context.Context, order expertmap.Order) error {
-	err := g.giver.give(ctx, order)
+func (g *group) sendOrder(ctx context.Context, order expertmap.Order) error {
+	err := g.engine.sendOrder(ctx, order)
 	if errors.Is(err, errOrderRefused) {
-		state, err := g.giver.read(ctx)
+		state, err := g.engine.readState(ctx)
 		if err != nil {
 			return err
 		}
-		g.post(ctx, func() { g.agent.OrderRefused(engineNumber, state.Fence) })
+		g.post(ctx, func() { g.agent.OrderRefused(engineIndex, state.Fence) })
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	g.post(ctx, func() { g.agent.OrderDone(engineNumber, order) })
+	g.post(ctx, func() { g.agent.OrderDone(engineIndex, order) })
 	return nil
 }
 
-// poll tells the state machines how far the engine has come.
-func (g *group) poll(ctx context.Context) error {
-	state, err := g.giver.read(ctx)
+// reportStep tells the state machines how far the engine has come.
+func (g *group) reportStep(ctx context.Context) error {
+	state, err := g.engine.readState(ctx)
 	if err != nil {
 		return err
 	}
 	g.post(ctx, func() {
-		g.agent.SetEngineStep(engineNumber, state.Step)
-		g.seenStep = state.Step
+		g.agent.SetEngineStep(engineIndex, state.Step)
+		g.engineStep = state.Step
 		if g.coordinator != nil {
 			g.coordinator.SetStep(clock.Now(), state.Step)
 		}
@@ -356,20 +356,20 @@
 	return nil
 }
 
-// wantFirst makes the map that the engine came with the group's first.
-func (g *group) wantFirst(state *engineMap) {
+// adoptInitialMap makes the map that the engine came with the group's first.
+func (g *group) adoptInitialMap(state *engineMap) {
 	if g.coordinator == nil || len(state.Loaded) == 0 || g.coordinator.Status().Target != 0 {
 		return
 	}
-	first := state.Loaded[0]
+	initial := state.Loaded[0]
 	if n := len(state.Given); n > 0 {
-		first = state.Given[n-1].MapVersion
+		initial = state.Given[n-1].MapVersion
 	}
-	g.coordinator.SetTarget(clock.Now(), first)
+	g.coordinator.SetTarget(clock.Now(), initial)
 }
 
-// mapLoad is the body of a request to load a map.
-type mapLoad struct {
+// mapLoadRequest is the body of a request to load a map.
+type mapLoadRequest struct {
 	Version uint64  `json:"version"`
 	Bytes   int64   `json:"bytes"`
 	Slots   []int32 `json:"slots,omitempty"`
@@ -391,7 +391,7 @@
 		}
 	}
 	if g.rebalancer != nil {
-		g.rebalancer.describe(status)
+		g.rebalancer.addRankStatus(status)
 	}
 	return status
 }
--- a/internal/agent/group_test.go
+++ b/internal/agent/group_test.go
@@ -15,22 +15,22 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// aloneGroup is an agent's part of a group, linked to nobody, before an engine at a URL.
-func aloneGroup(url string) *group {
+// newTestGroup is an agent's part of a group, linked to nobody, before an engine at a URL.
+func newTestGroup(url string) *group {
 	settings := &api.Group{Name: "g"}
 	self := &api.Hello{Vm: "b1"}
 	links := &api.Links{HeartbeatMs: 200, SuspectMs: 600, DeadMs: 1500, FreshnessMs: 2000}
 	return &group{
-		settings: settings,
-		self:     self,
-		node:     member.New(member.Options{Self: self, Links: links, Logger: discard{}}),
-		backend:  newBackend(url),
-		logger:   discard{},
-		maps:     newMaps(settings),
-		events:   make(chan func(), 8),
-		tasks:    make(chan task, taskQueue),
-		loaders:  make(map[uint64]bool),
-		agent:    expertmap.NewAgent(expertmap.AgentConfig{Group: "g", VM: "b1", Incarnation: "1", Engines: 1}),
+		settings:    settings,
+		self:        self,
+		node:        member.New(member.Options{Self: self, Links: links, Logger: discardLogger{}}),
+		backend:     newBackend(url),
+		logger:      discardLogger{},
+		placements:  newPlacementSet(settings),
+		events:      make(chan func(), 8),
+		tasks:       make(chan task, maxQueuedTasks),
+		activeLoads: make(map[uint64]bool),
+		agent:       expertmap.NewAgent(expertmap.AgentConfig{Group: "g", VM: "b1", Incarnation: "1", Engines: 1}),
 	}
 }
 
@@ -47,24 +47,24 @@
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g := aloneGroup(server.URL)
+	g := newTestGroup(server.URL)
 	for range 10 {
-		g.connections++
+		g.connectionCount++
 		g.startLoad(ctx, 7)
 	}
-	g.connections++
+	g.connectionCount++
 	time.Sleep(50 * time.Millisecond)
 	if n := loads.Load(); n != 1 {
 		t.Errorf("%d loads at once", n)
 	}
 	close(hold)
 	(<-g.events)()
-	if g.lastMap == 7 {
+	if g.loadedMap == 7 {
 		t.Error("a load for an engine that is gone counts")
 	}
 	(<-g.events)()
-	if g.lastMap != 7 || loads.Load() != 2 || len(g.loaders) != 0 {
-		t.Errorf("map %d after %d loads", g.lastMap, loads.Load())
+	if g.loadedMap != 7 || loads.Load() != 2 || len(g.activeLoads) != 0 {
+		t.Errorf("map %d after %d loads", g.loadedMap, loads.Load())
 	}
 }
 
@@ -74,7 +74,7 @@
 func TestLoadOfASupersededMapEnds(t *testing.T) {
 	var first, second atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var load mapLoad
+		var load mapLoadRequest
 		_ = json.NewDecoder(r.Body).Decode(&load)
 		if load.Version == 7 {
 			first.Add(1)
@@ -86,10 +86,10 @@
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g := aloneGroup(server.URL)
-	g.agent.EngineUp(engineNumber)
-	g.agent.EngineStateRead(engineNumber, expertmap.EngineState{})
-	want := func(ballot, version uint64) {
+	g := newTestGroup(server.URL)
+	g.agent.EngineUp(engineIndex)
+	g.agent.EngineStateRead(engineIndex, expertmap.EngineState{})
+	requestMap := func(ballot, version uint64) {
 		for _, m := range []*api.GroupMessage{
 			{Body: &api.GroupMessage_Seal{Seal: &api.Seal{Ballot: ballot}}},
 			{Body: &api.GroupMessage_Load{Load: &api.LoadMap{Ballot: ballot, Incarnation: "1", MapVersion: version}}},
@@ -105,15 +105,15 @@
 			g.process(ctx)
 		}
 	}
-	want(1, 7)
+	requestMap(1, 7)
 	failures(1)
-	if first.Load() == 0 || !g.loaders[7] {
+	if first.Load() == 0 || !g.activeLoads[7] {
 		t.Fatal("the map that is wanted is not tried again")
 	}
-	want(2, 8)
+	requestMap(2, 8)
 	failures(4)
-	if g.loaders[7] || !g.loaders[8] {
-		t.Errorf("loaders of %v, want 8 alone", g.loaders)
+	if g.activeLoads[7] || !g.activeLoads[8] {
+		t.Errorf("loaders of %v, want 8 alone", g.activeLoads)
 	}
 	if second.Load() < 2 {
 		t.Errorf("the map that is wanted now was tried %d times", second.Load())
--- a/internal/agent/inherit.go
+++ b/internal/agent/inherit.go
@@ -7,59 +7,59 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// inheritance is what the agent before this one had learned of the engine, until it is
+// inheritedBaseline is what the agent before this one had learned of the engine, until it is
 // sure that it is the same engine.
-type inheritance struct {
-	usual cold.WarmBaseline
-	// saysWarm and saidCold are the engine's own word, now and ever.
-	saysWarm, saidCold bool
+type inheritedBaseline struct {
+	baseline cold.WarmBaseline
+	// reportsWarm and everReportedCold are the engine's own word, now and ever.
+	reportsWarm, everReportedCold bool
 }
 
-// take hands the limiter what is known once the engine has said that it is warm.
+// applyTo hands the limiter what is known once the engine has said that it is warm.
 //
 // A VM that is replaced keeps its name, and what the entries kept was learned of another
 // engine, which may have been slower when warm than this one is in cold start. But a new
 // engine is in cold start and says so, where it says anything; only one that has worked
 // for the agent before says at once that it is warm. One that turned cold without a word
 // says it too, and is the same engine all the same.
-func (in *inheritance) take(l *cold.Limiter) {
-	if in.saysWarm && !in.saidCold {
-		l.Inherit(in.usual)
+func (b *inheritedBaseline) applyTo(l *cold.Limiter) {
+	if b.reportsWarm && !b.everReportedCold {
+		l.Inherit(b.baseline)
 	}
 }
 
 // inherit takes what an entry kept of the agent before this one.
-func (e *executor) inherit(usual *api.Usual) {
+func (e *executor) inherit(baseline *api.Usual) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.inheritance.usual = cold.WarmBaseline{
-		Latency:  microseconds(usual.GetLatencyUs()),
-		Gap:      microseconds(usual.GetGapUs()),
-		WorkTime: microseconds(usual.GetWorkUs()),
+	e.inherited.baseline = cold.WarmBaseline{
+		Latency:  microseconds(baseline.GetLatencyUs()),
+		Gap:      microseconds(baseline.GetGapUs()),
+		WorkTime: microseconds(baseline.GetWorkUs()),
 	}
-	e.inheritance.take(e.limiter)
+	e.inherited.applyTo(e.limiter)
 }
 
-// reported takes the engine's own word on whether it is cold.
-func (e *executor) reported(saysCold bool) {
+// setReportedCold takes the engine's own word on whether it is cold.
+func (e *executor) setReportedCold(isCold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.limiter.SetReportedCold(saysCold)
-	e.inheritance.saysWarm = !saysCold
-	e.inheritance.saidCold = e.inheritance.saidCold || saysCold
-	e.inheritance.take(e.limiter)
+	e.limiter.SetReportedCold(isCold)
+	e.inherited.reportsWarm = !isCold
+	e.inherited.everReportedCold = e.inherited.everReportedCold || isCold
+	e.inherited.applyTo(e.limiter)
 }
 
-// usual is what the entries keep for the agent after this one; nil until it is known.
-func usual(l *cold.Limiter) *api.Usual {
-	u := l.WarmBaseline()
-	if u.Latency == 0 {
+// warmBaseline is what the entries keep for the agent after this one; nil until it is known.
+func warmBaseline(l *cold.Limiter) *api.Usual {
+	baseline := l.WarmBaseline()
+	if baseline.Latency == 0 {
 		return nil
 	}
 	return &api.Usual{
-		LatencyUs: u.Latency.Microseconds(),
-		GapUs:     u.Gap.Microseconds(),
-		WorkUs:    u.WorkTime.Microseconds(),
+		LatencyUs: baseline.Latency.Microseconds(),
+		GapUs:     baseline.Gap.Microseconds(),
+		WorkUs:    baseline.WorkTime.Microseconds(),
 	}
 }
 
--- a/internal/agent/intake_test.go
+++ b/internal/agent/intake_test.go
@@ -43,7 +43,7 @@
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 8, Queue: 4})
 	work := &api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c", Method: "POST", Path: "/", DeadlineMs: 20_000}
-	j, refused := e.take(work)
+	j, refused := e.accept(work)
 	if refused != nil {
 		t.Fatal(refused)
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	close(step)
-	if refused := end(t, e, j); refused != nil {
+	if refused := awaitEnd(t, e, j); refused != nil {
 		t.Error(refused)
 	}
 }
--- a/internal/agent/loads.go
+++ b/internal/agent/loads.go
@@ -14,245 +14,245 @@
 )
 
 const (
-	// orderPoll is the time between looks at what still runs while an order waits.
-	orderPoll = 20 * time.Millisecond
-	// orderRetry is the wait after an order that failed, doubled up to orderRetryMax:
+	// orderPollInterval is the time between looks at what still runs while an order waits.
+	orderPollInterval = 20 * time.Millisecond
+	// orderBackoff is the wait after an order that failed, doubled up to orderRetryMax:
 	// a weight store that is overloaded must not be asked without a pause.
-	orderRetry    = 200 * time.Millisecond
-	orderRetryMax = 10 * time.Second
+	orderBackoff    = 200 * time.Millisecond
+	maxOrderBackoff = 10 * time.Second
 )
 
-// loads is what the engine has loaded and the order that it is being brought to. The
+// modelState is what the engine has loaded and the order that it is being brought to. The
 // executor's lock guards it.
-type loads struct {
-	start    held // by the settings
-	version  string
-	adapters []string
-	// newest is the highest fencing number of an order taken.
-	newest int64
+type modelState struct {
+	configured loadedModel // by the settings
+	version    string
+	adapters   []string
+	// newestFence is the highest fencing number of an order taken.
+	newestFence int64
 	// order is under way; nil for none.
 	order *api.LoadOrder
-	// begun tells carryOut of an order.
-	begun chan struct{}
-	// changes counts the orders that began or ended: an answer of the engine from
+	// orderArrived tells carryOut of an order.
+	orderArrived chan struct{}
+	// orderChanges counts the orders that began or ended: an answer of the engine from
 	// before one is not taken for later.
-	changes uint64
-	// fixed says that the engine takes no orders.
-	fixed bool
+	orderChanges uint64
+	// takesNoOrders says that the engine takes no orders.
+	takesNoOrders bool
 }
 
-func newLoads(settings *api.Backend) loads {
-	start := held{Version: settings.GetModelVersion(), Adapters: settings.GetAdapters()}
-	return loads{start: start, version: start.Version, adapters: start.Adapters, newest: -1, begun: make(chan struct{}, 1)}
+func newModelState(settings *api.Backend) modelState {
+	configured := loadedModel{Version: settings.GetModelVersion(), Adapters: settings.GetAdapters()}
+	return modelState{configured: configured, version: configured.Version, adapters: configured.Adapters, newestFence: -1, orderArrived: make(chan struct{}, 1)}
 }
 
-// takeOrder begins an order, or puts a newer one in the place of that under way.
+// acceptOrder begins an order, or puts a newer one in the place of that under way.
 //
 // The fence is the offset of the uses list that the sender went by. The log gives one
 // order to all lists, so that an order of an entry that is behind, or one that sat in a
 // silent link, is known as old: here by the list that this agent has applied, and at the
 // engine, if it checks, by the orders that it has had.
-func (e *executor) takeOrder(order *api.LoadOrder, applied int64) {
+func (e *executor) acceptOrder(order *api.LoadOrder, applied int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := &e.loads
-	if order.GetFence() < max(applied, l.newest) || order.GetModel() != e.settings.GetModel() || l.fixed {
+	m := &e.model
+	if order.GetFence() < max(applied, m.newestFence) || order.GetModel() != e.settings.GetModel() || m.takesNoOrders {
 		return
 	}
-	if l.order.GetFence() == order.GetFence() && l.order != nil {
+	if m.order.GetFence() == order.GetFence() && m.order != nil {
 		return // It comes again until a report tells of it.
 	}
-	l.newest = order.GetFence()
-	if l.order == nil && wantOf(order).IsMetBy(l.version, l.adapters) {
+	m.newestFence = order.GetFence()
+	if m.order == nil && targetOf(order).IsMetBy(m.version, m.adapters) {
 		return
 	}
-	l.order = order
-	l.changes++
+	m.order = order
+	m.orderChanges++
 	e.loading.Store(true)
 	select {
-	case l.begun <- struct{}{}:
+	case m.orderArrived <- struct{}{}:
 	default: // carryOut has yet to see that an earlier one began.
 	}
 	_ = e.logger.Log("msg", "The engine is to load another version.", "version", order.GetVersion(), "fence", order.GetFence())
 }
 
-func wantOf(order *api.LoadOrder) rollout.Target {
+func targetOf(order *api.LoadOrder) rollout.Target {
 	return rollout.Target{Version: order.GetVersion(), Adapters: order.GetAdapters(), Fence: order.GetFence()}
 }
 
-// carryOut brings the engine to one order after another.
-func (e *executor) carryOut(ctx context.Context) error {
-	retry := orderRetry
+// runOrders brings the engine to one order after another.
+func (e *executor) runOrders(ctx context.Context) error {
+	backoff := orderBackoff
 	for ctx.Err() == nil {
-		order, quiet := e.pending()
+		order, isDrained := e.pendingOrder()
 		switch {
 		case order == nil:
 			select {
-			case <-e.loads.begun:
+			case <-e.model.orderArrived:
 			case <-ctx.Done():
 			}
 			continue
-		case !quiet:
-			wait(ctx, orderPoll)
+		case !isDrained:
+			sleep(ctx, orderPollInterval)
 			continue
 		}
-		err := e.bring(ctx, order)
+		err := e.applyOrder(ctx, order)
 		switch {
-		case err == nil, errors.Is(err, errOldFence), errors.Is(err, errMissing):
-			e.orderEnded(order, err)
-			retry = orderRetry
+		case err == nil, errors.Is(err, errStaleFence), errors.Is(err, errUnsupported):
+			e.finishOrder(order, err)
+			backoff = orderBackoff
 		default:
 			// The order stands, and the engine gets no work: while it fails it
 			// counts as away, which holds up the rollout before it takes down more.
-			_ = e.logger.Log("msg", "The engine could not load what was ordered.", "result", backendFailed, "version", order.GetVersion(), "fence", order.GetFence(), "err", err)
-			e.awaitRetry(ctx, order, retry)
-			retry = min(2*retry, orderRetryMax)
+			_ = e.logger.Log("msg", "The engine could not load what was ordered.", "result", backendFailedLabel, "version", order.GetVersion(), "fence", order.GetFence(), "err", err)
+			e.awaitOrderBackoff(ctx, order, backoff)
+			backoff = min(2*backoff, maxOrderBackoff)
 		}
 	}
 	return ctx.Err()
 }
 
-// pending returns the order under way, and whether nothing runs at the engine any more.
+// pendingOrder returns the order under way, and whether nothing runs at the engine any more.
 // Work that was decided on before the order began is counted as running by then, and
 // looks at refusing again before it is sent.
-func (e *executor) pending() (*api.LoadOrder, bool) {
+func (e *executor) pendingOrder() (*api.LoadOrder, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.loads.order, e.loads.order != nil && e.asked && e.limiter.Running() == 0
+	return e.model.order, e.model.order != nil && e.runningKnown && e.limiter.Running() == 0
 }
 
-// bring gives the engine the orders it lacks. What it holds is asked first: an earlier
+// applyOrder gives the engine the orders it lacks. What it holds is asked first: an earlier
 // order, whose answer was lost, may have been carried out.
-func (e *executor) bring(ctx context.Context, order *api.LoadOrder) error {
-	has, err := e.holds(ctx)
+func (e *executor) applyOrder(ctx context.Context, order *api.LoadOrder) error {
+	loaded, err := e.queryLoaded(ctx)
 	if err != nil {
 		return err
 	}
-	give := engineOrder{Fence: order.GetFence(), Kind: orderModel, Model: order.GetModel(), Version: order.GetVersion()}
-	if order.GetVersion() != "" && has.Version != order.GetVersion() {
+	request := engineOrder{Fence: order.GetFence(), Kind: orderModel, Model: order.GetModel(), Version: order.GetVersion()}
+	if order.GetVersion() != "" && loaded.Version != order.GetVersion() {
 		// Adapters belong to the version that they were loaded for.
-		if err := e.give(ctx, give, has, held{Version: order.GetVersion()}); err != nil {
+		if err := e.sendOrder(ctx, request, loaded, loadedModel{Version: order.GetVersion()}); err != nil {
 			return err
 		}
-		has = held{Version: order.GetVersion()}
+		loaded = loadedModel{Version: order.GetVersion()}
 	}
-	give.Kind = orderAdapter
+	request.Kind = orderAdapter
 	for _, adapter := range order.GetAdapters() {
-		if slices.Contains(has.Adapters, adapter) {
+		if slices.Contains(loaded.Adapters, adapter) {
 			continue
 		}
-		give.Adapter = adapter
-		with := held{Version: has.Version, Adapters: append(slices.Clone(has.Adapters), adapter)}
-		if err := e.give(ctx, give, has, with); err != nil {
+		request.Adapter = adapter
+		extended := loadedModel{Version: loaded.Version, Adapters: append(slices.Clone(loaded.Adapters), adapter)}
+		if err := e.sendOrder(ctx, request, loaded, extended); err != nil {
 			return err
 		}
-		has = with
+		loaded = extended
 	}
-	e.setHeld(has)
+	e.setLoaded(loaded)
 	return nil
 }
 
-// give gives one order. Until it is known to have been carried out nobody knows what the
+// sendOrder gives one order. Until it is known to have been carried out nobody knows what the
 // engine holds: a failed order may have been carried out, and an engine that does not
 // tell what it holds would be taken for one that still has the old version.
-func (e *executor) give(ctx context.Context, order engineOrder, before, after held) error {
-	e.setHeld(held{})
-	err := e.backend.order(ctx, order)
+func (e *executor) sendOrder(ctx context.Context, order engineOrder, before, after loadedModel) error {
+	e.setLoaded(loadedModel{})
+	err := e.backend.sendOrder(ctx, order)
 	switch {
 	case err == nil:
-		e.setHeld(after)
-	case errors.Is(err, errOldFence), errors.Is(err, errMissing):
-		e.setHeld(before)
+		e.setLoaded(after)
+	case errors.Is(err, errStaleFence), errors.Is(err, errUnsupported):
+		e.setLoaded(before)
 	}
 	return err
 }
 
-func (e *executor) setHeld(has held) {
+func (e *executor) setLoaded(loaded loadedModel) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loads.version = has.Version
-	e.loads.adapters = slices.Clone(has.Adapters)
+	e.model.version = loaded.Version
+	e.model.adapters = slices.Clone(loaded.Adapters)
 }
 
-// holds asks the engine what it has. One that does not tell has what the settings say
+// queryLoaded asks the engine what it has. One that does not tell has what the settings say
 // or was last loaded here.
-func (e *executor) holds(ctx context.Context) (held, error) {
-	has, err := e.backend.holds(ctx)
+func (e *executor) queryLoaded(ctx context.Context) (loadedModel, error) {
+	loaded, err := e.backend.queryLoaded(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case errors.Is(err, errMissing):
-		return held{Version: e.loads.version, Adapters: slices.Clone(e.loads.adapters)}, nil
-	case err == nil && has.Version == "":
+	case errors.Is(err, errUnsupported):
+		return loadedModel{Version: e.model.version, Adapters: slices.Clone(e.model.adapters)}, nil
+	case err == nil && loaded.Version == "":
 		// It was started anew, or never had an order.
-		has.Version = e.loads.start.Version
-		has.Adapters = append(slices.Clone(e.loads.start.Adapters), has.Adapters...)
+		loaded.Version = e.model.configured.Version
+		loaded.Adapters = append(slices.Clone(e.model.configured.Adapters), loaded.Adapters...)
 	}
-	return has, err
+	return loaded, err
 }
 
-// orderEnded opens the agent for work again unless a newer order has come.
-func (e *executor) orderEnded(order *api.LoadOrder, err error) {
+// finishOrder opens the agent for work again unless a newer order has come.
+func (e *executor) finishOrder(order *api.LoadOrder, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := &e.loads
-	if errors.Is(err, errMissing) {
-		l.fixed = true
+	m := &e.model
+	if errors.Is(err, errUnsupported) {
+		m.takesNoOrders = true
 	} else {
 		// New weights: the engine's caches are empty whatever it says.
 		e.limiter.AssumeCold()
 	}
-	if errors.Is(err, errOldFence) {
+	if errors.Is(err, errStaleFence) {
 		// Tried again it would be refused again, and the engine be away each time.
-		l.newest = max(l.newest, order.GetFence()+1)
+		m.newestFence = max(m.newestFence, order.GetFence()+1)
 	}
-	l.changes++
-	if l.order != order && !l.fixed {
+	m.orderChanges++
+	if m.order != order && !m.takesNoOrders {
 		return
 	}
-	l.order = nil
+	m.order = nil
 	e.loading.Store(false)
-	ended := result.Label(api.ResultCode_OK)
+	outcome := result.Label(api.ResultCode_OK)
 	if err != nil {
-		ended = backendFailed
+		outcome = backendFailedLabel
 	}
-	_ = e.logger.Log("msg", "The order to load has ended.", "result", ended, "version", l.version, "fence", order.GetFence(), "err", err)
+	_ = e.logger.Log("msg", "The order to load has ended.", "result", outcome, "version", m.version, "fence", order.GetFence(), "err", err)
 }
 
-// awaitRetry waits, or until another order takes the place of the one that failed.
-func (e *executor) awaitRetry(ctx context.Context, order *api.LoadOrder, retry time.Duration) {
-	limit := clock.Now() + retry
-	for clock.Now() < limit && ctx.Err() == nil {
-		if now, _ := e.pending(); now != order {
+// awaitOrderBackoff waits, or until another order takes the place of the one that failed.
+func (e *executor) awaitOrderBackoff(ctx context.Context, order *api.LoadOrder, backoff time.Duration) {
+	until := clock.Now() + backoff
+	for clock.Now() < until && ctx.Err() == nil {
+		if current, _ := e.pendingOrder(); current != order {
 			return
 		}
-		wait(ctx, orderPoll)
+		sleep(ctx, orderPollInterval)
 	}
 }
 
-// watchVersion follows what the engine holds, which changes without an order when it is
+// pollLoaded follows what the engine holds, which changes without an order when it is
 // replaced, and is not what the settings say when this agent is.
-func (e *executor) watchVersion(ctx context.Context) {
+func (e *executor) pollLoaded(ctx context.Context) {
 	for ctx.Err() == nil {
-		before := e.loadChanges()
-		if has, err := e.holds(ctx); err == nil {
-			e.noteHeld(has, before)
+		before := e.orderChanges()
+		if loaded, err := e.queryLoaded(ctx); err == nil {
+			e.updateLoaded(loaded, before)
 		}
-		e.pace.wait(ctx)
+		e.pollPacer.waitNext(ctx)
 	}
 }
 
-func (e *executor) loadChanges() uint64 {
+func (e *executor) orderChanges() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.loads.changes
+	return e.model.orderChanges
 }
 
-func (e *executor) noteHeld(has held, before uint64) {
+func (e *executor) updateLoaded(loaded loadedModel, before uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loads.changes == before && e.loads.order == nil {
-		e.loads.version = has.Version
-		e.loads.adapters = has.Adapters
+	if e.model.orderChanges == before && e.model.order == nil {
+		e.model.version = loaded.Version
+		e.model.adapters = loaded.Adapters
 	}
 }
--- a/internal/agent/loads_test.go
+++ b/internal/agent/loads_test.go
@@ -17,7 +17,7 @@
 type fakeEngine struct {
 	mu     sync.Mutex
 	status int
-	held   *held // nil for an engine that does not tell
+	held   *loadedModel // nil for an engine that does not tell
 	orders []string
 }
 
@@ -37,32 +37,32 @@
 	}
 }
 
-func (f *fakeEngine) answer(status int) {
+func (f *fakeEngine) setStatus(status int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.status = status
 }
 
-func (f *fakeEngine) got() []string {
+func (f *fakeEngine) received() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.orders)
 }
 
-// loading returns an executor with version 1 before an engine.
-func loading(t *testing.T, engine *fakeEngine) *executor {
+// newLoadingExecutor returns an executor with version 1 before an engine.
+func newLoadingExecutor(t *testing.T, engine *fakeEngine) *executor {
 	t.Helper()
 	server := httptest.NewServer(engine)
 	t.Cleanup(server.Close)
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", ModelVersion: "1", ColdLimit: 2, FullLimit: 4})
-	e.asked = true
+	e.runningKnown = true
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go func() { _ = e.carryOut(ctx) }()
+	go func() { _ = e.runOrders(ctx) }()
 	return e
 }
 
-func orderOf(fence int64, version string, adapters ...string) *api.LoadOrder {
+func loadOrder(fence int64, version string, adapters ...string) *api.LoadOrder {
 	return &api.LoadOrder{Model: "m", Version: version, Adapters: adapters, Fence: fence}
 }
 
@@ -71,18 +71,18 @@
 // to nothing.
 func TestOrdersAreCarriedOutOnce(t *testing.T) {
 	engine := &fakeEngine{status: http.StatusOK}
-	e := loading(t, engine)
-	e.takeOrder(orderOf(4, "0"), 5)
-	e.takeOrder(orderOf(5, "2", "x", "y"), 5)
-	e.takeOrder(orderOf(5, "2", "x", "y"), 5)
-	await(t, func() bool { return !e.loading.Load() })
-	e.takeOrder(orderOf(4, "1"), 3)
-	e.takeOrder(orderOf(5, "2", "x", "y"), 5)
+	e := newLoadingExecutor(t, engine)
+	e.acceptOrder(loadOrder(4, "0"), 5)
+	e.acceptOrder(loadOrder(5, "2", "x", "y"), 5)
+	e.acceptOrder(loadOrder(5, "2", "x", "y"), 5)
+	waitUntil(t, func() bool { return !e.loading.Load() })
+	e.acceptOrder(loadOrder(4, "1"), 3)
+	e.acceptOrder(loadOrder(5, "2", "x", "y"), 5)
 	if e.loading.Load() {
 		t.Error("an old order, or one that is met, began")
 	}
 	want := []string{"load_model 2", "load_adapter 2x", "load_adapter 2y"}
-	if got := engine.got(); !slices.Equal(got, want) {
+	if got := engine.received(); !slices.Equal(got, want) {
 		t.Errorf("orders %q, want %q", got, want)
 	}
 	status := e.status(clock.Now())
@@ -95,16 +95,16 @@
 // tell what it holds, so the old one is loaded too, and only then is work taken.
 func TestGoingBackFromAVersionThatDoesNotLoad(t *testing.T) {
 	engine := &fakeEngine{status: http.StatusInternalServerError}
-	e := loading(t, engine)
-	e.takeOrder(orderOf(5, "2"), 5)
-	await(t, func() bool { return len(engine.got()) > 0 })
+	e := newLoadingExecutor(t, engine)
+	e.acceptOrder(loadOrder(5, "2"), 5)
+	waitUntil(t, func() bool { return len(engine.received()) > 0 })
 	if status := e.status(clock.Now()); !status.GetLoading() || status.GetModelVersion() != "" {
 		t.Errorf("status %v, want loading and no version", status)
 	}
-	e.takeOrder(orderOf(6, "1"), 6)
-	engine.answer(http.StatusOK)
-	await(t, func() bool { return !e.loading.Load() })
-	orders := engine.got()
+	e.acceptOrder(loadOrder(6, "1"), 6)
+	engine.setStatus(http.StatusOK)
+	waitUntil(t, func() bool { return !e.loading.Load() })
+	orders := engine.received()
 	if last := orders[len(orders)-1]; last != "load_model 1" {
 		t.Errorf("the last order is %q, want version 1", last)
 	}
@@ -118,13 +118,13 @@
 func TestRefusedOrdersEnd(t *testing.T) {
 	for name, status := range map[string]int{"no orders": http.StatusNotFound, "old fence": http.StatusConflict} {
 		t.Run(name, func(t *testing.T) {
-			engine := &fakeEngine{status: status, held: &held{}}
-			e := loading(t, engine)
+			engine := &fakeEngine{status: status, held: &loadedModel{}}
+			e := newLoadingExecutor(t, engine)
 			for range 3 {
-				e.takeOrder(orderOf(5, "2"), 5)
-				await(t, func() bool { return !e.loading.Load() })
+				e.acceptOrder(loadOrder(5, "2"), 5)
+				waitUntil(t, func() bool { return !e.loading.Load() })
 			}
-			if got := engine.got(); len(got) != 1 {
+			if got := engine.received(); len(got) != 1 {
 				t.Errorf("orders %q, want one", got)
 			}
 			report := e.status(clock.Now())
--- a/internal/agent/mapload.go
+++ b/internal/agent/mapload.go
@@ -4,9 +4,9 @@
 	"context"
 )
 
-func (g *group) loadRequest(version uint64) mapLoad {
-	load := mapLoad{Version: version, Bytes: g.maps.loadBytes(g.lastMap, version)}
-	if content := g.maps.content(version); content != nil {
+func (g *group) newLoadRequest(version uint64) mapLoadRequest {
+	load := mapLoadRequest{Version: version, Bytes: g.placements.loadBytes(g.loadedMap, version)}
+	if content := g.placements.content(version); content != nil {
 		load.Slots = content.GetSlots()
 	}
 	return load
@@ -16,42 +16,42 @@
 // with each new connection to the engine: with a loader for each, an engine that comes
 // and goes would be asked by ever more of them, and the weight store through it.
 func (g *group) startLoad(ctx context.Context, version uint64) {
-	if g.loaders[version] {
+	if g.activeLoads[version] {
 		return
 	}
-	g.loaders[version] = true
-	go g.load(ctx, version, g.loadRequest(version), g.connections)
+	g.activeLoads[version] = true
+	go g.loadMap(ctx, version, g.newLoadRequest(version), g.connectionCount)
 }
 
-// loaded takes the end of a load. One that began before the connection that stands now
+// finishLoad takes the end of a load. One that began before the connection that stands now
 // may have been for an engine that has lost its weights since.
-func (g *group) loaded(ctx context.Context, version, connection uint64) {
-	delete(g.loaders, version)
-	if connection != g.connections {
+func (g *group) finishLoad(ctx context.Context, version, connection uint64) {
+	delete(g.activeLoads, version)
+	if connection != g.connectionCount {
 		g.startLoad(ctx, version)
 		return
 	}
-	g.lastMap = version
-	g.agent.MapLoaded(engineNumber, version)
+	g.loadedMap = version
+	g.agent.MapLoaded(engineIndex, version)
 }
 
-// load has the engine fetch the weights of a map. It uses a connection of its own:
+// loadMap has the engine fetch the weights of a map. It uses a connection of its own:
 // loading takes long, and orders must not wait behind it.
-func (g *group) load(ctx context.Context, version uint64, body mapLoad, connection uint64) {
+func (g *group) loadMap(ctx context.Context, version uint64, body mapLoadRequest, connection uint64) {
 	err := g.backend.loadMap(ctx, body)
 	if err == nil {
-		g.post(ctx, func() { g.loaded(ctx, version, connection) })
+		g.post(ctx, func() { g.finishLoad(ctx, version, connection) })
 		return
 	}
-	_ = g.logger.Log("msg", "A map could not be loaded.", "result", backendFailed, "map", version, "err", err)
-	wait(ctx, giverRetry)
-	g.post(ctx, func() { g.loadFailed(ctx, version) })
+	_ = g.logger.Log("msg", "A map could not be loaded.", "result", backendFailedLabel, "map", version, "err", err)
+	sleep(ctx, engineRetryInterval)
+	g.post(ctx, func() { g.retryLoad(ctx, version) })
 }
 
-// loadFailed tries again while anybody needs the map.
-func (g *group) loadFailed(ctx context.Context, version uint64) {
-	delete(g.loaders, version)
-	if g.agent.LoadFailed(engineNumber, version) {
+// retryLoad tries again while anybody needs the map.
+func (g *group) retryLoad(ctx context.Context, version uint64) {
+	delete(g.activeLoads, version)
+	if g.agent.LoadFailed(engineIndex, version) {
 		g.startLoad(ctx, version)
 	}
 }
--- a/internal/agent/note.go
+++ b/internal/agent/note.go
@@ -13,13 +13,13 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// journalRequests is how many requests of each kind a dump can tell of.
-const journalRequests = 500
+// journalSize is how many requests of each kind a dump can tell of.
+const journalSize = 500
 
-// note keeps how a piece of work ended, by the id that the caller was told: a dump can
+// recordRequest keeps how a piece of work ended, by the id that the caller was told: a dump can
 // then answer why it was refused or failed here. started is when it was sent to the
 // backend server, 0 for never; refused is nil for a whole answer.
-func (e *executor) note(work *api.Work, arrived, started time.Duration, refused *api.Refusal) {
+func (e *executor) recordRequest(work *api.Work, arrived, started time.Duration, refused *api.Refusal) {
 	now := clock.Now()
 	_, record := journal.Begin(context.Background(), arrived)
 	record.Request, record.Customer = work.GetRequestId(), work.GetCustomer()
@@ -29,21 +29,21 @@
 	}
 	record.Ticket = work.GetTicket() != nil
 	record.Once = record.Ticket
-	waited := now
+	waitEnd := now
 	if started > 0 {
-		waited = started
+		waitEnd = started
 	}
-	record.WaitMs = (waited - arrived).Milliseconds()
+	record.WaitMs = (waitEnd - arrived).Milliseconds()
 	var err error
 	if refused != nil {
 		err = result.FromRefusal(refused)
 	}
 	e.journal.End(record, now, err)
-	e.logWork(work, record, refused)
+	e.logRequest(work, record, refused)
 }
 
-// logWork logs how a piece of work ended here, under the id that the entry logs it by.
-func (e *executor) logWork(work *api.Work, record *journal.Record, refused *api.Refusal) {
+// logRequest logs how a piece of work ended here, under the id that the entry logs it by.
+func (e *executor) logRequest(work *api.Work, record *journal.Record, refused *api.Refusal) {
 	fields := logging.Fields(func() []any {
 		return []any{
 			"team", record.Customer, "service", record.Offer, "ticket", record.Ticket,
--- a/internal/agent/oneshot.go
+++ b/internal/agent/oneshot.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// oneshotBody bounds the body of a request that is sent by oneshot, bytes: such a one
+	// maxOneshotBodyBytes bounds the body of a request that is sent by oneshot, bytes: such a one
 	// fits the buffers of the connection, so that the whole request is on its way before
 	// the answer is read, also from a backend server that answers without reading it.
-	oneshotBody = 64 << 10
-	// maxAnswerHeader bounds status and header of an answer, bytes.
-	maxAnswerHeader = 1 << 20
-	// maxInterim bounds the interim answers before the answer.
-	maxInterim = 5
+	maxOneshotBodyBytes = 64 << 10
+	// maxAnswerHeaderBytes bounds status and header of an answer, bytes.
+	maxAnswerHeaderBytes = 1 << 20
+	// maxInterimAnswers bounds the interim answers before the answer.
+	maxInterimAnswers = 5
 )
 
 // oneshot sends each request over a connection of its own, on the caller's goroutine, by
@@ -43,9 +43,9 @@
 	return &oneshot{address: net.JoinHostPort(u.Hostname(), port)}
 }
 
-// takes says whether a request can be sent so.
-func (o *oneshot) takes(req *http.Request) bool {
-	return o != nil && req.ContentLength <= oneshotBody
+// canSend says whether a request can be sent so.
+func (o *oneshot) canSend(req *http.Request) bool {
+	return o != nil && req.ContentLength <= maxOneshotBodyBytes
 }
 
 // roundTrip sends a request and returns the answer's header, with its body still to come.
@@ -80,9 +80,9 @@
 	if _, err := conn.Write(text.Bytes()); err != nil {
 		return nil, err
 	}
-	limited := &io.LimitedReader{R: conn, N: maxAnswerHeader}
+	limited := &io.LimitedReader{R: conn, N: maxAnswerHeaderBytes}
 	reader := bufio.NewReader(limited)
-	for range maxInterim {
+	for range maxInterimAnswers {
 		resp, err := http.ReadResponse(reader, req)
 		if err != nil {
 			return nil, err
@@ -92,7 +92,7 @@
 			return resp, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errTooManyInterim
 }
 
 // oneshotAnswer is the body of an answer. Its own Close would read on to its end, which
--- a/internal/agent/oneshot_test.go
+++ b/internal/agent/oneshot_test.go
@@ -36,8 +36,8 @@
 	}{
 		"at once":         {final, true},
 		"after interim":   {interim + interim + final, true},
-		"interim only":    {strings.Repeat(interim, 2*maxInterim) + final, false},
-		"header too long": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswerHeader), false},
+		"interim only":    {strings.Repeat(interim, 2*maxInterimAnswers) + final, false},
+		"header too long": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswerHeaderBytes), false},
 		"not HTTP":        {"SSH-2.0\r\n\r\n", false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 // The caller of a stream goes away, or its time is over, while the engine is silent. The
 // agent must neither wait for the engine nor read on to the end of the stream: it would
 // hold its place for as long.
-func TestUnfinishedAnswersAreLetGoOf(t *testing.T) {
+func TestUnfinishedAnswersAreClosed(t *testing.T) {
 	url := rawServer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := newBackend(url).send(ctx, &api.Work{Method: "POST", Path: "/", Body: []byte("x")})
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -14,26 +14,26 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// operators shows the agent to operators. It implements admin.Process.
-type operators struct{ agent *agent }
+// adminProcess shows the agent to adminProcess. It implements admin.Process.
+type adminProcess struct{ agent *agent }
 
 func (a *agent) serveAdmin(ctx context.Context) error {
 	listen := a.settings.GetListen()
-	handler := admin.Handler(operators{a}, nil, listen.GetAdminToken())
+	handler := admin.Handler(adminProcess{a}, nil, listen.GetAdminToken())
 	return admin.Serve(ctx, listen.GetAdmin(), handler, a.logger)
 }
 
 // Status implements admin.Process.
-func (o operators) Status(context.Context) (*adminapi.Status, error) {
-	status := o.agent.node.AdminStatus()
-	s := o.agent.executor.status(clock.Now())
-	own := adminapi.BackendOf(o.agent.self.GetVm(), o.agent.self.GetFailureDomain(), s)
+func (p adminProcess) Status(context.Context) (*adminapi.Status, error) {
+	status := p.agent.node.AdminStatus()
+	s := p.agent.executor.status(clock.Now())
+	own := adminapi.BackendOf(p.agent.self.GetVm(), p.agent.self.GetFailureDomain(), s)
 	status.Backends = []adminapi.Backend{own}
 	return status, nil
 }
 
-// work is what a dump tells of the work at an agent.
-type work struct {
+// workState is what a dump tells of the workState at an agent.
+type workState struct {
 	Running, Waiting, Answers, Undelivered int
 	AnswerBytes                            int64
 	Tickets                                ticket.Stats
@@ -47,20 +47,20 @@
 }
 
 // Dump implements admin.Process.
-func (o operators) Dump(ctx context.Context) ([]admin.DumpPart, error) {
-	status, err := o.Status(ctx)
+func (p adminProcess) Dump(ctx context.Context) ([]admin.DumpPart, error) {
+	status, err := p.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return []admin.DumpPart{
-		{Name: "settings", Value: settings.Redacted(o.agent.settings)},
+		{Name: "settings", Value: settings.Redacted(p.agent.settings)},
 		{Name: "status", Value: status},
-		{Name: "work", Value: o.agent.executor.dump()},
-		{Name: "requests", Value: o.agent.executor.journal.Dump(clock.Now())},
+		{Name: "work", Value: p.agent.executor.dump()},
+		{Name: "requests", Value: p.agent.executor.journal.Dump(clock.Now())},
 	}, nil
 }
 
-func (e *executor) dump() work {
+func (e *executor) dump() workState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	jobs := make([]jobState, 0, len(e.jobs))
@@ -69,12 +69,12 @@
 			Answer:   id,
 			Request:  j.work.GetRequestId(),
 			Customer: j.work.GetCustomer(),
-			Ticket:   !j.repeatable(),
+			Ticket:   !j.isRepeatable(),
 			Ended:    j.buffer.Ended(),
 			Readers:  j.readers,
 		})
 	}
-	return work{
+	return workState{
 		Running:     e.running,
 		Waiting:     e.queue.Len(),
 		Answers:     e.answers.Len(),
@@ -86,8 +86,8 @@
 }
 
 // Ready implements admin.Process.
-func (o operators) Ready() error {
-	status := o.agent.executor.status(clock.Now())
+func (p adminProcess) Ready() error {
+	status := p.agent.executor.status(clock.Now())
 	if code := status.GetRefusing(); code != api.ResultCode_OK {
 		return result.New(code)
 	}
@@ -95,4 +95,4 @@
 }
 
 // Metrics implements admin.Process.
-func (o operators) Metrics() metrics.Registry { return o.agent.registry }
+func (p adminProcess) Metrics() metrics.Registry { return p.agent.registry }
--- a/internal/agent/pace.go
+++ b/internal/agent/pace.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// watchPoll is the time between questions to a busy engine about itself.
-	watchPoll = 200 * time.Millisecond
-	// idlePoll is the time between questions to an idle one. An agent's processor time
+	// busyPollInterval is the time between questions to a busy engine about itself.
+	busyPollInterval = 200 * time.Millisecond
+	// idlePollInterval is the time between questions to an idle one. An agent's processor time
 	// without work is mostly these.
-	idlePoll = time.Second
+	idlePollInterval = time.Second
 	// idleAfter is how long an engine must have had no work to count as idle: as long as
 	// cold.Config.ProofFor. An engine that turned cold between two of the slow questions
 	// is then given no more than the cold limit, until a first token has proved it warm;
@@ -21,55 +21,55 @@
 	idleAfter = 5 * time.Second
 )
 
-// pace is the time between questions to the engine.
-type pace struct {
-	mu      sync.Mutex
-	running int
-	last    time.Duration // when work last began or ended
-	woken   chan struct{} // closed with the first work of an idle engine
+// pollPacer is the time between questions to the engine.
+type pollPacer struct {
+	mu       sync.Mutex
+	running  int
+	lastWork time.Duration // when work last began or ended
+	wake     chan struct{} // closed with the first work of an idle engine
 }
 
-func newPace(now time.Duration) *pace {
-	return &pace{last: now, woken: make(chan struct{})}
+func newPollPacer(now time.Duration) *pollPacer {
+	return &pollPacer{lastWork: now, wake: make(chan struct{})}
 }
 
-// began counts a piece of work that the engine is given.
-func (p *pace) began(now time.Duration) {
+// workStarted counts a piece of work that the engine is given.
+func (p *pollPacer) workStarted(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.idle(now) {
-		close(p.woken)
-		p.woken = make(chan struct{})
+	if p.isIdle(now) {
+		close(p.wake)
+		p.wake = make(chan struct{})
 	}
 	p.running++
-	p.last = now
+	p.lastWork = now
 }
 
-// ended takes back the count of began.
-func (p *pace) ended(now time.Duration) {
+// workEnded takes back the count of began.
+func (p *pollPacer) workEnded(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
-	p.last = now
+	p.lastWork = now
 }
 
-func (p *pace) idle(now time.Duration) bool {
-	return p.running == 0 && now-p.last > idleAfter
+func (p *pollPacer) isIdle(now time.Duration) bool {
+	return p.running == 0 && now-p.lastWork > idleAfter
 }
 
-// wait returns when the next question is due.
-func (p *pace) wait(ctx context.Context) {
+// waitNext returns when the next question is due.
+func (p *pollPacer) waitNext(ctx context.Context) {
 	p.mu.Lock()
-	d, woken := watchPoll, p.woken
-	if p.idle(clock.Now()) {
-		d = idlePoll
+	d, wake := busyPollInterval, p.wake
+	if p.isIdle(clock.Now()) {
+		d = idlePollInterval
 	}
 	p.mu.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-woken:
+	case <-wake:
 	case <-ctx.Done():
 	}
 }
--- a/internal/agent/pace_test.go
+++ b/internal/agent/pace_test.go
@@ -33,7 +33,7 @@
 	defer server.Close()
 	b := newBackend(server.URL)
 	for range 5 {
-		if _, err := b.saysCold(context.Background()); err != nil {
+		if _, err := b.queryCold(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,33 +41,33 @@
 		t.Errorf("%d connections for five questions", n)
 	}
 	silent.Store(1)
-	if saysCold, err := b.saysCold(context.Background()); err != nil || saysCold {
-		t.Errorf("cold %v, %v", saysCold, err)
+	if isCold, err := b.queryCold(context.Background()); err != nil || isCold {
+		t.Errorf("cold %v, %v", isCold, err)
 	}
 }
 
 // An idle engine turns cold between two slow questions, and work comes. The questions
 // must go on at once, at the pace of a busy engine, and slow down only long after it.
-func TestWorkWakesTheQuestions(t *testing.T) {
+func TestWorkWakesPolling(t *testing.T) {
 	now := clock.Now()
-	p := newPace(now - idleAfter - 1)
-	asked := make(chan struct{})
+	p := newPollPacer(now - idleAfter - 1)
+	polled := make(chan struct{})
 	go func() {
-		p.wait(context.Background())
-		close(asked)
+		p.waitNext(context.Background())
+		close(polled)
 	}()
 	time.Sleep(10 * time.Millisecond)
-	p.began(now)
+	p.workStarted(now)
 	select {
-	case <-asked:
-	case <-time.After(idlePoll / 2):
+	case <-polled:
+	case <-time.After(idlePollInterval / 2):
 		t.Error("the question waits")
 	}
-	if p.idle(now + time.Hour) {
+	if p.isIdle(now + time.Hour) {
 		t.Error("idle with work running")
 	}
-	p.ended(now + time.Hour)
-	if p.idle(now+time.Hour+idleAfter) || !p.idle(now+time.Hour+idleAfter+1) {
+	p.workEnded(now + time.Hour)
+	if p.isIdle(now+time.Hour+idleAfter) || !p.isIdle(now+time.Hour+idleAfter+1) {
 		t.Error("not idle from the right time on")
 	}
 }
--- a/internal/agent/rankwork.go
+++ b/internal/agent/rankwork.go
@@ -8,14 +8,14 @@
 	"github.com/apricothub/apricothub/decide/balance"
 )
 
-// rankReportEvery is how many of observeEvery pass between two reports of an agent's ranks.
+// observationsPerRankReport is how many of observeEvery pass between two reports of an agent's ranks.
 // A report takes some 130 bytes, and a coordinator of 32 agents has 7 KB a second for all
 // its control: with one a second, the reports alone would take more than half of it.
-const rankReportEvery = 2
+const observationsPerRankReport = 2
 
-// rankReport is what an agent tells of its ranks; nil where the engine does not measure
+// newRankReport is what an agent tells of its ranks; nil where the engine does not measure
 // them.
-func rankReport(first int, step uint64, ranks []rankCount) *api.RankReport {
+func newRankReport(first int, step uint64, ranks []rankCount) *api.RankReport {
 	if len(ranks) == 0 {
 		return nil
 	}
@@ -27,49 +27,49 @@
 	return report
 }
 
-// counts are what all ranks of a group have done, as running counts by rank.
-type counts struct {
+// runningCounts are what all ranks of a group have done, as running runningCounts by rank.
+type runningCounts struct {
 	tokens, micros, steps []float64
 }
 
-func (c counts) clone() counts {
-	return counts{slices.Clone(c.tokens), slices.Clone(c.micros), slices.Clone(c.steps)}
+func (c runningCounts) clone() runningCounts {
+	return runningCounts{slices.Clone(c.tokens), slices.Clone(c.micros), slices.Clone(c.steps)}
 }
 
-// rankCounts gathers the reports of all agents of a group into observations of all ranks.
-type rankCounts struct {
-	now, seen counts
-	vms       []string      // of the agent that reports the rank
-	skew      time.Duration // of a step, as last observed
+// rankWorkTracker gathers the reports of all agents of a group into observations of all ranks.
+type rankWorkTracker struct {
+	current, last runningCounts
+	vms           []string      // of the agent that reports the rank
+	skew          time.Duration // of a step, as last observed
 }
 
-func newRankCounts(size int) *rankCounts {
-	of := func() []float64 { return make([]float64, size) }
-	return &rankCounts{now: counts{of(), of(), of()}, vms: make([]string, size)}
+func newRankWorkTracker(size int) *rankWorkTracker {
+	newCounts := func() []float64 { return make([]float64, size) }
+	return &rankWorkTracker{current: runningCounts{newCounts(), newCounts(), newCounts()}, vms: make([]string, size)}
 }
 
-// take keeps a report of the VM's agent; one that does not fit the group is ignored.
-func (c *rankCounts) take(vm string, r *api.RankReport) {
+// addReport keeps a report of the VM's agent; one that does not fit the group is ignored.
+func (t *rankWorkTracker) addReport(vm string, r *api.RankReport) {
 	first := int(r.GetFirstRank())
-	if len(r.GetTokens()) != len(r.GetMicros()) || first+len(r.GetTokens()) > len(c.now.tokens) {
+	if len(r.GetTokens()) != len(r.GetMicros()) || first+len(r.GetTokens()) > len(t.current.tokens) {
 		return
 	}
 	for i := range r.GetTokens() {
-		c.now.tokens[first+i] = float64(r.GetTokens()[i])
-		c.now.micros[first+i] = float64(r.GetMicros()[i])
-		c.now.steps[first+i] = float64(r.GetStep())
-		c.vms[first+i] = vm
+		t.current.tokens[first+i] = float64(r.GetTokens()[i])
+		t.current.micros[first+i] = float64(r.GetMicros()[i])
+		t.current.steps[first+i] = float64(r.GetStep())
+		t.vms[first+i] = vm
 	}
 }
 
-// since returns what each rank has done since the last observation, or nil while any has
+// workSinceLast returns what each rank has done workSinceLast the last observation, or nil while any has
 // told nothing new: of what is usual in the group, a part of it says nothing.
-func (c *rankCounts) since() []balance.RankWork {
-	if c.seen.tokens == nil {
-		c.seen = c.now.clone()
+func (t *rankWorkTracker) workSinceLast() []balance.RankWork {
+	if t.last.tokens == nil {
+		t.last = t.current.clone()
 		return nil
 	}
-	tokens, micros := difference(c.now.tokens, c.seen.tokens), difference(c.now.micros, c.seen.micros)
+	tokens, micros := countDeltas(t.current.tokens, t.last.tokens), countDeltas(t.current.micros, t.last.micros)
 	work := make([]balance.RankWork, len(tokens))
 	for rank := range work {
 		if tokens[rank] <= 0 || micros[rank] <= 0 {
@@ -77,37 +77,37 @@
 		}
 		work[rank] = balance.RankWork{Tokens: tokens[rank], Time: time.Duration(micros[rank]) * time.Microsecond}
 	}
-	c.observeSkew(work)
-	c.seen = c.now.clone()
+	t.updateSkew(work)
+	t.last = t.current.clone()
 	return work
 }
 
-// observeSkew takes the time between the first and the last rank in a step. Agents report
+// updateSkew takes the time between the first and the last rank in a step. Agents report
 // at different times, so each rank's time goes over the steps of its own report; while an
 // engine tells of no step, the last skew stays.
-func (c *rankCounts) observeSkew(work []balance.RankWork) {
-	steps := difference(c.now.steps, c.seen.steps)
-	each := make([]time.Duration, len(work))
+func (t *rankWorkTracker) updateSkew(work []balance.RankWork) {
+	steps := countDeltas(t.current.steps, t.last.steps)
+	stepTimes := make([]time.Duration, len(work))
 	for rank := range work {
 		if steps[rank] <= 0 {
 			return
 		}
-		each[rank] = time.Duration(float64(work[rank].Time) / steps[rank])
+		stepTimes[rank] = time.Duration(float64(work[rank].Time) / steps[rank])
 	}
-	c.skew = slices.Max(each) - slices.Min(each)
+	t.skew = slices.Max(stepTimes) - slices.Min(stepTimes)
 }
 
-// describe adds to the group's status what the work of its ranks tells operators.
-func (r *rebalancer) describe(status *api.GroupStatus) {
-	status.SkewUs = uint64(r.ranks.skew.Microseconds())
-	status.SlowRanks = uint32(len(r.slow))
-	if len(r.slow) == 0 {
+// addRankStatus adds to the group's status what the work of its ranks tells operators.
+func (r *rebalancer) addRankStatus(status *api.GroupStatus) {
+	status.SkewUs = uint64(r.rankWork.skew.Microseconds())
+	status.SlowRanks = uint32(len(r.slowRanks))
+	if len(r.slowRanks) == 0 {
 		return
 	}
-	slowest := r.slow[0]
+	slowest := r.slowRanks[0]
 	status.Slowest = &api.SlowRank{
 		Rank: uint32(slowest.Rank),
-		Vm:   r.ranks.vms[slowest.Rank],
+		Vm:   r.rankWork.vms[slowest.Rank],
 		Pace: slowest.Slowdown,
 	}
 }
--- a/internal/agent/rankwork_test.go
+++ b/internal/agent/rankwork_test.go
@@ -10,14 +10,14 @@
 // own ranks the usual ones. Reports that are lost, late, repeated, after a restart of an
 // engine, or of ranks that the group does not have, change nothing about that.
 func TestRanksAreObservedTogether(t *testing.T) {
-	report := func(first uint32, counts ...uint64) *api.RankReport {
+	report := func(first uint32, runningTotals ...uint64) *api.RankReport {
 		r := &api.RankReport{FirstRank: first}
-		for _, n := range counts {
+		for _, n := range runningTotals {
 			r.Tokens, r.Micros = append(r.Tokens, n), append(r.Micros, 2*n)
 		}
 		return r
 	}
-	c := newRankCounts(4)
+	c := newRankWorkTracker(4)
 	for i, step := range []struct {
 		report *api.RankReport
 		whole  bool
@@ -31,8 +31,8 @@
 		{report(0, 300, 300), false},
 		{report(2, 10, 10), true}, // the engine counts from 0 again
 	} {
-		c.take("", step.report)
-		if work := c.since(); (work != nil) != step.whole {
+		c.addReport("", step.report)
+		if work := c.workSinceLast(); (work != nil) != step.whole {
 			t.Errorf("step %d: %v", i, work)
 		}
 	}
--- a/internal/agent/rebalance.go
+++ b/internal/agent/rebalance.go
@@ -14,47 +14,47 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// observeEvery is the time between questions about the popularity of experts.
-const observeEvery = time.Second
+// observeInterval is the time between questions about the popularity of experts.
+const observeInterval = time.Second
 
-// maps holds the placements behind the versions of expert maps. A version is the hash
-// of its placement, so that two coordinators can never give one version to two maps.
-type maps struct {
-	settings *api.Group
-	known    map[uint64]*balance.Placement
+// placementSet holds the placements behind the versions of expert placementSet. A version is the hash
+// of its placement, so that two coordinators can never give one version to two placementSet.
+type placementSet struct {
+	settings  *api.Group
+	byVersion map[uint64]*balance.Placement
 }
 
-func newMaps(settings *api.Group) *maps {
-	return &maps{settings: settings, known: make(map[uint64]*balance.Placement)}
+func newPlacementSet(settings *api.Group) *placementSet {
+	return &placementSet{settings: settings, byVersion: make(map[uint64]*balance.Placement)}
 }
 
 // add keeps a placement and returns its version.
-func (m *maps) add(p *balance.Placement) uint64 {
+func (s *placementSet) add(p *balance.Placement) uint64 {
 	h := sha256.New()
 	_ = binary.Write(h, binary.BigEndian, []int64{int64(p.Experts), int64(p.Ranks), int64(p.SlotsPerRank)})
 	_ = binary.Write(h, binary.BigEndian, p.Slots)
 	version := binary.BigEndian.Uint64(h.Sum(nil)) >> 1
-	m.known[version] = p
+	s.byVersion[version] = p
 	return version
 }
 
-// learn takes a placement from another agent, if it is what its version says.
-func (m *maps) learn(c *api.MapContent) {
+// addReceived takes a placement from another agent, if it is what its version says.
+func (s *placementSet) addReceived(c *api.MapContent) {
 	p := &balance.Placement{
-		Experts:      int(m.settings.GetExperts()),
-		Ranks:        int(m.settings.GetSize()),
-		SlotsPerRank: int(m.settings.GetSlotsPerRank()),
+		Experts:      int(s.settings.GetExperts()),
+		Ranks:        int(s.settings.GetSize()),
+		SlotsPerRank: int(s.settings.GetSlotsPerRank()),
 		Slots:        c.GetSlots(),
 	}
-	if !valid(p) {
+	if !isValid(p) {
 		return
 	}
-	if version := m.add(p); version != c.GetMapVersion() {
-		delete(m.known, version)
+	if version := s.add(p); version != c.GetMapVersion() {
+		delete(s.byVersion, version)
 	}
 }
 
-func valid(p *balance.Placement) bool {
+func isValid(p *balance.Placement) bool {
 	if len(p.Slots) != p.Ranks*p.SlotsPerRank {
 		return false
 	}
@@ -67,70 +67,70 @@
 }
 
 // content returns a placement as it travels; nil for a map that came with the engine.
-func (m *maps) content(version uint64) *api.MapContent {
-	p := m.known[version]
+func (s *placementSet) content(version uint64) *api.MapContent {
+	p := s.byVersion[version]
 	if p == nil {
 		return nil
 	}
 	return &api.MapContent{MapVersion: version, Slots: p.Slots}
 }
 
-// keepOnly forgets the placements that no range of steps uses any more.
-func (m *maps) keepOnly(versions map[uint64]bool) {
-	for version := range m.known {
+// retain forgets the placements that no range of steps uses any more.
+func (s *placementSet) retain(versions map[uint64]bool) {
+	for version := range s.byVersion {
 		if !versions[version] {
-			delete(m.known, version)
+			delete(s.byVersion, version)
 		}
 	}
 }
 
 // rebalancer decides, beside the coordinator, on new expert maps.
 type rebalancer struct {
-	maps     *maps
-	logger   log.Logger
-	balancer *balance.Balancer
-	version  uint64 // of the balancer's placement
-	seen     []float64
-	ranks    *rankCounts
-	slow     []balance.SlowRank // as last observed
+	placements *placementSet
+	logger     log.Logger
+	balancer   *balance.Balancer
+	version    uint64 // of the balancer's placement
+	lastTokens []float64
+	rankWork   *rankWorkTracker
+	slowRanks  []balance.SlowRank // as last observed
 }
 
-func newRebalancer(m *maps, logger log.Logger) *rebalancer {
-	return &rebalancer{maps: m, logger: logger, ranks: newRankCounts(int(m.settings.GetSize()))}
+func newRebalancer(m *placementSet, logger log.Logger) *rebalancer {
+	return &rebalancer{placements: m, logger: logger, rankWork: newRankWorkTracker(int(m.settings.GetSize()))}
 }
 
 // observe takes the engine's running counts of tokens by expert, and asks the
 // coordinator for another map when one is worth its cost.
 func (r *rebalancer) observe(now time.Duration, tokens []float64, c *expertmap.Coordinator) {
-	if len(tokens) != int(r.maps.settings.GetExperts()) {
+	if len(tokens) != int(r.placements.settings.GetExperts()) {
 		return
 	}
-	delta := difference(tokens, r.seen)
-	r.seen = tokens
+	delta := countDeltas(tokens, r.lastTokens)
+	r.lastTokens = tokens
 	status := c.Status()
-	if status.Phase != expertmap.Active || !running(status) {
+	if status.Phase != expertmap.Active || !isTargetActive(status) {
 		return
 	}
-	if !r.follow(now, status.Target) {
+	if !r.syncBalancer(now, status.Target) {
 		return
 	}
 	r.balancer.Observe(now, delta)
-	if work := r.ranks.since(); work != nil {
+	if work := r.rankWork.workSinceLast(); work != nil {
 		r.balancer.ObserveRanks(work)
-		r.slow = r.balancer.SlowRanks()
+		r.slowRanks = r.balancer.SlowRanks()
 	}
 	placement, ok := r.balancer.Decide(now)
 	if !ok {
 		return
 	}
-	r.version = r.maps.add(placement)
+	r.version = r.placements.add(placement)
 	_ = r.logger.Log("msg", "Experts are moved to follow their popularity and the pace of ranks.", "map", r.version, "stretch", r.balancer.Stretch())
 	c.SetTarget(now, r.version)
 }
 
-// running says that the newest steps released run under the map last wanted. While a
+// isTargetActive says that the newest steps released run under the map last wanted. While a
 // map is still being loaded another is not decided on.
-func running(status expertmap.CoordinatorStatus) bool {
+func isTargetActive(status expertmap.CoordinatorStatus) bool {
 	if len(status.Plan) == 0 {
 		return false
 	}
@@ -138,58 +138,58 @@
 	return last.Map == status.Target && status.ReleasedEnd >= last.Start
 }
 
-// follow makes the balancer go on from the map that the group runs: its own last one,
+// syncBalancer makes the balancer go on from the map that the group runs: its own last one,
 // or one of an earlier coordinator, or the spread that engines come with.
-func (r *rebalancer) follow(now time.Duration, target uint64) bool {
+func (r *rebalancer) syncBalancer(now time.Duration, target uint64) bool {
 	if r.balancer != nil && target == r.version {
 		return true
 	}
-	placement := r.maps.known[target]
+	placement := r.placements.byVersion[target]
 	if placement == nil {
-		settings := r.maps.settings
-		spread, err := balance.NewPlacement(int(settings.GetExperts()), int(settings.GetSize()), int(settings.GetSlotsPerRank()))
+		settings := r.placements.settings
+		initial, err := balance.NewPlacement(int(settings.GetExperts()), int(settings.GetSize()), int(settings.GetSlotsPerRank()))
 		if err != nil {
 			return false
 		}
-		placement = spread
+		placement = initial
 	}
 	r.balancer = balance.New(balance.Config{}, placement, now)
 	r.version = target
 	return true
 }
 
-// difference is what came to running counts; an engine that restarted counts from 0.
-func difference(now, before []float64) []float64 {
-	delta := make([]float64, len(now))
-	for i, n := range now {
+// countDeltas is what came to running counts; an engine that restarted counts from 0.
+func countDeltas(current, previous []float64) []float64 {
+	delta := make([]float64, len(current))
+	for i, n := range current {
 		delta[i] = n
-		if before != nil && n >= before[i] {
-			delta[i] = n - before[i]
+		if previous != nil && n >= previous[i] {
+			delta[i] = n - previous[i]
 		}
 	}
 	return delta
 }
 
-// watchExperts asks the engine for the popularity of experts and the work of its ranks.
+// pollExperts asks the engine for the popularity of experts and the work of its ranks.
 // The coordinator decides by both; others pass on what only they know, their ranks' work.
-func (g *group) watchExperts(ctx context.Context) {
+func (g *group) pollExperts(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		wait(ctx, observeEvery)
-		if g.rebalancer == nil && n%rankReportEvery != 0 {
+		sleep(ctx, observeInterval)
+		if g.rebalancer == nil && n%observationsPerRankReport != 0 {
 			continue
 		}
-		counts, err := g.backend.experts(ctx)
+		counts, err := g.backend.queryExperts(ctx)
 		if err != nil {
 			continue
 		}
-		g.post(ctx, func() { g.takeCounts(counts) })
+		g.post(ctx, func() { g.handleCounts(counts) })
 	}
 }
 
-func (g *group) takeCounts(counts expertCounts) {
-	report := rankReport(int(g.settings.GetFirstRank()), g.seenStep, counts.Ranks)
+func (g *group) handleCounts(counts expertCounts) {
+	report := newRankReport(int(g.settings.GetFirstRank()), g.engineStep, counts.Ranks)
 	if g.rebalancer != nil {
-		g.rebalancer.ranks.take(g.self.GetVm(), report)
+		g.rebalancer.rankWork.addReport(g.self.GetVm(), report)
 		g.rebalancer.observe(clock.Now(), counts.Tokens, g.coordinator)
 		return
 	}
@@ -205,18 +205,18 @@
 	}})
 }
 
-// attach adds to a message the placements that its receiver may lack: to a load, the
+// attachMaps adds to a message the placements that its receiver may lack: to a load, the
 // map to be loaded; to the answer to a seal, the maps that the engines were given, so
 // that a coordinator that knows nothing can go on with them.
-func (g *group) attach(m *api.GroupMessage) {
+func (g *group) attachMaps(m *api.GroupMessage) {
 	switch body := m.GetBody().(type) {
 	case *api.GroupMessage_Load:
-		body.Load.Content = g.maps.content(body.Load.GetMapVersion())
+		body.Load.Content = g.placements.content(body.Load.GetMapVersion())
 	case *api.GroupMessage_SealAck:
 		seen := make(map[uint64]bool)
 		body.SealAck.Maps = nil
 		for _, r := range body.SealAck.GetGiven() {
-			content := g.maps.content(r.GetMapVersion())
+			content := g.placements.content(r.GetMapVersion())
 			if content != nil && !seen[r.GetMapVersion()] {
 				body.SealAck.Maps = append(body.SealAck.Maps, content)
 			}
@@ -225,33 +225,33 @@
 	}
 }
 
-// detach learns the placements that came with a message.
-func (g *group) detach(m *api.GroupMessage) {
+// storeMaps learns the placements that came with a message.
+func (g *group) storeMaps(m *api.GroupMessage) {
 	if content := m.GetLoad().GetContent(); content != nil {
-		g.maps.learn(content)
+		g.placements.addReceived(content)
 	}
 	for _, content := range m.GetSealAck().GetMaps() {
-		g.maps.learn(content)
+		g.placements.addReceived(content)
 	}
 }
 
 // loadBytes is what this VM's ranks must fetch to come from one map to another.
-func (m *maps) loadBytes(from, to uint64) int64 {
-	p := m.known[to]
+func (s *placementSet) loadBytes(from, to uint64) int64 {
+	p := s.byVersion[to]
 	if p == nil {
 		return 0
 	}
-	first, ranks := int(m.settings.GetFirstRank()), int(m.settings.GetRanks())
+	first, ranks := int(s.settings.GetFirstRank()), int(s.settings.GetRanks())
 	own := p.Slots[first*p.SlotsPerRank : (first+ranks)*p.SlotsPerRank]
 	moves := len(own)
-	if before := m.known[from]; before != nil {
-		moves = balance.Moves(part(before, first, ranks), part(p, first, ranks))
+	if before := s.byVersion[from]; before != nil {
+		moves = balance.Moves(ranksOnly(before, first, ranks), ranksOnly(p, first, ranks))
 	}
-	return int64(moves) * m.settings.GetExpertBytes()
+	return int64(moves) * s.settings.GetExpertBytes()
 }
 
-// part is the placement of some ranks alone.
-func part(p *balance.Placement, first, ranks int) *balance.Placement {
+// ranksOnly is the placement of some ranks alone.
+func ranksOnly(p *balance.Placement, first, ranks int) *balance.Placement {
 	q := *p
 	q.Ranks = ranks
 	q.Slots = p.Slots[first*p.SlotsPerRank : (first+ranks)*p.SlotsPerRank]
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -7,13 +7,13 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// pressing says whether a report has news that must not wait for the heartbeat of an idle
+// isUrgent says whether a report has news that must not wait for the heartbeat of an idle
 // link: whether the backend server may get work, how much of it, and what it offers. How
 // many requests run and wait goes with the heartbeat: an entry that has work there hears
 // it at the short interval, and one that has none places its first by an older count and
 // by its own from then on.
-func pressing(now, before *api.BackendStatus) bool {
-	a, b := proto.CloneOf(now), proto.CloneOf(before)
+func isUrgent(current, previous *api.BackendStatus) bool {
+	a, b := proto.CloneOf(current), proto.CloneOf(previous)
 	for _, status := range []*api.BackendStatus{a, b} {
 		status.Seq = 0
 		status.Running = 0
@@ -27,8 +27,8 @@
 	return !proto.Equal(a, b)
 }
 
-// send sends a report at once, or with the next heartbeat.
-func send(s *link.Session, m *api.Control, urgent bool) {
+// sendReport sends a report at once, or with the next heartbeat.
+func sendReport(s *link.Session, m *api.Control, urgent bool) {
 	if urgent {
 		s.Report(nil) // An older one would come after this.
 		s.Post(m)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -13,10 +13,10 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// run takes a job from its place in the queue to the end of its answer.
-func (e *executor) run(j *job) {
-	if refused := <-j.slot; refused != nil {
-		e.fail(j, refused)
+// runJob takes a job from its place in the queue to the end of its answer.
+func (e *executor) runJob(j *job) {
+	if refused := <-j.admission; refused != nil {
+		e.failJob(j, refused)
 		return
 	}
 	started := clock.Now()
@@ -24,10 +24,10 @@
 	// the VM taken out meanwhile.
 	if code := e.refusing(started); code != api.ResultCode_OK {
 		e.mu.Lock()
-		e.abandon(j.work)
+		e.voidTicket(j.work)
 		e.mu.Unlock()
-		e.release(cold.Outcome{Cancelled: true})
-		e.fail(j, notRun(code, "The agent takes no new work.", retryElsewhere))
+		e.releaseSlot(cold.Outcome{Cancelled: true})
+		e.failJob(j, notRunRefusal(code, "The agent takes no new work.", defaultRetryAfter))
 		return
 	}
 	ctx, cancel := e.runContext(j, started)
@@ -35,30 +35,30 @@
 	j.started = started
 	outcome, refused := e.execute(ctx, j, started)
 	if refused != nil {
-		e.fail(j, refused)
+		e.failJob(j, refused)
 		e.cancelAtBackend(j)
-		e.release(outcome)
+		e.releaseSlot(outcome)
 		return
 	}
-	e.release(outcome)
+	e.releaseSlot(outcome)
 	e.mu.Lock()
 	e.answers.End(j.buffer, clock.Now())
-	j.letGo()
-	e.noteEnd(j.work, api.Ran_RAN_YES)
-	j.wake()
+	j.dropRequest()
+	e.recordOutcome(j.work, api.Ran_RAN_YES)
+	j.notifyReaders()
 	e.mu.Unlock()
-	e.counts.completed.Inc(1)
-	e.note(j.work, j.arrived, j.started, nil)
+	e.counters.completed.Inc(1)
+	e.recordRequest(j.work, j.arrived, j.started, nil)
 }
 
 // runContext bounds the run by the deadline. Work with a ticket may go on past it:
 // it has begun, and its caller will want to know how it ended.
 func (e *executor) runContext(j *job, now time.Duration) (context.Context, context.CancelFunc) {
-	limit := j.deadline - now
-	if !j.repeatable() {
-		limit += ticketGrace
+	timeout := j.deadline - now
+	if !j.isRepeatable() {
+		timeout += ticketGrace
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	e.mu.Lock()
 	j.cancel = cancel
 	e.mu.Unlock()
@@ -77,24 +77,24 @@
 	}
 	e.mu.Lock()
 	// It goes out with the first part: the entry passes nothing on before that.
-	e.answers.Head(j.buffer, head(resp))
+	e.answers.Head(j.buffer, answerHead(resp))
 	e.mu.Unlock()
-	in := newIntake(e, j, resp, started)
-	err = readParts(resp, in.part)
-	outcome := in.outcome()
+	recorder := newAnswerRecorder(e, j, resp, started)
+	err = readParts(resp, recorder.addPart)
+	outcome := recorder.outcome()
 	if err == nil {
 		return outcome, nil
 	}
 	failed, refused := e.readFailed(ctx, j, err)
-	failed.Observed = in.observed
+	failed.Observed = recorder.observed
 	return failed, refused
 }
 
 // engineFailed says what an engine's own error is worth: it may have run a part.
 func (e *executor) engineFailed(j *job, status int) *api.Refusal {
-	refused := refusal(api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN, "The engine failed while it held the request.", 0)
-	if !j.repeatable() {
-		refused = refusal(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The engine failed; the request may have run.", 0)
+	refused := newRefusal(api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN, "The engine failed while it held the request.", 0)
+	if !j.isRepeatable() {
+		refused = newRefusal(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The engine failed; the request may have run.", 0)
 	}
 	_ = e.logger.Log("msg", "The engine answered with an error.", "result", result.Label(refused.GetCode()), "request", j.work.GetRequestId(), "status", status)
 	return refused
@@ -106,14 +106,14 @@
 	var failed *backendError
 	if errors.As(err, &failed) && !failed.Sent {
 		e.mu.Lock()
-		e.abandon(j.work)
+		e.voidTicket(j.work)
 		e.mu.Unlock()
 		_ = e.logger.Log("msg", "The backend server does not accept connections.", "result", result.Label(api.ResultCode_NO_BACKEND), "request", j.work.GetRequestId(), "err", err)
-		return cold.Outcome{Failed: true}, notRun(api.ResultCode_NO_BACKEND, "The backend server does not accept connections.", retryElsewhere)
+		return cold.Outcome{Failed: true}, notRunRefusal(api.ResultCode_NO_BACKEND, "The backend server does not accept connections.", defaultRetryAfter)
 	}
 	outcome, refused := e.readFailed(ctx, j, err)
 	if ctx.Err() != nil {
-		j.left = onItsWay
+		j.backendState = sentToBackend
 	}
 	return outcome, refused
 }
@@ -123,49 +123,49 @@
 	if ctx.Err() != nil {
 		outcome = cold.Outcome{Cancelled: true}
 	}
-	refused := unanswered(ctx, j)
+	refused := unansweredRefusal(ctx, j)
 	_ = e.logger.Log("msg", "The backend server failed a request.", "result", result.Label(refused.GetCode()), "request", j.work.GetRequestId(), "err", err)
-	j.left = begun
+	j.backendState = answeringAtBackend
 	return outcome, refused
 }
 
-// unanswered is the refusal of a job that was sent and got no whole answer.
-func unanswered(ctx context.Context, j *job) *api.Refusal {
+// unansweredRefusal is the refusal of a job that was sent and got no whole answer.
+func unansweredRefusal(ctx context.Context, j *job) *api.Refusal {
 	switch {
-	case !j.repeatable():
-		return refusal(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The backend server did not answer; the request may have run.", 0)
+	case !j.isRepeatable():
+		return newRefusal(api.ResultCode_OUTCOME_UNKNOWN, api.Ran_RAN_UNKNOWN, "The backend server did not answer; the request may have run.", 0)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return refusal(api.ResultCode_DEADLINE_EXCEEDED, api.Ran_RAN_UNKNOWN, "The deadline passed while the request ran.", 0)
+		return newRefusal(api.ResultCode_DEADLINE_EXCEEDED, api.Ran_RAN_UNKNOWN, "The deadline passed while the request ran.", 0)
 	}
-	return refusal(api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN, "The backend server failed while it held the request.", 0)
+	return newRefusal(api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN, "The backend server failed while it held the request.", 0)
 }
 
-// backendFailed is the result in log lines about the backend server as a whole.
-var backendFailed = result.Label(api.ResultCode_BACKEND_FAILED)
+// backendFailedLabel is the result in log lines about the backend server as a whole.
+var backendFailedLabel = result.Label(api.ResultCode_BACKEND_FAILED)
 
-// release gives the job's place back and lets the next one in.
-func (e *executor) release(outcome cold.Outcome) {
+// releaseSlot gives the job's place back and lets the next one in.
+func (e *executor) releaseSlot(outcome cold.Outcome) {
 	now := clock.Now()
 	e.mu.Lock()
 	e.running--
-	e.pace.ended(now)
+	e.pollPacer.workEnded(now)
 	e.limiter.Done(now, outcome)
 	e.mu.Unlock()
-	e.pump(now)
+	e.dispatch(now)
 }
 
-func (e *executor) fail(j *job, refused *api.Refusal) {
-	e.note(j.work, j.arrived, j.started, refused)
+func (e *executor) failJob(j *job, refused *api.Refusal) {
+	e.recordRequest(j.work, j.arrived, j.started, refused)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answers.Fail(j.buffer, clock.Now(), refused)
-	j.letGo()
-	j.wake()
-	e.counts.failed.Inc(1)
+	j.dropRequest()
+	j.notifyReaders()
+	e.counters.failed.Inc(1)
 }
 
-// hopHeaders concern one connection, not the answer.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders concern one connection, not the answer.
+var hopByHopHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
 	"Transfer-Encoding": true,
@@ -174,10 +174,10 @@
 	"Content-Length":    true,
 }
 
-func head(resp *http.Response) *api.Head {
+func answerHead(resp *http.Response) *api.Head {
 	h := &api.Head{Status: int32(resp.StatusCode)}
 	for name, values := range resp.Header {
-		if hopHeaders[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -187,7 +187,7 @@
 	return h
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/agent/silence.go
+++ b/internal/agent/silence.go
@@ -9,35 +9,37 @@
 
 // silence follows whether the engine answers. The executor's lock guards it.
 type silence struct {
-	failing bool
-	since   time.Duration // of the first question without an answer
-	told    bool
+	failing      bool
+	failingSince time.Duration // of the first question without an answer
+	logged       bool
 }
 
-// long says that the engine has not answered for long enough to be shown.
-func (s *silence) long(now time.Duration) bool { return s.failing && now-s.since >= silentAfter }
+// isSilent says that the engine has not answered for isSilent enough to be shown.
+func (s *silence) isSilent(now time.Duration) bool {
+	return s.failing && now-s.failingSince >= silentAfter
+}
 
-// noteAnswer takes how a question to the engine ended, and logs when the engine falls
+// recordPoll takes how a question to the engine ended, and logs when the engine falls
 // silent and when it answers again.
-func (e *executor) noteAnswer(now time.Duration, err error) {
+func (e *executor) recordPoll(now time.Duration, err error) {
 	e.mu.Lock()
 	s := &e.silence
 	if err == nil {
-		told := s.told
+		wasLogged := s.logged
 		*s = silence{}
 		e.mu.Unlock()
-		if told {
+		if wasLogged {
 			_ = e.logger.Log("msg", "The engine answers again.")
 		}
 		return
 	}
 	if !s.failing {
-		s.failing, s.since = true, now
+		s.failing, s.failingSince = true, now
 	}
-	tell := s.long(now) && !s.told
-	s.told = s.told || tell
+	logNow := s.isSilent(now) && !s.logged
+	s.logged = s.logged || logNow
 	e.mu.Unlock()
-	if tell {
-		_ = e.logger.Log("level", "warn", "msg", "The engine does not answer.", "result", backendFailed, "err", err)
+	if logNow {
+		_ = e.logger.Log("level", "warn", "msg", "The engine does not answer.", "result", backendFailedLabel, "err", err)
 	}
 }
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -34,7 +34,7 @@
 		{60, refused, true, 1},
 		{61, nil, false, 1},
 	} {
-		e.noteAnswer(step.at*time.Second, step.err)
+		e.recordPoll(step.at*time.Second, step.err)
 		shown := e.status(step.at * time.Second).GetSilent()
 		lines := strings.Count(out.String(), `msg="The engine does not answer." result="401 BACKEND_FAILED"`)
 		if shown != step.silent || lines != step.lines {
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -19,24 +19,24 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8})
-	j, refused := e.take(push(mint(t, e)))
+	j, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	if refused := end(t, e, j); refused != nil {
+	if refused := awaitEnd(t, e, j); refused != nil {
 		t.Fatal(refused)
 	}
-	await(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
-	if e.idle(clock.Now()) {
+	waitUntil(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
+	if e.isIdle(clock.Now()) {
 		t.Error("the agent would end with an answer that nobody has had")
 	}
-	if !e.idle(clock.Now() + orphanGrace) {
+	if !e.isIdle(clock.Now() + orphanGrace) {
 		t.Error("the agent waits for a caller that does not come back")
 	}
 	e.mu.Lock()
 	e.answers.Delivered(j.buffer)
 	e.mu.Unlock()
-	if !e.idle(clock.Now()) {
+	if !e.isIdle(clock.Now()) {
 		t.Error("the agent waits although the answer was delivered")
 	}
 }
@@ -48,22 +48,22 @@
 	e := testExecutor(t, "http://127.0.0.1:1", &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8})
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode_DRAINING }
 	for name, refuse := range map[string]func(*api.Ticket){
-		"refused on arrival": func(minted *api.Ticket) { _, _ = e.take(push(minted)) },
-		"settled":            func(minted *api.Ticket) { _ = e.settle(&api.Settle{Ticket: minted, Customer: "c"}) },
+		"refused on arrival": func(minted *api.Ticket) { _, _ = e.accept(pushWork(minted)) },
+		"settled":            func(minted *api.Ticket) { _ = e.settleTicket(&api.Settle{Ticket: minted, Customer: "c"}) },
 	} {
-		minted := mint(t, e)
+		minted := mintTicket(t, e)
 		refuse(minted)
 		now := clock.Now()
-		if e.idle(now) || e.idle(now+retryElsewhere) {
+		if e.isIdle(now) || e.isIdle(now+defaultRetryAfter) {
 			t.Errorf("%s: the agent would be gone when the caller comes back", name)
 		}
-		if !e.idle(now + returnGrace) {
+		if !e.isIdle(now + ticketRetryGrace) {
 			t.Errorf("%s: the agent waits for a caller that does not come back", name)
 		}
-		if _, refused := e.take(push(minted)); refused.GetCode() != api.ResultCode_TICKET_VOID || refused.GetRan() != api.Ran_RAN_NO {
+		if _, refused := e.accept(pushWork(minted)); refused.GetCode() != api.ResultCode_TICKET_VOID || refused.GetRan() != api.Ran_RAN_NO {
 			t.Errorf("%s: a caller that comes back is told %v", name, refused)
 		}
-		e.told = 0
+		e.ticketRefusedAt = 0
 	}
 }
 
@@ -71,36 +71,36 @@
 // ticket is void, and nothing is left to come back for: a stop that waited for it as for an
 // answer would hold the VM's replacement up for seconds.
 func TestStopDoesNotWaitForWhatItRefused(t *testing.T) {
-	began, hold := make(chan struct{}), make(chan struct{})
+	started, hold := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		close(began)
+		close(started)
 		<-hold
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 1, ColdLimit: 1, Queue: 4})
-	running, refused := e.take(push(mint(t, e)))
+	running, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	<-began
-	waiting, refused := e.take(push(mint(t, e)))
+	<-started
+	waiting, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode_DRAINING }
-	e.pump(clock.Now())
-	if refused := end(t, e, waiting); refused.GetRan() != api.Ran_RAN_NO {
+	e.dispatch(clock.Now())
+	if refused := awaitEnd(t, e, waiting); refused.GetRan() != api.Ran_RAN_NO {
 		t.Fatalf("the push that waited: %v", refused)
 	}
 	close(hold)
-	if refused := end(t, e, running); refused != nil {
+	if refused := awaitEnd(t, e, running); refused != nil {
 		t.Fatal(refused)
 	}
-	await(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
+	waitUntil(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
 	e.mu.Lock()
 	e.answers.Delivered(running.buffer)
 	e.mu.Unlock()
-	if !e.idle(clock.Now() + returnGrace) {
+	if !e.isIdle(clock.Now() + ticketRetryGrace) {
 		t.Error("the agent waits for the reader of a refusal")
 	}
 }
