--- a/coord/keybind/ages.go
+++ b/coord/keybind/ages.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// marksPerLifetime is how finely ages are kept: a binding may live a thirty-second of
-// the lifetime longer than it must.
-const marksPerLifetime = 32
-
-// ReleaseStep is by how much longer than a lifetime a binding may be held, while records
-// come.
-func ReleaseStep(lifetime time.Duration) time.Duration { return lifetime / marksPerLifetime }
-
-// Ages tells how long records have stood in the stream at least, from when this process
-// saw them on its own monotonic clock. Wall clocks play no part: one that is a day fast
-// would release every binding at once, and each key would run again.
-type Ages struct {
-	lifetime time.Duration
-	marks    []mark
-	expired  int64
+// checkpointsPerLifetime is the resolution of ages: a binding may be held for up to 1/32 of
+// the lifetime longer than necessary.
+const checkpointsPerLifetime = 32
+
+// MaxReleaseDelay returns how much longer than a lifetime a binding may be held while new
+// records arrive.
+func MaxReleaseDelay(lifetime time.Duration) time.Duration { return lifetime / checkpointsPerLifetime }
+
+// AgeTracker tracks the minimum age of the stream's records, counted from when this process
+// read them on its own monotonic clock. Wall clocks aren't used: one that is a day fast would
+// release all bindings at once, and each key could run a second time.
+type AgeTracker struct {
+	lifetime       time.Duration
+	checkpoints    []checkpoint
+	expiredThrough int64
 }
 
-// mark says that all records up to an offset stood in the stream at a time.
-type mark struct {
-	through int64
-	opened  time.Duration
-	seen    time.Duration
+// checkpoint records that all records up to an offset were read by the time lastSeen.
+type checkpoint struct {
+	through   int64
+	firstSeen time.Duration
+	lastSeen  time.Duration
 }
 
-// NewAges returns the ages for a lifetime of bindings.
-func NewAges(lifetime time.Duration) *Ages {
-	return &Ages{lifetime: lifetime, expired: -1}
+// NewAgeTracker returns a tracker for bindings with this lifetime.
+func NewAgeTracker(lifetime time.Duration) *AgeTracker {
+	return &AgeTracker{lifetime: lifetime, expiredThrough: -1}
 }
 
-// Saw says that the records up to an offset stood in the stream at a time.
-func (a *Ages) Saw(now time.Duration, through int64) {
-	n := len(a.marks)
-	if n > 0 && through <= a.marks[n-1].through {
+// Observe records that the records up to an offset have been read by now.
+func (t *AgeTracker) Observe(now time.Duration, through int64) {
+	n := len(t.checkpoints)
+	if n > 0 && through <= t.checkpoints[n-1].through {
 		return
 	}
-	if n > 0 && now-a.marks[n-1].opened < ReleaseStep(a.lifetime) {
-		// The older records of the mark are made younger than they are, never older.
-		a.marks[n-1].through, a.marks[n-1].seen = through, now
+	if n > 0 && now-t.checkpoints[n-1].firstSeen < MaxReleaseDelay(t.lifetime) {
+		// This underestimates the age of the checkpoint's older records, and never
+		// overestimates any.
+		t.checkpoints[n-1].through, t.checkpoints[n-1].lastSeen = through, now
 		return
 	}
-	a.marks = append(a.marks, mark{through: through, opened: now, seen: now})
+	t.checkpoints = append(t.checkpoints, checkpoint{through: through, firstSeen: now, lastSeen: now})
 }
 
-// Released returns the newest offset whose records have been seen for a lifetime; -1
-// for none.
-func (a *Ages) Released(now time.Duration) int64 {
+// ExpiredThrough returns the newest offset whose record was read at least a lifetime ago, or
+// -1 if there is none.
+func (t *AgeTracker) ExpiredThrough(now time.Duration) int64 {
 	n := 0
-	for n < len(a.marks) && now-a.marks[n].seen >= a.lifetime {
-		a.expired = a.marks[n].through
+	for n < len(t.checkpoints) && now-t.checkpoints[n].lastSeen >= t.lifetime {
+		t.expiredThrough = t.checkpoints[n].through
 		n++
 	}
-	a.marks = a.marks[n:]
-	return a.expired
+	t.checkpoints = t.checkpoints[n:]
+	return t.expiredThrough
 }
--- a/coord/keybind/property_test.go
+++ b/coord/keybind/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// The seed is fixed so that every run is the same; -rapid.seed, -rapid.checks and
-// -rapid.steps on the command line go before these.
+// The fixed seed makes runs repeatable; -rapid.seed, -rapid.checks and -rapid.steps on the
+// command line override these values.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
@@ -21,27 +21,27 @@
 }
 
 const (
-	toldFor = 100 * time.Second // what callers are told
-	hold    = 2 * toldFor
-	margin  = time.Second
+	promisedLifetime = 100 * time.Second // what callers are told
+	holdTime         = 2 * promisedLifetime
+	clockMargin      = time.Second
 )
 
-// world is a stream, entries that are replaced at any time, and the agents' view of the
-// tickets that they minted.
-type world struct {
+// simulation models a stream, entries that may be replaced at any time, and the agents' state
+// of the tickets that the entries minted.
+type simulation struct {
 	now     time.Duration
 	records []record // by offset; those below first have expired
 	first   int64
-	// retention is how long the stream keeps records; less than it should at times.
+	// retention is how long the stream keeps records. It may be less than holdTime.
 	retention time.Duration
 	entries   []*simEntry
-	flights   []*flight
+	inFlight  []*pendingAppend
 	tickets   []*simTicket
-	sends     []simSend
+	sent      []sentRequest
 	// ran holds the tickets that ran, by key.
 	ran map[Key][]*simTicket
-	// notRun holds the requests that were told so, by key.
-	notRun map[Key][]simSend
+	// toldNotRun holds the requests whose callers were told "not run", by key.
+	toldNotRun map[Key][]sentRequest
 }
 
 type record struct {
@@ -49,28 +49,28 @@
 	at   time.Duration
 }
 
-// flight is an append whose record may land at any later time, or never.
-type flight struct{ data []byte }
+// pendingAppend is an append whose record may enter the stream at any later time, or never.
+type pendingAppend struct{ data []byte }
 
 type simEntry struct {
 	fold    *Fold
-	ages    *Ages
+	ages    *AgeTracker
 	batcher *Batcher
-	waiting []simPress
-	// arrivals wait for the gate, or for a process that is paused.
-	arrivals []simPress
+	waiting []simRequest
+	// arrivals are requests that wait for admission, or for a paused process.
+	arrivals []simRequest
 }
 
-type simPress struct {
+type simRequest struct {
 	key     Key
 	request Request
 	arrived time.Duration
 }
 
-// simSend is a request under way to the agent of its key's ticket.
-type simSend struct {
+// sentRequest is a request in flight to the agent of its key's ticket.
+type sentRequest struct {
 	*simTicket
-	press simPress
+	request simRequest
 }
 
 type simTicket struct {
@@ -82,72 +82,73 @@
 }
 
 func newEntry() *simEntry {
-	return &simEntry{fold: New(), ages: NewAges(hold), batcher: NewBatcher(3, toldFor/2)}
+	return &simEntry{fold: NewFold(), ages: NewAgeTracker(holdTime), batcher: NewBatcher(3, promisedLifetime/2)}
 }
 
-func (w *world) proven(e *simEntry) bool {
-	return e.fold.Proven(w.wall(), hold, margin)
+func (sim *simulation) isComplete(e *simEntry) bool {
+	return e.fold.IsComplete(sim.wallMs(), holdTime, clockMargin)
 }
 
-func (w *world) wall() int64 { return (w.now + 1000*time.Hour).Milliseconds() }
+func (sim *simulation) wallMs() int64 { return (sim.now + 1000*time.Hour).Milliseconds() }
 
-// press is one request under a key, at an entry.
-func (w *world) press(t *rapid.T, e *simEntry, p simPress) {
-	if w.use(t, e, p) || !w.proven(e) {
+// handle lets an entry handle one request.
+func (sim *simulation) handle(t *rapid.T, e *simEntry, p simRequest) {
+	if sim.sendIfBound(t, e, p) || !sim.isComplete(e) {
 		return
 	}
-	if verdict, _ := e.fold.Room().Ask(Customer{p.key[0]}, 0); verdict != Free {
+	if verdict, _ := e.fold.Quotas().Check(Customer{p.key[0]}, 0); verdict != Allowed {
 		return
 	}
-	// The ticket was minted in the first half of its block's life.
-	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: w.now + hold}
-	name := &api.Ticket{Seq: uint32(len(w.tickets)), AgentVm: "vm", Customer: p.key[:1]}
-	if e.batcher.Add(w.now, p.arrived, p.key, p.request, name) == nil {
-		w.tickets = append(w.tickets, ticket)
+	// The ticket was minted in the first half of its block's lifetime.
+	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: sim.now + holdTime}
+	name := &api.Ticket{Seq: uint32(len(sim.tickets)), AgentVm: "vm", Customer: p.key[:1]}
+	if e.batcher.Add(sim.now, p.arrived, p.key, p.request, name) == nil {
+		sim.tickets = append(sim.tickets, ticket)
 		e.waiting = append(e.waiting, p)
 	}
 }
 
-// use sends a request under the ticket that its key is bound to, if the entry knows it.
-func (w *world) use(t *rapid.T, e *simEntry, p simPress) bool {
-	b, ok := e.fold.Get(p.key)
+// sendIfBound sends a request under the ticket that its key is bound to, and reports whether
+// the entry holds a binding of the key.
+func (sim *simulation) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
+	b, ok := e.fold.Lookup(p.key)
 	if !ok {
 		return false
 	}
-	if b.Unsure || !w.proven(e) || b.Request != p.request || !b.Current(w.wall(), hold-toldFor/2, margin) {
+	if b.Unconfirmed || !sim.isComplete(e) || b.Request != p.request || !b.IsCurrent(sim.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
 		return true
 	}
-	ticket, err := b.OpenTicket()
+	ticket, err := b.DecodeTicket()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.tickets[ticket.GetSeq()].key != p.key {
+	if sim.tickets[ticket.GetSeq()].key != p.key {
 		t.Fatal("a key is bound to the ticket of another one")
 	}
-	w.sends = append(w.sends, simSend{w.tickets[ticket.GetSeq()], p})
+	sim.sent = append(sim.sent, sentRequest{sim.tickets[ticket.GetSeq()], p})
 	return true
 }
 
-func (w *world) take(t *rapid.T, e *simEntry, beat bool) {
-	batch, _, ok := e.batcher.Take(w.now, 0, beat)
+func (sim *simulation) beginAppend(t *rapid.T, e *simEntry, allowEmpty bool) {
+	batch, _, ok := e.batcher.BeginAppend(sim.now, 0, allowEmpty)
 	if !ok {
 		return
 	}
-	data, err := Record(batch, e.fold.Next(), e.ages.Released(w.now), w.wall())
+	data, err := EncodeRecord(batch, e.fold.Next(), e.ages.ExpiredThrough(sim.now), sim.wallMs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.flights = append(w.flights, &flight{data: data})
+	sim.inFlight = append(sim.inFlight, &pendingAppend{data: data})
 }
 
-func (w *world) read(t *rapid.T, e *simEntry, limit int) {
-	if e.fold.Next() < w.first {
-		e.fold.Restart(w.first)
+func (sim *simulation) read(t *rapid.T, e *simEntry, limit int) {
+	if e.fold.Next() < sim.first {
+		e.fold.Restart(sim.first)
 		e.batcher.Clear()
 		e.waiting = nil
 	}
-	for n := e.fold.Next(); n < int64(len(w.records)) && limit > 0; n++ {
-		keys, err := e.fold.Apply(n, w.records[n].data)
+	for n := e.fold.Next(); n < int64(len(sim.records)) && limit > 0; n++ {
+		keys, err := e.fold.Apply(n, sim.records[n].data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,49 +157,49 @@
 		}
 		limit--
 	}
-	e.ages.Saw(w.now, e.fold.Next()-1)
-	var rest []simPress
+	e.ages.Observe(sim.now, e.fold.Next()-1)
+	var stillWaiting []simRequest
 	for _, p := range e.waiting {
-		if !w.use(t, e, p) {
-			rest = append(rest, p)
+		if !sim.sendIfBound(t, e, p) {
+			stillWaiting = append(stillWaiting, p)
 		}
 	}
-	e.waiting = rest
+	e.waiting = stillWaiting
 }
 
-// land lets an append stand in the stream.
-func (w *world) land(i int) {
-	w.records = append(w.records, record{w.flights[i].data, w.now})
-	w.flights = slices.Delete(w.flights, i, i+1)
+// commitAppend adds the record of an append to the stream.
+func (sim *simulation) commitAppend(i int) {
+	sim.records = append(sim.records, record{sim.inFlight[i].data, sim.now})
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
 }
 
-func (w *world) deliverNewest() {
-	if n := len(w.sends); n > 0 {
-		w.deliver(w.sends[n-1])
+func (sim *simulation) deliverNewest() {
+	if n := len(sim.sent); n > 0 {
+		sim.deliver(sim.sent[n-1])
 	}
 }
 
-// deliver is the agent's decision on a ticket.
-func (w *world) deliver(s simSend) {
+// deliver lets the agent decide on the ticket of a request.
+func (sim *simulation) deliver(s sentRequest) {
 	switch {
 	case s.ran:
-	case s.void || w.now >= s.expiry:
+	case s.void || sim.now >= s.expiry:
 		s.void = true
-		w.notRun[s.key] = append(w.notRun[s.key], s)
+		sim.toldNotRun[s.key] = append(sim.toldNotRun[s.key], s)
 	default:
 		s.ran = true
-		w.ran[s.key] = append(w.ran[s.key], s.simTicket)
+		sim.ran[s.key] = append(sim.ran[s.key], s.simTicket)
 	}
 }
 
-// checkTold: who was told "not run" has not run, not by an earlier request either of
-// which this one was a retry in good time.
-func (w *world) checkTold(t *rapid.T) {
-	for key, all := range w.notRun {
-		for _, told := range all {
-			for _, ran := range w.ran[key] {
-				since := told.press.arrived - ran.arrived
-				if ran != told.simTicket && since >= 0 && since < toldFor {
+// checkToldNotRun checks that no request was told "not run" although an earlier request ran of
+// which it was a retry within the promised lifetime.
+func (sim *simulation) checkToldNotRun(t *rapid.T) {
+	for key, all := range sim.toldNotRun {
+		for _, refused := range all {
+			for _, ran := range sim.ran[key] {
+				since := refused.request.arrived - ran.arrived
+				if ran != refused.simTicket && since >= 0 && since < promisedLifetime {
 					t.Fatalf("told \"not run\" at a retry %v after a request that runs", since)
 				}
 			}
@@ -206,124 +207,126 @@
 	}
 }
 
-// check: a key runs again only for a request that arrived after the time that callers
-// were told, counted from the request that it was first bound for.
-func (w *world) check(t *rapid.T) {
-	w.checkTold(t)
-	for _, all := range w.ran {
+// check checks that a key runs a second time only for a request that arrived after the promised
+// lifetime, counted from the request that it was first bound for.
+func (sim *simulation) check(t *rapid.T) {
+	sim.checkToldNotRun(t)
+	for _, all := range sim.ran {
 		for i, a := range all {
 			for _, b := range all[:i] {
-				if gap := a.arrived - b.arrived; gap > -toldFor && gap < toldFor {
+				if gap := a.arrived - b.arrived; gap > -promisedLifetime && gap < promisedLifetime {
 					t.Fatalf("a key ran twice, for requests that arrived %v apart", gap)
 				}
 			}
 		}
 	}
-	for i, a := range w.entries {
-		checkCounts(t, a.fold)
-		for _, b := range w.entries[:i] {
-			w.checkSame(t, a, b)
+	for i, a := range sim.entries {
+		checkQuotas(t, a.fold)
+		for _, b := range sim.entries[:i] {
+			sim.checkFoldsAgree(t, a, b)
 		}
 	}
 }
 
-// checkCounts: the room of a fold counts what the fold holds.
-func checkCounts(t *rapid.T, f *Fold) {
+// checkQuotas checks that the quotas of a fold count the bindings that it holds.
+func checkQuotas(t *rapid.T, f *Fold) {
 	counts := map[Customer]int{}
 	for _, b := range f.bindings {
 		counts[b.Customer]++
 	}
-	if !maps.Equal(counts, f.room.held) || f.room.total != len(f.bindings) || len(f.ends) > len(counts) {
-		t.Fatalf("%v are counted, and %v held", f.room.held, counts)
+	if !maps.Equal(counts, f.quotas.held) || f.quotas.total != len(f.bindings) || len(f.recordsOf) > len(counts) {
+		t.Fatalf("%v are counted, and %v held", f.quotas.held, counts)
 	}
 }
 
-// checkSame: two folds at one offset that are sure of a key agree on its ticket.
-func (w *world) checkSame(t *rapid.T, a, b *simEntry) {
-	if a.fold.Next() != b.fold.Next() || !w.proven(a) || !w.proven(b) {
+// checkFoldsAgree checks that two folds at the same offset with a confirmed binding of a key
+// agree on its ticket.
+func (sim *simulation) checkFoldsAgree(t *rapid.T, a, b *simEntry) {
+	if a.fold.Next() != b.fold.Next() || !sim.isComplete(a) || !sim.isComplete(b) {
 		return
 	}
-	for key, one := range a.fold.bindings {
-		other, ok := b.fold.bindings[key]
-		if ok && !one.Unsure && !other.Unsure && one.Ticket != other.Ticket {
+	for key, inA := range a.fold.bindings {
+		inB, ok := b.fold.bindings[key]
+		if ok && !inA.Unconfirmed && !inB.Unconfirmed && inA.Ticket != inB.Ticket {
 			t.Fatal("two folds of the same records bind a key to two tickets")
 		}
 	}
 }
 
-// Till apps press under few keys through three entries at once. Appends land late, in
-// another order, after their entry was replaced, or never, and their answers are lost;
-// entries lag past what the stream keeps, agents refuse and die, and each entry refuses
-// other keys for want of room. A key runs once in the time that callers were told.
+// Callers send requests under few keys through three entries at once. Records of appends enter
+// the stream late, in another order, after their entry was replaced, or never, and the replies
+// to appends are lost; entries lag behind the oldest record of the stream, agents refuse
+// requests and are replaced, and the quotas of each entry refuse different keys. A key must run
+// at most once within the promised lifetime.
 func TestAKeyRunsOnceProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{ran: map[Key][]*simTicket{}, notRun: map[Key][]simSend{}}
-		w.retention = rapid.SampledFrom([]time.Duration{toldFor / 5, hold, 2 * hold}).Draw(t, "retention")
+		sim := &simulation{ran: map[Key][]*simTicket{}, toldNotRun: map[Key][]sentRequest{}}
+		sim.retention = rapid.SampledFrom([]time.Duration{promisedLifetime / 5, holdTime, 2 * holdTime}).Draw(t, "retention")
 		for range 3 {
-			w.entries = append(w.entries, newEntry())
+			sim.entries = append(sim.entries, newEntry())
 		}
-		entry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(w.entries).Draw(t, "entry") }
+		pickEntry := func(t *rapid.T) *simEntry { return rapid.SampledFrom(sim.entries).Draw(t, "entry") }
 		pick := func(t *rapid.T, n int) int {
 			if n == 0 {
 				t.Skip("none")
 			}
 			return rapid.IntRange(0, n-1).Draw(t, "which")
 		}
-		press := func(t *rapid.T) simPress {
-			return simPress{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: w.now}
+		newRequest := func(t *rapid.T) simRequest {
+			return simRequest{key: Key{rapid.ByteRange(0, 1).Draw(t, "key")}, request: Request{rapid.ByteRange(0, 9).Draw(t, "request") / 9}, arrived: sim.now}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": func(t *rapid.T) { e := entry(t); e.arrivals = append(e.arrivals, press(t)) },
+			"arrive": func(t *rapid.T) { e := pickEntry(t); e.arrivals = append(e.arrivals, newRequest(t)) },
 			"press": func(t *rapid.T) {
-				e := entry(t)
+				e := pickEntry(t)
 				for _, p := range e.arrivals {
-					w.press(t, e, p)
+					sim.handle(t, e, p)
 				}
 				e.arrivals = nil
 			},
 			"press and go on": func(t *rapid.T) {
-				e := entry(t)
-				w.press(t, e, press(t))
-				w.take(t, e, false)
+				e := pickEntry(t)
+				sim.handle(t, e, newRequest(t))
+				sim.beginAppend(t, e, false)
 			},
-			"take": func(t *rapid.T) { w.take(t, entry(t), false) },
-			"beat": func(t *rapid.T) { w.take(t, entry(t), true) },
-			"land": func(t *rapid.T) { w.land(pick(t, len(w.flights))) },
+			"take": func(t *rapid.T) { sim.beginAppend(t, pickEntry(t), false) },
+			"beat": func(t *rapid.T) { sim.beginAppend(t, pickEntry(t), true) },
+			"land": func(t *rapid.T) { sim.commitAppend(pick(t, len(sim.inFlight))) },
 			"land all": func(*rapid.T) {
-				for len(w.flights) > 0 {
-					w.land(0)
+				for len(sim.inFlight) > 0 {
+					sim.commitAppend(0)
 				}
 			},
-			"lose": func(t *rapid.T) { i := pick(t, len(w.flights)); w.flights = slices.Delete(w.flights, i, i+1) },
+			"lose": func(t *rapid.T) { i := pick(t, len(sim.inFlight)); sim.inFlight = slices.Delete(sim.inFlight, i, i+1) },
 			"done": func(*rapid.T) {
-				for _, e := range w.entries {
-					e.batcher.Done()
+				for _, e := range sim.entries {
+					e.batcher.EndAppend()
 				}
 			},
-			"read": func(t *rapid.T) { w.read(t, entry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
+			"read": func(t *rapid.T) { sim.read(t, pickEntry(t), rapid.IntRange(1, 4).Draw(t, "limit")) },
 			"read all": func(t *rapid.T) {
-				e := entry(t)
-				w.read(t, e, len(w.records))
-				w.deliverNewest()
+				e := pickEntry(t)
+				sim.read(t, e, len(sim.records))
+				sim.deliverNewest()
 			},
-			"replace":        func(t *rapid.T) { w.entries[pick(t, len(w.entries))] = newEntry() },
-			"deliver":        func(t *rapid.T) { w.deliver(w.sends[pick(t, len(w.sends))]) },
-			"deliver newest": func(*rapid.T) { w.deliverNewest() },
-			"void":           func(t *rapid.T) { s := w.sends[pick(t, len(w.sends))]; s.void = !s.ran || s.void },
-			"pass":           func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
-			"pass long":      func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
+			"replace":        func(t *rapid.T) { sim.entries[pick(t, len(sim.entries))] = newEntry() },
+			"deliver":        func(t *rapid.T) { sim.deliver(sim.sent[pick(t, len(sim.sent))]) },
+			"deliver newest": func(*rapid.T) { sim.deliverNewest() },
+			"void":           func(t *rapid.T) { s := sim.sent[pick(t, len(sim.sent))]; s.void = !s.ran || s.void },
+			"pass":           func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
+			"pass long":      func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
 			"expire": func(*rapid.T) {
-				for w.first < int64(len(w.records)) && w.now-w.records[w.first].at > w.retention {
-					w.first++
+				for sim.first < int64(len(sim.records)) && sim.now-sim.records[sim.first].at > sim.retention {
+					sim.first++
 				}
 			},
-			// Each entry has room and shares of its own: no two judge alike.
+			// The limit and the shares differ between entries, and so do their decisions.
 			"room": func(t *rapid.T) {
-				f := entry(t).fold
-				f.room.size = rapid.SampledFrom([]int{1, 2, MaxHeld}).Draw(t, "size")
-				f.room.SetShares(equal(rapid.ByteRange(1, 3).Draw(t, "customers")))
+				f := pickEntry(t).fold
+				f.quotas.limit = rapid.SampledFrom([]int{1, 2, MaxHeldBindings}).Draw(t, "size")
+				f.quotas.SetShares(equalShares(rapid.ByteRange(1, 3).Draw(t, "customers")))
 			},
-			"": w.check,
+			"": sim.check,
 		})
 	})
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -77,7 +77,7 @@
 	}
 	e.mu.Lock()
 	// It goes out with the first part: the entry passes nothing on before that.
-	e.answers.Head(j.buffer, answerHead(resp))
+	e.answers.SetHead(j.buffer, answerHead(resp))
 	e.mu.Unlock()
 	recorder := newAnswerRecorder(e, j, resp, started)
 	err = readParts(resp, recorder.addPart)
--- a/internal/gateway/fate.go
+++ b/internal/gateway/fate.go
@@ -10,86 +10,87 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// fate is what became of a request at a backend server.
-type fate uint8
+// serverOutcome is the outcome of an attempt as it counts for the backend server.
+type serverOutcome uint8
 
 const (
-	// fateServed says that the server gave its answer.
-	fateServed fate = iota
-	// fateRefused says that the server did not take the request.
-	fateRefused
-	// fateFailed says that it failed the request.
-	fateFailed
-	// fateUnreachable says that no connection to it stood.
-	fateUnreachable
-	// fateUnknown says nothing about the server, as when the caller has gone.
-	fateUnknown
+	// outcomeServed: the server answered.
+	outcomeServed serverOutcome = iota
+	// outcomeRefused: the server did not accept the request.
+	outcomeRefused
+	// outcomeFailed: the server failed the request.
+	outcomeFailed
+	// outcomeUnreachable: no connection to the server could be made.
+	outcomeUnreachable
+	// outcomeUnknown: the attempt shows nothing about the server, as when the caller has gone.
+	outcomeUnknown
 )
 
-// done says that a request which was placed has ended.
-func (f *fleet) done(id string, what fate, took, now time.Duration) {
+// endAttempt records the end of an attempt at a server that was picked before.
+func (f *fleet) endAttempt(id string, outcome serverOutcome, took, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.servers[id]
 	if s == nil {
 		return
 	}
-	s.own = max(s.own-1, 0)
-	switch what {
-	case fateServed:
-		f.judge.RecordSuccess(id)
-		if s.work == 0 {
-			s.work = took
+	s.ownInFlight = max(s.ownInFlight-1, 0)
+	switch outcome {
+	case outcomeServed:
+		f.ejector.RecordSuccess(id)
+		if s.workTime == 0 {
+			s.workTime = took
 		}
-		s.work += (took - s.work) / workWeight
-	case fateFailed:
-		f.ejected(s, "it fails requests", f.judge.RecordFailure(id, now))
-	case fateUnreachable:
-		f.ejected(s, "it cannot be reached", f.judge.RecordUnreachable(id, now))
-	case fateRefused, fateUnknown:
+		s.workTime += (took - s.workTime) / workTimeSamples
+	case outcomeFailed:
+		f.logEjection(s, "it fails requests", f.ejector.RecordFailure(id, now))
+	case outcomeUnreachable:
+		f.logEjection(s, "it cannot be reached", f.ejector.RecordUnreachable(id, now))
+	case outcomeRefused, outcomeUnknown:
 	}
 	f.table.Ended(id, now, place.Outcome{
 		Latency: took,
-		Refused: what == fateRefused,
-		Failed:  what == fateFailed || what == fateUnreachable,
+		Refused: outcome == outcomeRefused,
+		Failed:  outcome == outcomeFailed || outcome == outcomeUnreachable,
 	})
-	if what == fateFailed || what == fateUnreachable {
-		f.refresh(now)
+	if outcome == outcomeFailed || outcome == outcomeUnreachable {
+		f.updatePlacement(now)
 	}
 }
 
-// ejected logs that a server is out by what it just did.
-func (f *fleet) ejected(s *server, cause string, out time.Duration) {
-	if out == 0 {
+// logEjection counts and logs that a server was ejected for the given duration; zero means that it
+// was not.
+func (f *fleet) logEjection(s *server, cause string, duration time.Duration) {
+	if duration == 0 {
 		return
 	}
-	f.leftOut.Inc(1)
+	f.ejections.Inc(1)
 	_ = level.Warn(f.logger).Log("msg", "A backend server is left out for a while.", "server", s.ID, "service", s.Service,
-		"failure_domain", s.FailureDomain, "cause", cause, "for_ms", out.Milliseconds(),
+		"failure_domain", s.FailureDomain, "cause", cause, "for_ms", duration.Milliseconds(),
 		"result", result.Label(api.ResultCode_BACKEND_FAILED))
 }
 
-// first counts a request of a service towards the retry budget.
-func (f *fleet) first(service string) {
+// countRequest counts a request of a service towards the retry budget.
+func (f *fleet) countRequest(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(service).CountRequest()
+	f.retryBudget(service).CountRequest()
 }
 
-// again says whether one more attempt for a request of a service may be made.
-func (f *fleet) again(service string) bool {
+// spendRetry takes one retry from the budget of a service, and reports whether there was one.
+func (f *fleet) spendRetry(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.budget(service).SpendRetry()
+	return f.retryBudget(service).SpendRetry()
 }
 
-func (f *fleet) budget(service string) *place.RetryBudget {
+func (f *fleet) retryBudget(service string) *place.RetryBudget {
 	b := f.budgets[service]
 	if b == nil {
-		b = &place.RetryBudget{Ratio: f.bounds.retryRatio * retryShare}
+		b = &place.RetryBudget{Ratio: f.limits.retryRatio * retryBudgetShare}
 		f.budgets[service] = b
 	}
-	// What all entries may save up together is shared out among those that may live.
-	b.Reserve = max(1, f.bounds.retrySlack*retryShare/float64(f.mayLive))
+	// The reserve of all entries together is divided among those that may be alive.
+	b.Reserve = max(1, f.limits.retryReserve*retryBudgetShare/float64(f.maybeLive))
 	return b
 }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -15,8 +15,8 @@
 
 const msec = time.Millisecond
 
-// service is the configuration of one service with engines that are cold for a while.
-func service(coldRate float64) *routing.Table {
+// serviceTable returns a configuration with one service, whose engines are cold for a while.
+func serviceTable(coldRate float64) *routing.Table {
 	return routing.NewTable(&routing.Config{
 		Version:  1,
 		Services: []routing.Service{{Name: "app", ColdRate: coldRate, Engine: &routing.Engine{Concurrency: 12}}},
@@ -24,7 +24,7 @@
 	})
 }
 
-func entries(n, concurrency int) []registry.Registration {
+func registrations(n, concurrency int) []registry.Registration {
 	var out []registry.Registration
 	for i := range n {
 		out = append(out, registry.Registration{Server: registry.Server{
@@ -34,25 +34,25 @@
 	return out
 }
 
-// newTestFleet is the fleet of one of so many entries; seed makes their choices differ.
+// newTestFleet returns the fleet of one of live entries; seed makes their choices differ.
 func newTestFleet(n, concurrency, live int, coldRate float64, seed ...uint64) *fleet {
 	rng := rand.New(rand.NewPCG(1, 1))
 	if len(seed) > 0 {
 		rng = rand.New(rand.NewPCG(seed[0], 1))
 	}
-	f := newFleet(bounds{coldOver: 1.5, coldSlack: 5, retryRatio: 0.2, retrySlack: 92}, rng)
-	f.set(entries(n, concurrency), nil, service(coldRate), census{live, live}, 0)
+	f := newFleet(limits{coldMaxRatio: 1.5, coldSlack: 5, retryRatio: 0.2, retryReserve: 92}, rng)
+	f.setServers(registrations(n, concurrency), nil, serviceTable(coldRate), entryCounts{live, live}, 0)
 	return f
 }
 
-func (f *fleet) pickFor(now time.Duration) (string, api.ResultCode) {
-	s, code := f.another(need{service: "app"}, now)
+func (f *fleet) pickApp(now time.Duration) (string, api.ResultCode) {
+	s, code := f.pickForRetry(pickRequest{service: "app"}, now)
 	return s.ID, code
 }
 
-// Of twelve engines one is left, and it is cold. Eight entries have all the callers of the
-// service. In no second may the engine get more than it bears, though no entry knows what
-// the others send.
+// Of twelve engines one is left, and it is cold, while eight entries get all requests of the
+// service. In no second may the engine get more than its cold rate allows, though no entry knows
+// what the others send.
 func TestAColdServerIsSpared(t *testing.T) {
 	const live, rate = 8, 36.0
 	var fleets []*fleet
@@ -62,13 +62,13 @@
 	var sent []time.Duration
 	for now := time.Duration(0); now < 10*time.Second; now += 2 * msec {
 		for _, f := range fleets {
-			if id, code := f.pickFor(now); code == api.ResultCode_OK {
-				f.done(id, fateServed, msec, now)
+			if id, code := f.pickApp(now); code == api.ResultCode_OK {
+				f.endAttempt(id, outcomeServed, msec, now)
 				sent = append(sent, now)
 			}
 		}
 	}
-	const most = rate*1.5 + 5
+	const maxPerSecond = rate*1.5 + 5
 	for i := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -76,8 +76,8 @@
 				n++
 			}
 		}
-		if float64(n) > most {
-			t.Fatalf("%d requests in the second from %v, %v at most", n, sent[i], most)
+		if float64(n) > maxPerSecond {
+			t.Fatalf("%d requests in the second from %v, %v at most", n, sent[i], maxPerSecond)
 		}
 	}
 	if len(sent) < int(rate*8) {
@@ -85,30 +85,31 @@
 	}
 }
 
-// All servers fail, and every request asks to be sent again. Over all entries the second
-// attempts stay within the budget that they share.
+// All servers fail, and every request is to be retried. The retries of all entries together must
+// stay within the budget that they share.
 func TestRetriesOfAllEntriesStayWithinTheBudget(t *testing.T) {
 	const live, requests = 8, 60
-	again := 0
+	retries := 0
 	for range live {
 		f := newTestFleet(3, 6, live, 0)
 		for range requests {
-			f.first("app")
-			if f.again("app") {
-				again++
+			f.countRequest("app")
+			if f.spendRetry("app") {
+				retries++
 			}
 		}
 	}
-	if most := 0.2*live*requests + 92; float64(again) > most {
-		t.Errorf("%d second attempts, %v at most", again, most)
+	if maxRetries := 0.2*live*requests + 92; float64(retries) > maxRetries {
+		t.Errorf("%d retries, %v at most", retries, maxRetries)
 	}
-	if again < live*requests/10 {
-		t.Errorf("only %d second attempts", again)
+	if retries < live*requests/10 {
+		t.Errorf("only %d retries", retries)
 	}
 }
 
-// Eight entries place for twelve engines by what they heard of each other 150 ms ago. No
-// engine may get far more than the mean: its callers would wait while others idle.
+// Eight entries place requests on twelve engines by reports of each other that are up to 150 ms
+// old. If they all chose the server that last reported idle, one engine would get far more than the
+// mean, and its callers would wait while others idle.
 func TestEntriesSpreadTheirRequests(t *testing.T) {
 	const live, servers = 8, 12
 	var fleets []*fleet
@@ -126,16 +127,16 @@
 		kept := runs[:0]
 		for _, r := range runs {
 			if r.until <= now {
-				fleets[r.entry].done(r.id, fateServed, 1500*msec, now)
+				fleets[r.entry].endAttempt(r.id, outcomeServed, 1500*msec, now)
 				continue
 			}
 			kept = append(kept, r)
 		}
 		runs = kept
 		entry := int(now/(10*msec)) % live
-		// 60 requests a second that take 1.5 s: 7.5 at each engine.
+		// 60 requests per second that take 1.5 s each: 7.5 at each engine.
 		if now%(50*msec) < 30*msec {
-			if id, code := fleets[entry].pickFor(now); code == api.ResultCode_OK {
+			if id, code := fleets[entry].pickApp(now); code == api.ResultCode_OK {
 				runs = append(runs, run{entry, id, now + 1500*msec})
 			}
 		}
@@ -147,7 +148,7 @@
 						others[r.id]++
 					}
 				}
-				f.setOthers(others, nil, now)
+				f.setPeerReports(others, nil, now)
 			}
 		}
 		if now > 5*time.Second {
@@ -158,21 +159,21 @@
 			}
 		}
 	}
-	// What an engine works on at once, and what may wait there.
-	const most = 12 + 12*queueRoom
-	if float64(busiest) > most {
-		t.Errorf("an engine had %d requests, with 7.5 on average and %v at most", busiest, most)
+	// The concurrency of an engine, and what may be queued there.
+	const maxInFlight = 12 + 12*serverQueueRatio
+	if float64(busiest) > maxInFlight {
+		t.Errorf("an engine had %d requests, with 7.5 on average and %v at most", busiest, maxInFlight)
 	}
 }
 
-// One engine of a group says that it is five times slower. Its own requests hold up all
-// others, so that it gets hardly any.
+// One engine of a group reports that it is five times slower. Its own requests hold up all other
+// ranks, so it must get hardly any.
 func TestASlowEngineGetsLittle(t *testing.T) {
 	f := newTestFleet(12, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
 	got := map[string]int{}
 	for range 90 {
-		if id, code := f.pickFor(0); code == api.ResultCode_OK {
+		if id, code := f.pickApp(0); code == api.ResultCode_OK {
 			got[id]++
 		}
 	}
@@ -181,12 +182,12 @@
 	}
 }
 
-// The group of a service is broken, and callers come. They wait until the group is open, and
-// are not sent from one engine to the next; nobody waits for longer than callers stay.
+// The group of a service is broken when requests arrive. They must wait until the group is open,
+// and not be sent from one engine to the next.
 func TestRequestsWaitForABrokenGroup(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	if !f.shed("i-0") || f.shed("i-1") {
-		t.Fatal("an engine with room that refuses must shut its service, once")
+	if !f.markRefusing("i-0") || f.markRefusing("i-1") {
+		t.Fatal("a refusal by an engine with free slots must mark its service as refusing, once")
 	}
 	type outcome struct {
 		server string
@@ -196,7 +197,7 @@
 	now := time.Duration(0)
 	for range cap(outcomes) {
 		go func() {
-			_, s, err := f.enter(context.Background(), &task{route: &routing.Route{}, service: "app", team: "north"}, now)
+			_, s, err := f.admitRequest(context.Background(), &task{route: &routing.Route{}, service: "app", team: "north"}, now)
 			if err != nil {
 				outcomes <- outcome{err: err}
 				return
@@ -206,16 +207,16 @@
 	}
 	for end := time.Now().Add(generous); ; time.Sleep(msec) {
 		f.mu.Lock()
-		waiting := len(f.waiting)
+		waiting := len(f.queue)
 		f.mu.Unlock()
 		if waiting+len(outcomes) == cap(outcomes) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d wait", waiting)
+			t.Fatalf("only %d requests are queued", waiting)
 		}
 	}
-	f.opened("app")
+	f.clearRefusing("app")
 	for range cap(outcomes) {
 		if o := <-outcomes; o.server == "" {
 			t.Errorf("refused with %v though the group opened", o.err)
@@ -223,64 +224,63 @@
 	}
 }
 
-// An engine that is full refuses. That says nothing of its group.
+// A full engine refuses a request. That must not stop the service.
 func TestAFullEngineShutsNothing(t *testing.T) {
 	f := newTestFleet(1, 1, 1, 0)
-	id, _ := f.pickFor(0)
-	if f.shed(id) {
-		t.Error("the service was shut")
+	id, _ := f.pickApp(0)
+	if f.markRefusing(id) {
+		t.Error("the service was marked as refusing")
 	}
 }
 
-// One rank of a lock-step group is five times slower: all ranks would wait in every pass for
-// what it does for requests of its own. It gets none while others can; with all as slow, each
-// gets some.
+// One rank of a lock-step group is five times slower, and all ranks wait in every pass for what it
+// does for its own requests. It must get none while other servers can serve. If all are as slow,
+// each gets some.
 func TestASlowServerGetsNoRequests(t *testing.T) {
 	const picks = 2000
 	f := newTestFleet(4, 12, 1, 0)
 	slow := map[string]experts.Pace{"i-1": {Slower: 5}}
-	f.setOthers(nil, slow, 0)
-	// While all are idle, and then until the fast ones are full.
+	f.setPeerReports(nil, slow, 0)
+	// First while all are idle, then until the fast ones are full.
 	for i := range 2 * picks {
-		id, code := f.pickFor(0)
+		id, code := f.pickApp(0)
 		if code == api.ResultCode_OK && id == "i-1" {
 			t.Fatal("a request went to the slow server")
 		}
 		if code == api.ResultCode_OK && i < picks {
-			f.done(id, fateServed, msec, 0)
+			f.endAttempt(id, outcomeServed, msec, 0)
 		}
 	}
 	for id := range f.servers {
 		slow[id] = experts.Pace{Slower: 5}
 	}
 	all := newTestFleet(4, 12, 1, 0)
-	all.setOthers(nil, slow, 0)
-	if _, code := all.pickFor(0); code != api.ResultCode_OK {
+	all.setPeerReports(nil, slow, 0)
+	if _, code := all.pickApp(0); code != api.ResultCode_OK {
 		t.Errorf("with all servers slow: %v", code)
 	}
 }
 
-// Operators take out the failure domain of the only fast server. The slow one is all that is
-// left, and callers wait longer instead of being refused.
+// Operators take out the failure domain of the only fast server. The slow one must serve, since
+// waiting longer is better than being refused.
 func TestASlowServerServesWhenTheFastOnesAreOut(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	both := entries(2, 12)
+	both := registrations(2, 12)
 	both[0].FailureDomain = "out"
-	f.set(both, map[string]bool{"out": true}, service(0), census{1, 1}, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	if id, code := f.pickFor(0); code != api.ResultCode_OK || id != "i-1" {
+	f.setServers(both, map[string]bool{"out": true}, serviceTable(0), entryCounts{1, 1}, 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	if id, code := f.pickApp(0); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
 }
 
-// The only fast server does not answer and is left out for a while. The slow one is all that
-// is left.
+// The only fast server is unreachable and ejected for a while. The slow one must serve.
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
-	f.judge.RecordUnreachable("i-0", 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
-	if id, code := f.pickFor(msec); code != api.ResultCode_OK || id != "i-1" {
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.ejector.RecordUnreachable("i-0", 0)
+	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
+	if id, code := f.pickApp(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
 }
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -14,82 +14,83 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// askPeersEach is the least time between two questions to other entries for what the store
-// would have said.
-const askPeersEach = 300 * time.Millisecond
-
-// freshFor is how long what an entry was told by the store counts as fresh: the longest time
-// between two answers in a calm, and a margin. Past it the others read for themselves, well
-// before a configuration or a leaving server must be known.
-const freshFor = 1500 * time.Millisecond
-
-// chooseReads decides whether this entry reads the store: as the one for its failure domain,
-// while it does not know enough, or while nobody it hears has fresh word of both topics.
-func (c *control) chooseReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
-	duty := peering.IsDomainReader(self, live)
-	c.g.probeMost.Store(int64(probePause(duty, len(live)+1)))
-	reads := duty || !c.operators.Ready() || !c.servers.Ready()
-	operators, servers := freshest(live)
-	reads = reads || operators > freshFor || servers > freshFor
-	if !reads {
-		c.operatorsAt = max(c.operatorsAt, now-operators)
-		c.serversAt = max(c.serversAt, now-servers)
-		c.serversAway = false
+// stateRequestInterval is the minimum time between two requests to other entries for records of the
+// store.
+const stateRequestInterval = 300 * time.Millisecond
+
+// maxFreshAge is how long an answer of the store counts as fresh: the longest time between two
+// answers in normal operation, and a margin. After that the other entries read for themselves, well
+// before a configuration must be in force or a leaving server must be known.
+const maxFreshAge = 1500 * time.Millisecond
+
+// decideStoreReads decides whether this entry reads the store: because it is the reader of its
+// failure domain, because it lacks one of the topics, or because no live entry has a fresh answer
+// for both.
+func (c *control) decideStoreReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
+	isReader := peering.IsDomainReader(self, live)
+	c.g.probeInterval.Store(int64(probeInterval(isReader, len(live)+1)))
+	mustRead := isReader || !c.operators.Ready() || !c.servers.Ready()
+	operatorsAge, serversAge := freshestAges(live)
+	mustRead = mustRead || operatorsAge > maxFreshAge || serversAge > maxFreshAge
+	if !mustRead {
+		c.operatorsAt = max(c.operatorsAt, now-operatorsAge)
+		c.serversAt = max(c.serversAt, now-serversAge)
+		c.serversReadFailed = false
 	}
-	c.g.reads.Store(reads)
+	c.g.readsStore.Store(mustRead)
 }
 
-// probesPerSecond bounds the calls a second of all entries together that are not their failure
-// domain's reader, for each topic, while the store does not answer.
+// probesPerSecond limits the calls per second and topic, while the store does not answer, of all
+// entries together that are not the reader of their failure domain.
 const probesPerSecond = 30
 
-// probePause is the time between two calls of an entry while the store does not answer.
+// probeInterval returns the time between two calls of an entry while the store does not answer.
 //
-// Load: an outage of the store, in which nobody has fresh word and every entry reads for itself.
-// Harm prevented: calls that grow with the entries, and meet a store that has just come back.
-// The readers of the failure domains notice its return as soon as before, and the others hear
-// of it from them.
-func probePause(duty bool, entries int) time.Duration {
-	if duty {
+// During an outage of the store nobody has a fresh answer, and every entry reads for itself.
+// Without this limit the calls would grow with the number of entries, and overload a store that has
+// just recovered. The readers of the failure domains are not slowed down and notice the recovery at
+// once; the others learn of it from them.
+func probeInterval(isReader bool, entries int) time.Duration {
+	if isReader {
 		return 0
 	}
 	return time.Duration(float64(entries) / probesPerSecond * float64(time.Second))
 }
 
-// storeAway says that the store answers nobody, so that registrations may lapse although their
-// servers live.
+// isStoreUnreachable reports whether the store answers no entry, so that registrations may expire
+// although their servers are alive.
 //
-// Load: a read of this entry that fails while others read, as when its connection goes silent
-// or the store turns it away. Harm prevented: the entry takes the store as away, perhaps for
-// long after others have begun to read for it, and goes on sending to servers that have left.
-// A read that fails counts only once nobody has fresh word, which is long before the first
-// registration can lapse.
-func (c *control) storeAway(live []*api.PeerBeat, now time.Duration) bool {
-	_, servers := freshest(live)
-	return c.serversAway && min(servers, now-c.serversAt) > freshFor
+// A read of this entry may fail while others succeed, as when its connection goes silent or the
+// store rejects it. If the entry took the store for unreachable then, perhaps long after others
+// have begun to read for it, it would go on sending to servers that have left. So a failed read
+// counts only once nobody has a fresh answer, which is long before the first registration can
+// expire.
+func (c *control) isStoreUnreachable(live []*api.PeerBeat, now time.Duration) bool {
+	_, serversAge := freshestAges(live)
+	return c.serversReadFailed && min(serversAge, now-c.serversAt) > maxFreshAge
 }
 
-// freshest returns the ages of the newest word that a live entry has from the store itself.
-func freshest(live []*api.PeerBeat) (operators, servers time.Duration) {
-	operators, servers = time.Hour, time.Hour
+// freshestAges returns, for each topic, the age of the newest answer of the store to a live entry.
+func freshestAges(live []*api.PeerBeat) (operatorsAge, serversAge time.Duration) {
+	operatorsAge, serversAge = time.Hour, time.Hour
 	for _, b := range live {
 		if ms := b.GetOperatorsAgeMs(); ms >= 0 {
-			operators = min(operators, time.Duration(ms)*time.Millisecond)
+			operatorsAge = min(operatorsAge, time.Duration(ms)*time.Millisecond)
 		}
 		if ms := b.GetServersAgeMs(); ms >= 0 {
-			servers = min(servers, time.Duration(ms)*time.Millisecond)
+			serversAge = min(serversAge, time.Duration(ms)*time.Millisecond)
 		}
 	}
-	return operators, servers
+	return operatorsAge, serversAge
 }
 
-// askPeers fetches from another entry what it has read beyond this one.
+// requestPeerState fetches from another entry what it has read beyond this one.
 //
-// Load: the store turns this entry away and serves the others, or others read it for this
-// one. Harm prevented: it goes on by an old configuration, lets in a key that was taken
-// away, and sends to a failure domain that is out.
-func (c *control) askPeers(live []*api.PeerBeat, now time.Duration) {
-	if c.asking || now-c.askedAt < askPeersEach {
+// The store may reject this entry and serve the others, or others may read it for this one. Without
+// this the entry would keep an old configuration, accept a key that was removed, and send to a
+// failure domain that is out.
+func (c *control) requestPeerState(live []*api.PeerBeat, now time.Duration) {
+	if c.stateRequested || now-c.stateRequestedAt < stateRequestInterval {
 		return
 	}
 	var ahead []*api.PeerBeat
@@ -98,43 +99,44 @@
 			ahead = append(ahead, b)
 		}
 	}
-	if len(ahead) == 0 || c.g.reads.Load() && !c.stale(now) {
+	if len(ahead) == 0 || c.g.readsStore.Load() && !c.isStale(now) {
 		return
 	}
-	c.asking = true
-	c.askedAt = now
-	// Any of them, so that one is not asked by all.
+	c.stateRequested = true
+	c.stateRequestedAt = now
+	// A random one, so that not all entries ask the same.
 	b := ahead[rand.IntN(len(ahead))]
 	go c.g.fetchState(b.GetIp(), c.operators.NextOffset(), c.servers.NextOffset())
 }
 
-// stale says that this entry's own reads of the store are late: others may know more.
-func (c *control) stale(now time.Duration) bool {
-	return c.serversAway || !c.operators.Ready() || now-c.operatorsAt > freshFor || now-c.serversAt > freshFor
+// isStale reports whether this entry's own reads of the store are stale, so that others may know
+// more.
+func (c *control) isStale(now time.Duration) bool {
+	return c.serversReadFailed || !c.operators.Ready() || now-c.operatorsAt > maxFreshAge || now-c.serversAt > maxFreshAge
 }
 
-// fetched is what another entry holds, or nil when it did not answer.
-type fetched struct {
+// fetchedState is the state of another entry, or nil with an error if it did not answer.
+type fetchedState struct {
 	from  string
 	state *api.PeerState
 	err   error
 }
 
-func (c *control) takeState(f fetched) {
-	c.asking = false
+func (c *control) applyPeerState(f fetchedState) {
+	c.stateRequested = false
 	if f.err != nil {
-		_ = level.Warn(c.logger).Log("msg", "Another entry did not tell what it holds.", "address", f.from, "err", f.err,
+		_ = level.Warn(c.logger).Log("msg", "The records of another entry could not be fetched.", "address", f.from, "err", f.err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		return
 	}
 	now := clock.Now()
-	c.takeTopic(platform.TopicOperators, c.operators, f.state.GetOperators(), now)
-	c.takeTopic(platform.TopicServers, c.servers, f.state.GetServers(), now)
+	c.applyTopic(platform.TopicOperators, c.operators, f.state.GetOperators(), now)
+	c.applyTopic(platform.TopicServers, c.servers, f.state.GetServers(), now)
 	_ = level.Info(c.logger).Log("msg", "Took what another entry holds.", "address", f.from,
 		"operators_next", c.operators.NextOffset(), "servers_next", c.servers.NextOffset())
 }
 
-func (c *control) takeTopic(topic string, table *keyed.Table, t *api.KeyedTopic, now time.Duration) {
+func (c *control) applyTopic(topic string, table *keyed.Table, t *api.KeyedTopic, now time.Duration) {
 	if !t.GetKnown() {
 		return
 	}
@@ -142,16 +144,16 @@
 	for _, r := range t.GetRecords() {
 		listing.Records = append(listing.Records, keyed.Record{Key: r.GetKey(), Value: r.GetValue(), Offset: r.GetOffset()})
 	}
-	c.take(topic, table, listing, nil, now)
+	c.applyRecords(topic, table, listing, nil, now)
 }
 
-// state is what this entry holds beyond what another one has read.
-func (c *control) state(ask stateRequest) *api.PeerState {
+// stateBeyond returns the records that this entry holds beyond what another one has read.
+func (c *control) stateBeyond(req stateRequest) *api.PeerState {
 	state := &api.PeerState{}
-	if c.operatorsChangedAt > ask.operators || ask.operators == 0 {
+	if c.operatorsChangedAt > req.operators || req.operators == 0 {
 		state.Operators = topicState(c.operators)
 	}
-	if c.serversChangedAt > ask.servers || ask.servers == 0 {
+	if c.serversChangedAt > req.servers || req.servers == 0 {
 		state.Servers = topicState(c.servers)
 	}
 	return state
