--- a/internal/httpguard/after.go
+++ b/internal/httpguard/after.go
@@ -6,10 +6,11 @@
 	"net/http"
 )
 
-// connectionKey finds the connection in the context of its requests.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// trackAnswers has a server tell connections of a Listener when an answer has been written.
+// trackAnswers makes a server notify the connections of a [LimitListener] when an answer has been
+// written.
 func trackAnswers(server *http.Server) *http.Server {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, c)
@@ -22,16 +23,16 @@
 	return server
 }
 
-// AfterAnswer has f called when the answer to a request has been written to its end, or
-// cannot be: sent says which. It returns false, and f is not called, for a server that was
-// not made here.
+// AfterAnswer arranges for f to be called when the answer to a request has been written
+// completely, or cannot be; sent says which. It returns false, without calling f, if the server
+// was not made by [NewServer] or the connection was not accepted by a [LimitListener].
 //
-// The end of a chunked answer is written by the library after the handler has returned. A
-// handler that must know of it would have to flush before, and the end be a packet of its
-// own: a caller that hangs up at the last event, as many do, could not keep its connection.
+// net/http writes the end of a chunked answer after the handler has returned. To know about it in
+// the handler, the handler would have to flush first, and the end would be sent as a packet of its
+// own. A caller that hangs up at the last event, as many do, could then not reuse its connection.
 //
-// The handler calls it once at most, when nothing but the end is left to do. f runs on the
-// goroutine of the connection, before its next request is read.
+// The handler may call AfterAnswer at most once, when only the end of the answer is left to write.
+// f runs on the connection's goroutine, before its next request is read.
 func AfterAnswer(ctx context.Context, f func(sent bool)) bool {
 	conn, ok := ctx.Value(connectionKey{}).(*connection)
 	if ok {
@@ -40,7 +41,7 @@
 	return ok
 }
 
-// notifyAnswered calls what waits for the end of an answer.
+// notifyAnswered calls the function that waits for the end of an answer.
 func (c *connection) notifyAnswered() {
 	if f := c.onAnswered; f != nil {
 		c.onAnswered = nil
--- a/internal/httpguard/after_test.go
+++ b/internal/httpguard/after_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A caller takes its answer, or cannot be written to any more. Whoever keeps the answer
-// for a caller that comes back is told which, once, and not before it is written.
+// An answer is written, or its connection fails. The function that keeps the answer for a caller's
+// retry must be told which, exactly once, and not before the answer has been written.
 func TestAfterAnswer(t *testing.T) {
 	sentResults := make(chan bool, 2)
 	returned := false
@@ -28,7 +28,7 @@
 		}
 		_, _ = io.WriteString(w, "answer")
 		if !AfterAnswer(r.Context(), func(sent bool) { sentResults <- sent && returned }) {
-			t.Error("the connection is not known")
+			t.Error("AfterAnswer does not know the connection")
 		}
 	}), log.NewNopLogger())
 	server.Listener = LimitListener(server.Listener, 10)
@@ -48,10 +48,10 @@
 				t.Errorf("%s: sent %v, want %v", path, sent, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%s: nobody was told", path)
+			t.Errorf("%s: the function was not called", path)
 		}
 	}
 	if len(sentResults) > 0 {
-		t.Error("told twice")
+		t.Error("the function was called twice")
 	}
 }
--- a/internal/httpguard/httpguard.go
+++ b/internal/httpguard/httpguard.go
@@ -1,5 +1,5 @@
-// Package httpguard bounds what callers can make an HTTP server hold: connections,
-// headers, bodies, and the time each may take.
+// Package httpguard limits what callers can make an HTTP server hold: connections, headers,
+// bodies, and the time that each may take.
 package httpguard
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// headerSlack lets the library read a little more than the limit, so that the
-// handler can refuse with a result code; past it the library itself answers 431.
+// headerSlack lets net/http read slightly more than the limit, so that the handler can refuse the
+// request with a result code. Beyond it net/http itself answers with status 431.
 const headerSlack = 4 << 10
 
-// NewServer makes a server with the limits. A caller that sends its header or body
-// a byte at a time is cut off when the time is over, and an idle one when its
-// connection is. Answers are streams, so that writing has no limit here: the
-// handler sets one by the deadline of each request.
+// NewServer returns a server with the given limits. A caller that sends its header or body one
+// byte at a time is cut off at the read timeout, and an idle connection at the idle timeout.
+// Answers may be streams, so there is no write timeout here; the handler sets a write deadline
+// from the deadline of each request.
 func NewServer(limits *api.Limits, handler http.Handler, logger log.Logger) *http.Server {
 	return trackAnswers(&http.Server{
 		Handler:           limitHeader(limits.GetHeaderBytes(), handler),
@@ -32,11 +32,11 @@
 		ReadTimeout:       time.Duration(limits.GetReadBodyMs()) * time.Millisecond,
 		IdleTimeout:       time.Duration(limits.GetIdleMs()) * time.Millisecond,
 		MaxHeaderBytes:    int(limits.GetHeaderBytes()) + headerSlack,
-		ErrorLog:          logging.Library(logger, "The server for callers met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.Library(logger, "The HTTP server for callers reported an error.", result.Label(api.ResultCode_INTERNAL)),
 	})
 }
 
-// limitHeader refuses a header past the limit by its result code.
+// limitHeader answers a request whose header exceeds the limit with a result code.
 func limitHeader(limit int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if headerBytes(r) > limit {
@@ -60,8 +60,8 @@
 	return size
 }
 
-// ReadBody reads a whole body of bounded size. A length that the header already
-// gives away as too large is refused before any of it is read.
+// ReadBody reads a whole body of at most limit bytes. If the Content-Length already exceeds the
+// limit, nothing is read.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	tooLarge := result.Newf(api.ResultCode_BODY_TOO_LARGE, "The body is larger than %d bytes.", limit)
 	if r.ContentLength > limit {
@@ -73,15 +73,15 @@
 	case errors.As(err, &maxBytesErr):
 		return nil, tooLarge
 	case err != nil:
-		// Part of a request must never run as if it were the whole.
+		// A truncated request must never run as if it were complete.
 		return nil, result.New(api.ResultCode_BAD_REQUEST, "The body could not be read to its end.")
 	}
 	return body, nil
 }
 
-// LimitListener bounds the connections held at once. Past the bound new ones wait in the
-// kernel's queue; without it a flood of idle connections would take the memory
-// that work needs.
+// LimitListener limits the number of connections accepted at the same time. Further connections
+// wait in the kernel's queue. Without this limit a flood of idle connections would take the memory
+// needed for requests.
 func LimitListener(inner net.Listener, maxConnections int) net.Listener {
 	return &listener{Listener: inner, slots: make(chan struct{}, maxConnections), closed: make(chan struct{})}
 }
@@ -98,8 +98,8 @@
 	select {
 	case l.slots <- struct{}{}:
 	case <-l.closed:
-		// While all slots are taken nobody waits in the listener that a stop
-		// closes; a stop must not hang on idle callers.
+		// While all slots are taken, no goroutine waits in the inner listener, which Close would
+		// wake. Closing must not hang because of idle callers.
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
@@ -120,8 +120,8 @@
 	net.Conn
 	once    sync.Once
 	release func()
-	// onAnswered waits for the end of an answer, and broken says that a write has failed. Only
-	// the goroutine that serves the connection has them.
+	// onAnswered is called at the end of an answer, and writeFailed says that a write has failed.
+	// Only the goroutine that serves the connection accesses them.
 	onAnswered  func(sent bool)
 	writeFailed bool
 }
--- a/internal/httpguard/httpguard_test.go
+++ b/internal/httpguard/httpguard_test.go
@@ -19,7 +19,7 @@
 
 const timeout = 300 * time.Millisecond
 
-// serve starts a server that reads the body and counts the requests it took whole.
+// serve starts a server that reads the body and counts the requests that it received completely.
 func serve(t *testing.T, maxConnections int) (address string, whole *atomic.Int64) {
 	t.Helper()
 	limits := &api.Limits{
@@ -87,8 +87,8 @@
 	}
 }
 
-// A caller sends its header, or its body, one byte at a time and never ends. The
-// connection must be closed when the time is over, and the request must not run.
+// A caller sends its header or body one byte at a time without end. The connection must be closed
+// at the timeout, and the request must not run.
 func TestSlowloris(t *testing.T) {
 	address, whole := serve(t, 10)
 	for name, begin := range map[string]string{
@@ -107,7 +107,7 @@
 					_, err = io.WriteString(conn, "a")
 				}
 			}()
-			// The end of what the server says is the end of the connection.
+			// The end of the server's output is the end of the connection.
 			_, _ = io.Copy(io.Discard, conn)
 			if took := time.Since(from); took > 10*timeout {
 				t.Errorf("cut off after %v, the limit is %v", took, timeout)
@@ -121,8 +121,8 @@
 	})
 }
 
-// Callers hold every connection open. The next one waits and gets its turn when an
-// idle one is cut off; a stop does not wait for any of them.
+// Callers hold every connection open. The next caller waits and is served when an idle connection
+// is closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	address, whole := serve(t, 2)
 	dial(t, address)
@@ -130,10 +130,11 @@
 	conn := dial(t, address)
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || whole.Load() != 1 {
-		t.Errorf("the third caller got no answer: %v", err)
+		t.Errorf("the third caller was not answered: %v", err)
 	}
 }
 
+// Idle callers hold all slots. Closing the listener must not wait for any of them.
 func TestCloseWithAllSlotsTaken(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// An answer takes longer than the time that a caller has for sending its body, which it
-// sent at once. The limit is for the body: the answer must not be cut by it.
+// An answer takes longer than the read timeout of the body, which the caller sent at once. The
+// timeout is for the body and must not cut the answer.
 func TestBodyTimeoutDoesNotCutLongAnswers(t *testing.T) {
 	contextErrs := make(chan error, 1)
 	server := NewServer(&api.Limits{HeaderBytes: 4096, ReadHeaderMs: 200, ReadBodyMs: 200, IdleMs: 1000},
@@ -193,7 +194,7 @@
 			t.Errorf("%q, %v", body, err)
 		}
 		if err := <-contextErrs; err != nil {
-			t.Errorf("the request was given up: %v", err)
+			t.Errorf("the request was canceled: %v", err)
 		}
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,5 +1,4 @@
-// Package ratelimit bounds the rate of requests for each of many keys, in bounded
-// memory.
+// Package ratelimit limits the rate of requests per key with a bounded number of token buckets.
 package ratelimit
 
 import (
@@ -11,14 +10,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Keyed holds a token bucket for each key seen lately. It is safe for many
-// goroutines.
+// Keyed holds a token bucket for each recently used key. It is safe for concurrent use.
 type Keyed struct {
 	capacity int
 
 	mu      sync.Mutex
 	buckets map[string]*list.Element
-	// recent has the key used last in front.
+	// recent has the most recently used key in front.
 	recent *list.List
 }
 
@@ -27,19 +25,19 @@
 	limiter *rate.Limiter
 }
 
-// New makes a limiter that remembers at most capacity keys. Past it the key used
-// longest ago is forgotten, and begins with a full bucket when it comes again.
-// With a capacity of the keys that exist, nothing is ever forgotten; where callers
-// can invent keys, such as addresses, the bound keeps them from taking the memory,
-// at the price that one who has very many goes unlimited.
+// New returns a limiter that remembers at most capacity keys. Beyond that the least recently used
+// key is dropped, and starts with a full bucket when it is used again. With a capacity of the
+// number of keys that exist, no key is ever dropped. Where callers can invent keys, such as
+// addresses, the capacity limits the memory; the price is that a caller with very many keys is not
+// limited.
 func New(capacity int) *Keyed {
 	return &Keyed{capacity: max(capacity, 1), buckets: map[string]*list.Element{}, recent: list.New()}
 }
 
-// Allow takes one request of the key into account. It reports whether the request
-// is within perSecond, with bursts of up to burst requests; if not, the time after
-// which one would be. A rate of 0 or less means no limit. A key whose rate or burst
-// changed, because its list did, keeps the tokens it has.
+// Allow counts one request of the key. It reports whether the request is within perSecond, with
+// bursts of up to burst requests, and if not, after which time a request would be allowed. A rate
+// of 0 or less means no limit. A key whose rate or burst has changed in the configuration keeps
+// its tokens.
 func (k *Keyed) Allow(now time.Time, key string, perSecond float64, burst int) (bool, time.Duration) {
 	if perSecond <= 0 {
 		return true, 0
@@ -54,8 +52,8 @@
 	return false, time.Duration(math.Ceil(missing / perSecond * float64(time.Second)))
 }
 
-// IsExhausted reports whether a request of the key would be past its rate, and takes none into
-// account.
+// IsExhausted reports whether a request of the key would exceed its rate. It does not count a
+// request.
 func (k *Keyed) IsExhausted(now time.Time, key string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -85,7 +83,7 @@
 	return limiter
 }
 
-// Len is the number of keys remembered.
+// Len returns the number of keys remembered.
 func (k *Keyed) Len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -8,8 +8,8 @@
 
 var start = time.Unix(1000, 0)
 
-// One customer's script goes wild. It is held to its rate and told when to come
-// back; the other keys notice nothing.
+// One customer's script sends far too many requests. It is limited to its rate and told when to
+// retry; other keys are not affected.
 func TestKeysAreLimitedSeparately(t *testing.T) {
 	k := New(10)
 	allowed := 0
@@ -32,7 +32,7 @@
 	}
 }
 
-// The wait that a refusal names is exact: who comes back then is let in.
+// A caller that waits for exactly the time named in the refusal is allowed.
 func TestRetryAfterIsExact(t *testing.T) {
 	k := New(10)
 	now := start
@@ -54,8 +54,8 @@
 	if ok, _ := k.Allow(start.Add(100*time.Millisecond), "key", 1, 1); ok {
 		t.Error("within the old rate")
 	}
-	// A fifth of a token has come at the old rate; the rest comes at the new one,
-	// from the first request under it on.
+	// A fifth of a token has accumulated at the old rate; the new rate applies from the first
+	// request that uses it.
 	now := start.Add(200 * time.Millisecond)
 	if ok, wait := k.Allow(now, "key", 100, 1); ok || wait != 8*time.Millisecond {
 		t.Errorf("allowed %v, wait %v, want 8 ms", ok, wait)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A scan with invented keys must not take the memory.
+// A scan with invented keys must not exhaust the memory.
 func TestMemoryIsBounded(t *testing.T) {
 	k := New(100)
 	for i := range 10_000 {
--- a/internal/result/http.go
+++ b/internal/result/http.go
@@ -12,30 +12,29 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Header names the result in every answer that apricothub itself makes.
+// Header is the response header with the result, set on every answer that apricothub itself makes.
 const Header = "Apricothub-Result"
 
-// defaultRetryAfter stands in for a wait that was not computed, in answers whose
-// code promises Retry-After.
+// defaultRetryAfter is used where no wait was computed and the code requires Retry-After.
 const defaultRetryAfter = time.Second
 
-// Body is the JSON body of an answer that is an error.
+// Body is the JSON body of an error answer.
 type Body struct {
 	Error Detail `json:"error"`
 }
 
-// Detail is the error in a [Body].
+// Detail describes the error in a [Body].
 type Detail struct {
 	Code    int32  `json:"code"`
 	Name    string `json:"name"`
 	Message string `json:"message"`
 	// Ran is no, yes or unknown.
 	Ran string `json:"ran"`
-	// RetryAfterMs is the time to wait before asking again; absent for none.
+	// RetryAfterMs is the time to wait before a retry; absent if none is given.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Detail gives the error as it stands in a body.
+// Detail returns the error as it appears in a body.
 func (e *Error) Detail() Detail {
 	info := Lookup(e.Code)
 	return Detail{
@@ -44,7 +43,7 @@
 	}
 }
 
-// retryAfter is the time that the answer tells the caller to stay away.
+// retryAfter is the wait that the answer tells the caller.
 func (e *Error) retryAfter() time.Duration {
 	if e.RetryAfter <= 0 && Lookup(e.Code).RetryAfter {
 		return defaultRetryAfter
@@ -52,25 +51,23 @@
 	return max(e.RetryAfter, 0)
 }
 
-// SetHeader writes the result's name, and Retry-After where the caller should
-// come back.
+// SetHeader sets the result's number and name, and Retry-After where the caller should retry.
 func (e *Error) SetHeader(h http.Header) {
 	SetHeader(h, e.Code)
 	if wait := e.retryAfter(); wait > 0 {
-		// Whole seconds by the standard; rounded up, so that nobody comes
-		// back before the time.
+		// HTTP has whole seconds here; rounded up, so that no caller retries too early.
 		seconds := (wait + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 }
 
-// SetHeader writes the name of a result; use it for OK.
+// SetHeader sets the number and name of a result; use it for OK.
 func SetHeader(h http.Header, code api.ResultCode) {
 	info := Lookup(code)
 	h.Set(Header, fmt.Sprintf("%d %s", info.Number, info.Name))
 }
 
-// WriteHTTP answers with the error. It must come before the header is written.
+// WriteHTTP answers with the error. It must be called before the header is written.
 func WriteHTTP(w http.ResponseWriter, err error) {
 	e := FromError(err)
 	e.SetHeader(w.Header())
@@ -80,11 +77,11 @@
 	_ = json.NewEncoder(w).Encode(Body{Error: e.Detail()})
 }
 
-// maxBodyBytes bounds how much of an answer ReadHTTP takes.
+// maxBodyBytes limits how much of an answer ReadHTTP reads.
 const maxBodyBytes = 64 << 10
 
-// ReadHTTP turns an answer that carries a result other than OK into an error, and
-// returns nil for any other answer. It reads the body only for an error.
+// ReadHTTP returns the error of an answer whose result is not OK, and nil for any other answer. It
+// reads the body only for an error.
 func ReadHTTP(r *http.Response) *Error {
 	number, _, _ := strings.Cut(r.Header.Get(Header), " ")
 	code, err := strconv.ParseInt(number, 10, 32)
@@ -114,7 +111,7 @@
 	return api.Ran_RAN_UNKNOWN
 }
 
-// milliseconds rounds up, so that a short wait does not become none.
+// milliseconds rounds up, so that a short wait does not become 0.
 func milliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,8 +1,8 @@
-// Package result gives the numbered results of apricothub: what each code means,
-// a typed error that carries one, and its form as an HTTP answer.
+// Package result defines the numbered results of apricothub: what each code means, an error type
+// that carries one, and its HTTP form.
 //
-// The table stands in the schema, api/result.proto; this package reads it from
-// the generated descriptors.
+// The table is defined in the schema, api/result.proto; this package reads it from the generated
+// descriptors.
 package result
 
 import (
@@ -21,23 +21,22 @@
 	Number int32
 	// Name is the code's name in the schema, such as OVER_SHARE.
 	Name string
-	// HTTP is the status the code travels with.
+	// HTTP is the HTTP status of the code.
 	HTTP int
-	// Ran says what the code tells about the request, unless the error says
-	// otherwise.
+	// Ran says whether the request ran, unless the error says otherwise.
 	Ran api.Ran
 	// Doc says what happened and what to do.
 	Doc string
 	// Exit is the exit status of a command that ends with the code.
 	Exit int
-	// RetryAfter says that the answer carries the header Retry-After.
+	// RetryAfter says that the answer has the header Retry-After.
 	RetryAfter bool
 }
 
-// defaultExit is the exit status of a code that names none.
+// defaultExit is the exit status of a code that defines none.
 const defaultExit = 1
 
-// table is filled once, at start, and only read afterwards.
+// table is filled at start and only read afterwards.
 var table = readTable()
 
 func readTable() map[api.ResultCode]Info {
@@ -59,8 +58,8 @@
 	return rows
 }
 
-// Lookup returns the row of a code. A number that this version does not know, as a
-// newer process may send, is treated as INTERNAL under its own number.
+// Lookup returns the row of a code. An unknown number, as a newer process may send, is treated as
+// INTERNAL under its own number.
 func Lookup(code api.ResultCode) Info {
 	if info, ok := table[code]; ok {
 		return info
@@ -70,7 +69,7 @@
 	return info
 }
 
-// Label is a code's number and name, as logs and dumps show it.
+// Label returns a code's number and name, as logs and dumps show it.
 func Label(code api.ResultCode) string {
 	info := Lookup(code)
 	return fmt.Sprintf("%d %s", info.Number, info.Name)
@@ -91,14 +90,14 @@
 	Code api.ResultCode
 	// Ran says whether the request took effect.
 	Ran api.Ran
-	// Text says what went wrong this time; it is shown to the caller.
+	// Text says what went wrong in this case; it is shown to the caller.
 	Text string
-	// RetryAfter is the time to wait before asking again; 0 for none named.
+	// RetryAfter is the time to wait before a retry; 0 if none is given.
 	RetryAfter time.Duration
 }
 
-// New makes an error with the code's own Ran. The texts are joined; with none, the
-// text is the table's.
+// New returns an error with the code's default Ran. The texts are joined; without any, the text is
+// the table's.
 func New(code api.ResultCode, text ...string) *Error {
 	info := Lookup(code)
 	e := &Error{Code: code, Ran: info.Ran, Text: info.Doc}
@@ -113,21 +112,20 @@
 	return New(code, fmt.Sprintf(format, args...))
 }
 
-// Refuse makes an error for a request that has not run, with the time after which
-// to come back.
+// Refuse returns an error for a request that has not run, with the time to wait before a retry.
 func Refuse(code api.ResultCode, retryAfter time.Duration, text ...string) *Error {
 	e := New(code, text...)
 	e.Ran, e.RetryAfter = api.Ran_RAN_NO, retryAfter
 	return e
 }
 
-// Error gives the code's number, its name and the text.
+// Error returns the code's number and name, and the text.
 func (e *Error) Error() string {
 	return Label(e.Code) + ": " + e.Text
 }
 
-// FromError finds the result in an error's chain. An error without one is a fault of
-// apricothub: INTERNAL, of which nobody can tell whether the request ran.
+// FromError returns the first Error in err's chain. An error without one is a fault of apricothub:
+// INTERNAL, where it is unknown whether the request ran.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -136,7 +134,7 @@
 	return New(api.ResultCode_INTERNAL)
 }
 
-// FromRefusal turns an agent's refusal into an error.
+// FromRefusal converts an agent's refusal into an error.
 func FromRefusal(r *api.Refusal) *Error {
 	e := New(r.GetCode())
 	if r.GetText() != "" {
@@ -149,12 +147,12 @@
 	return e
 }
 
-// Refusal turns the error into the message an agent sends.
+// Refusal converts the error into the message that an agent sends.
 func (e *Error) Refusal() *api.Refusal {
 	return &api.Refusal{Code: e.Code, Ran: e.Ran, Text: e.Text, RetryAfterMs: milliseconds(e.RetryAfter)}
 }
 
-// RanName is the word for Ran in answers to callers: no, yes or unknown.
+// RanName returns the word for ran in answers to callers: no, yes or unknown.
 func RanName(ran api.Ran) string {
 	switch ran {
 	case api.Ran_RAN_NO:
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -16,7 +16,7 @@
 		if info.HTTP == 0 || info.Doc == "" || info.Ran == api.Ran_RAN_UNSPECIFIED {
 			t.Errorf("%s lacks a status, a text or whether the request ran", info.Name)
 		}
-		// A refusal that names no time is asked again at once, by everybody.
+		// Without a retry time, every caller would retry at once.
 		if (info.HTTP == 429 || info.HTTP == 503) && !info.RetryAfter {
 			t.Errorf("%s has status %d and no Retry-After", info.Name, info.HTTP)
 		}
