--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process in front of each backend server. Every piece of work
-// for the backend server passes through it, so that a limit kept here is exact
-// whatever the entries believe, and only it can say what has run.
+// Package agent implements the process in front of each backend server. All work for the backend
+// server passes through it. Limits kept here are therefore exact, whatever the entries assume, and
+// only the agent can say what has run.
 package agent
 
 import (
@@ -27,17 +27,17 @@
 )
 
 const (
-	// ticketBlockSize is the number of tickets in a block: an entry that sells a
-	// hundred a second asks for a block every ten seconds.
+	// ticketBlockSize is the number of tickets in a block: an entry that issues a hundred a second
+	// requests a block every ten seconds.
 	ticketBlockSize = 1024
-	// ticketMaxBlocks bounds the memory for used tickets: two bits each, 4 MB in all.
-	// 490 entries ask for some 1,310 blocks within a ticket's lifetime even when idle.
+	// ticketMaxBlocks limits the memory for used tickets to 4 MB, at two bits per ticket. 490
+	// entries request about 1,310 blocks within a ticket's lifetime even when idle.
 	ticketMaxBlocks = 16384
-	// housekeepingInterval is the time between looks for old answers.
+	// housekeepingInterval is the time between removals of expired answers and abandoned work.
 	housekeepingInterval = time.Second
 )
 
-// counters are the agent's metrics.
+// counters holds the agent's metrics.
 type counters struct {
 	taken, refused, completed, failed metrics.Counter
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// agent ties the executor to the member.
+// agent connects the executor to the member.
 type agent struct {
 	settings *api.AgentSettings
 	self     *api.Hello
@@ -64,18 +64,18 @@
 	// Owned by the member's control goroutine.
 	reportSeq        uint64
 	lastHousekeeping time.Duration
-	// lastReport is the newest report, without its number; nil to send one anew.
+	// lastReport is the newest report, without its sequence number; nil forces a new one.
 	lastReport   *api.BackendStatus
 	lastReportAt time.Duration
 
-	// spareLinks are the links that entries do not keep for new work.
+	// spareLinks holds the links that entries do not use for new work.
 	spareLinks map[*link.Session]bool
 
 	groupStatus atomic.Pointer[api.GroupStatus]
 }
 
-// Run serves as an agent until the context ends; then it stops in a planned way:
-// it takes nothing new, lets all that runs come to its end and returns.
+// Run serves as an agent until the context ends. Then it drains: it accepts no new work, waits for
+// the work in flight and returns.
 func Run(ctx context.Context, settings *api.AgentSettings, logger log.Logger) error {
 	a := newAgent(settings, logger)
 	ln, err := net.Listen("tcp", settings.GetListen().GetLink())
@@ -154,7 +154,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// tick reports to the entries and looks after the executor.
+// tick dispatches queued work, does the housekeeping and reports to the entries.
 func (a *agent) tick(now time.Duration) {
 	a.executor.dispatch(now)
 	if now-a.lastHousekeeping > housekeepingInterval {
@@ -164,12 +164,12 @@
 	a.report(now)
 }
 
-// reportInterval is the longest time between two reports that say the same.
+// reportInterval is the longest time between two reports with the same content.
 const reportInterval = time.Second
 
-// report tells the entries of the backend server, when there is something new to tell,
-// when a link is new, and once in a while. It goes with the next heartbeat, unless it is
-// pressing.
+// report sends the state of the backend server to the entries when it has changed, when a link is
+// new, and at least once per reportInterval. It is sent with the next heartbeat unless it is
+// urgent.
 func (a *agent) report(now time.Duration) {
 	status := a.executor.status(now)
 	status.Group = a.settings.GetGroup().GetName()
@@ -190,7 +190,7 @@
 	}
 }
 
-// handleMessage takes what entries ask on the control stream.
+// handleMessage handles a message that a peer sent on the control stream.
 func (a *agent) handleMessage(peer *member.Peer, m *api.Control) {
 	if m.GetGroup() != nil && a.group != nil {
 		a.group.handleMessage(m.GetGroup())
@@ -213,13 +213,13 @@
 	}
 	block := a.executor.grantTickets(clock.Now())
 	if block == nil {
-		_ = a.logger.Log("msg", "No block of tickets can be granted; the memory for them is full.", "result", result.Label(api.ResultCode_SATURATED), "vm", peer.Hello.GetVm())
+		_ = a.logger.Log("msg", "A request for a block of tickets was refused; the memory for used tickets is full.", "result", result.Label(api.ResultCode_SATURATED), "vm", peer.Hello.GetVm())
 		return
 	}
 	peer.Session.Post(&api.Control{Body: &api.Control_Block{Block: block}})
 }
 
-// drain waits for the planned stop and then for the last piece of work.
+// drain waits for the context to end and then for the last piece of work.
 func (a *agent) drain(ctx, work context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -227,10 +227,10 @@
 		return work.Err()
 	}
 	a.node.SetDraining()
-	_ = a.logger.Log("msg", "The agent is stopping. It takes nothing new.")
+	_ = a.logger.Log("msg", "The agent is stopping and accepts no new work.")
 	links := a.settings.GetLink()
-	// Work sent before the entries heard of the stop is still on its way; it must
-	// be told "not run", not cut.
+	// Work sent before the entries learned of the stop may still arrive. It must be answered "not
+	// run" instead of being cut off.
 	sleep(work, time.Duration(2*links.GetHeartbeatMs()+links.GetSuspectMs())*time.Millisecond)
 	deadline := clock.Now() + time.Duration(a.settings.GetBackend().GetDrainMs())*time.Millisecond
 	for !a.executor.isIdle(clock.Now()) && clock.Now() < deadline {
@@ -240,14 +240,14 @@
 	return context.Canceled
 }
 
-// grantTickets gives an entry a block of tickets.
+// grantTickets grants an entry a block of tickets.
 func (e *executor) grantTickets(now time.Duration) *api.TicketBlock {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ledger.Grant(now)
 }
 
-// status is what entries place by.
+// status returns the state by which entries place work.
 func (e *executor) status(now time.Duration) *api.BackendStatus {
 	refusing := e.refusing(now)
 	e.mu.Lock()
--- a/internal/agent/intake.go
+++ b/internal/agent/answerrecorder.go
@@ -10,13 +10,13 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// answerRecorder takes in one answer and tells the limiter how fast it comes.
+// answerRecorder stores one answer as it arrives and reports its timing to the limiter.
 type answerRecorder struct {
 	executor *executor
 	job      *job
 	isStream bool
 	started  time.Duration
-	lastPart time.Duration // when the last part came; 0 before the first
+	lastPart time.Duration // when the last part arrived; 0 before the first
 	gaps     cold.Stream
 	observed bool
 }
@@ -30,7 +30,7 @@
 	}
 }
 
-// addPart takes one addPart of the answer.
+// addPart stores one part of the answer.
 func (r *answerRecorder) addPart(data []byte) error {
 	e, now := r.executor, clock.Now()
 	e.mu.Lock()
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// shouldNotify says that a caller can use a part before what follows at once. The mark of a
-// stream's end goes out with the end itself, and an answer that is no stream when it is
-// whole or a part is full: the entry passes neither on before that. Each wake-up costs
-// two switches between goroutines and a packet here, and a packet and a switch there.
+// shouldNotify reports whether a reader can use a part before the next one. The last event of a
+// stream is sent together with the stream's end. An answer that is not a stream is sent when it is
+// complete or a part is full. The entry passes on neither before that, and each wake-up of readers
+// costs two goroutine switches and a packet here, and a packet and a switch at the entry.
 func (r *answerRecorder) shouldNotify(data []byte) bool {
 	if r.isStream {
 		return !bytes.HasPrefix(data, []byte(doneEvent))
@@ -58,8 +58,8 @@
 	return len(data) == partSize
 }
 
-// observeTiming tells the limiter of a first token or of the pace at once: a backend server
-// that turned cold shows in them long before the answer ends.
+// observeTiming reports a first token or the gap between tokens to the limiter at once: they show
+// that a backend server turned cold long before the answer ends.
 func (r *answerRecorder) observeTiming(now time.Duration) {
 	e := r.executor
 	if r.lastPart == 0 {
@@ -72,12 +72,13 @@
 	r.lastPart = now
 }
 
-// streamEvidenceTime is how long after a stream's first token whole answers teach nothing.
+// streamEvidenceTime is how long after a stream's first token the time of whole answers is
+// ignored.
 const streamEvidenceTime = 5 * time.Second
 
-// outcome is what the whole answer teaches. The time of an answer that is not a stream
-// is that of all its tokens, many times that of a first one; among streams it would
-// look like a cold backend server, so it counts only where there are no streams.
+// outcome returns what the limiter learns from the whole answer. The time of an answer that is not
+// a stream covers all its tokens and is many times that of a first token. Among streams it would
+// look like a cold backend server, so it counts only while there are no streams.
 func (r *answerRecorder) outcome() cold.Outcome {
 	e, now := r.executor, clock.Now()
 	outcome := cold.Outcome{Took: now - r.started, Observed: r.observed}
--- a/internal/agent/intake_test.go
+++ b/internal/agent/answerrecorder_test.go
@@ -10,13 +10,13 @@
 	"github.com/apricothub/apricothub/coord/answer"
 )
 
-// awaitEvents waits until so many events of a job's answer are here.
+// awaitEvents waits until a job's answer has the given number of events.
 func awaitEvents(t *testing.T, e *executor, j *job, events int) {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
 	for got := -1; got != events; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%d events are here, want %d", got, events)
+			t.Fatalf("%d events available, want %d", got, events)
 		}
 		e.mu.Lock()
 		cursor := answer.CursorAt(1)
@@ -28,9 +28,9 @@
 	}
 }
 
-// The caller sees each token at once. Readers are woken for what it can use: the header
-// of an answer goes with its first token, the engine's mark of the end with the end.
-// Each wake-up for nothing was a packet and a few switches between goroutines.
+// Each token is sent to the caller at once. Readers are woken only for what the caller can use:
+// the header of an answer is sent with its first token, and the engine's last event with the end
+// of the answer. An unnecessary wake-up costs a packet and several goroutine switches.
 func TestReadersAreWokenForTokens(t *testing.T) {
 	step := make(chan string)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -18,28 +18,26 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a streamed answer, bytes.
+	// maxEventBytes limits one event of a streamed answer.
 	maxEventBytes = 1 << 20
-	// partSize is the size of a part of an answer that is not a stream of events.
+	// partSize is the size in bytes of a part of an answer that is not a stream of events.
 	partSize = 32 << 10
-	// doneEvent is how an engine ends a streamed completion.
+	// doneEvent is the last event of a streamed completion.
 	doneEvent = "data: [DONE]"
-	// dialTimeout is how long the backend server on the same VM may take to accept
-	// a connection.
+	// dialTimeout is how long the backend server on the same VM may take to accept a connection.
 	dialTimeout = 2 * time.Second
-	// mapLoadTimeout bounds the loading of one expert map through the rate-limited
-	// weight store.
+	// mapLoadTimeout limits the loading of one expert map through the rate-limited weight store.
 	mapLoadTimeout = 5 * time.Minute
-	// orderTimeout bounds the loading of one version or adapter through the
-	// rate-limited weight store; large weights take most of an hour when several
-	// engines read at once.
+	// orderTimeout limits the loading of one version or adapter through the rate-limited weight
+	// store. Large weights take most of an hour when several engines read at once.
 	orderTimeout = time.Hour
 )
 
-// errIncompleteStream says that a stream ended without the mark that it is whole.
+// errIncompleteStream reports a stream that ended without its last event.
 var errIncompleteStream = errors.New("the stream ended before [DONE]")
 
-// errTooManyInterim says that a backend server sent interim answers without end.
+// errTooManyInterim reports a backend server that sent more than maxInterimAnswers interim
+// answers.
 var errTooManyInterim = errors.New("the backend server sent too many interim answers")
 
 // backendError is a failure at the backend server.
@@ -53,24 +51,23 @@
 
 func (e *backendError) Unwrap() error { return e.Err }
 
-// backend sends requests to the one backend server of the VM.
+// backend sends requests to the backend server of the VM.
 type backend struct {
 	base string
-	// oneshot sends work; transport the little of it that oneshot doesn't take, and orders.
+	// oneshot sends work; transport sends the work that oneshot cannot send, and orders.
 	oneshot   *oneshot
 	transport *http.Transport
-	// queryTransport keeps its connections: a question may be asked twice.
+	// queryTransport keeps its connections: a query may be sent twice.
 	queryTransport *http.Transport
 }
 
-// newBackend returns a client that can send each request only once.
+// newBackend returns a client that sends each request at most once.
 //
-// net/http's Transport sends a request again by itself when a kept connection turns
-// out to be closed and the request looks idempotent to it, which a request with an
-// Idempotency-Key does; and http.Client sends again on a redirect. A push would run
-// twice with one answer. So every request has a connection of its own, on which
-// Transport never tries again, and RoundTrip is called directly, which follows no
-// redirect. Most work goes by oneshot, which can do neither.
+// http.Transport repeats a request by itself when a kept connection turns out to be closed and the
+// request looks idempotent, as one with an Idempotency-Key does, and http.Client repeats it on a
+// redirect. A push would then run twice with one answer. Therefore every request has a connection
+// of its own, on which Transport never retries, and RoundTrip, which follows no redirect, is
+// called directly. Most work is sent by oneshot, which can do neither.
 func newBackend(base string) *backend {
 	base = strings.TrimSuffix(base, "/")
 	return &backend{
@@ -87,8 +84,8 @@
 
 // send sends one piece of work and returns the answer's header and body.
 func (b *backend) send(ctx context.Context, work *api.Work) (*http.Response, error) {
-	// The reader hides its type, so that the request has no GetBody and its body
-	// cannot be rewound.
+	// The wrapper hides the reader's type, so that the request has no GetBody and its body cannot
+	// be rewound.
 	body := struct{ io.Reader }{bytes.NewReader(work.GetBody())}
 	req, err := http.NewRequestWithContext(ctx, work.GetMethod(), b.base+work.GetPath(), body)
 	if err != nil {
@@ -110,8 +107,8 @@
 	return resp, nil
 }
 
-// roundTrip sends a request over a connection of its own. connected is called once that
-// stands.
+// roundTrip sends a request over a connection of its own. It calls connected once the connection
+// is established.
 func (b *backend) roundTrip(req *http.Request, connected func()) (*http.Response, error) {
 	if b.oneshot.canSend(req) {
 		return b.oneshot.roundTrip(req, connected)
@@ -120,8 +117,8 @@
 	return b.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 }
 
-// readParts hands the parts of an answer to take, and returns an error unless the
-// answer came whole.
+// readParts passes the parts of an answer to handle. It returns an error unless the answer is
+// complete.
 func readParts(resp *http.Response, handle func([]byte) error) error {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return readEvents(resp.Body, handle)
@@ -129,7 +126,7 @@
 	return readPlain(resp.Body, handle)
 }
 
-// readEvents takes one event as one part, so that a caller can go on after any.
+// readEvents passes each event as one part, so that a caller can resume after any event.
 func readEvents(body io.Reader, handle func([]byte) error) error {
 	reader := bufio.NewReader(body)
 	var event []byte
@@ -138,7 +135,7 @@
 		line, err := reader.ReadSlice('\n')
 		event = append(event, line...)
 		if len(event) > maxEventBytes {
-			return errors.New("an event of the answer is too large")
+			return errors.New("an event of the answer exceeds the size limit")
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -161,15 +158,15 @@
 	}
 }
 
-// readPlain fills parts. It reads by hand: io.ReadFull reports a body's true end in the
-// middle of a part by the same error that net/http gives for a body that was cut.
+// readPlain passes parts of partSize bytes. It does not use io.ReadFull, which reports a body that
+// ends in the middle of a part with the same error that net/http returns for a truncated body.
 func readPlain(body io.Reader, handle func([]byte) error) error {
 	for {
 		part := make([]byte, partSize)
 		n, err := readFull(body, part)
 		if n < partSize {
-			// The answer is kept, and counted by its bytes: thousands of short ones would
-			// take many times the memory that is set for answers.
+			// The answer is kept, and the memory limit for answers counts its bytes: with full
+			// buffers, thousands of short answers would take many times that limit.
 			part = bytes.Clone(part[:n])
 		}
 		if n > 0 {
@@ -186,8 +183,8 @@
 	}
 }
 
-// readFull reads until the part is full or the body ends, and passes the body's own error
-// on as it is.
+// readFull reads until the part is full or the body ends, and returns the body's own error
+// unchanged.
 func readFull(body io.Reader, part []byte) (int, error) {
 	n := 0
 	for n < len(part) {
@@ -200,8 +197,8 @@
 	return n, nil
 }
 
-// queryRunning asks a model engine what it still runs. A backend server that does not
-// know the question runs nothing that matters here.
+// queryRunning asks a model engine which requests it still runs. A backend server without this
+// interface runs nothing that matters here.
 func (b *backend) queryRunning(ctx context.Context) ([]string, error) {
 	var answer struct {
 		IDs []string `json:"ids"`
@@ -213,8 +210,7 @@
 	return answer.IDs, err
 }
 
-// queryCold asks a model engine whether it is in cold start, as far as it knows; its
-// reports lag.
+// queryCold asks a model engine whether it is in cold start. The engine's own view lags.
 func (b *backend) queryCold(ctx context.Context) (bool, error) {
 	var answer struct {
 		Cold bool `json:"cold"`
@@ -223,9 +219,10 @@
 	return answer.Cold, mapNotFound(status, err)
 }
 
-// errUnsupported says that the engine does not know a question.
-var errUnsupported = errors.New("the engine has no such interface")
+// errUnsupported says that the engine does not have an interface.
+var errUnsupported = errors.New("the engine does not have this interface")
 
+// mapNotFound returns errUnsupported for status 404 and err otherwise.
 func mapNotFound(status int, err error) error {
 	if status == http.StatusNotFound {
 		return errUnsupported
@@ -233,8 +230,8 @@
 	return err
 }
 
-// queryCacheEvents asks an engine for the prefixes that came into its cache since an event,
-// and returns the number to ask from next.
+// queryCacheEvents asks an engine for the prefixes added to its cache since an event. It also
+// returns the number of the event to ask from next.
 func (b *backend) queryCacheEvents(ctx context.Context, from uint64) ([]uint64, uint64, error) {
 	var answer struct {
 		Events []struct {
@@ -253,9 +250,9 @@
 	return added, answer.Next, mapNotFound(status, err)
 }
 
-// loadedModel is what an engine says that it has loaded.
+// loadedModel is what an engine reports that it has loaded.
 type loadedModel struct {
-	// Version is empty when it holds what it was started with.
+	// Version is empty when the engine has what it was started with.
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
@@ -284,10 +281,10 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// errStaleFence says that the engine has had an order with a higher fencing number.
-var errStaleFence = errors.New("the engine has had a newer order")
+// errStaleFence says that the engine has had an order with a higher fence.
+var errStaleFence = errors.New("the engine has had an order with a higher fence")
 
-// sendOrder gives an sendOrder and waits until it has been carried out.
+// sendOrder sends an order and waits until it has been carried out.
 func (b *backend) sendOrder(ctx context.Context, order engineOrder) error {
 	status, err := b.callControlWithin(ctx, orderTimeout, http.MethodPost, "/engine/orders", order, nil)
 	if status == http.StatusConflict {
@@ -296,46 +293,47 @@
 	return mapNotFound(status, err)
 }
 
-// expertCounts is what an engine tells of its experts and ranks, as running counts.
+// expertCounts holds an engine's running counts of its experts and ranks.
 type expertCounts struct {
-	// Tokens that each expert of the group has had.
+	// Tokens is the number of tokens processed by each expert of the group.
 	Tokens []float64 `json:"tokens"`
 	// Ranks are those of this engine. Engines that do not measure them leave them out.
 	Ranks []rankCount `json:"ranks"`
 }
 
-// rankCount is how many tokens a rank's experts have had, and how long it took for them.
+// rankCount is the number of tokens that a rank's experts have processed, and the time it took.
 type rankCount struct {
 	Tokens  float64 `json:"tokens"`
 	Seconds float64 `json:"seconds"`
 }
 
-// queryExperts asks an engine for the counts of its queryExperts and ranks.
+// queryExperts asks an engine for the counts of its experts and ranks.
 func (b *backend) queryExperts(ctx context.Context) (expertCounts, error) {
 	var answer expertCounts
 	_, err := b.query(ctx, "/engine/experts", &answer)
 	return answer, err
 }
 
-// cancel asks a model engine to give up one request.
+// cancel asks a model engine to cancel one request.
 func (b *backend) cancel(ctx context.Context, id string) error {
 	body := map[string]string{"id": id}
 	_, err := b.callControl(ctx, http.MethodPost, "/engine/cancel", body, nil)
 	return err
 }
 
-// loadMap has an engine fetch the weights of an expert map, however long it takes.
+// loadMap makes an engine fetch the weights of an expert map, and waits for up to mapLoadTimeout.
 func (b *backend) loadMap(ctx context.Context, body any) error {
 	_, err := b.callControlWithin(ctx, mapLoadTimeout, http.MethodPost, "/engine/map/load", body, nil)
 	return err
 }
 
-// callControl makes one short call of the engine's own interface.
+// callControl makes one short call of the engine's control interface.
 func (b *backend) callControl(ctx context.Context, method, path string, body, answer any) (int, error) {
 	return b.callControlWithin(ctx, dialTimeout, method, path, body, answer)
 }
 
-// callControlWithin makes one call of the engine's own interface, with JSON both ways.
+// callControlWithin makes one call of the engine's control interface, with JSON in both
+// directions.
 func (b *backend) callControlWithin(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (int, error) {
 	return b.callOver(ctx, b.transport, timeout, method, path, body, answer)
 }
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -16,10 +16,10 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A push reaches the service, the service runs it and closes the connection without
-// an answer. The caller must be told "unknown"; a second push would stack a markdown.
-// net/http sends a request again by itself when a kept connection closes and the
-// request looks idempotent, so every shape that could look so is tried.
+// A service runs a push and closes the connection without an answer. The caller must be told
+// "unknown"; sending the push a second time would apply a markdown twice. net/http itself repeats
+// a request when a kept connection closes and the request looks idempotent, so every form that
+// could look so is tested.
 func TestBackendNeverSendsTwice(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -40,13 +40,13 @@
 			var runs atomic.Int32
 			address := closingServer(t, &runs)
 			b := newBackend("http://" + address)
-			// The first answer is whole, so that a kept connection would be reused.
+			// The first answer is complete, so that a kept connection would be reused.
 			for range 2 {
 				resp, err := b.send(context.Background(), &api.Work{Method: c.method, Path: "/push", Body: []byte(c.body), Headers: c.headers})
 				if err != nil {
 					var failed *backendError
 					if !errors.As(err, &failed) || !failed.Sent {
-						t.Fatalf("the failure is not known to have been sent: %v", err)
+						t.Fatalf("the failed request is not known to have been sent: %v", err)
 					}
 					continue
 				}
@@ -59,14 +59,14 @@
 	}
 }
 
-// closingServer answers the first request and keeps its connection; every later
-// request it reads whole, counts, and closes.
+// closingServer answers the first request and keeps its connection. It reads and counts every
+// later request, and closes the connection without an answer.
 func closingServer(t *testing.T, runs *atomic.Int32) string {
 	t.Helper()
 	return rawListener(t, func(conn net.Conn) { serveClosing(conn, runs) })
 }
 
-// rawListener gives each connection to serve, and returns its address.
+// rawListener passes each connection to serve and returns the listener's address.
 func rawListener(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,8 +103,8 @@
 	}
 }
 
-// A service answers a push with a redirect. Following it would send the push again,
-// to another address and with another outcome; the redirect is the answer.
+// A service answers a push with a redirect. Following it would send the push again, to another
+// address and with another outcome; the redirect is the answer.
 func TestBackendFollowsNoRedirect(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +122,8 @@
 	}
 }
 
-// Nothing listens: the request certainly has not run, and the caller may be told so.
+// Nothing listens at the address: the request certainly has not run, and the caller may be told
+// so.
 func TestBackendKnowsWhatWasNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,8 +138,8 @@
 	}
 }
 
-// The engine or its VM dies in the middle of an answer. What came must not pass for
-// the whole: a stream is whole only after [DONE], a body only at its stated length.
+// The engine or its VM dies in the middle of an answer. The part that arrived must not pass for
+// the whole: a stream is complete only after [DONE], a body only at its stated length.
 func TestReadPartsTellsWholeFromCut(t *testing.T) {
 	const event = "data: {\"text\":\"a\"}\n\n"
 	cases := []struct {
@@ -172,7 +173,7 @@
 	}
 }
 
-// testExecutor is an executor in front of a server, open for work.
+// testExecutor returns an executor in front of a server that accepts work.
 func testExecutor(t *testing.T, url string, settings *api.Backend) *executor {
 	t.Helper()
 	settings.Url = url
@@ -189,8 +190,9 @@
 
 func (discardLogger) Log(...any) error { return nil }
 
-// A service gives thousands of short answers, and the agent keeps each for a while. They
-// took 32 KB each, of which the bound on memory counted the bytes of the answer.
+// A service gives thousands of short answers, and the agent keeps each for a while. With a full
+// buffer of 32 KB each, they took far more memory than the limit, which counts only the bytes of
+// the answers.
 func TestShortAnswersTakeLittleMemory(t *testing.T) {
 	var parts [][]byte
 	handle := func(part []byte) error {
@@ -213,6 +215,6 @@
 		whole.Write(part)
 	}
 	if whole.String() != text {
-		t.Errorf("%d bytes of %d came, or others", whole.Len(), len(text))
+		t.Errorf("%d bytes of %d arrived, or other bytes", whole.Len(), len(text))
 	}
 }
--- a/internal/agent/cancel_test.go
+++ b/internal/agent/cancel_test.go
@@ -11,10 +11,10 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A caller hangs up just as its request is sent. The engine is told to cancel it before it
-// has taken the request out of its socket, knows nothing of it, and then begins it. Its
-// place at the agent must not be free meanwhile: a cold engine that gets one request more
-// than it bears falls over, with the answers of all other callers.
+// A caller hangs up just as its request is sent. The engine is told to cancel the request before
+// it has read it from its socket, does not know it, and starts it afterwards. The slot at the
+// agent must not be released meanwhile: one request more than its limit crashes a cold engine,
+// which breaks the answers of all other callers.
 func TestACancelThatComesBeforeItsRequest(t *testing.T) {
 	var begun, cancelled atomic.Bool
 	sent := make(chan struct{})
@@ -46,6 +46,6 @@
 		e.mu.Unlock()
 	}
 	if !begun.Load() || !cancelled.Load() {
-		t.Errorf("the place is free again: begun %v, cancelled %v", begun.Load(), cancelled.Load())
+		t.Errorf("the slot was released: begun %v, canceled %v", begun.Load(), cancelled.Load())
 	}
 }
--- a/internal/agent/deliver.go
+++ b/internal/agent/deliver.go
@@ -12,7 +12,7 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// serveStream takes one stream that an entry opened.
+// serveStream serves one stream that an entry opened.
 func (e *executor) serveStream(_ *link.Session, open *api.Open, stream *link.Stream) {
 	switch body := open.GetBody().(type) {
 	case *api.Open_Work:
@@ -49,8 +49,8 @@
 	e.deliver(j, answer.CursorAt(attach.GetFrom()), stream)
 }
 
-// serveSettle answers what became of a ticket. The ledger voids one it has not seen:
-// "not seen" alone would not be true a moment later.
+// serveSettle answers how the request of a ticket ended. The ledger voids a ticket that it has not
+// seen: otherwise "not run" might become untrue a moment later.
 func (e *executor) serveSettle(settle *api.Settle, stream *link.Stream) {
 	decision := e.settleTicket(settle)
 	if decision.Action == ticket.Join {
@@ -72,8 +72,8 @@
 	return decision
 }
 
-// deliver sends an answer as it grows, and returns when the receiver has it whole or
-// the stream breaks. The answer stays for another stream.
+// deliver sends an answer as it grows. It returns when the receiver has all of it or the stream
+// breaks. The answer is kept for another stream.
 func (e *executor) deliver(j *job, cursor answer.Cursor, stream *link.Stream) {
 	e.mu.Lock()
 	j.readers++
@@ -107,13 +107,12 @@
 	e.awaitDone(closed)
 }
 
-// maxEventsPerWrite bounds the events that go out by one write: with parts of the largest size
-// that is half a megabyte of buffer for each reader of an answer.
+// maxEventsPerWrite limits the events sent by one write. With parts of the largest size this is
+// half a megabyte of buffer for each reader of an answer.
 const maxEventsPerWrite = 16
 
-// nextEvents appends the events that follow the cursor and are here: what has come together
-// goes out together, and a token never waits for another. The channel is closed when
-// there are more.
+// nextEvents appends the available events after the cursor. Events that arrived together are sent
+// together, and no token waits for another. The channel is closed when there are more events.
 func (e *executor) nextEvents(j *job, events []proto.Message, cursor answer.Cursor) ([]proto.Message, answer.Cursor, chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +127,7 @@
 	return events, cursor, j.changed
 }
 
-// doneTimeout is how long the receiver of a whole answer has to say so.
+// doneTimeout is how long the receiver of a complete answer has to confirm it.
 const doneTimeout = 30 * time.Second
 
 func (e *executor) awaitDone(closed <-chan struct{}) {
@@ -140,7 +139,7 @@
 	}
 }
 
-// readSignals takes what the receiver says, until it closes the stream.
+// readSignals handles the receiver's signals until it closes the stream.
 func (e *executor) readSignals(j *job, stream *link.Stream) {
 	for {
 		signal := &api.WorkSignal{}
@@ -160,8 +159,8 @@
 	}
 }
 
-// cancelJob gives up work whose caller has gone. Work with a ticket is not given up:
-// its caller may come back to ask what became of it.
+// cancelJob cancels work whose caller has gone. Work with a ticket is not canceled: its caller may
+// return and ask how it ended.
 func (e *executor) cancelJob(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/agent/giver.go
+++ b/internal/agent/engineclient.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	// engineCallTimeout bounds one request to the engine; it waits for the connections of
-	// earlier givers to close, which the engine gives 5 s.
+	// engineCallTimeout limits one request to the engine. The engine first waits up to 5 s for the
+	// connections of earlier clients to close.
 	engineCallTimeout = 8 * time.Second
-	// engineRetryInterval is the wait before the engine is tried again.
+	// engineRetryInterval is the wait before a new connection to the engine or a new load of a
+	// map.
 	engineRetryInterval = 100 * time.Millisecond
 )
 
 // errConnectionEnded says that the connection to the engine has ended.
 var errConnectionEnded = errors.New("the connection to the engine has ended")
 
-// orderRefused says that the engine has seen a newer fence.
-var errOrderRefused = errors.New("the engine refused the order")
+// errOrderRefused says that the engine has seen a newer fence.
+var errOrderRefused = errors.New("the engine refused the order because it has seen a newer fence")
 
-// engineClient gives orders to one engine over one connection at a time.
+// engineClient sends orders to one engine over one connection at a time.
 //
-// An order on its way may arrive after the connection that carried it was given up.
-// The engine tells its state only once it has seen the connections of all other
-// givers close, so each connection counts as a engineClient of its own: what is read back
-// over a new one is not overtaken by an order on an older.
+// An order in transit may arrive after the connection that carried it was closed. The engine
+// reports its state only after the connections of all other clients have closed, and each
+// connection counts as a client of its own, named by the header X-Giver. A state that is read over
+// a new connection can therefore not be changed later by an order sent over an older one.
 type engineClient struct {
 	base             string
 	incarnation      string
@@ -57,8 +58,8 @@
 	return c
 }
 
-// dial opens the one connection of a turn. Transport would open another by itself
-// when the first has closed, and send an order over it that nobody read back before.
+// dial opens at most one connection per call of connect. Otherwise Transport would open another
+// one by itself when the first has closed, and send an order over it before the state was read.
 func (c *engineClient) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !c.canDial.CompareAndSwap(true, false) {
 		return nil, errConnectionEnded
@@ -71,7 +72,7 @@
 	return &trackedConn{Conn: conn, isOpen: &c.isOpen}, nil
 }
 
-// trackedConn tells when it is closed.
+// trackedConn records that it was closed.
 type trackedConn struct {
 	net.Conn
 	isOpen *atomic.Bool
@@ -83,7 +84,7 @@
 	return c.Conn.Close()
 }
 
-// connect begins a new connection by reading the engine's state over it.
+// connect opens a new connection and reads the engine's state over it.
 func (c *engineClient) connect(ctx context.Context) (*engineMap, error) {
 	c.disconnect()
 	c.connectionNumber++
@@ -97,10 +98,10 @@
 	c.isOpen.Store(false)
 }
 
-// isConnected says that the connection still stands as far as this side knows.
+// isConnected reports whether the connection is open, as far as this side knows.
 func (c *engineClient) isConnected() bool { return c.isOpen.Load() }
 
-// engineMap is what an engine says of its ranks.
+// engineMap is an engine's report on the expert maps of its ranks.
 type engineMap struct {
 	Loaded []uint64    `json:"loaded"`
 	Given  []stepRange `json:"given"`
@@ -128,8 +129,8 @@
 	return answer, err
 }
 
-// sendOrder sends one order. It returns errOrderRefused when the engine refused it, which
-// leaves the connection as it is.
+// sendOrder sends one order. It returns errOrderRefused when the engine refused it; the connection
+// then stays open.
 func (c *engineClient) sendOrder(ctx context.Context, order expertmap.Order) error {
 	body := struct {
 		Fence  uint64      `json:"fence"`
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -6,7 +6,7 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// peersChanged has the next tick report anew, and forgets the links that are gone.
+// peersChanged makes the next tick send a new report, and drops the links that have closed.
 func (a *agent) peersChanged(state *member.State) {
 	a.lastReport = nil
 	current := make(map[*link.Session]bool, len(state.Peers))
@@ -20,10 +20,10 @@
 	}
 }
 
-// countEntries counts the countEntries that send this agent new work. Each takes its part of the
-// agent's room by it; counted with those that are linked for a ticket alone, a storm of
-// tickets would shrink the parts of those that carry the load. The number is never what
-// keeps the limit: that is the limiter's, and exact.
+// countEntries counts the entries that send new work to this agent. Each entry uses it to compute
+// its share of the agent's slots. If it included the entries that are linked only to present a
+// ticket, a burst of tickets would shrink the shares of the entries that carry the load. The count
+// does not enforce the limit: the limiter does, exactly.
 func (a *agent) countEntries(state *member.State) int32 {
 	n := int32(0)
 	for _, peer := range state.Peers {
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -8,9 +8,9 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// An agent has links to entries that send it work, to one that dialled it for a ticket
-// alone, to one that stops, and to an agent of its group. It says two: counting the others,
-// each entry would take too small a part of its room.
+// An agent has links to entries that send it work, to one that dialed it only to present a ticket,
+// to one that is draining, and to an agent of its group. It must report two entries: if the others
+// were counted, each entry would take too small a share of its slots.
 func TestOnlyEntriesThatSendWorkAreCounted(t *testing.T) {
 	a := &agent{spareLinks: make(map[*link.Session]bool)}
 	state := &member.State{Peers: make(map[string]*member.Peer)}
@@ -35,6 +35,6 @@
 	delete(state.Peers, "e3")
 	a.peersChanged(state)
 	if len(a.spareLinks) != 1 {
-		t.Errorf("%d links remembered, want that of e2", len(a.spareLinks))
+		t.Errorf("%d spare links recorded, want that of e2", len(a.spareLinks))
 	}
 }
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -21,61 +21,61 @@
 )
 
 const (
-	// defaultRetryAfter is when a caller may come back after a refusal that has
-	// nothing to do with load.
+	// defaultRetryAfter is the retry time in refusals that do not depend on load.
 	defaultRetryAfter = time.Second
-	// ticketRetryGrace is how long a stopping agent stays for a caller that was told to come
-	// back: the time it was told, and as much again for its way and a busy machine.
+	// ticketRetryGrace is how long a draining agent waits for the retry of a refused ticket: the
+	// time that the caller was told to wait, and as much again for the way and for a busy machine.
 	ticketRetryGrace = 2 * defaultRetryAfter
-	// orphanGrace is how long work without a ticket goes on that nobody reads the
-	// answer of. A caller whose entry died comes back through another within it;
-	// past it the engine's room is of more use to others.
+	// orphanGrace is how long work without a ticket goes on when nobody reads its answer. A caller
+	// whose entry died retries through another within this time; after it, the engine's slots are
+	// of more use to others.
 	orphanGrace = 10 * time.Second
-	// ticketGrace is how long work with a ticket may go on after the caller's
-	// deadline: its answer is kept for a caller that asks what became of it.
+	// ticketGrace is how long work with a ticket may go on after the caller's deadline: its answer
+	// is kept for a caller that asks how it ended.
 	ticketGrace = 60 * time.Second
 )
 
-// executor runs the work of one backend server. Traffic goroutines share it under
-// one lock, which is never held over input or output.
+// executor runs the work of one backend server. The goroutines of all streams share it under one
+// lock, which is never held during I/O.
 type executor struct {
 	vm, incarnation string
 	settings        *api.Backend
 	backend         *backend
-	refusing        func(now time.Duration) api.ResultCode
-	logger          log.Logger
-	counters        *counters
-	journal         *journal.Journal
+	// refusing returns why the agent accepts no work, or OK.
+	refusing func(now time.Duration) api.ResultCode
+	logger   log.Logger
+	counters *counters
+	journal  *journal.Journal
 
 	mu              sync.Mutex
 	ledger          *ticket.Ledger
 	answers         *answer.Store
-	jobs            map[string]*job // by answer id
+	jobs            map[string]*job // by answer ID
 	limiter         *cold.Limiter
 	inherited       inheritedBaseline
 	queue           *queue.Queue
-	queued          map[uint64]*job // by queue id
+	queued          map[uint64]*job // by queue ID
 	lastID          uint64
 	running         int
 	pollPacer       *pollPacer
-	runningKnown    bool // the backend server has said what it still runs
-	wasOutOfService bool // the VM was out of service and has not come back since
-	// ticketRefusedAt is when a caller with a ticket was last ticketRefusedAt to come back; 0 for never.
+	runningKnown    bool // the backend server has reported which requests it still runs
+	wasOutOfService bool // the VM was out of service and has not returned since
+	// ticketRefusedAt is when a request with a ticket was last refused as "not run"; 0 for never.
 	ticketRefusedAt time.Duration
 	prefixes        recentPrefixes
 	silence         silence
-	// lastFirstToken is when a stream's first token last came; 0 for never.
+	// lastFirstToken is when the first token of any stream last arrived; 0 for never.
 	lastFirstToken time.Duration
 	model          modelState
-	// loading is set while loads has an order: all that decides on work reads it
-	// through refusing, which runs without the lock.
+	// loading is set while model has an order. Everything that decides on work reads it through
+	// refusing, which runs without the lock.
 	loading atomic.Bool
 }
 
 func newExecutor(self *api.Hello, settings *api.Backend, logger log.Logger, counters *counters) *executor {
 	key := make([]byte, 32)
 	if _, err := rand.Read(key); err != nil {
-		panic(fmt.Sprintf("no random numbers: %v", err))
+		panic(fmt.Sprintf("read random bytes for the ticket key: %v", err))
 	}
 	limits := ticket.Limits{
 		BlockSize: ticketBlockSize,
@@ -107,7 +107,7 @@
 	}
 }
 
-// refuseByState makes the executor refuse work as the member's state says.
+// refuseByState makes the executor refuse work according to the member's state.
 func (e *executor) refuseByState(node *member.Node) {
 	e.refusing = func(now time.Duration) api.ResultCode {
 		state := node.State()
@@ -124,8 +124,8 @@
 	}
 }
 
-// accept decides on a piece of work that arrives: it returns the job whose answer is
-// to be delivered, new or joined, or a refusal.
+// accept decides on arriving work. It returns the job whose answer is to be delivered, which is
+// new or already exists, or a refusal.
 func (e *executor) accept(work *api.Work) (*job, *api.Refusal) {
 	now := clock.Now()
 	refusing := e.refusing(now)
@@ -150,10 +150,10 @@
 	return e.startJob(now, work, id)
 }
 
-// checkService refuses work for another service or model. A ticket decides where its request
-// goes, whatever the request asks for: the backend server would be given a call that is
-// not for it, perhaps one that the plan does not include. The ticket is not touched, and
-// stays good for its own service; nobody else can run it.
+// checkService refuses work for another service or model. A ticket alone decides which agent its
+// request goes to, whatever the request asks for. Without this check the backend server would get
+// a call that is not for it, perhaps one that the plan does not include. The ticket is not changed
+// and stays valid for its own service; no other service can run it.
 func (e *executor) checkService(work *api.Work) *api.Refusal {
 	isOwn := work.GetModel() == e.settings.GetModel()
 	if work.GetKind() == api.WorkKind_WORK_CALL || e.settings.GetService() != "" {
@@ -168,15 +168,14 @@
 	return notRunRefusal(api.ResultCode_NO_BACKEND, "The backend server serves something else.", defaultRetryAfter)
 }
 
-// acceptTicket lets the ledger decide. The last result is false when the work is to
-// be run now.
+// acceptTicket lets the ledger decide. The last result is false when the work is to be run now.
 func (e *executor) acceptTicket(now time.Duration, work *api.Work, id string, refusing api.ResultCode) (*job, *api.Refusal, bool) {
 	var decision ticket.Decision
 	if refusing == api.ResultCode_OK {
 		decision = e.ledger.Begin(now, work.GetTicket(), work.GetCustomer(), requestHash(work), id)
 	} else {
-		// The ticket is voided before "not run" is said: a copy of the request
-		// may still sit in a silent link.
+		// The ticket is voided before "not run" is answered: a copy of the request may still be in
+		// a stalled link.
 		decision = e.ledger.Void(now, work.GetTicket(), work.GetCustomer(), requestHash(work), refusing)
 		if decision.Code == refusing {
 			e.ticketRefusedAt = now
@@ -189,15 +188,15 @@
 		if j, ok := e.jobs[decision.AnswerID]; ok {
 			return j, nil, true
 		}
-		// The answer was let go of to make room. The ledger knows whether the request
-		// ran; that it was begun is no proof.
+		// The answer was discarded to free memory. The ledger knows whether the request ran; that
+		// it was started is no proof.
 		e.ledger.ForgetAnswer(work.GetTicket())
 		decision = e.ledger.Begin(now, work.GetTicket(), work.GetCustomer(), requestHash(work), id)
 	}
 	return nil, newRefusal(decision.Code, decision.Ran, decision.Text, defaultRetryAfter), true
 }
 
-// startJob makes the job and starts it on a goroutine of its own: the work goes on when
+// startJob creates the job and starts it on a goroutine of its own, so that the work goes on when
 // the link it came over breaks.
 func (e *executor) startJob(now time.Duration, work *api.Work, id string) (*job, *api.Refusal) {
 	buffer, err := e.answers.Add(id, work.GetCustomer())
@@ -215,7 +214,8 @@
 		unreadSince: now,
 	}
 	if refused := e.enqueue(now, j); refused != nil {
-		// Kept like other answers, the refusals of a full agent would fill the memory.
+		// If the refusals of a full agent were kept like other answers, they would fill the
+		// memory.
 		e.answers.Drop(buffer)
 		return nil, refused
 	}
@@ -224,8 +224,8 @@
 	return j, nil
 }
 
-// enqueue gives the job a place at the backend server, or one in the queue, or
-// refuses it at once.
+// enqueue gives the job a slot at the backend server or a place in the queue, or refuses it at
+// once.
 func (e *executor) enqueue(now time.Duration, j *job) *api.Refusal {
 	if e.queue.Len() == 0 && e.limiter.TryStart(now) {
 		e.running++
@@ -241,9 +241,9 @@
 		Deadline: j.deadline,
 		WorkTime: e.limiter.WorkTime(),
 	}
-	// A queue before a cold backend server whose work time nobody knows may outlast
-	// any deadline; the work is refused at once, and another server may be warm. Work
-	// with a ticket has no other server to go to.
+	// While the backend server is cold and its work time is unknown, the wait in its queue may
+	// exceed any deadline. The work is refused at once, since another server may be warm. Work
+	// with a ticket cannot go to another server.
 	unknownWorkTime := j.isRepeatable() && item.WorkTime == 0 && e.limiter.IsCold()
 	if !unknownWorkTime && e.pushOrDisplace(now, item, j) {
 		return nil
@@ -257,8 +257,8 @@
 	return notRunRefusal(code, "The backend server is full.", e.limiter.RetryAfter(now))
 }
 
-// pushOrDisplace gives a job a place in the queue. When the queue is full the one furthest beyond
-// its share gives way, which may be the newcomer.
+// pushOrDisplace adds a job to the queue. If the queue is full, the job furthest above its share
+// is displaced, which may be the new one.
 func (e *executor) pushOrDisplace(now time.Duration, item queue.Item, j *job) bool {
 	if e.queue.Push(now, item) {
 		e.queued[item.ID] = j
@@ -273,7 +273,7 @@
 	return true
 }
 
-// voidTicket voids the ticket of work that was taken and has not been sent.
+// voidTicket voids the ticket of work that was accepted and has not been sent.
 func (e *executor) voidTicket(work *api.Work) {
 	if t := work.GetTicket(); t != nil {
 		e.ledger.Abandon(t)
@@ -281,23 +281,23 @@
 	}
 }
 
-// recordOutcome tells the ledger how the run of work with a ticket ended.
+// recordOutcome tells the ledger how work with a ticket ended.
 func (e *executor) recordOutcome(work *api.Work, ran api.Ran) {
 	if t := work.GetTicket(); t != nil {
 		e.ledger.RecordOutcome(t, ran)
 	}
 }
 
-// forgetAnswer tells the ledger that the answer is not held any more.
+// forgetAnswer tells the ledger that the answer is no longer held.
 func (e *executor) forgetAnswer(work *api.Work) {
 	if t := work.GetTicket(); t != nil {
 		e.ledger.ForgetAnswer(t)
 	}
 }
 
-// dispatch starts the waiting jobs for which there is room, and refuses those that
-// cannot end in time. When the agent may take no work, all that wait are refused:
-// they have not run and the entries place them elsewhere.
+// dispatch starts queued jobs while slots are free, and refuses those that cannot end before their
+// deadline. While the agent may accept no work, all queued jobs are refused: they have not run,
+// and the entries place them elsewhere.
 func (e *executor) dispatch(now time.Duration) {
 	refusing := e.refusing(now)
 	e.mu.Lock()
@@ -324,8 +324,8 @@
 	}
 }
 
-// refuseRepeatable refuses what waits and may run elsewhere. Work with a ticket has no other
-// backend server to go to, and keeps its place.
+// refuseRepeatable refuses the queued work that may run elsewhere. Work with a ticket cannot go to
+// another backend server and stays in the queue.
 func (e *executor) refuseRepeatable(now time.Duration) {
 	for id, j := range e.queued {
 		if j.isRepeatable() {
@@ -335,9 +335,8 @@
 	}
 }
 
-// trackOutOfService assumes a cold backend server when the VM comes back into service: it
-// idled, and whoever took the VM out did so to work on it. The whole load comes back
-// within seconds.
+// trackOutOfService assumes a cold backend server when its VM returns to service: the server was
+// idle, and the VM was probably taken out to work on it. The whole load returns within seconds.
 func (e *executor) trackOutOfService(refusing api.ResultCode) {
 	isOut := refusing == api.ResultCode_OUT_OF_SERVICE
 	if e.wasOutOfService && refusing == api.ResultCode_OK {
@@ -354,7 +353,7 @@
 	j.admission <- refused
 }
 
-// housekeeping lets go of old answers and of work that nobody waits for.
+// housekeeping drops expired answers and cancels work that nobody waits for.
 func (e *executor) housekeeping(now time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -371,11 +370,11 @@
 	}
 }
 
-// isIdle says that nothing runs, waits or is still to be delivered, and that nobody comes
-// back. An answer whose link broke has no reader for a moment: its entry comes back for it
-// over another link, and the process must not be gone by then. Nor for a caller that was
-// told "not run" under its ticket and comes back with it: nobody else can say that the
-// ticket is void, and the caller would hear "unknown".
+// isIdle reports whether nothing is running, queued or still to be delivered, and no caller is
+// expected to return. An answer whose link broke has no reader for a moment: its entry asks for it
+// over another link, and the process must still be there. The same holds for a caller whose
+// request with a ticket was refused as "not run" and that retries with the same ticket: only this
+// agent can say that the ticket is void, and otherwise the caller would be told "unknown".
 func (e *executor) isIdle(now time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -386,8 +385,8 @@
 		return false
 	}
 	for _, j := range e.jobs {
-		// Nobody comes back for work that was given up because its caller had gone. Of
-		// work with a ticket that was refusal before it ran the ledger knows all there is.
+		// Nobody returns for work that was canceled because its caller had gone. For work with a
+		// ticket that was refused before it ran, the ledger knows everything needed.
 		refusal := j.buffer.Refusal()
 		givenUp := refusal != nil && (j.isRepeatable() || refusal.GetRan() == api.Ran_RAN_NO)
 		if !j.buffer.IsDelivered() && (j.readers > 0 || !givenUp && now-j.unreadSince < orphanGrace) {
@@ -397,7 +396,7 @@
 	return true
 }
 
-// requestHash is what tells one request from another under the same ticket.
+// requestHash distinguishes requests that use the same ticket.
 func requestHash(work *api.Work) [32]byte {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%s\x00%s\x00", work.GetService(), work.GetMethod(), work.GetPath())
--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -18,7 +18,7 @@
 
 func newRegistry() metrics.Registry { return metrics.NewRegistry() }
 
-// mintTicket makes a ticket of the executor's agent.
+// mintTicket returns a ticket of the executor's agent.
 func mintTicket(t *testing.T, e *executor) *api.Ticket {
 	t.Helper()
 	minter := ticket.NewMinter()
@@ -44,7 +44,7 @@
 	}
 }
 
-// awaitEnd waits for the awaitEnd of a job's answer and returns its refusal, if any.
+// awaitEnd waits for the end of a job's answer and returns its refusal, if any.
 func awaitEnd(t *testing.T, e *executor, j *job) *api.Refusal {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// The caller sends a push, hears nothing and sends it again with the same ticket while
-// the first is still running. Both get the one answer; the service runs it once.
+// The caller sends a push, gets no answer and sends it again with the same ticket while the first
+// is still running. Both get the same answer, and the service runs the push once.
 func TestSameTicketJoinsTheRun(t *testing.T) {
 	var runs atomic.Int32
 	hold := make(chan struct{})
@@ -95,9 +95,9 @@
 	}
 }
 
-// The backend server is full, so a push waits; then operators take the VM out. The
-// caller is told "not run" at once, and the same ticket, sent again later when the VM
-// is back, still does not run: "not run" was true.
+// The backend server is full, so a push is queued; then operators take the VM out of service. The
+// caller is told "not run" at once. The same ticket must not run either when it is sent again
+// after the VM has returned to service: "not run" must stay true.
 func TestRefusedTicketNeverRuns(t *testing.T) {
 	var runs atomic.Int32
 	hold := make(chan struct{})
@@ -122,7 +122,7 @@
 	e.dispatch(clock.Now())
 	got := awaitEnd(t, e, j)
 	if got.GetCode() != api.ResultCode_OUT_OF_SERVICE || got.GetRan() != api.Ran_RAN_NO {
-		t.Errorf("the waiting push got %v", got)
+		t.Errorf("the queued push got %v", got)
 	}
 	refusing.Store(int32(api.ResultCode_OK))
 	again, refused := e.accept(pushWork(waiting))
@@ -137,8 +137,8 @@
 	}
 }
 
-// The service reads a push and closes without a word. The caller hears "unknown", the
-// first time and every time it asks with the same ticket, and nothing runs again.
+// The service reads a push and closes the connection without an answer. The caller is told
+// "unknown", now and on every retry with the same ticket, and the push is not sent again.
 func TestLostAnswerIsUnknownForGood(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -162,8 +162,9 @@
 	}
 }
 
-// The process is frozen after a push got its place, and the VM is taken out while it
-// sleeps. On waking it must look again before it sends: the caller hears "not run".
+// The process is frozen after a push got its slot, and the VM is taken out of service meanwhile.
+// Before sending, the agent must check again whether it may accept work; the caller is told "not
+// run".
 func TestFrozenAgentLooksAgainBeforeSending(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
@@ -185,9 +186,9 @@
 	}
 }
 
-// The agent restarts while its engine still runs three requests for the one before.
-// New work must wait for their places: the engine, which may be cold, bears no more
-// than the limit whatever the new agent remembers.
+// The agent restarts while its engine still runs three requests for the previous agent. New work
+// must wait for their slots: the engine may be cold and must not get more than the limit, although
+// the new agent knows nothing of the old requests.
 func TestRestartedAgentCountsPredecessorsWork(t *testing.T) {
 	var list atomic.Value
 	list.Store(`{"ids":["a","b","c"]}`)
@@ -198,7 +199,7 @@
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2, Queue: 4})
 	e.runningKnown = false
 	if _, refused := e.accept(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c"}); refused.GetCode() != api.ResultCode_STARTING {
-		t.Errorf("work before the question was answered got %v", refused)
+		t.Errorf("work before the engine reported its running requests got %v", refused)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -217,12 +218,12 @@
 			return
 		}
 	}
-	t.Fatal("it did not come about")
+	t.Fatal("timed out waiting for the condition")
 }
 
-// The service closes without an answer, so nobody knows whether the push ran. The
-// caller hears "unknown"; then room is needed, and the record of it is let go of. The
-// caller asks again and must not hear "it ran", or the store keeps the old price.
+// The service closes the connection without an answer, so it is unknown whether the push ran, and
+// the caller is told so. Then its record is discarded to free memory. When the caller asks again,
+// it must not be told "it ran", or the store keeps the old price.
 func TestUnknownOutcomeSurvivesEviction(t *testing.T) {
 	for _, evicted := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -247,13 +248,13 @@
 		e.mu.Unlock()
 		e.housekeeping(clock.Now())
 		if _, refused := e.accept(pushWork(minted)); refused.GetRan() != api.Ran_RAN_UNKNOWN {
-			t.Errorf("swept %v: the second answer is %v", evicted, refused)
+			t.Errorf("evicted %v: the second answer is %v", evicted, refused)
 		}
 	}
 }
 
-// An engine tells of its prefix cache late and with gaps. What came in is told to the
-// entries for a second and then no more; an engine without the interface is asked once.
+// An engine reports its prefix cache late and with gaps. New prefixes are reported to the entries
+// for a second and then no longer; an engine without the interface is asked once.
 func TestReportsIncludeNewPrefixes(t *testing.T) {
 	var asked atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -285,9 +286,9 @@
 	}
 }
 
-// A ticket names an agent. Shown with a call of another service, or with a completion, the
-// entry sends the request to that agent; its backend server would be asked what it is not
-// for. It must be refused, and the ticket stays good for its own service.
+// A ticket names an agent. If it is presented with a call of another service, or with a
+// completion, the entry sends the request to that agent, whose backend server does not serve it.
+// The request must be refused, and the ticket must stay valid for its own service.
 func TestTicketOfAnotherServiceIsRefused(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
@@ -313,7 +314,7 @@
 	}
 }
 
-// An operator looks for a request by its id in the dump of the agent that had it.
+// An operator looks for a request by its ID in the dump of the agent that handled it.
 func TestJournalRecordsOutcomes(t *testing.T) {
 	status := atomic.Int32{}
 	status.Store(http.StatusOK)
@@ -345,9 +346,9 @@
 	}
 }
 
-// A full agent refuses thousands of requests a second, and entries send large prompts.
-// Neither the refused requests nor the bodies of those that have ended may fill the
-// memory until the time for which answers are kept is over.
+// A full agent refuses thousands of requests a second, and entries send large prompts. Neither
+// refused requests nor the bodies of ended ones may fill the memory until the retention time of
+// answers has passed.
 func TestEndedRequestsFreeMemory(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
@@ -359,7 +360,7 @@
 	}
 	for range 100 {
 		if _, refused := e.accept(pushWork(nil)); refused.GetRan() != api.Ran_RAN_NO {
-			t.Fatal("a full agent takes work")
+			t.Fatal("a full agent accepted work")
 		}
 	}
 	if held := e.dump().Answers; held != 1 {
@@ -370,13 +371,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(running.work.GetBody()) > 0 {
-		t.Error("the body is held")
+		t.Error("the body of an ended request is still held")
 	}
 }
 
-// The backend server turns cold with its places full and two requests waiting: a draft,
-// and a push with a ticket. The draft's entry hears "not run" at once and places it
-// elsewhere; the push, which may run nowhere else, keeps its place.
+// The backend server turns cold while its slots are full and two requests are queued: a draft, and
+// a push with a ticket. The draft's entry is told "not run" at once and places it elsewhere; the
+// push, which cannot run elsewhere, stays in the queue.
 func TestTurningColdRefusesQueuedRepeatableWork(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
@@ -401,11 +402,11 @@
 	e.mu.Unlock()
 	e.dispatch(clock.Now())
 	if got := awaitEnd(t, e, draft); got.GetCode() != api.ResultCode_COLD || got.GetRan() != api.Ran_RAN_NO {
-		t.Errorf("the waiting draft got %v", got)
+		t.Errorf("the queued draft got %v", got)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.queue.Len() != 1 || ticketed.buffer.IsEnded() {
-		t.Errorf("%d wait, the push has ended: %v", e.queue.Len(), ticketed.buffer.IsEnded())
+		t.Errorf("%d queued, the push has ended: %v", e.queue.Len(), ticketed.buffer.IsEnded())
 	}
 }
--- a/internal/agent/group.go
+++ b/internal/agent/group.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// groupTickInterval is the time between looks at the clock and at the engine's step.
+	// groupTickInterval is the time between ticks of the coordinator and reads of the engine's
+	// step.
 	groupTickInterval = 50 * time.Millisecond
-	// engineIndex is the one engine behind an agent.
+	// engineIndex is the index of the only engine behind an agent.
 	engineIndex = 0
-	// maxQueuedTasks bounds what waits for the engine; the state machines ask again for
-	// what is lost with a connection.
+	// maxQueuedTasks limits the tasks queued for the engine. The state machines repeat what is
+	// lost with a connection.
 	maxQueuedTasks = 256
 )
 
-// group runs the agent's part of one expert-parallel group, and the coordinator's on
-// the VM of rank 0. One goroutine owns both state machines; another talks to the
-// engine, whose answers come back as events.
+// group runs the agent's part of one expert-parallel group, and the coordinator's on the VM of
+// rank 0. One goroutine owns both state machines. Another one talks to the engine and posts its
+// answers as events.
 type group struct {
 	settings *api.Group
 	self     *api.Hello
@@ -43,19 +44,19 @@
 	agent           *expertmap.Agent
 	coordinator     *expertmap.Coordinator
 	placements      *placementSet
-	rebalancer      *rebalancer // nil where experts are left to the engines
-	loadedMap       uint64      // the map that the engine holds, for what a load must fetch
-	requestedMap    uint64      // the map that was last asked for
+	rebalancer      *rebalancer // nil where the engines place experts themselves
+	loadedMap       uint64      // the map that the engine has loaded; a load fetches the difference
+	requestedMap    uint64      // the map that was last requested
 	activeLoads     map[uint64]bool
-	connectionCount uint64 // to the engine, so far
+	connectionCount uint64 // number of connections to the engine so far
 	members         []string
 	started         bool
 	engineStep      uint64
-	// publish shows the coordinator's status to the agent's reports.
+	// publish passes the coordinator's status to the agent's reports.
 	publish func(*api.GroupStatus)
 }
 
-// task is one thing to do over the connection to the engine.
+// task is one call over the connection to the engine: a read of its state or an order.
 type task struct {
 	read  bool
 	order *expertmap.Order
@@ -93,7 +94,7 @@
 	return g
 }
 
-// shouldDial says that of two agents of a group, the one whose name comes first opens the
+// shouldDial says that of two agents of a group, the one whose VM's name sorts first opens the
 // link.
 func (g *group) shouldDial(vm platform.VM) bool {
 	return vm.Role == platform.RoleBackend && vm.Group == g.settings.GetName() && vm.ID > g.self.GetVm()
@@ -131,8 +132,8 @@
 	}
 }
 
-// handleMessage takes a handleMessage of another agent; it must not wait, since it comes from the
-// member's control goroutine. A handleMessage lost to a full queue is sent again.
+// handleMessage queues a message of another agent. It must not block, because it is called on the
+// member's control goroutine. A message lost to a full queue is sent again.
 func (g *group) handleMessage(m *api.GroupMessage) {
 	select {
 	case g.events <- func() { g.dispatch(m) }:
@@ -151,7 +152,7 @@
 	g.publish(g.coordinatorStatus())
 }
 
-// forgetOldMaps keeps the placements that are loaded, being loaded, held or planned.
+// forgetOldMaps keeps only the placements that are loaded, being loaded, held or planned.
 func (g *group) forgetOldMaps() {
 	usedVersions := map[uint64]bool{g.loadedMap: true, g.requestedMap: true}
 	status := g.agent.Status()
@@ -168,8 +169,8 @@
 	g.placements.retain(usedVersions)
 }
 
-// updateMembers takes the group's VMs from the platform's list. Ranges are planned
-// only for a whole group: the list lags, and without a rank no step can run.
+// updateMembers takes the group's VMs from the platform's list. Ranges of steps are planned only
+// for a complete group: the list lags, and without one of the ranks no step can run.
 func (g *group) updateMembers(now time.Duration) {
 	var members []string
 	for _, vm := range g.node.State().VMs {
@@ -191,7 +192,7 @@
 	}
 }
 
-// process does all that the state machines ask for.
+// process carries out everything that the state machines request.
 func (g *group) process(ctx context.Context) {
 	for {
 		ready := g.agent.Ready()
@@ -218,8 +219,8 @@
 	}
 }
 
-// queueTask hands a task to the engine's goroutine. A full queueTask means an engine that does
-// not answer: its connection is given up, and all begins again with the read.
+// queueTask queues a task for the goroutine of the engine's connection. A full queue means that
+// the engine does not answer: the connection is closed, and a new one starts by reading the state.
 func (g *group) queueTask(t task) {
 	select {
 	case g.tasks <- t:
@@ -239,7 +240,7 @@
 	}
 }
 
-// dispatch gives a message to the state machine that it is for.
+// dispatch passes a message to its state machine.
 func (g *group) dispatch(m *api.GroupMessage) {
 	g.storeMaps(m)
 	switch m.GetBody().(type) {
@@ -256,12 +257,12 @@
 	}
 }
 
-// serveEngine keeps one connection to the engine and does tasks over it in order.
+// serveEngine keeps one connection to the engine and runs tasks over it in order.
 func (g *group) serveEngine(ctx context.Context) {
 	for ctx.Err() == nil {
 		state, err := g.engine.connect(ctx)
 		if err != nil {
-			_ = g.logger.Log("level", "debug", "msg", "The engine's map could not be read.", "result", backendFailedLabel, "err", err)
+			_ = g.logger.Log("level", "debug", "msg", "The expert maps of the engine could not be read; the connection will be retried.", "result", backendFailedLabel, "err", err)
 			sleep(ctx, engineRetryInterval)
 			continue
 		}
@@ -278,7 +279,7 @@
 	}
 }
 
-// dropTasks forgets what was to be done over an earlier connection.
+// dropTasks drops the tasks of an earlier connection.
 func (g *group) dropTasks() {
 	for {
 		select {
@@ -340,7 +341,7 @@
 	return nil
 }
 
-// reportStep tells the state machines how far the engine has come.
+// reportStep tells the state machines the engine's current step.
 func (g *group) reportStep(ctx context.Context) error {
 	state, err := g.engine.readState(ctx)
 	if err != nil {
@@ -356,7 +357,7 @@
 	return nil
 }
 
-// adoptInitialMap makes the map that the engine came with the group's first.
+// adoptInitialMap makes the map that the engine started with the group's first target.
 func (g *group) adoptInitialMap(state *engineMap) {
 	if g.coordinator == nil || len(state.Loaded) == 0 || g.coordinator.Status().Target != 0 {
 		return
@@ -375,7 +376,7 @@
 	Slots   []int32 `json:"slots,omitempty"`
 }
 
-// coordinatorStatus is the group as its coordinator sees it.
+// coordinatorStatus returns the coordinator's view of the group.
 func (g *group) coordinatorStatus() *api.GroupStatus {
 	s := g.coordinator.Status()
 	status := &api.GroupStatus{
--- a/internal/agent/group_test.go
+++ b/internal/agent/group_test.go
@@ -15,7 +15,7 @@
 	"github.com/apricothub/apricothub/internal/member"
 )
 
-// newTestGroup is an agent's part of a group, linked to nobody, before an engine at a URL.
+// newTestGroup returns an agent's part of a group without peers, in front of an engine at a URL.
 func newTestGroup(url string) *group {
 	settings := &api.Group{Name: "g"}
 	self := &api.Hello{Vm: "b1"}
@@ -34,9 +34,9 @@
 	}
 }
 
-// An engine comes and goes while a map is being loaded, and the agent asks for the map
-// with each new connection. One load at a time may run; and one that was begun for an
-// engine that is gone does not count for the engine that came after it.
+// The connection to an engine breaks repeatedly while a map is being loaded, and the agent
+// requests the map with each new connection. Only one load may run at a time, and a load that
+// began for an earlier engine must not count for its replacement.
 func TestOneLoadOfAMapAtATime(t *testing.T) {
 	hold := make(chan struct{})
 	var loads atomic.Int32
@@ -60,7 +60,7 @@
 	close(hold)
 	(<-g.events)()
 	if g.loadedMap == 7 {
-		t.Error("a load for an engine that is gone counts")
+		t.Error("a load for an earlier connection counts")
 	}
 	(<-g.events)()
 	if g.loadedMap != 7 || loads.Load() != 2 || len(g.activeLoads) != 0 {
@@ -68,9 +68,9 @@
 	}
 }
 
-// The weight store is out while a map is asked for; then the coordinator is replaced, and
-// its successor wants another map. The loader of the first must end: it would ask the
-// store, which is rate-limited, for as long as the agent lives.
+// The weight store fails while a map is requested; then the coordinator is replaced, and its
+// successor requests another map. The load of the first map must end. Otherwise it would ask the
+// rate-limited store as long as the agent runs.
 func TestLoadOfASupersededMapEnds(t *testing.T) {
 	var first, second atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 	requestMap(1, 7)
 	failures(1)
 	if first.Load() == 0 || !g.activeLoads[7] {
-		t.Fatal("the map that is wanted is not tried again")
+		t.Fatal("the load of the requested map is not retried")
 	}
 	requestMap(2, 8)
 	failures(4)
@@ -116,6 +116,6 @@
 		t.Errorf("loaders of %v, want 8 alone", g.activeLoads)
 	}
 	if second.Load() < 2 {
-		t.Errorf("the map that is wanted now was tried %d times", second.Load())
+		t.Errorf("the load of the newly requested map was tried %d times", second.Load())
 	}
 }
--- a/internal/agent/inherit.go
+++ b/internal/agent/inherit.go
@@ -7,28 +7,30 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// inheritedBaseline is what the agent before this one had learned of the engine, until it is
-// sure that it is the same engine.
+// inheritedBaseline is what the previous agent of this VM learned about the engine. It is applied
+// only once it is confirmed that the engine is the same.
 type inheritedBaseline struct {
 	baseline cold.WarmBaseline
-	// reportsWarm and everReportedCold are the engine's own word, now and ever.
+	// reportsWarm is the engine's last report; everReportedCold says whether it ever reported
+	// cold.
 	reportsWarm, everReportedCold bool
 }
 
-// applyTo hands the limiter what is known once the engine has said that it is warm.
+// applyTo passes the baseline to the limiter once the engine has reported that it is warm, without
+// ever reporting cold.
 //
-// A VM that is replaced keeps its name, and what the entries kept was learned of another
-// engine, which may have been slower when warm than this one is in cold start. But a new
-// engine is in cold start and says so, where it says anything; only one that has worked
-// for the agent before says at once that it is warm. One that turned cold without a word
-// says it too, and is the same engine all the same.
+// A VM that is replaced keeps its name, and the entries' baseline then belongs to another engine,
+// which may have been slower when warm than this one is in cold start. But a new engine is in cold
+// start and reports it, if it reports anything. Only an engine that already worked for the
+// previous agent reports warm from the start. One that turned cold without reporting it does so
+// too, but it is the same engine.
 func (b *inheritedBaseline) applyTo(l *cold.Limiter) {
 	if b.reportsWarm && !b.everReportedCold {
 		l.Inherit(b.baseline)
 	}
 }
 
-// inherit takes what an entry kept of the agent before this one.
+// inherit stores the baseline that an entry kept from the previous agent.
 func (e *executor) inherit(baseline *api.Usual) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,7 +42,7 @@
 	e.inherited.applyTo(e.limiter)
 }
 
-// setReportedCold takes the engine's own word on whether it is cold.
+// setReportedCold records whether the engine reports that it is cold.
 func (e *executor) setReportedCold(isCold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +52,7 @@
 	e.inherited.applyTo(e.limiter)
 }
 
-// warmBaseline is what the entries keep for the agent after this one; nil until it is known.
+// warmBaseline returns the baseline that entries keep for the next agent; nil until it is known.
 func warmBaseline(l *cold.Limiter) *api.Usual {
 	baseline := l.WarmBaseline()
 	if baseline.Latency == 0 {
--- a/internal/agent/inherit_test.go
+++ b/internal/agent/inherit_test.go
@@ -8,9 +8,9 @@
 	"github.com/apricothub/apricothub/decide/cold"
 )
 
-// A VM is replaced and keeps its name: what its entries kept was learned of another
-// engine. A caller's request too many on a cold one makes it fall over, so that only an
-// engine that has never called itself cold counts as the one that was known.
+// A VM is replaced and keeps its name, so the baseline that the entries kept was learned from
+// another engine. One request too many crashes a cold engine, so the baseline is applied only to
+// an engine that has never reported itself cold.
 func TestBaselineIsInheritedFromSameEngineOnly(t *testing.T) {
 	const baselineReceived = "handed"
 	cases := map[string]struct {
@@ -33,10 +33,10 @@
 			e.inherit(&api.Usual{LatencyUs: 20_000, WorkUs: 200_000})
 		}
 		if applied := e.limiter.WorkTime() == 200*time.Millisecond; applied != c.applied {
-			t.Errorf("%s: taken %v, want %v", name, applied, c.applied)
+			t.Errorf("%s: applied %v, want %v", name, applied, c.applied)
 		}
 		if e.status(0).GetUsual() != nil || e.limiter.WarmBaseline() != (cold.WarmBaseline{}) {
-			t.Errorf("%s: what was inherited is told as its own", name)
+			t.Errorf("%s: the inherited baseline is reported as its own", name)
 		}
 	}
 }
@@ -51,6 +51,6 @@
 	}
 	reported := e.status(0).GetUsual()
 	if known := e.limiter.WarmBaseline(); reported.GetLatencyUs() != known.Latency.Microseconds() || known.Latency == 0 {
-		t.Errorf("told %v, known %v", reported, known)
+		t.Errorf("reported %v, known %v", reported, known)
 	}
 }
--- a/internal/agent/job.go
+++ b/internal/agent/job.go
@@ -8,27 +8,27 @@
 	"github.com/apricothub/apricothub/coord/answer"
 )
 
-// job is one piece of work at this agent, from its arrival until its answer is let
-// go. Its fields are guarded by executor.mu, but for those set at creation.
+// job is one piece of work at this agent, from its arrival until its answer is dropped. Its fields
+// are guarded by executor.mu, except for those set at creation.
 type job struct {
 	work   *api.Work
 	buffer *answer.Buffer
-	// arrived is when the work came, on the process's clock; started when it was sent
-	// to the backend server, 0 before. Only the goroutine that runs the job writes it.
+	// arrived is when the work arrived, on the process's clock; started is when it was sent to the
+	// backend server, or 0 before. Only the goroutine that runs the job writes started.
 	arrived, started time.Duration
-	// backendState is what may go on at the backend server at the end of the run, which sets it.
+	// backendState says whether the request may still run at the backend server. The run sets it
+	// at its end.
 	backendState backendState
-	// deadline is when the answer must be whole, on the process's clock.
+	// deadline is when the answer must be complete, on the process's clock.
 	deadline time.Duration
 
 	// changed is closed and replaced whenever the answer grows or ends.
 	changed chan struct{}
-	// admission carries the decision on a job that waits: nil to run, or the refusal.
+	// admission receives the decision on a queued job: nil to run it, or the refusal.
 	admission chan *api.Refusal
 	// cancel ends the run; nil before it begins.
 	cancel context.CancelFunc
-	// readers counts the streams that deliver the answer; alone is since when
-	// there is none.
+	// readers counts the streams that deliver the answer; unreadSince is since when there is none.
 	readers     int
 	unreadSince time.Duration
 }
@@ -38,15 +38,15 @@
 	j.changed = make(chan struct{})
 }
 
-// dropRequest drops what was sent to the backend server, which is over. The answer is kept for
-// a caller that comes back, and the ledger knows the request by its digest: large prompts
-// would take many times the memory that is set for answers. The lock is held.
+// dropRequest drops the body and headers of the request once it has ended. The answer is kept for
+// a caller that retries, and the ledger knows the request by its digest. With the requests, large
+// prompts would take many times the memory that is set for answers. The caller holds the lock.
 func (j *job) dropRequest() {
 	j.work.Body = nil
 	j.work.Headers = nil
 }
 
-// isRepeatable says that the work may be given up or run elsewhere: it has no ticket.
+// isRepeatable reports whether the work may be canceled or run elsewhere: it has no ticket.
 func (j *job) isRepeatable() bool { return j.work.GetTicket() == nil }
 
 func newRefusal(code api.ResultCode, ran api.Ran, text string, retryAfter time.Duration) *api.Refusal {
--- a/internal/agent/loads.go
+++ b/internal/agent/loadorder.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// orderPollInterval is the time between looks at what still runs while an order waits.
+	// orderPollInterval is the time between checks whether work still runs while an order waits.
 	orderPollInterval = 20 * time.Millisecond
-	// orderBackoff is the wait after an order that failed, doubled up to orderRetryMax:
-	// a weight store that is overloaded must not be asked without a pause.
+	// orderBackoff is the wait after an order that failed. It doubles up to maxOrderBackoff: an
+	// overloaded weight store must not be asked without a pause.
 	orderBackoff    = 200 * time.Millisecond
 	maxOrderBackoff = 10 * time.Second
 )
 
-// modelState is what the engine has loaded and the order that it is being brought to. The
-// executor's lock guards it.
+// modelState is what the engine has loaded and the order that is being carried out. The executor's
+// lock guards it.
 type modelState struct {
-	configured loadedModel // by the settings
+	configured loadedModel // from the settings
 	version    string
 	adapters   []string
-	// newestFence is the highest fencing number of an order taken.
+	// newestFence is the highest fence of an accepted order.
 	newestFence int64
-	// order is under way; nil for none.
+	// order is the order being carried out; nil for none.
 	order *api.LoadOrder
-	// orderArrived tells carryOut of an order.
+	// orderArrived wakes runOrders when an order arrives.
 	orderArrived chan struct{}
-	// orderChanges counts the orders that began or ended: an answer of the engine from
-	// before one is not taken for later.
+	// orderChanges counts the orders that began or ended, so that an engine's answer from before
+	// one is not applied after it.
 	orderChanges uint64
-	// takesNoOrders says that the engine takes no orders.
+	// takesNoOrders says that the engine does not support orders.
 	takesNoOrders bool
 }
 
@@ -46,12 +46,12 @@
 	return modelState{configured: configured, version: configured.Version, adapters: configured.Adapters, newestFence: -1, orderArrived: make(chan struct{}, 1)}
 }
 
-// acceptOrder begins an order, or puts a newer one in the place of that under way.
+// acceptOrder starts an order, or replaces the current one by a newer one.
 //
-// The fence is the offset of the uses list that the sender went by. The log gives one
-// order to all lists, so that an order of an entry that is behind, or one that sat in a
-// silent link, is known as old: here by the list that this agent has applied, and at the
-// engine, if it checks, by the orders that it has had.
+// The fence is the offset of the uses list that the sender went by. The log gives all lists one
+// order, so an order of an entry that is behind, or one that was stuck in a stalled link, is
+// recognized as stale: here by the list that this agent has applied, and at the engine, if it
+// checks, by the orders that it has had.
 func (e *executor) acceptOrder(order *api.LoadOrder, applied int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +60,7 @@
 		return
 	}
 	if m.order.GetFence() == order.GetFence() && m.order != nil {
-		return // It comes again until a report tells of it.
+		return // The sender repeats an order until a report shows it.
 	}
 	m.newestFence = order.GetFence()
 	if m.order == nil && targetOf(order).IsMetBy(m.version, m.adapters) {
@@ -71,16 +71,16 @@
 	e.loading.Store(true)
 	select {
 	case m.orderArrived <- struct{}{}:
-	default: // carryOut has yet to see that an earlier one began.
+	default: // runOrders has not yet received an earlier wake-up.
 	}
-	_ = e.logger.Log("msg", "The engine is to load another version.", "version", order.GetVersion(), "fence", order.GetFence())
+	_ = e.logger.Log("msg", "The engine is ordered to load another version.", "version", order.GetVersion(), "fence", order.GetFence())
 }
 
 func targetOf(order *api.LoadOrder) rollout.Target {
 	return rollout.Target{Version: order.GetVersion(), Adapters: order.GetAdapters(), Fence: order.GetFence()}
 }
 
-// runOrders brings the engine to one order after another.
+// runOrders carries out one order after another at the engine.
 func (e *executor) runOrders(ctx context.Context) error {
 	backoff := orderBackoff
 	for ctx.Err() == nil {
@@ -102,9 +102,9 @@
 			e.finishOrder(order, err)
 			backoff = orderBackoff
 		default:
-			// The order stands, and the engine gets no work: while it fails it
-			// counts as away, which holds up the rollout before it takes down more.
-			_ = e.logger.Log("msg", "The engine could not load what was ordered.", "result", backendFailedLabel, "version", order.GetVersion(), "fence", order.GetFence(), "err", err)
+			// The order stays, and the engine gets no work. While it fails it counts as away,
+			// which stops the rollout before it takes down more engines.
+			_ = e.logger.Log("msg", "The engine could not load the ordered version; the order will be retried.", "result", backendFailedLabel, "version", order.GetVersion(), "fence", order.GetFence(), "err", err)
 			e.awaitOrderBackoff(ctx, order, backoff)
 			backoff = min(2*backoff, maxOrderBackoff)
 		}
@@ -112,17 +112,17 @@
 	return ctx.Err()
 }
 
-// pendingOrder returns the order under way, and whether nothing runs at the engine any more.
-// Work that was decided on before the order began is counted as running by then, and
-// looks at refusing again before it is sent.
+// pendingOrder returns the current order, and whether the engine has no work in flight any more.
+// Work that was accepted before the order began already counts as running then, and checks
+// refusing again before it is sent.
 func (e *executor) pendingOrder() (*api.LoadOrder, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.order, e.model.order != nil && e.runningKnown && e.limiter.Running() == 0
 }
 
-// applyOrder gives the engine the orders it lacks. What it holds is asked first: an earlier
-// order, whose answer was lost, may have been carried out.
+// applyOrder sends the engine the orders that it lacks. It first asks what the engine has loaded:
+// an earlier order whose answer was lost may have been carried out.
 func (e *executor) applyOrder(ctx context.Context, order *api.LoadOrder) error {
 	loaded, err := e.queryLoaded(ctx)
 	if err != nil {
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// sendOrder gives one order. Until it is known to have been carried out nobody knows what the
-// engine holds: a failed order may have been carried out, and an engine that does not
-// tell what it holds would be taken for one that still has the old version.
+// sendOrder sends one order. What the engine has loaded is unknown until the order is confirmed: a
+// failed order may have been carried out, and an engine that does not report what it has loaded
+// would otherwise be taken for one that still has the old version.
 func (e *executor) sendOrder(ctx context.Context, order engineOrder, before, after loadedModel) error {
 	e.setLoaded(loadedModel{})
 	err := e.backend.sendOrder(ctx, order)
@@ -174,8 +174,8 @@
 	e.model.adapters = slices.Clone(loaded.Adapters)
 }
 
-// queryLoaded asks the engine what it has. One that does not tell has what the settings say
-// or was last loaded here.
+// queryLoaded asks the engine what it has loaded. An engine that does not report it has what the
+// settings say or what was last loaded here.
 func (e *executor) queryLoaded(ctx context.Context) (loadedModel, error) {
 	loaded, err := e.backend.queryLoaded(ctx)
 	e.mu.Lock()
@@ -184,14 +184,14 @@
 	case errors.Is(err, errUnsupported):
 		return loadedModel{Version: e.model.version, Adapters: slices.Clone(e.model.adapters)}, nil
 	case err == nil && loaded.Version == "":
-		// It was started anew, or never had an order.
+		// It was restarted, or never had an order.
 		loaded.Version = e.model.configured.Version
 		loaded.Adapters = append(slices.Clone(e.model.configured.Adapters), loaded.Adapters...)
 	}
 	return loaded, err
 }
 
-// finishOrder opens the agent for work again unless a newer order has come.
+// finishOrder lets the agent accept work again unless a newer order has arrived.
 func (e *executor) finishOrder(order *api.LoadOrder, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,11 +199,11 @@
 	if errors.Is(err, errUnsupported) {
 		m.takesNoOrders = true
 	} else {
-		// New weights: the engine's caches are empty whatever it says.
+		// The weights are new, so the engine's caches are empty whatever it reports.
 		e.limiter.AssumeCold()
 	}
 	if errors.Is(err, errStaleFence) {
-		// Tried again it would be refused again, and the engine be away each time.
+		// The same order would be refused again, and take the engine out of service each time.
 		m.newestFence = max(m.newestFence, order.GetFence()+1)
 	}
 	m.orderChanges++
@@ -216,10 +216,10 @@
 	if err != nil {
 		outcome = backendFailedLabel
 	}
-	_ = e.logger.Log("msg", "The order to load has ended.", "result", outcome, "version", m.version, "fence", order.GetFence(), "err", err)
+	_ = e.logger.Log("msg", "The order to load a version has ended.", "result", outcome, "version", m.version, "fence", order.GetFence(), "err", err)
 }
 
-// awaitOrderBackoff waits, or until another order takes the place of the one that failed.
+// awaitOrderBackoff waits for the backoff, or until another order replaces the one that failed.
 func (e *executor) awaitOrderBackoff(ctx context.Context, order *api.LoadOrder, backoff time.Duration) {
 	until := clock.Now() + backoff
 	for clock.Now() < until && ctx.Err() == nil {
@@ -230,8 +230,8 @@
 	}
 }
 
-// pollLoaded follows what the engine holds, which changes without an order when it is
-// replaced, and is not what the settings say when this agent is.
+// pollLoaded follows what the engine has loaded. It changes without an order when the engine is
+// replaced, and differs from the settings when this agent is.
 func (e *executor) pollLoaded(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := e.orderChanges()
--- a/internal/agent/loads_test.go
+++ b/internal/agent/loadorder_test.go
@@ -13,11 +13,11 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// fakeEngine takes orders and answers them with a status.
+// fakeEngine accepts orders and answers them with a status.
 type fakeEngine struct {
 	mu     sync.Mutex
 	status int
-	held   *loadedModel // nil for an engine that does not tell
+	loaded *loadedModel // nil for an engine that does not report it
 	orders []string
 }
 
@@ -25,8 +25,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case r.URL.Path == "/engine/version" && f.held != nil:
-		_ = json.NewEncoder(w).Encode(f.held)
+	case r.URL.Path == "/engine/version" && f.loaded != nil:
+		_ = json.NewEncoder(w).Encode(f.loaded)
 	case r.URL.Path == "/engine/orders":
 		var order engineOrder
 		_ = json.NewDecoder(r.Body).Decode(&order)
@@ -49,7 +49,7 @@
 	return slices.Clone(f.orders)
 }
 
-// newLoadingExecutor returns an executor with version 1 before an engine.
+// newLoadingExecutor returns an executor with version 1 in front of an engine.
 func newLoadingExecutor(t *testing.T, engine *fakeEngine) *executor {
 	t.Helper()
 	server := httptest.NewServer(engine)
@@ -66,9 +66,8 @@
 	return &api.LoadOrder{Model: "m", Version: version, Adapters: adapters, Fence: fence}
 }
 
-// An engine that says nothing of what it holds gets a version and then its adapters. An
-// order that is older than one taken before, or than the list that the agent has, comes
-// to nothing.
+// An engine that does not report what it has loaded gets a version and then its adapters. An order
+// that is older than one accepted before, or than the list that the agent has applied, is ignored.
 func TestOrdersAreCarriedOutOnce(t *testing.T) {
 	engine := &fakeEngine{status: http.StatusOK}
 	e := newLoadingExecutor(t, engine)
@@ -79,7 +78,7 @@
 	e.acceptOrder(loadOrder(4, "1"), 3)
 	e.acceptOrder(loadOrder(5, "2", "x", "y"), 5)
 	if e.loading.Load() {
-		t.Error("an old order, or one that is met, began")
+		t.Error("a stale order, or one that is already met, began")
 	}
 	want := []string{"load_model 2", "load_adapter 2x", "load_adapter 2y"}
 	if got := engine.received(); !slices.Equal(got, want) {
@@ -91,8 +90,9 @@
 	}
 }
 
-// A version does not load, and operators publish the old one again. The engine does not
-// tell what it holds, so the old one is loaded too, and only then is work taken.
+// A version does not load, and operators publish the previous one again. The engine does not
+// report what it has loaded, so the previous version must be loaded too, and only then may the
+// agent accept work.
 func TestGoingBackFromAVersionThatDoesNotLoad(t *testing.T) {
 	engine := &fakeEngine{status: http.StatusInternalServerError}
 	e := newLoadingExecutor(t, engine)
@@ -113,12 +113,12 @@
 	}
 }
 
-// An engine that takes no orders, or has had a newer one, goes on with what it has and is
-// not taken away again by the same order.
+// An engine that does not support orders, or has had a newer one, continues with what it has. The
+// same order must not take it out of service again.
 func TestRefusedOrdersEnd(t *testing.T) {
 	for name, status := range map[string]int{"no orders": http.StatusNotFound, "old fence": http.StatusConflict} {
 		t.Run(name, func(t *testing.T) {
-			engine := &fakeEngine{status: status, held: &loadedModel{}}
+			engine := &fakeEngine{status: status, loaded: &loadedModel{}}
 			e := newLoadingExecutor(t, engine)
 			for range 3 {
 				e.acceptOrder(loadOrder(5, "2"), 5)
--- a/internal/agent/mapload.go
+++ b/internal/agent/mapload.go
@@ -12,9 +12,9 @@
 	return load
 }
 
-// startLoad begins to load a map unless that is under way already. The agent asks again
-// with each new connection to the engine: with a loader for each, an engine that comes
-// and goes would be asked by ever more of them, and the weight store through it.
+// startLoad starts loading a map unless that is already in progress. The agent requests the map
+// again with each new connection to the engine. With a load for each request, an engine whose
+// connection keeps breaking would get ever more concurrent loads, and so would the weight store.
 func (g *group) startLoad(ctx context.Context, version uint64) {
 	if g.activeLoads[version] {
 		return
@@ -23,8 +23,8 @@
 	go g.loadMap(ctx, version, g.newLoadRequest(version), g.connectionCount)
 }
 
-// finishLoad takes the end of a load. One that began before the connection that stands now
-// may have been for an engine that has lost its weights since.
+// finishLoad records the end of a load. A load that began before the current connection may have
+// been for an engine that has since lost its weights, so it is repeated.
 func (g *group) finishLoad(ctx context.Context, version, connection uint64) {
 	delete(g.activeLoads, version)
 	if connection != g.connectionCount {
@@ -35,20 +35,20 @@
 	g.agent.MapLoaded(engineIndex, version)
 }
 
-// loadMap has the engine fetch the weights of a map. It uses a connection of its own:
-// loading takes long, and orders must not wait behind it.
+// loadMap makes the engine fetch the weights of a map. It uses a connection of its own: loading
+// takes long, and orders must not wait for it.
 func (g *group) loadMap(ctx context.Context, version uint64, body mapLoadRequest, connection uint64) {
 	err := g.backend.loadMap(ctx, body)
 	if err == nil {
 		g.post(ctx, func() { g.finishLoad(ctx, version, connection) })
 		return
 	}
-	_ = g.logger.Log("msg", "A map could not be loaded.", "result", backendFailedLabel, "map", version, "err", err)
+	_ = g.logger.Log("msg", "An expert map could not be loaded; the load will be retried if the map is still needed.", "result", backendFailedLabel, "map", version, "err", err)
 	sleep(ctx, engineRetryInterval)
 	g.post(ctx, func() { g.retryLoad(ctx, version) })
 }
 
-// retryLoad tries again while anybody needs the map.
+// retryLoad repeats a failed load while the map is still needed.
 func (g *group) retryLoad(ctx context.Context, version uint64) {
 	delete(g.activeLoads, version)
 	if g.agent.LoadFailed(engineIndex, version) {
--- a/internal/agent/oneshot.go
+++ b/internal/agent/oneshot.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxOneshotBodyBytes bounds the body of a request that is sent by oneshot, bytes: such a one
-	// fits the buffers of the connection, so that the whole request is on its way before
-	// the answer is read, also from a backend server that answers without reading it.
+	// maxOneshotBodyBytes limits the body of a request that oneshot sends. Up to this size the
+	// request fits the buffers of the connection, so that it is sent completely before the answer
+	// is read, even to a backend server that answers without reading it.
 	maxOneshotBodyBytes = 64 << 10
-	// maxAnswerHeaderBytes bounds status and header of an answer, bytes.
+	// maxAnswerHeaderBytes limits the status line and header of an answer.
 	maxAnswerHeaderBytes = 1 << 20
-	// maxInterimAnswers bounds the interim answers before the answer.
+	// maxInterimAnswers limits the interim answers before the final one.
 	maxInterimAnswers = 5
 )
 
-// oneshot sends each request over a connection of its own, on the caller's goroutine, by
-// what net/http offers below its Transport. Transport spends three goroutines and some six
-// wake-ups on each such connection, to be ready for what is never asked of it here: keeping
-// it, and giving it to another request. Nothing can be sent twice.
+// oneshot sends each request over a connection of its own, on the caller's goroutine, with the
+// parts of net/http below Transport. Transport uses three goroutines and about six wake-ups for
+// each such connection, to be able to keep it and reuse it, which is never done here. Nothing can
+// be sent twice.
 type oneshot struct {
 	address string
 }
 
-// newOneshot returns nil where Transport is needed: for a connection under TLS.
+// newOneshot returns nil if the connection uses TLS, for which Transport is needed.
 func newOneshot(base string) *oneshot {
 	u, err := url.Parse(base)
 	if err != nil || u.Scheme != "http" {
@@ -43,16 +43,16 @@
 	return &oneshot{address: net.JoinHostPort(u.Hostname(), port)}
 }
 
-// canSend says whether a request can be sent so.
+// canSend reports whether oneshot can send a request.
 func (o *oneshot) canSend(req *http.Request) bool {
 	return o != nil && req.ContentLength <= maxOneshotBodyBytes
 }
 
-// roundTrip sends a request and returns the answer's header, with its body still to come.
-// connected is called once a connection stands. The end of the request's context closes the
-// connection, as does closing the body.
+// roundTrip sends a request and returns the answer's header, with the body still to be read. It
+// calls connected once a connection is established. The connection is closed when the request's
+// context ends or the body is closed.
 func (o *oneshot) roundTrip(req *http.Request, connected func()) (*http.Response, error) {
-	// The other end is on this VM; probes of an idle connection would only cost calls.
+	// The other end is on this VM; keep-alive probes would only cost system calls.
 	dialer := net.Dialer{KeepAlive: -1}
 	conn, err := dialer.DialContext(req.Context(), "tcp", o.address)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return resp, nil
 }
 
-// exchange writes the request by one write and reads status and header of the answer.
+// exchange writes the request with one write and reads the status line and header of the answer.
 func exchange(conn net.Conn, req *http.Request) (*http.Response, error) {
 	req.Close = true
 	var text bytes.Buffer
@@ -95,8 +95,8 @@
 	return nil, errTooManyInterim
 }
 
-// oneshotAnswer is the body of an answer. Its own Close would read on to its end, which
-// may be an hour away.
+// oneshotAnswer is the body of an answer. The Close of the wrapped body would read to its end,
+// which may take an hour.
 type oneshotAnswer struct {
 	io.Reader
 	conn net.Conn
--- a/internal/agent/oneshot_test.go
+++ b/internal/agent/oneshot_test.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// rawServer gives the same text to each request and then keeps the connection open.
+// rawServer answers each connection with the same text and then keeps it open.
 func rawServer(t *testing.T, text string) string {
 	t.Helper()
 	return "http://" + rawListener(t, func(conn net.Conn) {
@@ -25,8 +25,8 @@
 	})
 }
 
-// An interim answer is not the answer. A backend server gone wrong sends them, or a header,
-// without end; the request must fail, and the agent's memory must hold.
+// An interim answer is not the answer. A faulty backend server sends interim answers, or a header,
+// without end: the request must fail, and the agent's memory must stay bounded.
 func TestAnswersBeginWithTheirFinalStatus(t *testing.T) {
 	const interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 	const final = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -56,9 +56,9 @@
 	}
 }
 
-// The caller of a stream goes away, or its time is over, while the engine is silent. The
-// agent must neither wait for the engine nor read on to the end of the stream: it would
-// hold its place for as long.
+// The caller of a stream leaves, or its deadline passes, while the engine sends nothing. The agent
+// must neither wait for the engine nor read to the end of the stream: the request would hold its
+// slot all that time.
 func TestUnfinishedAnswersAreClosed(t *testing.T) {
 	url := rawServer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,6 +77,6 @@
 	}
 	_ = resp.Body.Close()
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("letting go took %v", took)
+		t.Errorf("closing the answers took %v", took)
 	}
 }
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -14,7 +14,7 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// adminProcess shows the agent to adminProcess. It implements admin.Process.
+// adminProcess provides the agent's data to the admin server. It implements admin.Process.
 type adminProcess struct{ agent *agent }
 
 func (a *agent) serveAdmin(ctx context.Context) error {
@@ -32,7 +32,7 @@
 	return status, nil
 }
 
-// workState is what a dump tells of the workState at an agent.
+// workState is the part of a dump about the agent's work.
 type workState struct {
 	Running, Waiting, Answers, Undelivered int
 	AnswerBytes                            int64
--- a/internal/agent/watch.go
+++ b/internal/agent/poll.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// pollEngine follows what the engine says of itself: first what it still runs for a
-// predecessor of this agent, and for as long as the process lives whether it is cold.
-// A plain service is not asked; it knows no such questions.
+// pollEngine polls the engine: first for the requests that it still runs for the previous agent,
+// and as long as the process lives for whether it is cold, its prefix cache and what it has
+// loaded. A plain service is not polled, because it does not have this interface.
 func (e *executor) pollEngine(ctx context.Context) error {
 	if e.settings.GetModel() == "" {
 		e.mu.Lock()
@@ -37,8 +37,8 @@
 			e.recordPoll(clock.Now(), err)
 		}
 		if err != nil {
-			// It may be about to come back from a restart, cold.
 			e.mu.Lock()
+			// It may be about to return from a restart, cold.
 			e.limiter.AssumeCold()
 			e.mu.Unlock()
 		} else {
@@ -48,8 +48,8 @@
 	}
 }
 
-// pollPrefixes follows the engine's events on its prefix cache. They come late and with
-// gaps; a prefix that is not known to be there costs the engine a prefill, no more.
+// pollPrefixes follows the events of the engine's prefix cache. They arrive late and with gaps. A
+// cached prefix that is not known here only costs the engine a prefill.
 func (e *executor) pollPrefixes(ctx context.Context) {
 	var next uint64
 	for ctx.Err() == nil {
@@ -67,17 +67,17 @@
 	}
 }
 
-// recentPrefixes are the prefixes that came into an engine's cache of late.
+// recentPrefixes holds the prefixes recently added to the engine's cache.
 type recentPrefixes struct {
 	hashes  []uint64
 	addedAt []time.Duration
 }
 
 const (
-	// prefixReportTime is how long a prefix is told in reports: some reports' time, so
-	// that a lost one loses nothing.
+	// prefixReportTime is how long reports contain a prefix: several reports, so that losing one
+	// loses nothing.
 	prefixReportTime = time.Second
-	// maxReportedPrefixes bounds what one report tells.
+	// maxReportedPrefixes limits the prefixes in one report.
 	maxReportedPrefixes = 64
 )
 
@@ -94,9 +94,9 @@
 	p.addedAt = slices.Clone(p.addedAt[expired:])
 }
 
-// adoptRunning asks the backend server what it still runs for a predecessor of this agent,
-// and counts it against the limit until it has ended. Without this a restarted
-// agent would double the load of a backend server that is still busy.
+// adoptRunning asks the backend server which requests it still runs for the previous agent, and
+// counts them against the limit until they have ended. Otherwise a restarted agent would double
+// the load of a busy backend server.
 func (e *executor) adoptRunning(ctx context.Context) error {
 	var before map[string]bool
 	for ctx.Err() == nil {
@@ -113,8 +113,8 @@
 	return ctx.Err()
 }
 
-// updateAdopted compares what runs with what ran before. The first answer opens the
-// agent for work; later ones only take away.
+// updateAdopted compares the running requests with those of the last poll. The first answer opens
+// the agent for work; later ones only remove requests.
 func (e *executor) updateAdopted(ids []string, before map[string]bool) map[string]bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/agent/pace.go
+++ b/internal/agent/pollpacer.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// busyPollInterval is the time between questions to a busy engine about itself.
+	// busyPollInterval is the time between polls of a busy engine.
 	busyPollInterval = 200 * time.Millisecond
-	// idlePollInterval is the time between questions to an idle one. An agent's processor time
-	// without work is mostly these.
+	// idlePollInterval is the time between polls of an idle engine. Polls are most of an idle
+	// agent's processor time.
 	idlePollInterval = time.Second
-	// idleAfter is how long an engine must have had no work to count as idle: as long as
-	// cold.Config.ProofFor. An engine that turned cold between two of the slow questions
-	// is then given no more than the cold limit, until a first token has proved it warm;
-	// and the first piece of work wakes the questions at once.
+	// idleAfter is how long an engine must have had no work to count as idle. It equals
+	// cold.Config.ProofFor: an engine that turned cold between two slow polls is then limited to
+	// the cold limit until a first token has proved it warm. The first piece of work also triggers
+	// a poll at once.
 	idleAfter = 5 * time.Second
 )
 
-// pollPacer is the time between questions to the engine.
+// pollPacer decides when the engine is polled next.
 type pollPacer struct {
 	mu       sync.Mutex
 	running  int
@@ -33,7 +33,7 @@
 	return &pollPacer{lastWork: now, wake: make(chan struct{})}
 }
 
-// workStarted counts a piece of work that the engine is given.
+// workStarted counts a piece of work that the engine gets.
 func (p *pollPacer) workStarted(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	p.lastWork = now
 }
 
-// workEnded takes back the count of began.
+// workEnded reverses the count of workStarted.
 func (p *pollPacer) workEnded(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +57,7 @@
 	return p.running == 0 && now-p.lastWork > idleAfter
 }
 
-// waitNext returns when the next question is due.
+// waitNext returns when the next poll is due.
 func (p *pollPacer) waitNext(ctx context.Context) {
 	p.mu.Lock()
 	d, wake := busyPollInterval, p.wake
--- a/internal/agent/pace_test.go
+++ b/internal/agent/pollpacer_test.go
@@ -12,9 +12,8 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// An engine's kept connection goes silent for good; new ones work. Callers would see a
-// warm engine given no more than the cold limit. The question must be answered over a new
-// connection instead.
+// A kept connection to an engine stops working while new ones work. Callers would see a warm
+// engine limited to the cold limit. The query must be answered over a new connection instead.
 func TestSilentKeptConnection(t *testing.T) {
 	var connections, silent atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +37,7 @@
 		}
 	}
 	if n := connections.Load(); n != 1 {
-		t.Errorf("%d connections for five questions", n)
+		t.Errorf("%d connections for five queries", n)
 	}
 	silent.Store(1)
 	if isCold, err := b.queryCold(context.Background()); err != nil || isCold {
@@ -46,8 +45,8 @@
 	}
 }
 
-// An idle engine turns cold between two slow questions, and work comes. The questions
-// must go on at once, at the pace of a busy engine, and slow down only long after it.
+// An idle engine turns cold between two slow polls, and work arrives. Polling must resume at once
+// at the interval of a busy engine, and slow down again only after idleAfter.
 func TestWorkWakesPolling(t *testing.T) {
 	now := clock.Now()
 	p := newPollPacer(now - idleAfter - 1)
@@ -61,13 +60,13 @@
 	select {
 	case <-polled:
 	case <-time.After(idlePollInterval / 2):
-		t.Error("the question waits")
+		t.Error("the poll was not triggered")
 	}
 	if p.isIdle(now + time.Hour) {
-		t.Error("idle with work running")
+		t.Error("idle while work is running")
 	}
 	p.workEnded(now + time.Hour)
 	if p.isIdle(now+time.Hour+idleAfter) || !p.isIdle(now+time.Hour+idleAfter+1) {
-		t.Error("not idle from the right time on")
+		t.Error("not idle exactly after idleAfter")
 	}
 }
--- a/internal/agent/ask.go
+++ b/internal/agent/query.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// queryTimeout is how long a question over a kept connection may take.
+	// queryTimeout is how long a query over a kept connection may take.
 	queryTimeout = time.Second
-	// maxControlAnswerBytes bounds an answer of the engine's own interface, bytes.
+	// maxControlAnswerBytes limits an answer of the engine's control interface.
 	maxControlAnswerBytes = 4 << 20
 )
 
-// newQueryTransport returns the transport of questions. A question may be asked twice, so that
-// connections may be kept, one for each of the watchers.
+// newQueryTransport returns the transport for queries. A query may be sent twice, so connections
+// may be kept: one for each polling goroutine.
 func newQueryTransport() *http.Transport {
 	return &http.Transport{
 		DisableCompression:  true,
@@ -29,12 +29,12 @@
 	}
 }
 
-// query puts one question to the engine's own interface, over a connection kept from the
-// last one: most of what an agent without work spent was a connection for each question.
+// query sends one query to the engine's control interface over a kept connection. A new connection
+// for each query would make up most of the processor time of an idle agent.
 //
-// A kept connection may have gone silent for good while new ones work: an engine that is
-// warm would be taken for cold again and again. So no answer over a kept one is followed
-// by the same question over a new one, and only that one's failure counts.
+// A kept connection may be dead while new ones work, which would make a warm engine look cold
+// again and again. A query that gets no answer over a kept connection is therefore repeated over a
+// new one, and only the failure of the second counts.
 func (b *backend) query(ctx context.Context, path string, answer any) (int, error) {
 	status, err := b.callOver(ctx, b.queryTransport, queryTimeout, http.MethodGet, path, nil, answer)
 	if status != 0 || err == nil || ctx.Err() != nil {
@@ -43,7 +43,7 @@
 	return b.callControl(ctx, http.MethodGet, path, nil, answer)
 }
 
-// callOver makes one callOver of the engine's own interface over a transport.
+// callOver makes one call of the engine's control interface over a transport.
 func (b *backend) callOver(ctx context.Context, transport *http.Transport, timeout time.Duration, method, path string, body, answer any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 		if err != nil {
 			return 0, err
 		}
-		// The reader hides its type, so that the body cannot be sent again.
+		// The wrapper hides the reader's type, so that the body cannot be sent again.
 		reader = struct{ io.Reader }{bytes.NewReader(text)}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, b.base+path, reader)
@@ -71,7 +71,7 @@
 	if answer == nil {
 		return resp.StatusCode, nil
 	}
-	// Only a connection whose answer was read to its end is kept.
+	// A connection is kept only if its answer was read to the end.
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlAnswerBytes))
 	if err != nil {
 		return 0, err
--- a/internal/agent/rankwork.go
+++ b/internal/agent/rankwork.go
@@ -8,13 +8,13 @@
 	"github.com/apricothub/apricothub/decide/balance"
 )
 
-// observationsPerRankReport is how many of observeEvery pass between two reports of an agent's ranks.
-// A report takes some 130 bytes, and a coordinator of 32 agents has 7 KB a second for all
-// its control: with one a second, the reports alone would take more than half of it.
+// observationsPerRankReport is how many observation intervals pass between two reports of an
+// agent's ranks. A report takes about 130 bytes, and a coordinator of 32 agents has 7 KB/s for all
+// its control traffic: with one report a second, the reports alone would take more than half of
+// it.
 const observationsPerRankReport = 2
 
-// newRankReport is what an agent tells of its ranks; nil where the engine does not measure
-// them.
+// newRankReport returns an agent's report on its ranks; nil if the engine does not measure them.
 func newRankReport(first int, step uint64, ranks []rankCount) *api.RankReport {
 	if len(ranks) == 0 {
 		return nil
@@ -27,7 +27,7 @@
 	return report
 }
 
-// runningCounts are what all ranks of a group have done, as running runningCounts by rank.
+// runningCounts holds the running counts of all ranks of a group, by rank.
 type runningCounts struct {
 	tokens, micros, steps []float64
 }
@@ -36,10 +36,10 @@
 	return runningCounts{slices.Clone(c.tokens), slices.Clone(c.micros), slices.Clone(c.steps)}
 }
 
-// rankWorkTracker gathers the reports of all agents of a group into observations of all ranks.
+// rankWorkTracker combines the reports of all agents of a group into observations of all ranks.
 type rankWorkTracker struct {
 	current, last runningCounts
-	vms           []string      // of the agent that reports the rank
+	vms           []string      // by rank, of the agent that reports it
 	skew          time.Duration // of a step, as last observed
 }
 
@@ -48,7 +48,7 @@
 	return &rankWorkTracker{current: runningCounts{newCounts(), newCounts(), newCounts()}, vms: make([]string, size)}
 }
 
-// addReport keeps a report of the VM's agent; one that does not fit the group is ignored.
+// addReport stores a report of the VM's agent. A report that does not fit the group is ignored.
 func (t *rankWorkTracker) addReport(vm string, r *api.RankReport) {
 	first := int(r.GetFirstRank())
 	if len(r.GetTokens()) != len(r.GetMicros()) || first+len(r.GetTokens()) > len(t.current.tokens) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// workSinceLast returns what each rank has done workSinceLast the last observation, or nil while any has
-// told nothing new: of what is usual in the group, a part of it says nothing.
+// workSinceLast returns the work of each rank since the last observation. It returns nil while any
+// rank has no new work, because the slowdown of a rank is relative to all ranks of the group.
 func (t *rankWorkTracker) workSinceLast() []balance.RankWork {
 	if t.last.tokens == nil {
 		t.last = t.current.clone()
@@ -82,9 +82,9 @@
 	return work
 }
 
-// updateSkew takes the time between the first and the last rank in a step. Agents report
-// at different times, so each rank's time goes over the steps of its own report; while an
-// engine tells of no step, the last skew stays.
+// updateSkew computes the time between the first and the last rank in a step. Agents report at
+// different times, so each rank's time is divided by the steps of its own report. The last skew is
+// kept while an engine reports no step.
 func (t *rankWorkTracker) updateSkew(work []balance.RankWork) {
 	steps := countDeltas(t.current.steps, t.last.steps)
 	stepTimes := make([]time.Duration, len(work))
@@ -97,7 +97,7 @@
 	t.skew = slices.Max(stepTimes) - slices.Min(stepTimes)
 }
 
-// addRankStatus adds to the group's status what the work of its ranks tells operators.
+// addRankStatus adds the skew and the slow ranks to the group's status.
 func (r *rebalancer) addRankStatus(status *api.GroupStatus) {
 	status.SkewUs = uint64(r.rankWork.skew.Microseconds())
 	status.SlowRanks = uint32(len(r.slowRanks))
--- a/internal/agent/rankwork_test.go
+++ b/internal/agent/rankwork_test.go
@@ -6,9 +6,9 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A group's observation needs news of all ranks: one agent's reports alone would make its
-// own ranks the usual ones. Reports that are lost, late, repeated, after a restart of an
-// engine, or of ranks that the group does not have, change nothing about that.
+// An observation of a group needs new reports of all ranks: with the reports of one agent alone,
+// its own ranks would define what is typical. Reports that are lost, stale or repeated, that
+// follow a restart of an engine, or that are of ranks outside the group do not change this.
 func TestRanksAreObservedTogether(t *testing.T) {
 	report := func(first uint32, runningTotals ...uint64) *api.RankReport {
 		r := &api.RankReport{FirstRank: first}
@@ -22,14 +22,14 @@
 		report *api.RankReport
 		whole  bool
 	}{
-		{report(0, 100, 100), false}, // the first look is the beginning
+		{report(0, 100, 100), false}, // the first observation is the baseline
 		{report(0, 200, 200), false},
 		{report(2, 50, 50), true},
 		{report(2, 50, 50), false},
-		{report(3, 9, 9), false}, // of a rank too many
+		{report(3, 9, 9), false}, // of a rank outside the group
 		{&api.RankReport{Tokens: []uint64{1}}, false},
 		{report(0, 300, 300), false},
-		{report(2, 10, 10), true}, // the engine counts from 0 again
+		{report(2, 10, 10), true}, // the engine restarted and counts from 0
 	} {
 		c.addReport("", step.report)
 		if work := c.workSinceLast(); (work != nil) != step.whole {
--- a/internal/agent/rebalance.go
+++ b/internal/agent/rebalance.go
@@ -14,11 +14,11 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// observeInterval is the time between questions about the popularity of experts.
+// observeInterval is the time between queries for the popularity of experts.
 const observeInterval = time.Second
 
-// placementSet holds the placements behind the versions of expert placementSet. A version is the hash
-// of its placement, so that two coordinators can never give one version to two placementSet.
+// placementSet holds the placements of expert maps by version. A version is the hash of its
+// placement, so that two coordinators can never give the same version to two maps.
 type placementSet struct {
 	settings  *api.Group
 	byVersion map[uint64]*balance.Placement
@@ -28,7 +28,7 @@
 	return &placementSet{settings: settings, byVersion: make(map[uint64]*balance.Placement)}
 }
 
-// add keeps a placement and returns its version.
+// add stores a placement and returns its version.
 func (s *placementSet) add(p *balance.Placement) uint64 {
 	h := sha256.New()
 	_ = binary.Write(h, binary.BigEndian, []int64{int64(p.Experts), int64(p.Ranks), int64(p.SlotsPerRank)})
@@ -38,7 +38,7 @@
 	return version
 }
 
-// addReceived takes a placement from another agent, if it is what its version says.
+// addReceived stores a placement from another agent if its hash matches its version.
 func (s *placementSet) addReceived(c *api.MapContent) {
 	p := &balance.Placement{
 		Experts:      int(s.settings.GetExperts()),
@@ -66,7 +66,7 @@
 	return true
 }
 
-// content returns a placement as it travels; nil for a map that came with the engine.
+// content returns a placement as a message; nil for a map that came with the engine.
 func (s *placementSet) content(version uint64) *api.MapContent {
 	p := s.byVersion[version]
 	if p == nil {
@@ -75,7 +75,7 @@
 	return &api.MapContent{MapVersion: version, Slots: p.Slots}
 }
 
-// retain forgets the placements that no range of steps uses any more.
+// retain drops the placements of all other versions.
 func (s *placementSet) retain(versions map[uint64]bool) {
 	for version := range s.byVersion {
 		if !versions[version] {
@@ -84,12 +84,12 @@
 	}
 }
 
-// rebalancer decides, beside the coordinator, on new expert maps.
+// rebalancer decides on new expert maps for the coordinator.
 type rebalancer struct {
 	placements *placementSet
 	logger     log.Logger
 	balancer   *balance.Balancer
-	version    uint64 // of the balancer's placement
+	version    uint64 // of the placement of the balancer
 	lastTokens []float64
 	rankWork   *rankWorkTracker
 	slowRanks  []balance.SlowRank // as last observed
@@ -99,8 +99,8 @@
 	return &rebalancer{placements: m, logger: logger, rankWork: newRankWorkTracker(int(m.settings.GetSize()))}
 }
 
-// observe takes the engine's running counts of tokens by expert, and asks the
-// coordinator for another map when one is worth its cost.
+// observe records the engine's running counts of tokens by expert, and sets another map as the
+// coordinator's target when it is worth its cost.
 func (r *rebalancer) observe(now time.Duration, tokens []float64, c *expertmap.Coordinator) {
 	if len(tokens) != int(r.placements.settings.GetExperts()) {
 		return
@@ -128,8 +128,8 @@
 	c.SetTarget(now, r.version)
 }
 
-// isTargetActive says that the newest steps released run under the map last wanted. While a
-// map is still being loaded another is not decided on.
+// isTargetActive reports whether the newest released steps run under the target map. While a map
+// is still being loaded, no other map is decided on.
 func isTargetActive(status expertmap.CoordinatorStatus) bool {
 	if len(status.Plan) == 0 {
 		return false
@@ -138,8 +138,8 @@
 	return last.Map == status.Target && status.ReleasedEnd >= last.Start
 }
 
-// syncBalancer makes the balancer go on from the map that the group runs: its own last one,
-// or one of an earlier coordinator, or the spread that engines come with.
+// syncBalancer makes the balancer continue from the map that the group runs: its own last map, one
+// of an earlier coordinator, or the placement that engines start with.
 func (r *rebalancer) syncBalancer(now time.Duration, target uint64) bool {
 	if r.balancer != nil && target == r.version {
 		return true
@@ -158,7 +158,7 @@
 	return true
 }
 
-// countDeltas is what came to running counts; an engine that restarted counts from 0.
+// countDeltas returns the increase of running counts. An engine that restarted counts from 0.
 func countDeltas(current, previous []float64) []float64 {
 	delta := make([]float64, len(current))
 	for i, n := range current {
@@ -170,8 +170,8 @@
 	return delta
 }
 
-// pollExperts asks the engine for the popularity of experts and the work of its ranks.
-// The coordinator decides by both; others pass on what only they know, their ranks' work.
+// pollExperts asks the engine for the popularity of experts and the work of its ranks. The
+// coordinator uses both. Other agents report only the work of their ranks, which only they know.
 func (g *group) pollExperts(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		sleep(ctx, observeInterval)
@@ -205,9 +205,9 @@
 	}})
 }
 
-// attachMaps adds to a message the placements that its receiver may lack: to a load, the
-// map to be loaded; to the answer to a seal, the maps that the engines were given, so
-// that a coordinator that knows nothing can go on with them.
+// attachMaps adds to a message the placements that its receiver may lack: to a load, the map to be
+// loaded; to the answer to a seal, the maps that the engines were given, so that a new coordinator
+// can continue with them.
 func (g *group) attachMaps(m *api.GroupMessage) {
 	switch body := m.GetBody().(type) {
 	case *api.GroupMessage_Load:
@@ -225,7 +225,7 @@
 	}
 }
 
-// storeMaps learns the placements that came with a message.
+// storeMaps stores the placements that came with a message.
 func (g *group) storeMaps(m *api.GroupMessage) {
 	if content := m.GetLoad().GetContent(); content != nil {
 		g.placements.addReceived(content)
@@ -235,7 +235,7 @@
 	}
 }
 
-// loadBytes is what this VM's ranks must fetch to come from one map to another.
+// loadBytes returns the bytes that this VM's ranks must fetch to change from one map to another.
 func (s *placementSet) loadBytes(from, to uint64) int64 {
 	p := s.byVersion[to]
 	if p == nil {
@@ -250,7 +250,7 @@
 	return int64(moves) * s.settings.GetExpertBytes()
 }
 
-// ranksOnly is the placement of some ranks alone.
+// ranksOnly returns the placement of some of the ranks.
 func ranksOnly(p *balance.Placement, first, ranks int) *balance.Placement {
 	q := *p
 	q.Ranks = ranks
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -7,11 +7,11 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// isUrgent says whether a report has news that must not wait for the heartbeat of an idle
-// link: whether the backend server may get work, how much of it, and what it offers. How
-// many requests run and wait goes with the heartbeat: an entry that has work there hears
-// it at the short interval, and one that has none places its first by an older count and
-// by its own from then on.
+// isUrgent reports whether a change must not wait for the heartbeat of an idle link: whether the
+// backend server may get work, how much of it, and what it serves. The numbers of running and
+// queued requests are sent with the heartbeat. An entry with work there receives it at the short
+// interval. An entry without work places its first request by an older count, and later ones also
+// by its own count.
 func isUrgent(current, previous *api.BackendStatus) bool {
 	a, b := proto.CloneOf(current), proto.CloneOf(previous)
 	for _, status := range []*api.BackendStatus{a, b} {
@@ -30,7 +30,7 @@
 // sendReport sends a report at once, or with the next heartbeat.
 func sendReport(s *link.Session, m *api.Control, urgent bool) {
 	if urgent {
-		s.Report(nil) // An older one would come after this.
+		s.Report(nil) // Otherwise an older one would be sent after this one.
 		s.Post(m)
 		return
 	}
--- a/internal/agent/note.go
+++ b/internal/agent/requestlog.go
@@ -13,12 +13,12 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// journalSize is how many requests of each kind a dump can tell of.
+// journalSize is how many requests of each kind a dump can show.
 const journalSize = 500
 
-// recordRequest keeps how a piece of work ended, by the id that the caller was told: a dump can
-// then answer why it was refused or failed here. started is when it was sent to the
-// backend server, 0 for never; refused is nil for a whole answer.
+// recordRequest records how a piece of work ended, under the id that the caller was told, so that
+// a dump can show why it was refused or failed here. started is when it was sent to the backend
+// server, or 0 if it was not; refused is nil for a complete answer.
 func (e *executor) recordRequest(work *api.Work, arrived, started time.Duration, refused *api.Refusal) {
 	now := clock.Now()
 	_, record := journal.Begin(context.Background(), arrived)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -13,15 +13,15 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// runJob takes a job from its place in the queue to the end of its answer.
+// runJob runs a job from its admission to the end of its answer.
 func (e *executor) runJob(j *job) {
 	if refused := <-j.admission; refused != nil {
 		e.failJob(j, refused)
 		return
 	}
 	started := clock.Now()
-	// The process may have been frozen between the decision and this moment, and
-	// the VM taken out meanwhile.
+	// The process may have been frozen between the admission and this moment, and the VM taken out
+	// of service meanwhile.
 	if code := e.refusing(started); code != api.ResultCode_OK {
 		e.mu.Lock()
 		e.voidTicket(j.work)
@@ -51,8 +51,8 @@
 	e.recordRequest(j.work, j.arrived, j.started, nil)
 }
 
-// runContext bounds the run by the deadline. Work with a ticket may go on past it:
-// it has begun, and its caller will want to know how it ended.
+// runContext limits the run to the deadline. Work with a ticket may go on longer: it has begun,
+// and its caller will want to know how it ended.
 func (e *executor) runContext(j *job, now time.Duration) (context.Context, context.CancelFunc) {
 	timeout := j.deadline - now
 	if !j.isRepeatable() {
@@ -65,7 +65,7 @@
 	return ctx, cancel
 }
 
-// execute sends the work and takes in the answer.
+// execute sends the work and receives the answer.
 func (e *executor) execute(ctx context.Context, j *job, started time.Duration) (cold.Outcome, *api.Refusal) {
 	resp, err := e.backend.send(ctx, j.work)
 	if err != nil {
@@ -76,7 +76,7 @@
 		return cold.Outcome{Failed: true}, e.engineFailed(j, resp.StatusCode)
 	}
 	e.mu.Lock()
-	// It goes out with the first part: the entry passes nothing on before that.
+	// It is sent with the first part: the entry passes nothing on before that.
 	e.answers.SetHead(j.buffer, answerHead(resp))
 	e.mu.Unlock()
 	recorder := newAnswerRecorder(e, j, resp, started)
@@ -90,7 +90,8 @@
 	return failed, refused
 }
 
-// engineFailed says what an engine's own error is worth: it may have run a part.
+// engineFailed returns the refusal for an engine's own error. The engine may have run a part of
+// the request.
 func (e *executor) engineFailed(j *job, status int) *api.Refusal {
 	refused := newRefusal(api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN, "The engine failed while it held the request.", 0)
 	if !j.isRepeatable() {
@@ -100,8 +101,8 @@
 	return refused
 }
 
-// sendFailed judges a request that got no answer. It has not run only if no
-// connection to the backend server ever stood.
+// sendFailed handles a request that got no answer. It certainly has not run only if no connection
+// to the backend server was established.
 func (e *executor) sendFailed(ctx context.Context, j *job, err error) (cold.Outcome, *api.Refusal) {
 	var failed *backendError
 	if errors.As(err, &failed) && !failed.Sent {
@@ -129,7 +130,7 @@
 	return outcome, refused
 }
 
-// unansweredRefusal is the refusal of a job that was sent and got no whole answer.
+// unansweredRefusal returns the refusal of a job that was sent and got no complete answer.
 func unansweredRefusal(ctx context.Context, j *job) *api.Refusal {
 	switch {
 	case !j.isRepeatable():
@@ -143,7 +144,7 @@
 // backendFailedLabel is the result in log lines about the backend server as a whole.
 var backendFailedLabel = result.Label(api.ResultCode_BACKEND_FAILED)
 
-// releaseSlot gives the job's place back and lets the next one in.
+// releaseSlot releases the job's slot and dispatches the next job.
 func (e *executor) releaseSlot(outcome cold.Outcome) {
 	now := clock.Now()
 	e.mu.Lock()
--- a/internal/agent/silence.go
+++ b/internal/agent/silence.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// silentAfter is how long an engine must not have answered its agent's questions to be
-// shown as silent. A busy one answers some of them late; one that is dead or hangs answers
-// none. Operators alone go by it: work is placed by what becomes of it.
+// silentAfter is how long an engine must not have answered its agent's polls to be shown as
+// silent. A busy engine answers some of them late; one that is dead or hangs answers none. It is
+// shown to operators only; the placement of work depends on the outcomes of requests.
 const silentAfter = 5 * time.Second
 
-// silence follows whether the engine answers. The executor's lock guards it.
+// silence tracks whether the engine answers polls. The executor's lock guards it.
 type silence struct {
 	failing      bool
-	failingSince time.Duration // of the first question without an answer
+	failingSince time.Duration // of the first poll without an answer
 	logged       bool
 }
 
-// isSilent says that the engine has not answered for isSilent enough to be shown.
+// isSilent reports whether the engine has not answered for long enough to be shown as silent.
 func (s *silence) isSilent(now time.Duration) bool {
 	return s.failing && now-s.failingSince >= silentAfter
 }
 
-// recordPoll takes how a question to the engine ended, and logs when the engine falls
-// silent and when it answers again.
+// recordPoll records how a poll of the engine ended, and logs when the engine becomes silent and
+// when it answers again.
 func (e *executor) recordPoll(now time.Duration, err error) {
 	e.mu.Lock()
 	s := &e.silence
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -12,9 +12,9 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// An engine dies at night while its server has no work. Status said "in cold start", which
-// is no trouble, and no log had a line. The engine must be shown as silent, told of once,
-// and shown no more when it answers; a question that ends late now and then is no silence.
+// An engine dies while its server has no work. The status said "in cold start", which needs no
+// action, and nothing was logged. The engine must be shown as silent, logged once, and no longer
+// be shown when it answers. A poll that is late now and then is not silence.
 func TestAnEngineThatDoesNotAnswerIsShown(t *testing.T) {
 	e := testExecutor(t, "http://127.0.0.1:1", &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	var out bytes.Buffer
@@ -27,7 +27,7 @@
 		lines  int
 	}{
 		{1, refused, false, 0},
-		{2, nil, false, 0}, // late once
+		{2, nil, false, 0}, // one late answer
 		{10, refused, false, 0},
 		{13, refused, false, 0},
 		{15, refused, true, 1},
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// An agent is told to stop while an answer is on its way; at that moment the link
-// breaks. The entry comes back for the answer over another link, so the agent must
-// still be there: a planned stop cuts nothing.
+// An agent is told to stop while an answer is being delivered, and at that moment the link breaks.
+// The entry asks for the answer over another link, so the agent must still be running: a planned
+// stop cuts nothing.
 func TestStopWaitsForAnAnswerWhoseLinkBroke(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("done"))
@@ -28,10 +28,10 @@
 	}
 	waitUntil(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.running == 0 })
 	if e.isIdle(clock.Now()) {
-		t.Error("the agent would end with an answer that nobody has had")
+		t.Error("the agent would stop with an undelivered answer")
 	}
 	if !e.isIdle(clock.Now() + orphanGrace) {
-		t.Error("the agent waits for a caller that does not come back")
+		t.Error("the agent waits too long for a caller that does not return")
 	}
 	e.mu.Lock()
 	e.answers.MarkDelivered(j.buffer)
@@ -41,9 +41,9 @@
 	}
 }
 
-// A push comes to an agent that is stopping: it is told "not run", and when to come back.
-// The caller does so under the same ticket, of which this agent alone can say that it is
-// void. Were it gone by then, the caller would be told "unknown" after "not run".
+// A push arrives at a draining agent, which answers "not run" with a retry time. The caller
+// retries with the same ticket, and only this agent can say that the ticket is void. If it had
+// ended by then, the caller would be told "unknown" after "not run".
 func TestStopWaitsForCallersToldToComeBack(t *testing.T) {
 	e := testExecutor(t, "http://127.0.0.1:1", &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8})
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode_DRAINING }
@@ -55,21 +55,21 @@
 		refuse(minted)
 		now := clock.Now()
 		if e.isIdle(now) || e.isIdle(now+defaultRetryAfter) {
-			t.Errorf("%s: the agent would be gone when the caller comes back", name)
+			t.Errorf("%s: the agent would be gone when the caller retries", name)
 		}
 		if !e.isIdle(now + ticketRetryGrace) {
-			t.Errorf("%s: the agent waits for a caller that does not come back", name)
+			t.Errorf("%s: the agent waits too long for a caller that does not retry", name)
 		}
 		if _, refused := e.accept(pushWork(minted)); refused.GetCode() != api.ResultCode_TICKET_VOID || refused.GetRan() != api.Ran_RAN_NO {
-			t.Errorf("%s: a caller that comes back is told %v", name, refused)
+			t.Errorf("%s: a caller that retries is told %v", name, refused)
 		}
 		e.ticketRefusedAt = 0
 	}
 }
 
-// Pushes wait for room at an agent that is told to stop. Each is refused as "not run", its
-// ticket is void, and nothing is left to come back for: a stop that waited for it as for an
-// answer would hold the VM's replacement up for seconds.
+// Pushes are queued at an agent that is told to stop. Each is refused as "not run" and its ticket
+// is void, so no caller has a reason to return. A stop that waited for them as for an answer would
+// delay the replacement of the VM by seconds.
 func TestStopDoesNotWaitForWhatItRefused(t *testing.T) {
 	started, hold := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -90,7 +90,7 @@
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode_DRAINING }
 	e.dispatch(clock.Now())
 	if refused := awaitEnd(t, e, waiting); refused.GetRan() != api.Ran_RAN_NO {
-		t.Fatalf("the push that waited: %v", refused)
+		t.Fatalf("the queued push: %v", refused)
 	}
 	close(hold)
 	if refused := awaitEnd(t, e, running); refused != nil {
