--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -278,7 +278,7 @@
 	public := httptest.NewUnstartedServer(nil)
 	count := &writeCountingListener{Listener: public.Listener}
 	public.Config = httpguard.NewServer(e.settings.GetLimits(), e.handler(), log.NewNopLogger())
-	public.Listener = httpguard.Listener(count, 10)
+	public.Listener = httpguard.LimitListener(count, 10)
 	public.Start()
 	defer public.Close()
 	for range 3 {
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -253,7 +253,7 @@
 	defer e.retainLink(t.GetAgentVm())()
 	peer, err := e.ticketAgentPeer(ctx, t)
 	if err != nil {
-		return settlement{err: result.From(err)}
+		return settlement{err: result.FromError(err)}
 	}
 	open := &api.Open{Body: &api.Open_Settle{Settle: &api.Settle{Ticket: t, Customer: customer}}}
 	unknown := settlement{err: result.New(api.ResultCode_OUTCOME_UNKNOWN)}
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -39,12 +39,12 @@
 	}
 }
 
-func resultLabel(err error) string { return result.Label(result.From(err).Code) }
+func resultLabel(err error) string { return result.Label(result.FromError(err).Code) }
 
 // isFault says whether a request failed because of a fault, so that it may have run.
 func isFault(err error) bool {
-	failed := result.From(err)
-	return failed.Ran != api.Ran_RAN_NO && result.Of(failed.Code).HTTP >= http.StatusInternalServerError
+	failed := result.FromError(err)
+	return failed.Ran != api.Ran_RAN_NO && result.Lookup(failed.Code).HTTP >= http.StatusInternalServerError
 }
 
 func requestFields(record *journal.Record, state *member.State, err error) []any {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -76,7 +76,7 @@
 	if err == nil {
 		return nil
 	}
-	return result.From(err)
+	return result.FromError(err)
 }
 
 // lostError is the error for an answer whose agent is gone.
--- a/internal/entry/guesses.go
+++ b/internal/entry/guesses.go
@@ -54,7 +54,7 @@
 	if known {
 		return true
 	}
-	if g.rates.Spent(now, address) {
+	if g.rates.IsExhausted(now, address) {
 		return false
 	}
 	g.mu.Lock()
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -98,7 +98,7 @@
 
 // countResult counts refusals by result code.
 func (e *entry) countResult(err error) {
-	name := result.Of(result.From(err).Code).Name
+	name := result.Lookup(result.FromError(err).Code).Name
 	metrics.GetOrRegisterCounter("entry.results."+name, e.registry).Inc(1)
 }
 
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -142,7 +142,7 @@
 
 // withUnknownOutcome returns the error without the statement that the request was not run.
 func withUnknownOutcome(err error) error {
-	changed := *result.From(err)
+	changed := *result.FromError(err)
 	if changed.Ran != api.Ran_RAN_NO {
 		return err
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -100,7 +100,7 @@
 
 // countResult counts an answer that this system gave itself.
 func (c *counters) countResult(code api.ResultCode) {
-	metrics.GetOrRegisterCounter(resultPrefix+result.Of(code).Name, c.registry).Inc(1)
+	metrics.GetOrRegisterCounter(resultPrefix+result.Lookup(code).Name, c.registry).Inc(1)
 }
 
 // countingTransport counts the calls of the platform's store.
--- a/internal/httpguard/httpguard_test.go
+++ b/internal/httpguard/httpguard_test.go
@@ -19,8 +19,8 @@
 
 const timeout = 300 * time.Millisecond
 
-// serve starts a server that reads the body and counts the requests it took whole.
-func serve(t *testing.T, connections int) (address string, whole *atomic.Int64) {
+// serve starts a server that reads the body and counts the requests that it received completely.
+func serve(t *testing.T, maxConnections int) (address string, whole *atomic.Int64) {
 	t.Helper()
 	limits := &api.Limits{
 		HeaderBytes: 2048, BodyBytes: 4096, ReadHeaderMs: timeout.Milliseconds(),
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = server.Serve(Listener(inner, connections)) }()
+	go func() { _ = server.Serve(LimitListener(inner, maxConnections)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return inner.Addr().String(), whole
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// A caller sends its header, or its body, one byte at a time and never ends. The
-// connection must be closed when the time is over, and the request must not run.
+// A caller sends its header or body one byte at a time without end. The connection must be closed
+// at the timeout, and the request must not run.
 func TestSlowloris(t *testing.T) {
 	address, whole := serve(t, 10)
 	for name, begin := range map[string]string{
@@ -107,7 +107,7 @@
 					_, err = io.WriteString(conn, "a")
 				}
 			}()
-			// The end of what the server says is the end of the connection.
+			// The end of the server's output is the end of the connection.
 			_, _ = io.Copy(io.Discard, conn)
 			if took := time.Since(from); took > 10*timeout {
 				t.Errorf("cut off after %v, the limit is %v", took, timeout)
@@ -121,8 +121,8 @@
 	})
 }
 
-// Callers hold every connection open. The next one waits and gets its turn when an
-// idle one is cut off; a stop does not wait for any of them.
+// Callers hold every connection open. The next caller waits and is served when an idle connection
+// is closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	address, whole := serve(t, 2)
 	dial(t, address)
@@ -130,16 +130,17 @@
 	conn := dial(t, address)
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || whole.Load() != 1 {
-		t.Errorf("the third caller got no answer: %v", err)
+		t.Errorf("the third caller was not answered: %v", err)
 	}
 }
 
+// Idle callers hold all slots. Closing the listener must not wait for any of them.
 func TestCloseWithAllSlotsTaken(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := Listener(inner, 1)
+	ln := LimitListener(inner, 1)
 	dial(t, inner.Addr().String())
 	if _, err := ln.Accept(); err != nil {
 		t.Fatal(err)
@@ -160,10 +161,10 @@
 	}
 }
 
-// An answer takes longer than the time that a caller has for sending its body, which it
-// sent at once. The limit is for the body: the answer must not be cut by it.
-func TestALongAnswerOutlivesTheTimeForTheBody(t *testing.T) {
-	gone := make(chan error, 1)
+// An answer takes longer than the read timeout of the body, which the caller sent at once. The
+// timeout is for the body and must not cut the answer.
+func TestBodyTimeoutDoesNotCutLongAnswers(t *testing.T) {
+	contextErrs := make(chan error, 1)
 	server := NewServer(&api.Limits{HeaderBytes: 4096, ReadHeaderMs: 200, ReadBodyMs: 200, IdleMs: 1000},
 		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if _, err := ReadBody(w, r, 100); err != nil {
@@ -173,7 +174,7 @@
 			case <-r.Context().Done():
 			case <-time.After(500 * time.Millisecond):
 			}
-			gone <- r.Context().Err()
+			contextErrs <- r.Context().Err()
 			_, _ = w.Write([]byte("whole"))
 		}), log.NewNopLogger())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,8 +193,8 @@
 		if err != nil || string(body) != "whole" {
 			t.Errorf("%q, %v", body, err)
 		}
-		if err := <-gone; err != nil {
-			t.Errorf("the request was given up: %v", err)
+		if err := <-contextErrs; err != nil {
+			t.Errorf("the request was canceled: %v", err)
 		}
 	}
 }
