--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -16,83 +16,82 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// A customer invents versions and tickets. Nothing may be kept of them when their
-// requests are over.
+// A customer makes up versions and tickets. Nothing may be kept of them after their requests.
 func TestInventedNamesAreForgotten(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
 	for i := range 20 {
 		invented := ticket.Encode(&api.Ticket{AgentVm: "b1", Incarnation: "1", Seq: uint32(i), Mac: []byte("no")})
-		ask(t, url, completions, "Apricothub-Version", "v"+strconv.Itoa(i), "Idempotency-Key", invented)
+		sendRequest(t, url, completions, "Apricothub-Version", "v"+strconv.Itoa(i), "Idempotency-Key", invented)
 	}
-	ask(t, url, completions)
+	sendRequest(t, url, completions)
 	eventually(t, "nothing in flight", func() bool { return len(e.directory.dump().InFlight) == 0 })
-	if len(e.sizes.usual) != 1 {
-		t.Errorf("%d sizes are kept", len(e.sizes.usual))
+	if len(e.sizes.averages) != 1 {
+		t.Errorf("%d sizes are kept", len(e.sizes.averages))
 	}
 }
 
-// An agent's process is replaced while its old link still stands, as after a pause. What
-// the old one reports and grants must not pass for the new one's.
-func TestAnOldIncarnationIsNotHeard(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+// An agent's process is replaced while its old link is still up, as after a pause. Reports and
+// grants of the old process must not be taken for those of the new one.
+func TestReportsOfAReplacedProcessAreIgnored(t *testing.T) {
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, _ := startEntry(t, agent)
-	now := e.node.State().Peers["b1"]
-	old := &member.Peer{Hello: &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "0"}, Session: now.Session}
-	e.directory.message(old, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", Limit: 99}}})
+	current := e.node.State().Peers["b1"]
+	old := &member.Peer{Hello: &api.Hello{Vm: "b1", Role: api.Role_ROLE_AGENT, Incarnation: "0"}, Session: current.Session}
+	e.directory.handleMessage(old, &api.Control{Body: &api.Control_Status{Status: &api.BackendStatus{Model: "m", Limit: 99}}})
 	foreign := &api.TicketBlock{AgentVm: "b2", Incarnation: "1", Count: 10, Key: []byte("k"), LifetimeMs: 1000, ExpiryMs: 1000}
-	e.directory.message(now, &api.Control{Body: &api.Control_Block{Block: foreign}})
+	e.directory.handleMessage(current, &api.Control{Body: &api.Control_Block{Block: foreign}})
 	if limit := e.directory.backends()[0].Limit; limit != 8 {
-		t.Errorf("limit %d", limit)
+		t.Errorf("limit %d, want 8", limit)
 	}
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
-	if _, ok := e.directory.lifetimes["b2"]; ok {
-		t.Error("an agent granted tickets of another")
+	if _, ok := e.directory.ticketLifetimes["b2"]; ok {
+		t.Error("an agent granted tickets of another agent")
 	}
 }
 
-// Agents come and go for months; nothing of those that are gone may stay.
+// Agents come and go for months. Nothing may be kept of those that are gone.
 func TestGoneAgentsAreForgotten(t *testing.T) {
-	agent := newFakeAgent(t, "b1", whole("x"))
+	agent := newFakeAgent(t, "b1", wholeAnswer("x"))
 	e, url := startEntry(t, agent)
-	ask(t, url, "/v1/tickets")
+	sendRequest(t, url, "/v1/tickets")
 	e.directory.setPeers(&member.State{})
 	e.directory.mu.Lock()
 	defer e.directory.mu.Unlock()
-	if left := len(e.directory.heard) + len(e.directory.lifetimes) + len(e.directory.asked) + len(e.directory.status); left != 0 {
-		t.Errorf("%d entries stay", left)
+	if left := len(e.directory.lastReport) + len(e.directory.ticketLifetimes) + len(e.directory.blockRequestedAt) + len(e.directory.status); left != 0 {
+		t.Errorf("%d map entries are left", left)
 	}
 }
 
-// Somebody guesses keys. Past a bound an address gets no more tries, whatever key comes,
-// but those callers behind it whose key was good before go on; other addresses too.
+// Somebody guesses keys. Past a limit, an address must be refused with any key, except for the
+// callers behind it whose key was valid before. Other addresses must not be affected.
 func TestGuessingKeysIsBounded(t *testing.T) {
-	g := newGuesses()
+	g := newGuessLimiter()
 	now := time.Unix(0, 0)
-	if !g.good(now, "10.0.0.1", 7) {
+	if !g.allowValidKey(now, "10.0.0.1", 7) {
 		t.Fatal("a good key is refused")
 	}
 	allowed := 0
 	for range 1000 {
-		if g.wrong(now, "10.0.0.1") {
+		if g.allowWrongKey(now, "10.0.0.1") {
 			allowed++
 		}
 	}
 	if allowed > guessBurst {
-		t.Errorf("%d guesses", allowed)
+		t.Errorf("%d wrong keys allowed", allowed)
 	}
-	if !g.good(now, "10.0.0.1", 7) || g.good(now, "10.0.0.1", 8) || !g.good(now, "10.0.0.2", 8) {
-		t.Error("the wrong callers are refused")
+	if !g.allowValidKey(now, "10.0.0.1", 7) || g.allowValidKey(now, "10.0.0.1", 8) || !g.allowValidKey(now, "10.0.0.2", 8) {
+		t.Error("a known caller or another address is refused, or an unknown caller is not")
 	}
-	if now = now.Add(time.Minute); !g.good(now, "10.0.0.1", 8) {
-		t.Error("an address is refused for ever")
+	if now = now.Add(time.Minute); !g.allowValidKey(now, "10.0.0.1", 8) {
+		t.Error("an address is never accepted again")
 	}
-	for i := range 3 * maxGuessers {
-		g.good(now, strconv.Itoa(i), 1)
+	for i := range 3 * maxTrackedCallers {
+		g.allowValidKey(now, strconv.Itoa(i), 1)
 	}
-	if len(g.known) > maxGuessers {
-		t.Errorf("%d callers are remembered", len(g.known))
+	if len(g.knownCallers) > maxTrackedCallers {
+		t.Errorf("%d callers are tracked", len(g.knownCallers))
 	}
 
 	_, url := startEntry(t)
@@ -109,26 +108,26 @@
 		limited = limited || resp.StatusCode == http.StatusTooManyRequests && resp.Header.Get("Retry-After") != ""
 	}
 	if !limited {
-		t.Error("a guesser is not limited")
+		t.Error("wrong keys are not limited")
 	}
 }
 
-// An entry is replaced, and a caller asks it for addresses before its first links stand.
-// Nobody else has told it of other entries yet. Named itself, it would get requests and
-// refuse them for lack of backend servers, though other entries have some: the caller must
-// be told that this one is starting, and ask another.
+// A caller asks a replaced entry for addresses before its first links are up, when it does not know
+// other entries yet. If it named itself, it would get requests and refuse them for lack of backend
+// servers, though other entries have some. The caller must be told that it is starting, and ask
+// another.
 func TestAddressesOfAnEntryThatStarts(t *testing.T) {
 	e, _ := startEntry(t)
 	s := *e.node.State()
 	s.Linked, s.ServeUntil = false, clock.Now()+time.Minute
-	named, err := e.addresses(&s)
+	named, err := e.listAddresses(&s)
 	if result.FromError(err).Code != api.ResultCode_STARTING {
 		t.Errorf("got %v, %v", named, err)
 	}
 }
 
-// Callers are told the entries that may take their requests: not one that is draining,
-// out, not ready, suspect or isolated, be it this one.
+// Callers must get the addresses of the entries that accept their requests, without those that are
+// draining, marked out, not ready, suspect or isolated. That applies to the answering entry too.
 func TestAddresses(t *testing.T) {
 	e, url := startEntry(t)
 	state := *e.node.State()
@@ -173,7 +172,7 @@
 			s.ServeUntil = 0
 		}
 		var got []string
-		named, _ := e.addresses(&s)
+		named, _ := e.listAddresses(&s)
 		for _, a := range named.Addresses {
 			got = append(got, strings.Replace(a.Address, "127.0.0.1:1", "e1", 1))
 		}
@@ -182,9 +181,9 @@
 		}
 	}
 	session.Close(io.EOF)
-	eventually(t, "suspect", session.Suspect)
+	eventually(t, "a suspect link", session.Suspect)
 	state.Peers = map[string]*member.Peer{"e2": &good}
-	if got, _ := e.addresses(&state); len(got.Addresses) != 1 {
-		t.Errorf("a suspect entry is named: %v", got)
+	if got, _ := e.listAddresses(&state); len(got.Addresses) != 1 {
+		t.Errorf("a suspect entry is listed: %v", got)
 	}
 }
--- a/internal/entry/show.go
+++ b/internal/entry/dump.go
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// placement is what a dump tells of placing requests.
+// placement is the part of a dump about the placement of requests.
 type placement struct {
 	InFlight map[string]int
 	Suspect  []string
@@ -18,7 +18,7 @@
 func (d *directory) dump() placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := placement{InFlight: maps.Clone(d.flying)}
+	p := placement{InFlight: maps.Clone(d.inFlight)}
 	for vm, peer := range d.peers {
 		if peer.Session.Suspect() {
 			p.Suspect = append(p.Suspect, vm)
@@ -27,7 +27,7 @@
 	return p
 }
 
-// backends returns what the agents last reported, for operators.
+// backends returns the latest reports of the agents, for operators.
 func (d *directory) backends() []adminapi.Backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,7 +39,7 @@
 			domain = peer.Hello.GetFailureDomain()
 		}
 		b := adminapi.BackendOf(vm, domain, s)
-		b.ReportAgeMs = (now - d.heard[vm]).Milliseconds()
+		b.ReportAgeMs = (now - d.lastReport[vm]).Milliseconds()
 		all = append(all, b)
 	}
 	slices.SortFunc(all, func(a, b adminapi.Backend) int { return strings.Compare(a.VM, b.VM) })
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -30,23 +30,22 @@
 
 const testKey = "a customer's key"
 
-// fakeAgent is the other end of a link on loopback: script decides what it does with
-// each piece of work.
+// fakeAgent is the other end of a link on loopback. script handles each piece of work.
 type fakeAgent struct {
 	vm      string
 	address string
 	config  link.Config
 	script  func(work *api.Work, stream *link.Stream)
-	// attached serves a reader that comes back for the rest of an answer.
-	attached func(attach *api.Attach, stream *link.Stream)
-	status   *api.BackendStatus
-	works    atomic.Int32
-	drains   atomic.Bool
-	frozen   atomic.Bool // no heartbeats
-	stuck    atomic.Bool // one that was due was not sent
-	settles  atomic.Int32
-	begun    time.Duration
-	// offer is what the list of VMs says; empty for nothing.
+	// attached handles a reader that comes back for the rest of an answer.
+	attached        func(attach *api.Attach, stream *link.Stream)
+	status          *api.BackendStatus
+	works           atomic.Int32
+	draining        atomic.Bool
+	frozen          atomic.Bool // sends no heartbeats
+	heartbeatMissed atomic.Bool // while frozen, a heartbeat was due
+	settles         atomic.Int32
+	startedAt       time.Duration
+	// offer is the agent's offer on the list of VMs; empty for none.
 	offer string
 
 	mu      sync.Mutex
@@ -61,7 +60,7 @@
 		t.Fatal(err)
 	}
 	a := &fakeAgent{
-		vm: vm, address: ln.Addr().String(), script: script, begun: clock.Now(),
+		vm: vm, address: ln.Addr().String(), script: script, startedAt: clock.Now(),
 		status: &api.BackendStatus{Model: "m", Service: "", Limit: 8, FullLimit: 8},
 		ledger: ticket.NewLedger(vm, "1", []byte("k"), ticket.Limits{}),
 	}
@@ -123,10 +122,10 @@
 
 func (a *fakeAgent) Heartbeat() *api.Heartbeat {
 	for a.frozen.Load() {
-		a.stuck.Store(true)
+		a.heartbeatMissed.Store(true)
 		time.Sleep(5 * time.Millisecond)
 	}
-	return &api.Heartbeat{Draining: a.drains.Load(), Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1, Ready: true}}
+	return &api.Heartbeat{Draining: a.draining.Load(), Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1, Ready: true}}
 }
 
 func send(stream *link.Stream, events ...*api.WorkEvent) {
@@ -156,16 +155,16 @@
 	return &api.WorkEvent{Body: &api.WorkEvent_End{End: &api.End{Parts: parts, Bytes: size}}}
 }
 
-// whole gives a whole answer.
-func whole(text string) func(*api.Work, *link.Stream) {
+// wholeAnswer returns a script that sends a complete answer.
+func wholeAnswer(text string) func(*api.Work, *link.Stream) {
 	return func(_ *api.Work, stream *link.Stream) {
 		send(stream, accepted(), headOf(200, "text/plain"), partOf(1, text), endOf(1, uint64(len(text))))
 		_ = stream.Receive(&api.WorkSignal{})
 	}
 }
 
-// lists returns the log: a customer of a plan with a model and a service.
-func lists(t testing.TB) []map[string]any {
+// configRecords returns the records of the log: a customer of a plan with a model and a service.
+func configRecords(t testing.TB) []map[string]any {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
 	customer := &api.Customer{KeySha256: []string{hex.EncodeToString(sum[:])}, Plan: "p", Weight: 1, Burst: 32}
@@ -188,20 +187,20 @@
 	return records
 }
 
-// startEntry runs an entry that knows the agents, and returns the URL for callers.
+// startEntry runs an entry that is linked to the agents, and returns its URL for callers.
 func startEntry(t testing.TB, agents ...*fakeAgent) (*entry, string) {
 	t.Helper()
 	return startLinkedEntry(t, testLinks, len(agents), agents...)
 }
 
-// startLinkedEntry runs an entry that links to so many of the agents.
+// startLinkedEntry runs an entry that links to the given number of the agents.
 func startLinkedEntry(t testing.TB, links *api.Links, linked int, agents ...*fakeAgent) (*entry, string) {
 	t.Helper()
 	vms := []platform.VM{{ID: "e1", Role: platform.RoleEntry, FailureDomain: "a"}}
 	for _, a := range agents {
 		vms = append(vms, platform.VM{ID: a.vm, Role: platform.RoleBackend, FailureDomain: "a", Link: a.address, Offer: a.offer})
 	}
-	records := lists(t)
+	records := configRecords(t)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string]any{"vms": vms})
@@ -243,7 +242,7 @@
 		cancel()
 		<-done
 	})
-	eventually(t, "an entry that serves", func() bool {
+	eventually(t, "the entry in service", func() bool {
 		return e.node.State().Unready(clock.Now()) == api.ResultCode_OK && len(e.directory.backends()) == linked
 	})
 	return e, public.URL
@@ -251,29 +250,29 @@
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	limit := time.Now().Add(8 * time.Second)
+	deadline := time.Now().Add(8 * time.Second)
 	for !holds() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// reply is what a caller gets.
+// reply is the answer that a caller gets.
 type reply struct {
 	status int
 	result string
 	body   string
 	ran    string
 	cut    bool
-	closes bool // the connection is closed after it
-	// retryMs is when it says to come back.
-	retryMs int64
+	closes bool // the connection is closed after the answer
+	// retryAfterMs is when the caller is told to come back.
+	retryAfterMs int64
 }
 
-// ask sends a completion, or a call of the service s.
-func ask(t *testing.T, url, path string, headers ...string) reply {
+// sendRequest sends a completion, or a call of the service s.
+func sendRequest(t *testing.T, url, path string, headers ...string) reply {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+path, strings.NewReader(`{"model":"m","prompt":"p","max_tokens":5}`))
 	if err != nil {
@@ -299,7 +298,7 @@
 	_ = json.Unmarshal(body, &failed)
 	return reply{
 		status: resp.StatusCode, result: resp.Header.Get("Apricothub-Result"), body: string(body),
-		ran: failed.Error.Ran, cut: err != nil, closes: resp.Close, retryMs: failed.Error.RetryAfterMs,
+		ran: failed.Error.Ran, cut: err != nil, closes: resp.Close, retryAfterMs: failed.Error.RetryAfterMs,
 	}
 }
 
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -17,22 +17,21 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// errLink says that a stream broke before its end.
-var errLink = errors.New("the link broke")
+// errLinkBroken is returned when a stream ends before the answer does.
+var errLinkBroken = errors.New("the link broke before the end of the answer")
 
-// maxStatus is the largest status of an answer. net/http panics at those that HTTP does
-// not have, and the request would stay counted as in flight for ever.
-const maxStatus = 599
+// maxHTTPStatus is the largest status of an answer. net/http panics at a status that HTTP does not
+// define, and the request would then be counted as in flight forever.
+const maxHTTPStatus = 599
 
-// doneGrace bounds how long a request goes on to tell its agent that the answer is
-// delivered.
-const doneGrace = time.Second
+// doneTimeout limits the time to tell the agent that the answer is delivered.
+const doneTimeout = time.Second
 
-// errNoHead says that an answer began without its status.
+// errNoHead reports an answer that starts without its status.
 var errNoHead = result.New(api.ResultCode_ANSWER_BROKEN, "The answer came without its status.")
 
-// following is an answer on its way over one link after another.
-type following struct {
+// answerRelay passes one answer to the caller, over as many links as it takes.
+type answerRelay struct {
 	entry     *entry
 	attempt   *attempt
 	out       *output
@@ -40,32 +39,32 @@
 	answerID  string
 }
 
-// follow has the attempt's agent run the work and takes its answer to the end. When
-// the link breaks, it goes on over the next one: at the next part once the work was
-// accepted; with the same ticket before that, since the agent knows whether it has
-// begun. Work without a ticket that was not accepted has nothing to go back to.
-func (e *entry) follow(ctx context.Context, a *attempt, out *output) *result.Error {
-	out.restart()
-	f := &following{entry: e, attempt: a, out: out, assembler: answer.NewAssembler(1)}
+// relayAnswer has the agent run the work and relays its answer to the end. When the link breaks, it
+// continues over the next one: with the next part if the work was accepted, otherwise with the same
+// ticket, because the agent knows whether that has started. Work that was not accepted and has no
+// ticket cannot be continued.
+func (e *entry) relayAnswer(ctx context.Context, a *attempt, out *output) *result.Error {
+	out.reset()
+	f := &answerRelay{entry: e, attempt: a, out: out, assembler: answer.NewAssembler(1)}
 	return f.run(ctx, a.peer)
 }
 
-// run takes the answer over one link after another, to its end.
-func (f *following) run(ctx context.Context, peer *member.Peer) *result.Error {
+// run relays the answer over one link after another.
+func (f *answerRelay) run(ctx context.Context, peer *member.Peer) *result.Error {
 	for {
-		err := f.over(ctx, peer.Session)
-		if !errors.Is(err, errLink) {
-			return resultOf(err)
+		err := f.relayOverLink(ctx, peer.Session)
+		if !errors.Is(err, errLinkBroken) {
+			return asResult(err)
 		}
 		if ctx.Err() != nil {
-			return f.interrupted(ctx)
+			return f.interruptedError(ctx)
 		}
 		if f.answerID == "" && f.attempt.work.GetTicket() == nil {
 			return result.New(api.ResultCode_BACKEND_FAILED, "The link to the backend server broke.")
 		}
 		next, ok := f.entry.awaitAgent(ctx, f.attempt.vm, peer.Hello.GetIncarnation(), peer.Session)
 		if !ok {
-			return f.lost()
+			return f.lostError()
 		}
 		f.entry.counts.reattached.Inc(1)
 		f.entry.logReattached(f.attempt)
@@ -73,31 +72,31 @@
 	}
 }
 
-func resultOf(err error) *result.Error {
+func asResult(err error) *result.Error {
 	if err == nil {
 		return nil
 	}
 	return result.FromError(err)
 }
 
-// lost says what an answer is worth whose agent is gone.
-func (f *following) lost() *result.Error {
+// lostError is the error for an answer whose agent is gone.
+func (f *answerRelay) lostError() *result.Error {
 	if f.attempt.work.GetTicket() != nil {
 		return result.New(api.ResultCode_OUTCOME_UNKNOWN)
 	}
 	return result.New(api.ResultCode_ANSWER_BROKEN, "The backend server went away before the answer was whole.")
 }
 
-// interrupted says why a request ended early that was under way.
-func (f *following) interrupted(ctx context.Context) *result.Error {
+// interruptedError says why a request in flight ended early.
+func (f *answerRelay) interruptedError(ctx context.Context) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(api.ResultCode_DEADLINE_EXCEEDED)
 	}
 	return result.New(api.ResultCode_ANSWER_BROKEN, "The caller has gone.")
 }
 
-// opening is the first message over a link.
-func (f *following) opening() *api.Open {
+// openMessage is the first message on a stream.
+func (f *answerRelay) openMessage() *api.Open {
 	if f.answerID == "" {
 		work := f.attempt.work
 		work.DeadlineMs = max(1, (f.attempt.req.deadline - clock.Now()).Milliseconds())
@@ -111,11 +110,11 @@
 	return &api.Open{Body: &api.Open_Attach{Attach: attach}}
 }
 
-// over takes the answer as far as one link carries it.
-func (f *following) over(ctx context.Context, s *link.Session) error {
-	stream, err := s.Open(f.opening())
+// relayOverLink relays the answer until it ends or the link breaks.
+func (f *answerRelay) relayOverLink(ctx context.Context, s *link.Session) error {
+	stream, err := s.Open(f.openMessage())
 	if err != nil {
-		return errLink
+		return errLinkBroken
 	}
 	stop := context.AfterFunc(ctx, func() { f.interrupt(ctx, stream) })
 	defer stop()
@@ -125,29 +124,29 @@
 			_ = stream.Close()
 		}
 	}()
-	// Receiving empties it first; what it carried stays with whoever kept it.
+	// Receive resets the event first; data that was kept from it stays valid.
 	event := &api.WorkEvent{}
 	for {
 		if err := stream.Receive(event); err != nil {
 			if ctx.Err() != nil {
-				return f.interrupted(ctx)
+				return f.interruptedError(ctx)
 			}
-			return errLink
+			return errLinkBroken
 		}
 		if event.GetEnd() != nil {
-			// A caller may hang up the moment it reads the mark of the end, before the
-			// agent has been told that it has the answer whole. The agent would keep the
-			// answer for somebody to come back, and a planned stop would wait for it. From
-			// here on only the write's own deadline ends what follows.
+			// A caller may hang up as soon as it reads the end of the stream, before the agent is
+			// told that the answer is delivered. The agent would then keep the answer for the
+			// caller to come back, and its graceful shutdown would wait for that. From here on only
+			// the write deadline ends the request.
 			stop()
 		}
-		whole, err := f.take(event)
+		whole, err := f.handleEvent(event)
 		if err != nil {
 			return err
 		}
 		if whole {
 			ended = true
-			return f.end(ctx, stream)
+			return f.finishStream(ctx, stream)
 		}
 		if stream.Waiting() {
 			continue
@@ -158,93 +157,93 @@
 	}
 }
 
-// end ends the stream of a whole answer, and tells the agent that the caller has it, once
-// it is written. The agent is told after the caller, whom a slow link must not hold up.
-func (f *following) end(ctx context.Context, stream *link.Stream) error {
-	f.entry.telling.Add(1)
-	tell := func(sent bool) {
-		defer f.entry.telling.Done()
+// finishStream ends the stream of a complete answer and tells the agent that it is delivered, after
+// it is written to the caller. The caller comes first so that a slow link does not delay it.
+func (f *answerRelay) finishStream(ctx context.Context, stream *link.Stream) error {
+	f.entry.pendingDone.Add(1)
+	notifyAgent := func(delivered bool) {
+		defer f.entry.pendingDone.Done()
 		defer func() { _ = stream.Close() }()
-		if sent {
-			_ = stream.SetDeadline(time.Now().Add(doneGrace))
+		if delivered {
+			_ = stream.SetDeadline(time.Now().Add(doneTimeout))
 			_ = stream.Send(&api.WorkSignal{Done: true})
 		}
 	}
-	if httpguard.AfterAnswer(ctx, tell) {
+	if httpguard.AfterAnswer(ctx, notifyAgent) {
 		return nil
 	}
 	err := f.out.flush()
-	tell(err == nil)
+	notifyAgent(err == nil)
 	return err
 }
 
-// interrupt ends a stream whose caller has gone or whose time is over. The work is
-// cancelled only if the caller cannot come back for the answer: one that had a part of
-// a stream may go on with Last-Event-ID, and the agent waits a while for that.
-func (f *following) interrupt(ctx context.Context, stream *link.Stream) {
-	if errors.Is(ctx.Err(), context.Canceled) && !f.out.begun() {
+// interrupt ends the stream of a caller that is gone or of a request past its deadline. The work is
+// cancelled only if the caller cannot come back for the answer: with part of a stream it may resume
+// with Last-Event-ID, and the agent keeps the answer for a while.
+func (f *answerRelay) interrupt(ctx context.Context, stream *link.Stream) {
+	if errors.Is(ctx.Err(), context.Canceled) && !f.out.hasBegun() {
 		_ = stream.SetDeadline(time.Now().Add(time.Second))
 		_ = stream.Send(&api.WorkSignal{Cancel: true})
 	}
 	_ = stream.Close()
 }
 
-// take takes one event, and says whether it was the end of a whole answer.
-func (f *following) take(event *api.WorkEvent) (bool, error) {
+// handleEvent handles one event and returns true at the end of a complete answer.
+func (f *answerRelay) handleEvent(event *api.WorkEvent) (bool, error) {
 	switch body := event.GetBody().(type) {
 	case *api.WorkEvent_Accepted:
 		f.answerID = body.Accepted.GetAnswerId()
 	case *api.WorkEvent_Head:
-		if status := body.Head.GetStatus(); status < http.StatusOK || status > maxStatus {
+		if status := body.Head.GetStatus(); status < http.StatusOK || status > maxHTTPStatus {
 			return false, result.Newf(api.ResultCode_ANSWER_BROKEN, "The backend server answered with the status %d.", status)
 		}
-		f.out.head(body.Head)
+		f.out.setHead(body.Head)
 	case *api.WorkEvent_Part:
-		if !f.out.headed() {
+		if !f.out.hasHead() {
 			return false, errNoHead
 		}
-		fresh, err := f.assembler.AddPart(body.Part)
+		isNew, err := f.assembler.AddPart(body.Part)
 		if err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
-		if fresh {
-			return false, f.out.part(f.answerID, body.Part)
+		if isNew {
+			return false, f.out.writePart(f.answerID, body.Part)
 		}
 	case *api.WorkEvent_End:
-		if !f.out.headed() {
+		if !f.out.hasHead() {
 			return false, errNoHead
 		}
 		if err := f.assembler.CheckEnd(body.End); err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
-		return true, f.out.end(body.End)
+		return true, f.out.writeEnd(body.End)
 	case *api.WorkEvent_Refusal:
 		return false, result.FromRefusal(body.Refusal)
 	}
 	return false, nil
 }
 
-// resume goes on with an answer that the caller has had in part, from any entry.
+// resume continues an answer that the caller has received in part, through this or any other entry.
 func (e *entry) resume(w http.ResponseWriter, r *http.Request, req *request, id string) error {
-	vm, incarnation, answerID, part, ok := splitEventID(id)
-	had, err := strconv.ParseUint(part, 10, 63)
+	vm, incarnation, answerID, part, ok := parseEventID(id)
+	lastPart, err := strconv.ParseUint(part, 10, 63)
 	if !ok || err != nil {
 		return result.New(api.ResultCode_BAD_REQUEST, "Last-Event-ID is not an id that this system gave.")
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), req.deadline-clock.Now())
 	defer cancel()
-	defer e.hold(vm)()
+	defer e.retainLink(vm)()
 	peer, ok := e.awaitAgent(ctx, vm, incarnation, nil)
 	if !ok {
 		return result.New(api.ResultCode_ANSWER_UNKNOWN)
 	}
 	out := newOutput(w, req.deadline-clock.Now())
-	f := &following{
+	f := &answerRelay{
 		entry:     e,
 		attempt:   &attempt{req: req, peer: peer, vm: vm, work: req.work},
 		out:       out,
-		assembler: answer.NewAssembler(had + 1),
+		assembler: answer.NewAssembler(lastPart + 1),
 		answerID:  answerID,
 	}
-	return out.finish(plain(f.run(ctx, peer)))
+	return out.finish(asError(f.run(ctx, peer)))
 }
--- a/internal/entry/guesses.go
+++ b/internal/entry/guesses.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	// guessBurst and guessPerSecond bound the wrong keys of one address: enough for a
-	// store whose devices still hold an old key, and at which the search for a key of
-	// a few letters takes years.
+	// guessBurst and guessPerSecond limit the wrong keys from one address. They allow for a store
+	// whose devices still use an old key, and make the search for a key of a few letters take
+	// years.
 	guessBurst     = 100
 	guessPerSecond = 10
-	// guessWait is when a caller that was refused for its address may come back.
-	guessWait = time.Second
-	// maxGuessers bounds the addresses remembered, and the good callers.
-	maxGuessers = 4096
+	// guessRetryAfter is the retry delay for callers that are refused because of their address.
+	guessRetryAfter = time.Second
+	// maxTrackedCallers limits the addresses tracked, and the known callers.
+	maxTrackedCallers = 4096
 )
 
-// guesses bounds the search for customers' keys. An address that sent too many wrong ones
-// gets nothing with a right one either, or the search would go on; but callers whose key
-// was good before go on: a whole store may stand behind one address.
-type guesses struct {
+// guessLimiter limits guessing of customers' keys. An address that sent too many wrong keys is
+// refused with a valid key too, or guessing could continue. Callers whose key was valid before are
+// still accepted, because a whole store may share one address.
+type guessLimiter struct {
 	rates *ratelimit.Keyed
 
-	mu    sync.Mutex
-	known map[goodCaller]struct{}
+	mu           sync.Mutex
+	knownCallers map[knownCaller]struct{}
 }
 
-// goodCaller is an address and a key, by its hash, that were good together.
-type goodCaller struct {
+// knownCaller is an address and the hash of a key that was valid from there.
+type knownCaller struct {
 	address string
 	key     uint64
 }
 
-func newGuesses() *guesses {
-	return &guesses{rates: ratelimit.New(maxGuessers), known: make(map[goodCaller]struct{})}
+func newGuessLimiter() *guessLimiter {
+	return &guessLimiter{rates: ratelimit.New(maxTrackedCallers), knownCallers: make(map[knownCaller]struct{})}
 }
 
-// wrong counts a wrong key; false if the address is past the bound.
-func (g *guesses) wrong(now time.Time, address string) bool {
+// allowWrongKey counts a wrong key and returns false if the address is past its limit.
+func (g *guessLimiter) allowWrongKey(now time.Time, address string) bool {
 	ok, _ := g.rates.Allow(now, address, guessPerSecond, guessBurst)
 	return ok
 }
 
-// good says whether a caller with a right key may go on.
-func (g *guesses) good(now time.Time, address string, key uint64) bool {
-	caller := goodCaller{address, key}
+// allowValidKey says whether a caller with a valid key is accepted.
+func (g *guessLimiter) allowValidKey(now time.Time, address string, key uint64) bool {
+	caller := knownCaller{address, key}
 	g.mu.Lock()
-	_, known := g.known[caller]
+	_, known := g.knownCallers[caller]
 	g.mu.Unlock()
 	if known {
 		return true
@@ -59,11 +59,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.known) >= maxGuessers {
-		// They are known again with their next request, but for those behind an
-		// address that is past its bound at this moment.
-		clear(g.known)
+	if len(g.knownCallers) >= maxTrackedCallers {
+		// Callers are added again with their next request, except those behind an address that is
+		// past its limit now.
+		clear(g.knownCallers)
 	}
-	g.known[caller] = struct{}{}
+	g.knownCallers[caller] = struct{}{}
 	return true
 }
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	// maxSpare bounds the links for which the subset has no use: those dialled for a
-	// ticket or an answer at another agent, and those that have left the subset. It is
-	// about as many as the subset has at the size to design for, so that a store that
-	// comes back through other entries finds room, and a flood of such requests doubles
-	// an entry's links at most.
-	maxSpare = 64
-	// spareKeep is how long such a link is kept after its last use: callers ask again
-	// within seconds.
-	spareKeep = 10 * time.Second
-	// unlinkedKeep is how long an agent is dialled on after the last request gave up
+	// maxSpareLinks limits the links outside the subset: those dialled for a ticket or an answer at
+	// another agent, and those that have left the subset. It is about the size of the subset at the
+	// design size, so that a store that comes back through other entries finds a link, and a flood
+	// of such requests at most doubles an entry's links.
+	maxSpareLinks = 64
+	// spareIdleTimeout is how long a spare link is kept after its last use. Callers retry within
+	// seconds.
+	spareIdleTimeout = 10 * time.Second
+	// unlinkedSpareTimeout is how long an agent is still dialled after the last request has stopped
 	// waiting for it.
-	unlinkedKeep = time.Second
+	unlinkedSpareTimeout = time.Second
 )
 
-// links decides which agents this entry is linked to, and what for. With no number of
-// agents per offer set it wants all of them, and does nothing else. Traffic and the
-// control goroutine share it under one lock, which is taken inside the directory's.
-type links struct {
-	self   *api.Hello
-	per    int
-	spares metrics.Counter
+// linkChooser decides which agents this entry has links to, and which of them get new work. With
+// agentsPerOffer 0 the entry links to all agents, and there is nothing to decide. Request handlers
+// and the control goroutine share it under one lock, which is taken while that of the directory is
+// held.
+type linkChooser struct {
+	self           *api.Hello
+	agentsPerOffer int
+	spareRequests  metrics.Counter
 
 	mu sync.Mutex
-	// vms is the list of VMs that the choice was made from.
-	vms     []platform.VM
-	agents  map[string]platform.VM
-	keepers map[string]*subset.LinkSelector
-	// unnamed are agents of which the list does not say what they offer.
-	unnamed map[string]bool
-	wanted  map[string]bool
-	// spare are the agents that are linked, or dialled, beside those wanted, with the
-	// time of their last use.
+	// vms is the list of VMs that the subsets were selected from.
+	vms       []platform.VM
+	agents    map[string]platform.VM
+	selectors map[string]*subset.LinkSelector
+	// withoutOffer are the agents for which the list names no offer.
+	withoutOffer map[string]bool
+	wanted       map[string]bool
+	// spare are the agents outside the subset that are linked or dialled, with the time of their
+	// last use.
 	spare map[string]time.Duration
-	// uses counts the requests at each agent, or waiting for the link to it.
+	// uses counts the requests that are at each agent or wait for the link to it.
 	uses map[string]int
 }
 
-func newLinks(self *api.Hello, per int, registry metrics.Registry) *links {
-	return &links{
-		self:    self,
-		per:     per,
-		spares:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
-		agents:  make(map[string]platform.VM),
-		keepers: make(map[string]*subset.LinkSelector),
-		wanted:  make(map[string]bool),
-		spare:   make(map[string]time.Duration),
-		uses:    make(map[string]int),
+func newLinkChooser(self *api.Hello, agentsPerOffer int, registry metrics.Registry) *linkChooser {
+	return &linkChooser{
+		self:           self,
+		agentsPerOffer: agentsPerOffer,
+		spareRequests:  metrics.GetOrRegisterCounter("entry.links.spare", registry),
+		agents:         make(map[string]platform.VM),
+		selectors:      make(map[string]*subset.LinkSelector),
+		wanted:         make(map[string]bool),
+		spare:          make(map[string]time.Duration),
+		uses:           make(map[string]int),
 	}
 }
 
-// all says that this entry links to every agent.
-func (l *links) all() bool { return l.per == 0 }
+// linksToAll says whether this entry links to every agent.
+func (l *linkChooser) linksToAll() bool { return l.agentsPerOffer == 0 }
 
-// wants says that a link to an agent is to stand.
-func (l *links) wants(vm string) bool {
-	if l.all() {
+// isWanted says whether there should be a link to an agent.
+func (l *linkChooser) isWanted(vm string) bool {
+	if l.linksToAll() {
 		return true
 	}
 	l.mu.Lock()
@@ -80,9 +80,9 @@
 	return spare || l.wanted[vm]
 }
 
-// forWork says that new work may go to an agent.
-func (l *links) forWork(vm string) bool {
-	if l.all() {
+// canGetWork says whether an agent can get new work.
+func (l *linkChooser) canGetWork(vm string) bool {
+	if l.linksToAll() {
 		return true
 	}
 	l.mu.Lock()
@@ -90,10 +90,10 @@
 	return l.wanted[vm]
 }
 
-// use counts a request at an agent, or one that waits for the link to it: until it is
-// done the link is not dropped.
-func (l *links) use(vm string) {
-	if l.all() {
+// acquire counts a request that is at an agent or waits for the link to it. The link is not dropped
+// until release.
+func (l *linkChooser) acquire(vm string) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -101,9 +101,9 @@
 	l.uses[vm]++
 }
 
-// done takes back the count of use.
-func (l *links) done(now time.Duration, vm string) {
-	if l.all() {
+// release reverts the count of acquire.
+func (l *linkChooser) release(now time.Duration, vm string) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -117,34 +117,34 @@
 	}
 }
 
-// ask asks for a link to an agent outside the subset, for a request that only that agent
-// can answer. It returns true if the agent is to be dialled now; however many requests
-// wait for one agent, it is asked for once. Past the bound the link that has been idle
-// longest gives way; if none is idle the request waits on and may ask again.
-func (l *links) ask(now time.Duration, vm string) bool {
-	if l.all() {
+// requestSpare requests a link to an agent outside the subset, for a request that only that agent
+// can answer. It returns true if the agent is to be dialled now, which is once however many
+// requests wait for it. At the limit, the link that has been idle longest is dropped; if none is
+// idle, the request keeps waiting and may ask again.
+func (l *linkChooser) requestSpare(now time.Duration, vm string) bool {
+	if l.linksToAll() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, asked := l.spare[vm]
+	_, requested := l.spare[vm]
 	_, listed := l.agents[vm]
-	if asked || l.wanted[vm] || !listed {
+	if requested || l.wanted[vm] || !listed {
 		return false
 	}
-	if len(l.spare) >= maxSpare && !l.giveWay() {
+	if len(l.spare) >= maxSpareLinks && !l.evictIdlest() {
 		return false
 	}
 	l.spare[vm] = now
-	l.spares.Inc(1)
+	l.spareRequests.Inc(1)
 	return true
 }
 
-// giveWay lets go of the spare link that has been idle longest; the lock is held.
-func (l *links) giveWay() bool {
+// evictIdlest drops the spare link that has been idle longest; the lock is held.
+func (l *linkChooser) evictIdlest() bool {
 	var oldest string
-	for vm, used := range l.spare {
-		if l.uses[vm] == 0 && (oldest == "" || used < l.spare[oldest]) {
+	for vm, lastUse := range l.spare {
+		if l.uses[vm] == 0 && (oldest == "" || lastUse < l.spare[oldest]) {
 			oldest = vm
 		}
 	}
@@ -152,9 +152,9 @@
 	return oldest != ""
 }
 
-// list takes the platform's list, and chooses anew if it has changed.
-func (l *links) list(vms []platform.VM) {
-	if l.all() {
+// setVMs sets the platform's list of VMs, and selects the subsets again if it has changed.
+func (l *linkChooser) setVMs(vms []platform.VM) {
+	if l.linksToAll() {
 		return
 	}
 	l.mu.Lock()
@@ -164,51 +164,51 @@
 	}
 	l.vms = vms
 	l.agents = make(map[string]platform.VM)
-	l.unnamed = make(map[string]bool)
+	l.withoutOffer = make(map[string]bool)
 	offers := make(map[string][]platform.VM)
 	for _, vm := range vms {
 		switch {
 		case vm.Role != platform.RoleBackend:
 			continue
 		case vm.Offer == "":
-			l.unnamed[vm.ID] = true
+			l.withoutOffer[vm.ID] = true
 		case vm.State != platform.StateLeaving:
 			offers[vm.Offer] = append(offers[vm.Offer], vm)
 		}
 		l.agents[vm.ID] = vm
 	}
-	l.choose(offers)
+	l.selectAgents(offers)
 }
 
-// choose takes the subset for each offer; the lock is held.
-func (l *links) choose(offers map[string][]platform.VM) {
-	entries, region := l.entries()
-	for offer := range l.keepers {
+// selectAgents selects the subset for each offer; the lock is held.
+func (l *linkChooser) selectAgents(offers map[string][]platform.VM) {
+	entries, region := l.regionEntries()
+	for offer := range l.selectors {
 		if offers[offer] == nil {
-			delete(l.keepers, offer)
+			delete(l.selectors, offer)
 		}
 	}
 	for offer, agents := range offers {
 		servers := inRegion(agents, region)
-		own := subset.ForClient(l.self.GetVm(), entries, servers, l.per)
-		if l.keepers[offer] == nil {
-			l.keepers[offer] = subset.NewLinkSelector()
+		chosen := subset.ForClient(l.self.GetVm(), entries, servers, l.agentsPerOffer)
+		if l.selectors[offer] == nil {
+			l.selectors[offer] = subset.NewLinkSelector()
 		}
-		l.keepers[offer].SetServers(own, subset.FallbackOrder(l.self.GetVm(), servers, own))
-		// Wanted at once: with nothing wanted until the next tick, a process that has
-		// just started would take itself for linked.
-		for _, vm := range own {
+		l.selectors[offer].SetServers(chosen, subset.FallbackOrder(l.self.GetVm(), servers, chosen))
+		// The agents are wanted at once. If none were until the next tick, a process that has just
+		// started would count as fully linked.
+		for _, vm := range chosen {
 			l.wanted[vm] = true
 		}
 	}
-	for vm := range l.unnamed {
+	for vm := range l.withoutOffer {
 		l.wanted[vm] = true
 	}
 }
 
-// entries returns the entries of this one's region, itself among them even before the
-// list has it.
-func (l *links) entries() (entries []subset.Node, region string) {
+// regionEntries returns the entries in this entry's region, always including itself, even if the
+// list does not have it yet.
+func (l *linkChooser) regionEntries() (entries []subset.Node, region string) {
 	self := l.self.GetVm()
 	listed := slices.IndexFunc(l.vms, func(vm platform.VM) bool { return vm.ID == self })
 	if listed >= 0 {
@@ -224,8 +224,7 @@
 	return entries, region
 }
 
-// inRegion returns the agents of a region; all of them if it has none: far ones are
-// better than none.
+// inRegion returns the agents of a region, or all agents if the region has none.
 func inRegion(agents []platform.VM, region string) []subset.Node {
 	var near, all []subset.Node
 	for _, vm := range agents {
@@ -241,29 +240,29 @@
 	return all
 }
 
-// tick decides anew which agents to link to. It returns those that are linked and not
-// wanted any more at all, and whether those that may get work have changed. A link that
-// leaves the subset gets no new work from now on and becomes a spare one, which is let go
-// of when its work has ended: it cuts nothing.
-func (l *links) tick(now time.Duration, linked map[string]bool, health func(vm string) subset.Health) (drop []string, changed bool) {
+// tick updates which agents to link to. It returns the linked agents that are no longer wanted at
+// all, and whether the set of agents that can get work has changed. A link that leaves the subset
+// gets no new work and becomes a spare one, which is dropped after its work has ended, so no
+// request is cut off.
+func (l *linkChooser) tick(now time.Duration, linked map[string]bool, health func(vm string) subset.Health) (drop []string, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.wanted
-	l.wanted = make(map[string]bool, len(was))
-	for vm := range l.unnamed {
+	previous := l.wanted
+	l.wanted = make(map[string]bool, len(previous))
+	for vm := range l.withoutOffer {
 		l.wanted[vm] = true
 	}
-	for _, keeper := range l.keepers {
-		for _, vm := range keeper.Update(now, health) {
+	for _, selector := range l.selectors {
+		for _, vm := range selector.Update(now, health) {
 			l.wanted[vm] = true
 		}
 	}
-	changed = len(was) != len(l.wanted)
+	changed = len(previous) != len(l.wanted)
 	for vm := range l.wanted {
-		changed = changed || !was[vm]
+		changed = changed || !previous[vm]
 		delete(l.spare, vm)
 	}
-	l.expire(now, linked)
+	l.expireSpare(now, linked)
 	for vm := range linked {
 		if l.wanted[vm] {
 			continue
@@ -271,7 +270,7 @@
 		if _, spare := l.spare[vm]; spare {
 			continue
 		}
-		if was[vm] {
+		if previous[vm] {
 			l.spare[vm] = now
 			continue
 		}
@@ -283,44 +282,44 @@
 	return drop, changed
 }
 
-// expire lets go of the spare links that have been idle for long enough, and of the
-// longest idle ones past the bound; the lock is held.
-func (l *links) expire(now time.Duration, linked map[string]bool) {
-	for vm, used := range l.spare {
-		keep := spareKeep
+// expireSpare drops the spare links that have been idle for long enough, and those above the limit,
+// longest idle first; the lock is held.
+func (l *linkChooser) expireSpare(now time.Duration, linked map[string]bool) {
+	for vm, lastUse := range l.spare {
+		timeout := spareIdleTimeout
 		if !linked[vm] {
-			keep = unlinkedKeep
+			timeout = unlinkedSpareTimeout
 		}
-		if l.uses[vm] == 0 && now-used >= keep {
+		if l.uses[vm] == 0 && now-lastUse >= timeout {
 			delete(l.spare, vm)
 		}
 	}
-	for len(l.spare) > maxSpare && l.giveWay() {
+	for len(l.spare) > maxSpareLinks && l.evictIdlest() {
 	}
 }
 
-// out says that an agent is marked out, or that its VM leaves or has left. It is called on
-// the control goroutine, the only one that writes the agents, and needs no lock.
-func (l *links) out(state *member.State, vm string) bool {
+// isUnavailable says whether an agent is marked out, or its VM is leaving or has left the list. It
+// is called on the control goroutine, the only one that writes agents, and needs no lock.
+func (l *linkChooser) isUnavailable(state *member.State, vm string) bool {
 	listed, ok := l.agents[vm]
 	return !ok || listed.State == platform.StateLeaving || state.View.VMOutOfService(vm, listed.FailureDomain)
 }
 
-// pending says that a link to an agent for an offer may stand at any moment: one is being
-// made, or stands and has brought no report yet.
-func (l *links) pending(offer string, reported func(vm string) bool) bool {
-	if l.all() {
+// isLinkPending says whether a link to an agent for an offer may come up at any moment: it is being
+// made, or is up but has not brought a report yet.
+func (l *linkChooser) isLinkPending(offer string, reported func(vm string) bool) bool {
+	if l.linksToAll() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The list names the model; a caller may ask for one version of it.
+	// The list names the model without its version, which a caller may ask for.
 	offer, _, _ = strings.Cut(offer, "@")
-	keeper := l.keepers[offer]
-	if keeper == nil {
+	selector := l.selectors[offer]
+	if selector == nil {
 		return false
 	}
-	if keeper.HasPendingLink() {
+	if selector.HasPendingLink() {
 		return true
 	}
 	for vm := range l.wanted {
@@ -331,35 +330,35 @@
 	return false
 }
 
-// whole is how many agents of the region there are for each that new work may go to, of
-// the offer that the list says an agent makes.
-func (l *links) whole(vm string) float64 {
+// agentsPerLink returns the number of agents in the region for each agent that can get new work,
+// for the offer that the list names for a VM.
+func (l *linkChooser) agentsPerLink(vm string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	keeper := l.keepers[l.agents[vm].Offer]
-	if keeper == nil {
+	selector := l.selectors[l.agents[vm].Offer]
+	if selector == nil {
 		return 1
 	}
-	return keeper.ServersPerLink()
+	return selector.ServersPerLink()
 }
 
-// idle says that no request is at an agent, or waits for it.
-func (l *links) idle(vm string) bool {
+// isIdle says whether no request is at an agent or waits for it.
+func (l *linkChooser) isIdle(vm string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.uses[vm] == 0
 }
 
-// linkState is what a dump tells of the links to agents.
+// linkState is the part of a dump about links to agents.
 type linkState struct {
-	// PerOffer is the setting; 0 for all agents.
+	// PerOffer is the configured number of agents per offer; 0 for all.
 	PerOffer int
-	// Work are the agents that new work may go to, Spare those linked beside them.
+	// Work are the agents that can get new work, Spare those linked besides.
 	Work, Spare []string
 }
 
-func (l *links) dump() linkState {
+func (l *linkChooser) dump() linkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return linkState{PerOffer: l.per, Work: slices.Sorted(maps.Keys(l.wanted)), Spare: slices.Sorted(maps.Keys(l.spare))}
+	return linkState{PerOffer: l.agentsPerOffer, Work: slices.Sorted(maps.Keys(l.wanted)), Spare: slices.Sorted(maps.Keys(l.spare))}
 }
--- a/internal/entry/ownkey.go
+++ b/internal/entry/ownkey.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// headerFirst is the caller's word that it has sent no request under this key yet,
-	// and sends no other one at the same time.
-	headerFirst = "Apricothub-First-Try"
-	// headerKeyLifetime tells callers for how long a key is bound, in milliseconds.
+	// headerFirstTry is the caller's statement that it has sent no request with this key before and
+	// sends no other at the same time.
+	headerFirstTry = "Apricothub-First-Try"
+	// headerKeyLifetime tells callers how long a key is bound, in milliseconds.
 	headerKeyLifetime = "Apricothub-Key-Lifetime-Ms"
-	// ticketPrefix marks what looks like a ticket: it is one, or nothing.
+	// ticketPrefix is the prefix of all tickets. A key that starts with it and is no valid ticket
+	// is refused.
 	ticketPrefix = "t1."
 )
 
-// ownKey is a caller's own key on its way to a ticket.
+// ownKey is a key that the caller made, until it is resolved to a ticket.
 type ownKey struct {
 	key      keybind.Key
 	customer keybind.Customer
 	request  keybind.Request
 	arrived  time.Duration
-	// appended says that a binding may stand in the log.
+	// appended says that a binding may be in the log.
 	appended bool
 }
 
-// readOwnKey takes a key of the caller's own making for a request that runs at most
-// once.
+// readOwnKey reads a caller's own key for a request that runs at most once.
 func readOwnKey(req *request, h http.Header) error {
 	values := h.Values(headerTicket)
 	if len(values) != 1 || !keybind.IsValidKey(values[0]) {
 		return result.New(api.ResultCode_KEY_INVALID)
 	}
 	work := req.work
-	req.own = &ownKey{
+	req.ownKey = &ownKey{
 		arrived:  req.arrived,
 		key:      keybind.KeyOf(req.caller.name, values[0]),
 		customer: keybind.CustomerFromDigest(ticket.CustomerDigest(req.caller.name)),
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// looksLikeTicket says that a key is a ticket or a spoilt one.
+// looksLikeTicket says whether a key is a ticket, valid or not.
 func looksLikeTicket(text string) bool { return strings.HasPrefix(text, ticketPrefix) }
 
-// carriesOwnKey says that a request to a service has a key of the caller's own, whose
-// earlier copies may have run.
-func carriesOwnKey(r *http.Request) bool {
+// hasOwnKey says whether a request to a service has a caller's own key, so that earlier copies of
+// it may have run.
+func hasOwnKey(r *http.Request) bool {
 	text := r.Header.Get(headerTicket)
 	if text == "" || !strings.HasPrefix(r.URL.Path, "/services/") {
 		return false
@@ -64,87 +64,88 @@
 	return err != nil && !looksLikeTicket(text) && keybind.IsValidKey(text)
 }
 
-// firstTry says that the caller vouches for no earlier copy.
-func firstTry(h http.Header) bool { return h.Get(headerFirst) == "yes" }
+// isFirstTry says whether the caller states that there is no earlier copy of the request.
+func isFirstTry(h http.Header) bool { return h.Get(headerFirstTry) == "yes" }
 
-// findKey takes the ticket that a key is bound to, as far as this entry has read.
-func (e *entry) findKey(w http.ResponseWriter, req *request) error {
-	if req.own == nil {
+// resolveKey sets the ticket that a key is bound to, as far as this entry has read.
+func (e *entry) resolveKey(w http.ResponseWriter, req *request) error {
+	if req.ownKey == nil {
 		return nil
 	}
 	w.Header().Set(headerKeyLifetime, strconv.FormatInt(e.keys.lifetime.Milliseconds(), 10))
-	b, ok, err := e.keys.lookUp(req.own.key)
+	b, ok, err := e.keys.lookUp(req.ownKey.key)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		// Said now, a caller is not kept at the gate for a refusal.
-		return plain(e.keys.ready(req.own.customer))
+		// A request that would be refused later is refused now instead of waiting at the gate
+		// first.
+		return asError(e.keys.checkReady(req.ownKey.customer))
 	}
 	e.keys.counts.found.Inc(1)
-	return plain(req.useBinding(b))
+	return asError(req.useBinding(b))
 }
 
-// useBinding makes a request one that came with the ticket of a binding.
+// useBinding gives the request the ticket that its key is bound to.
 func (r *request) useBinding(b keybind.Binding) *result.Error {
-	if b.Request != r.own.request {
+	if b.Request != r.ownKey.request {
 		return result.New(api.ResultCode_KEY_REUSED)
 	}
 	t, err := b.DecodeTicket()
 	if err != nil {
 		return result.New(api.ResultCode_INTERNAL, err.Error()+".")
 	}
-	r.given = t
+	r.callerTicket = t
 	return nil
 }
 
-// bindKey binds a key that is bound to nothing yet, with the gate's leave: an append
-// for a request that the gate would refuse would be for nothing.
+// bindKey binds a key that is not bound yet. It is called after admission, so that nothing is
+// appended for a request that the gate refuses.
 func (e *entry) bindKey(ctx context.Context, req *request) error {
-	if req.own == nil || req.given != nil {
+	if req.ownKey == nil || req.callerTicket != nil {
 		return nil
 	}
-	if err := e.keys.ready(req.own.customer); err != nil {
+	if err := e.keys.checkReady(req.ownKey.customer); err != nil {
 		return err
 	}
 	t, err := e.newTicket(ctx, req)
 	if err != nil {
 		return err
 	}
-	// Blocks are minted from in the first half of their lifetime.
-	if 2*e.directory.lifetime(t) > e.keys.hold {
-		// When its key is let go of the ticket could still run, beside the one that the
+	// Tickets are minted only in the first half of their block's lifetime.
+	if 2*e.directory.ticketLifetime(t) > e.keys.retention {
+		// After the key is released, the ticket could still run, in addition to the one that the
 		// key is bound to next.
 		return result.New(api.ResultCode_INTERNAL, "A ticket lives longer than its key is bound: ticket-lifetime-ms of the agent is more than twice the lifetime-ms of [keys].")
 	}
-	b, refused := e.keys.bind(ctx, req.own, t)
+	b, refused := e.keys.bind(ctx, req.ownKey, t)
 	if refused != nil {
 		return refused
 	}
 	e.keys.counts.bound.Inc(1)
-	return plain(req.useBinding(b))
+	return asError(req.useBinding(b))
 }
 
-// unknownIfKey keeps "not run" from being said of a request whose key this entry could
-// not resolve. An earlier copy may have bound it and run through another entry: the
-// store would push again under a new key. When the caller vouches that there is none,
-// and nothing was appended, it is true.
-func unknownIfKey(req *request, first bool, err error) error {
-	if err == nil || req.own == nil || req.given != nil {
+// unknownOutcomeIfKey keeps a request whose key could not be resolved from being reported as "not
+// run". An earlier copy may have bound the key and run through another entry, and the store would
+// push again with a new key. If the caller states that this is its first try and nothing was
+// appended, "not run" is true.
+func unknownOutcomeIfKey(req *request, firstTry bool, err error) error {
+	if err == nil || req.ownKey == nil || req.callerTicket != nil {
 		return err
 	}
-	if first && !req.own.appended {
+	if firstTry && !req.ownKey.appended {
 		return err
 	}
-	return unknown(err)
+	return withUnknownOutcome(err)
 }
 
-// unknown is an error that does not say "not run".
-func unknown(err error) error {
-	told := *result.FromError(err)
-	if told.Ran != api.Ran_RAN_NO {
+// withUnknownOutcome returns the error without the statement that the request was not run.
+func withUnknownOutcome(err error) error {
+	changed := *result.FromError(err)
+	if changed.Ran != api.Ran_RAN_NO {
 		return err
 	}
-	told.Ran = api.Ran_RAN_UNKNOWN
-	return &told
+	changed.Ran = api.Ran_RAN_UNKNOWN
+	return &changed
 }
--- a/internal/entry/rollout_test.go
+++ b/internal/entry/rollout_test.go
@@ -13,43 +13,43 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// A server that was sent an order counts as loading until its report tells of it or has
-// what was ordered, and for some reports' time at most: the order may be lost. One whose
-// link is gone is missing until the platform's list leaves it out.
+// A server that was sent an order must count as loading until its report shows the order or the
+// version, and for orderReportTimeout at most, because the order may be lost. A server without a
+// link must count as missing until it leaves the platform's list.
 func TestFleetOfARollout(t *testing.T) {
-	r := newRollouts()
+	r := newRolloutState()
 	listed := &member.State{VMs: []platform.VM{{ID: "vm-1"}, {ID: "vm-2"}}}
 	servers := map[string]map[string]rollout.Server{"m": {
 		"vm-1": {VM: "vm-1", Version: "1"},
 		"vm-2": {VM: "vm-2", Version: "1"},
 	}}
-	want := rollout.Target{Version: "2", Fence: 5}
+	target := rollout.Target{Version: "2", Fence: 5}
 	loading := func(now time.Duration) int {
 		n := 0
-		for _, s := range r.fleet(now, "m", want, servers) {
-			if s.Loading && s.OrderFence == want.Fence {
+		for _, s := range r.fleet(now, "m", target, servers) {
+			if s.Loading && s.OrderFence == target.Fence {
 				n++
 			}
 		}
 		return n
 	}
-	r.remember(servers, listed)
-	r.sent["vm-1"] = orderSent{fence: 5, at: time.Second}
-	if n := loading(time.Second + orderAgain/2); n != 1 {
+	r.updateServers(servers, listed)
+	r.sentOrders["vm-1"] = sentOrder{fence: 5, sentAt: time.Second}
+	if n := loading(time.Second + orderReportTimeout/2); n != 1 {
 		t.Errorf("%d load just after the order, want 1", n)
 	}
-	if n := loading(time.Second + orderAgain); n != 0 {
-		t.Errorf("%d load though no report tells of it, want none", n)
+	if n := loading(time.Second + orderReportTimeout); n != 0 {
+		t.Errorf("%d load although no report shows the order, want none", n)
 	}
 	servers["m"]["vm-1"] = rollout.Server{VM: "vm-1", Version: "2"}
-	if n := loading(time.Second + orderAgain/2); n != 0 {
-		t.Errorf("%d load though the report has the version, want none", n)
+	if n := loading(time.Second + orderReportTimeout/2); n != 0 {
+		t.Errorf("%d load although the report has the version, want none", n)
 	}
 
 	delete(servers["m"], "vm-2")
-	r.remember(servers, listed)
+	r.updateServers(servers, listed)
 	missing := 0
-	for _, s := range r.fleet(0, "m", want, servers) {
+	for _, s := range r.fleet(0, "m", target, servers) {
 		if s.Missing {
 			missing++
 		}
@@ -58,14 +58,14 @@
 		t.Errorf("%d missing, want 1", missing)
 	}
 	listed.VMs = listed.VMs[:1]
-	r.remember(servers, listed)
-	if fleet := r.fleet(0, "m", want, servers); len(fleet) != 1 {
+	r.updateServers(servers, listed)
+	if fleet := r.fleet(0, "m", target, servers); len(fleet) != 1 {
 		t.Errorf("%d servers after one left the list, want 1", len(fleet))
 	}
 }
 
-// Callers that name no version are sent to the version in force only when others are held
-// by servers that will not change, and no rollout is under way.
+// Callers that name no version must be sent to the version in force only if servers that never
+// change hold another one and no rollout is in progress.
 func TestVersionForCallersThatNameNone(t *testing.T) {
 	at := func(version string) *api.BackendStatus {
 		return &api.BackendStatus{Model: "m", ModelVersion: version}
@@ -92,15 +92,15 @@
 			for i, s := range test.status {
 				status[string(rune('a'+i))] = s
 			}
-			d.split = splitModels(d.view, status)
-			if got, _ := d.inForce("m"); got != test.want {
+			d.needsVersionOffer = modelsNeedingVersionOffer(d.view, status)
+			if got, _ := d.offerInForce("m"); got != test.want {
 				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// viewWith returns a configuration with a version of the model m.
+// viewWith returns a configuration with the given version of the model m.
 func viewWith(t *testing.T, version string) *config.View {
 	t.Helper()
 	model := &api.Section{Name: "model m", Body: &api.Section_Model{Model: &api.Model{Version: version}}}
--- a/internal/entry/rooms.go
+++ b/internal/entry/rooms.go
@@ -6,86 +6,86 @@
 	"github.com/apricothub/apricothub/decide/admit"
 )
 
-// vanishedKeep is how long an offer is waited for whose last backend server is gone: a
-// link that broke stands again after a dial, 0.3 s after one that failed, and a report.
-const vanishedKeep = 2 * time.Second
+// vanishedOfferGrace is how long requests may wait for an offer after its last backend server is
+// gone. It covers a link that broke: a dial, 0.3 s after one that failed, and a report.
+const vanishedOfferGrace = 2 * time.Second
 
-// rooms returns the room for each offer that any backend server makes, or has made a
-// moment ago.
-func (d *directory) rooms(now time.Duration, entries int) map[string]room {
+// capacities returns the capacity for each offer that a backend server has, or had within
+// vanishedOfferGrace.
+func (d *directory) capacities(now time.Duration, entries int) map[string]offerCapacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	rooms := make(map[string]room)
+	capacities := make(map[string]offerCapacity)
 	for _, status := range d.status {
 		for _, offer := range offers(status) {
-			if _, done := rooms[offer]; done {
+			if _, done := capacities[offer]; done {
 				continue
 			}
-			r := d.room(now, offer, entries)
-			r.presence = d.presence(offer, r.capacity)
-			rooms[offer] = r
+			c := d.capacity(now, offer, entries)
+			c.availability = d.availability(offer, c.total)
+			capacities[offer] = c
 		}
 	}
-	d.addVanished(now, rooms)
-	return rooms
+	d.addVanishedOffers(now, capacities)
+	return capacities
 }
 
-// addVanished adds the offers that none makes any more. The lock is held.
+// addVanishedOffers adds the offers that no backend server has any more. The lock is held.
 //
-// Load: the only agent of an offer is killed, or all links to its agents break, and the
-// requests that it had not begun go back to the gate. Harm prevented: they are held there
-// until near their deadlines, though nobody is left who could run them; refused at once,
-// none would live through a link that breaks and stands again.
-func (d *directory) addVanished(now time.Duration, rooms map[string]room) {
-	for offer := range rooms {
-		d.made[offer] = now
+// When the only agent of an offer is killed or all links to its agents break, the requests that it
+// had not begun are queued again. Without the limit they would wait until close to their deadlines
+// although no server is left. Refused at once, they would fail whenever a link breaks and comes
+// back.
+func (d *directory) addVanishedOffers(now time.Duration, capacities map[string]offerCapacity) {
+	for offer := range capacities {
+		d.lastOffered[offer] = now
 	}
-	for offer, last := range d.made {
-		if _, made := rooms[offer]; made {
+	for offer, lastOffered := range d.lastOffered {
+		if _, offered := capacities[offer]; offered {
 			continue
 		}
-		rooms[offer] = room{presence: admit.Pending}
-		if now-last >= vanishedKeep && !d.expected(offer) {
-			rooms[offer] = room{presence: admit.Unavailable}
-			delete(d.made, offer)
+		capacities[offer] = offerCapacity{availability: admit.Pending}
+		if now-lastOffered >= vanishedOfferGrace && !d.expectsOfferLocked(offer) {
+			capacities[offer] = offerCapacity{availability: admit.Unavailable}
+			delete(d.lastOffered, offer)
 		}
 	}
 }
 
-// room is the room for one offer; the lock is held.
-func (d *directory) room(now time.Duration, offer string, entries int) room {
-	if !d.links.all() {
-		return d.subsetRoom(now, offer, entries)
+// capacity returns the capacity for one offer; the lock is held.
+func (d *directory) capacity(now time.Duration, offer string, entries int) offerCapacity {
+	if !d.links.linksToAll() {
+		return d.subsetCapacity(now, offer, entries)
 	}
 	free, capacity := d.table.Slots(offer, now)
-	return room{slots: admit.EntrySlots(d.flying[offer], free, capacity, entries), capacity: capacity}
+	return offerCapacity{slots: admit.EntrySlots(d.inFlight[offer], free, capacity, entries), total: capacity}
 }
 
-// presence says whether any backend server for an offer may get work; the lock is held.
-func (d *directory) presence(offer string, capacity int) admit.Availability {
+// availability says whether any backend server for an offer can get work; the lock is held.
+func (d *directory) availability(offer string, capacity int) admit.Availability {
 	switch {
 	case capacity > 0:
 		return admit.Available
-	case d.expected(offer):
+	case d.expectsOfferLocked(offer):
 		return admit.Pending
 	}
 	return admit.Unavailable
 }
 
-// subsetRoom is the room for an offer when this entry is linked to some agents only: its
-// part of each by what the agent says of its entries. An agent that does not say counts
-// with all live entries. The directory's lock is held.
-func (d *directory) subsetRoom(now time.Duration, offer string, entries int) room {
-	var rooms []admit.BackendCapacity
-	whole := 1.0
-	for _, r := range d.table.SlotsByServer(offer, now) {
-		of := int(d.status[r.VM].GetEntries())
-		if of == 0 {
-			of = entries
+// subsetCapacity returns the capacity for an offer when this entry has links to a subset of the
+// agents. Its share of each agent follows from the number of entries that the agent reports, or
+// from all live entries if the agent reports none. The directory's lock is held.
+func (d *directory) subsetCapacity(now time.Duration, offer string, entries int) offerCapacity {
+	var backends []admit.BackendCapacity
+	backendsPerLink := 1.0
+	for _, server := range d.table.SlotsByServer(offer, now) {
+		sharedBy := int(d.status[server.VM].GetEntries())
+		if sharedBy == 0 {
+			sharedBy = entries
 		}
-		whole = d.links.whole(r.VM)
-		rooms = append(rooms, admit.BackendCapacity{Limit: r.Limit, Free: r.Free, Entries: of})
+		backendsPerLink = d.links.agentsPerLink(server.VM)
+		backends = append(backends, admit.BackendCapacity{Limit: server.Limit, Free: server.Free, Entries: sharedBy})
 	}
-	parts := admit.SubsetCapacity(d.flying[offer], rooms, whole)
-	return room{slots: parts.Slots, capacity: parts.Total, entries: parts.Entries}
+	capacity := admit.SubsetCapacity(d.inFlight[offer], backends, backendsPerLink)
+	return offerCapacity{slots: capacity.Slots, total: capacity.Total, entries: capacity.Entries}
 }
