--- a/internal/experts/asking.go
+++ b/internal/experts/asking.go
@@ -16,43 +16,43 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// askAll asks all engines at once.
-func (c *Coordinator) askAll(ctx context.Context, engines []Engine, request func(Engine) *api.RankRequest) []answer {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// callAll asks all engines at once.
+func (c *Coordinator) callAll(ctx context.Context, engines []Engine, request func(Engine) *api.RankRequest) []response {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answers := make([]answer, len(engines))
+	responses := make([]response, len(engines))
 	var wait sync.WaitGroup
 	for i, e := range engines {
 		req := request(e)
 		if req == nil {
 			continue
 		}
-		direct := c.direct(e)
+		direct := c.shouldBypassAgent(e)
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			answers[i] = c.ask(ctx, e, req, direct)
+			responses[i] = c.call(ctx, e, req, direct)
 		}()
 	}
 	wait.Wait()
 	now := clock.Now()
-	for i, a := range answers {
-		c.noteSilence(engines[i], a, now)
-		if a.reply == nil {
+	for i, resp := range responses {
+		c.logAvailability(engines[i], resp, now)
+		if resp.reply == nil {
 			continue
 		}
-		if !a.direct {
-			c.beside[engines[i].ID].answered = now
+		if !resp.direct {
+			c.agents[engines[i].ID].lastAnswered = now
 		}
-		if a.reply.GetResult() == api.OrderResult_ORDER_FENCED {
+		if resp.reply.GetResult() == api.OrderResult_ORDER_FENCED {
 			c.fenced = true
 		}
 	}
-	return answers
+	return responses
 }
 
-// answer is what came back for one engine; the reply is nil when nothing did.
-type answer struct {
+// response is what came back for one engine; the reply is nil when nothing did.
+type response struct {
 	reply *api.RankReply
 	// direct says that the engine itself was asked, from afar.
 	direct bool
@@ -60,92 +60,92 @@
 	err error
 }
 
-// noteSilence logs that an engine has gone silent, or answers again. The caller is the
+// logAvailability logs that an engine has gone silent, or answers again. The caller is the
 // coordinator's own goroutine.
-func (c *Coordinator) noteSilence(e Engine, a answer, now time.Duration) {
-	h := c.beside[e.ID]
-	if h == nil || a.reply == nil && a.err == nil || errors.Is(a.err, context.Canceled) {
+func (c *Coordinator) logAvailability(e Engine, resp response, now time.Duration) {
+	agent := c.agents[e.ID]
+	if agent == nil || resp.reply == nil && resp.err == nil || errors.Is(resp.err, context.Canceled) {
 		return
 	}
 	switch {
-	case a.err != nil && h.silentAt == 0:
-		h.silentAt = now
-		_ = level.Warn(c.logger).Log("msg", "An engine does not answer.", "server", e.ID, "direct", a.direct, "err", a.err,
+	case resp.err != nil && agent.silentSince == 0:
+		agent.silentSince = now
+		_ = level.Warn(c.logger).Log("msg", "An engine does not answer.", "server", e.ID, "direct", resp.direct, "err", resp.err,
 			"result", result.Label(api.ResultCode_BACKEND_FAILED))
-	case a.err == nil && h.silentAt != 0:
-		_ = level.Info(c.logger).Log("msg", "An engine answers again.", "server", e.ID, "direct", a.direct,
-			"away_ms", (now - h.silentAt).Milliseconds())
-		h.silentAt = 0
+	case resp.err == nil && agent.silentSince != 0:
+		_ = level.Info(c.logger).Log("msg", "An engine answers again.", "server", e.ID, "direct", resp.direct,
+			"away_ms", (now - agent.silentSince).Milliseconds())
+		agent.silentSince = 0
 	}
 }
 
-// direct says that an engine is to be asked without the process beside it.
+// shouldBypassAgent says that an engine is to be asked without the process beside it.
 //
 // Load: a VM that stands still, or a process that starts again, while its engine runs on.
 // Harm prevented: the whole group cannot be switched, or worse, stands held until that one
 // process is back. Now and then the process is tried all the same.
-func (c *Coordinator) direct(e Engine) bool {
-	h := c.beside[e.ID]
-	if h == nil {
-		h = &beside{answered: clock.Now()}
-		c.beside[e.ID] = h
+func (c *Coordinator) shouldBypassAgent(e Engine) bool {
+	agent := c.agents[e.ID]
+	if agent == nil {
+		agent = &agentState{lastAnswered: clock.Now()}
+		c.agents[e.ID] = agent
 	}
 	now := clock.Now()
-	if now-h.answered <= silentFor || now-h.tried > probeEach {
-		h.tried = now
+	if now-agent.lastAnswered <= agentSilentAfter || now-agent.lastTried > agentProbeInterval {
+		agent.lastTried = now
 		return false
 	}
 	return true
 }
 
-// beside is the process beside an engine.
-type beside struct {
-	// answered is when it last answered, tried when it was last asked.
-	answered, tried time.Duration
-	// silentAt is since when the engine does not answer, itself or through this process; zero
+// agentState is the process agentState an engine.
+type agentState struct {
+	// lastAnswered is when it last lastAnswered, lastTried when it was last asked.
+	lastAnswered, lastTried time.Duration
+	// silentSince is since when the engine does not answer, itself or through this process; zero
 	// while it does.
-	silentAt time.Duration
+	silentSince time.Duration
 }
 
-// ask asks the process beside an engine, or the engine itself: with direct, or when that process
+// call asks the process beside an engine, or the engine itself: with direct, or when that process
 // refuses the connection and so has taken no order.
 //
 // Load: the processes beside engines are replaced one after the other. Harm prevented: whichever
 // refuses at the moment keeps the whole group held until it is back, and the next one after it.
-func (c *Coordinator) ask(ctx context.Context, e Engine, req *api.RankRequest, direct bool) answer {
+func (c *Coordinator) call(ctx context.Context, e Engine, req *api.RankRequest, direct bool) response {
 	if !direct {
-		a := c.askNear(ctx, e, req)
-		if !isRefused(a.err) {
-			return a
+		resp := c.callThroughAgent(ctx, e, req)
+		if !isConnectionRefused(resp.err) {
+			return resp
 		}
 	}
-	return c.askAfar(ctx, e, req)
+	return c.callEngine(ctx, e, req)
 }
 
-// askAfar asks an engine itself. Counts and lists are not read from afar: they are dear, and
+// callEngine asks an engine itself. Counts and lists are not read from afar: they are dear, and
 // reading them stops the group.
-func (c *Coordinator) askAfar(ctx context.Context, e Engine, req *api.RankRequest) answer {
+func (c *Coordinator) callEngine(ctx context.Context, e Engine, req *api.RankRequest) response {
 	reply := ranks.Ask(ctx, platform.NewEngine(e.Address, c.client), &api.RankRequest{Order: req.GetOrder()})
-	return answer{reply: reply, direct: true, err: failureOf(reply)}
+	return response{reply: reply, direct: true, err: replyError(reply)}
 }
 
-// askNear asks the process beside an engine.
-func (c *Coordinator) askNear(ctx context.Context, e Engine, req *api.RankRequest) answer {
-	if stopsPasses(req.GetOrder()) {
-		return c.stopOrGo(ctx, e, req.GetOrder())
+// callThroughAgent asks the process beside an engine.
+func (c *Coordinator) callThroughAgent(ctx context.Context, e Engine, req *api.RankRequest) response {
+	if isHoldOrRelease(req.GetOrder()) {
+		return c.sendHoldOrRelease(ctx, e, req.GetOrder())
 	}
-	reply, err := c.askBeside(ctx, e, req)
-	return answer{reply: reply, err: err}
+	reply, err := c.callAgent(ctx, e, req)
+	return response{reply: reply, err: err}
 }
 
-// isRefused says that nothing was sent, since nobody listens: the VM lives, and the process on it
+// isConnectionRefused says that nothing was sent, since nobody listens: the VM lives, and the process on it
 // is starting again.
-func isRefused(err error) bool {
+func isConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// askBeside asks the process beside an engine.
-func (c *Coordinator) askBeside(ctx context.Context, e Engine, req *api.RankRequest) (*api.RankReply, error) {
+// callAgent asks the process beside an engine.
+func (c *Coordinator) callAgent(ctx context.Context, e Engine, req *api.RankRequest) (*api.RankReply, error) {
 	address, err := ranks.Beside(e.Address, c.peerPort)
 	if err != nil {
 		return nil, err
@@ -154,36 +154,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return reply, failureOf(reply)
+	return reply, replyError(reply)
 }
 
-// stopsPasses says whether an order keeps the group from beginning a pass, or ends that.
-func stopsPasses(o *api.RankOrder) bool {
+// isHoldOrRelease says whether an order keeps the group from beginning a pass, or ends that.
+func isHoldOrRelease(o *api.RankOrder) bool {
 	return o.GetKind() == api.RankOrder_HOLD || o.GetKind() == api.RankOrder_GO
 }
 
-// stopOrGo gives such an order to the engine itself, and reads its state from the process
+// sendHoldOrRelease gives such an order to the engine itself, and reads its state from the process
 // beside it.
 //
 // Load: a VM that stands still at any moment. Harm prevented: the one that has just passed an
 // order to hold on stands still with its engine, out of everyone's reach, and the whole group
 // with it until it wakes. A coordinator that stands still instead is followed by another.
-func (c *Coordinator) stopOrGo(ctx context.Context, e Engine, o *api.RankOrder) answer {
-	made, failure := ranks.Order(ctx, platform.NewEngine(e.Address, c.client), o)
-	a := answer{}
-	a.reply, a.err = c.askBeside(ctx, e, &api.RankRequest{})
-	if isRefused(a.err) {
-		a = c.askAfar(ctx, e, &api.RankRequest{})
+func (c *Coordinator) sendHoldOrRelease(ctx context.Context, e Engine, o *api.RankOrder) response {
+	orderResult, orderErr := ranks.Order(ctx, platform.NewEngine(e.Address, c.client), o)
+	resp := response{}
+	resp.reply, resp.err = c.callAgent(ctx, e, &api.RankRequest{})
+	if isConnectionRefused(resp.err) {
+		resp = c.callEngine(ctx, e, &api.RankRequest{})
 	}
-	if a.err != nil {
-		return answer{err: a.err, direct: a.direct}
+	if resp.err != nil {
+		return response{err: resp.err, direct: resp.direct}
 	}
-	a.reply.Result, a.err = made, failure
-	return a
+	resp.reply.Result, resp.err = orderResult, orderErr
+	return resp
 }
 
-// failureOf returns the failure that a reply tells of, if any.
-func failureOf(reply *api.RankReply) error {
+// replyError returns the failure that a reply tells of, if any.
+func replyError(reply *api.RankReply) error {
 	if text := reply.GetError(); text != "" {
 		return errors.New(text)
 	}
--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -27,37 +27,37 @@
 )
 
 const (
-	// lookEach is the time between two looks at the engines: often enough to follow a
+	// pollInterval is the time between two looks at the engines: often enough to follow a
 	// popularity that changes within seconds.
-	lookEach = 200 * time.Millisecond
-	// busyEach is the same while a group is being switched, and may have to wait for it.
-	busyEach = 30 * time.Millisecond
-	// askTime bounds one question to all engines together.
-	askTime = 500 * time.Millisecond
-	// fenceTime bounds asking the store for a fencing number.
-	fenceTime = time.Second
-	// askAgain is the time between two requests for a number while the store gives none. An
+	pollInterval = 200 * time.Millisecond
+	// busyPollInterval is the same while a group is being switched, and may have to wait for it.
+	busyPollInterval = 30 * time.Millisecond
+	// callTimeout bounds one question to all engines together.
+	callTimeout = 500 * time.Millisecond
+	// fenceTimeout bounds asking the store for a fencing number.
+	fenceTimeout = time.Second
+	// fenceRetryInterval is the time between two requests for a number while the store gives none. An
 	// outage costs a few calls more, and a group without coordinator waits for its slowest
 	// rank in every pass for no longer than the outage.
-	askAgain = 400 * time.Millisecond
-	// waitEach is the time between two looks whether this entry coordinates, while it does not.
-	waitEach = 50 * time.Millisecond
-	// settleTime is how long an entry must be the one to coordinate before it begins: those
+	fenceRetryInterval = 400 * time.Millisecond
+	// standbyPollInterval is the time between two looks whether this entry coordinates, while it does not.
+	standbyPollInterval = 50 * time.Millisecond
+	// takeoverDelay is how long an entry must be the one to coordinate before it begins: those
 	// that start or return at the same time do not take turns. Within it entries that live
 	// hear of each other; the first one that has a number keeps the duty.
-	settleTime = 100 * time.Millisecond
-	// formTime is for how long after it was seen closed a group is looked at as often as one
+	takeoverDelay = 100 * time.Millisecond
+	// formingTime is for how long after it was seen closed a group is looked at as often as one
 	// that is being switched: ranks form a group within a second, and when it opens all that
 	// has waited begins with a map that fits nothing.
-	formTime = 3 * time.Second
-	// restTime is how long it does nothing after engines refused its number: another one
+	formingTime = 3 * time.Second
+	// fencedBackoff is how long it does nothing after engines refused its number: another one
 	// coordinates.
-	restTime = 3 * time.Second
-	// silentFor is how long the process beside an engine must be silent before the engine is
+	fencedBackoff = 3 * time.Second
+	// agentSilentAfter is how long the process beside an engine must be silent before the engine is
 	// asked directly: that is dear, and tells less.
-	silentFor = 600 * time.Millisecond
-	// probeEach is how often the process is tried meanwhile.
-	probeEach = time.Second
+	agentSilentAfter = 600 * time.Millisecond
+	// agentProbeInterval is how often the process is tried meanwhile.
+	agentProbeInterval = time.Second
 
 	// topicDuties holds one key for each duty that one entry has at a time; the offset of
 	// its newest record is the number of the one that has it.
@@ -70,19 +70,19 @@
 	ID string
 	// Address is where it takes requests.
 	Address string
-	Shape   *routing.Engine
-	// Pause is the longest pause between two events that callers of its service accept;
+	Config  *routing.Engine
+	// MaxPause is the longest pause between two events that callers of its service accept;
 	// zero for unknown.
-	Pause time.Duration
+	MaxPause time.Duration
 }
 
-// Beliefs is what a coordinator goes by.
-type Beliefs interface {
-	// Coordinates says whether this entry is the one to coordinate.
-	Coordinates() bool
-	// Leaving says that this entry is stopping and that no other one coordinates yet: it
+// ClusterView is what a coordinator goes by.
+type ClusterView interface {
+	// IsCoordinator says whether this entry is the one to coordinate.
+	IsCoordinator() bool
+	// IsLeaving says that this entry is stopping and that no other one coordinates yet: it
 	// goes on coordinating until then.
-	Leaving() bool
+	IsLeaving() bool
 	// Engines returns the engines that have experts.
 	Engines() []Engine
 }
@@ -91,54 +91,54 @@
 type Coordinator struct {
 	vm       string
 	peerPort int
-	beliefs  Beliefs
+	cluster  ClusterView
 	store    *platform.Store
 	client   *http.Client
 	logger   log.Logger
 
 	// fence is this coordinator's number, zero for none; since is when it became the one to
 	// coordinate, restUntil when it may ask for a number again.
-	fence     atomic.Int64
-	since     time.Duration
-	chosen    bool
-	restUntil time.Duration
-	versions  int64
-	groups    map[string]*group
-	beside    map[string]*beside // by engine
-	// paces are the engines that are slow or closed, for others to read.
-	paces atomic.Pointer[map[string]Pace]
+	fence        atomic.Int64
+	selectedAt   time.Duration
+	selected     bool
+	backoffUntil time.Duration
+	versionCount int64
+	groups       map[string]*group
+	agents       map[string]*agentState // by engine
+	// impairments are the engines that are slow or closed, for others to read.
+	impairments atomic.Pointer[map[string]Impairment]
 	// fenced says that an engine refused the number.
 	fenced bool
 }
 
 // New returns a coordinator that has done nothing yet.
-func New(vm string, peerPort int, beliefs Beliefs, store *platform.Store, logger log.Logger) *Coordinator {
+func New(vm string, peerPort int, cluster ClusterView, store *platform.Store, logger log.Logger) *Coordinator {
 	return &Coordinator{
-		vm: vm, peerPort: peerPort, beliefs: beliefs, store: store, logger: logger,
+		vm: vm, peerPort: peerPort, cluster: cluster, store: store, logger: logger,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: askTime}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: callTimeout}).DialContext,
 			MaxIdleConnsPerHost: 2,
 			IdleConnTimeout:     10 * time.Second,
 		}},
 		groups: make(map[string]*group),
-		beside: make(map[string]*beside),
+		agents: make(map[string]*agentState),
 	}
 }
 
 // Run coordinates whenever this entry is the one to, until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	for {
-		wait := waitEach
-		if c.ready(ctx) {
-			wait = lookEach
-			if c.look(ctx) {
-				wait = busyEach
+		interval := standbyPollInterval
+		if c.ensureFence(ctx) {
+			interval = pollInterval
+			if c.poll(ctx) {
+				interval = busyPollInterval
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(wait):
+		case <-time.After(interval):
 		}
 	}
 }
@@ -147,64 +147,64 @@
 // called by any goroutine.
 func (c *Coordinator) Fence() int64 { return c.fence.Load() }
 
-// slowPace is the pace from which on an engine counts as slow: well above what healthy ones
+// minSlowdown is the pace from which on an engine counts as slow: well above what healthy ones
 // differ by.
-const slowPace = 1.3
+const minSlowdown = 1.3
 
-// Pace is what keeps an engine from its usual work.
-type Pace struct {
-	// Slower is how many times slower than usual it is.
-	Slower float64
+// Impairment is what keeps an engine from its usual work.
+type Impairment struct {
+	// Slowdown is how many times slower than usual it is.
+	Slowdown float64
 	// Closed says that it takes no work, since its group is broken.
 	Closed bool
 }
 
-// Paces returns the engines that are slow or closed. It may be called by any goroutine.
-func (c *Coordinator) Paces() map[string]Pace {
-	if paces := c.paces.Load(); paces != nil {
-		return *paces
+// Impairments returns the engines that are slow or closed. It may be called by any goroutine.
+func (c *Coordinator) Impairments() map[string]Impairment {
+	if impairments := c.impairments.Load(); impairments != nil {
+		return *impairments
 	}
 	return nil
 }
 
-// ready says whether this entry coordinates and has a number for it.
+// ensureFence says whether this entry coordinates and has a number for it.
 //
 // An entry that leaves goes on until engines refuse its number: the one that follows it needs
 // a moment for a number of its own, and popularity does not wait.
-func (c *Coordinator) ready(ctx context.Context) bool {
+func (c *Coordinator) ensureFence(ctx context.Context) bool {
 	now := clock.Now()
-	followed := c.fenced && c.beliefs.Leaving()
-	if followed || !c.beliefs.Coordinates() && !(c.beliefs.Leaving() && c.fence.Load() != 0) {
+	replaced := c.fenced && c.cluster.IsLeaving()
+	if replaced || !c.cluster.IsCoordinator() && !(c.cluster.IsLeaving() && c.fence.Load() != 0) {
 		if c.fence.Load() != 0 {
 			_ = level.Info(c.logger).Log("msg", "This entry no longer coordinates the expert maps.", "fence", c.fence.Load())
 		}
 		c.resign()
-		c.chosen = false
+		c.selected = false
 		return false
 	}
-	if !c.chosen {
-		c.chosen = true
-		c.since = now
+	if !c.selected {
+		c.selected = true
+		c.selectedAt = now
 	}
 	if c.fenced {
 		_ = level.Warn(c.logger).Log("msg", "Engines follow another coordinator.", "fence", c.fence.Load(),
 			"result", result.Label(api.ResultCode_CONFLICT))
 		c.resign()
-		c.restUntil = now + restTime
+		c.backoffUntil = now + fencedBackoff
 	}
-	if now-c.since < settleTime || now < c.restUntil || len(c.beliefs.Engines()) == 0 {
+	if now-c.selectedAt < takeoverDelay || now < c.backoffUntil || len(c.cluster.Engines()) == 0 {
 		return false
 	}
 	if c.fence.Load() != 0 {
 		return true
 	}
-	callCtx, cancel := context.WithTimeout(ctx, fenceTime)
+	callCtx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	offset, err := c.store.Put(callCtx, topicDuties, keyExperts, []byte(c.vm))
 	if err != nil {
 		_ = level.Warn(c.logger).Log("msg", "The store gave no fencing number.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
-		c.restUntil = now + askAgain
+		c.backoffUntil = now + fenceRetryInterval
 		return false
 	}
 	c.fence.Store(offset + 1)
@@ -215,7 +215,7 @@
 // resign forgets what belongs to the number.
 func (c *Coordinator) resign() {
 	c.fence.Store(0)
-	c.paces.Store(nil)
+	c.impairments.Store(nil)
 	c.fenced = false
 	c.groups = make(map[string]*group)
 }
@@ -223,19 +223,19 @@
 // versionsPerFence is the number of versions that one coordinator can make.
 const versionsPerFence = 1 << 20
 
-// version makes a version that no coordinator has used: two maps under one version would
+// newVersion makes a newVersion that no coordinator has used: two maps under one newVersion would
 // look alike to the ranks.
-func (c *Coordinator) version() int64 {
-	c.versions++
-	return c.fence.Load()*versionsPerFence + c.versions
+func (c *Coordinator) newVersion() int64 {
+	c.versionCount++
+	return c.fence.Load()*versionsPerFence + c.versionCount
 }
 
-// noVersion is a version that no coordinator makes.
-func (c *Coordinator) noVersion() int64 { return c.fence.Load() * versionsPerFence }
+// reservedVersion is a version that no coordinator makes.
+func (c *Coordinator) reservedVersion() int64 { return c.fence.Load() * versionsPerFence }
 
-// followedBy says that ranks have a version of a coordinator with a higher number. A
+// isSuperseded says that ranks have a version of a coordinator with a higher number. A
 // coordinator that only found its own versions too low would make new ones for good.
-func (c *Coordinator) followedBy(status []mapswitch.Status) bool {
+func (c *Coordinator) isSuperseded(status []mapswitch.Status) bool {
 	for _, s := range status {
 		newest := max(s.Map, s.Prepared)
 		if s.Armed != nil {
@@ -248,27 +248,27 @@
 	return false
 }
 
-// look reads all engines and does for each group what is next. It returns whether the next look
+// poll reads all engines and does for each group what is next. It returns whether the next poll
 // must not wait.
-func (c *Coordinator) look(ctx context.Context) bool {
-	engines := c.beliefs.Engines()
-	answers := c.askAll(ctx, engines, func(e Engine) *api.RankRequest {
-		return &api.RankRequest{Counts: true, Experts: c.wantsExperts(e)}
+func (c *Coordinator) poll(ctx context.Context) bool {
+	engines := c.cluster.Engines()
+	responses := c.callAll(ctx, engines, func(e Engine) *api.RankRequest {
+		return &api.RankRequest{Counts: true, Experts: c.needsExperts(e)}
 	})
 	members := make(map[string][]*member)
-	paces := make(map[string]Pace)
-	for i, a := range answers {
-		state := a.reply.GetState()
+	impairments := make(map[string]Impairment)
+	for i, resp := range responses {
+		state := resp.reply.GetState()
 		closed := state.GetGroup() != "" && !state.GetOpen()
-		if closed || state.GetPace() >= slowPace {
-			paces[engines[i].ID] = Pace{Slower: max(state.GetPace(), 1), Closed: closed}
+		if closed || state.GetPace() >= minSlowdown {
+			impairments[engines[i].ID] = Impairment{Slowdown: max(state.GetPace(), 1), Closed: closed}
 		}
 		if state.GetGroup() == "" || state.GetSize() == 0 {
 			continue
 		}
-		members[state.GetGroup()] = append(members[state.GetGroup()], &member{engine: engines[i], reply: a.reply, late: a.direct})
+		members[state.GetGroup()] = append(members[state.GetGroup()], &member{engine: engines[i], reply: resp.reply, stale: resp.direct})
 	}
-	c.paces.Store(&paces)
+	c.impairments.Store(&impairments)
 	busy := false
 	for name, ms := range members {
 		g := c.groups[name]
@@ -276,16 +276,16 @@
 			g = newGroup(c, name)
 			c.groups[name] = g
 		}
-		busy = g.look(ctx, ms) || busy
+		busy = g.update(ctx, ms) || busy
 	}
 	return busy
 }
 
-// wantsExperts says whether the experts that an engine holds must be read: once for each map
+// needsExperts says whether the experts that an engine holds must be read: once for each map
 // that it uses.
-func (c *Coordinator) wantsExperts(e Engine) bool {
+func (c *Coordinator) needsExperts(e Engine) bool {
 	for _, g := range c.groups {
-		if g.knows(e.ID) {
+		if g.knowsExperts(e.ID) {
 			return false
 		}
 	}
@@ -296,8 +296,8 @@
 type member struct {
 	engine Engine
 	reply  *api.RankReply
-	// late says that the state in the reply is of some moments ago.
-	late bool
+	// stale says that the state in the reply is of some moments ago.
+	stale bool
 }
 
 // statuses returns what the ranks report, in their order; nil unless all of them do and the
@@ -317,7 +317,7 @@
 		}
 		seen[rank] = true
 		out[rank] = ranks.Status(state)
-		out[rank].Stale = m.late
+		out[rank].Stale = m.stale
 	}
 	return out
 }
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -16,9 +16,9 @@
 	"github.com/apricothub/apricothub/internal/routing"
 )
 
-// rounds bounds the orders that follow each other at one look: a switch takes three rounds,
+// maxOrderRounds bounds the orders that follow each other at one look: a switch takes three maxOrderRounds,
 // and more only after orders that did not arrive.
-const rounds = 8
+const maxOrderRounds = 8
 
 // group is one lock-step group as its coordinator sees it.
 type group struct {
@@ -26,29 +26,29 @@
 	name    string
 	machine *mapswitch.Machine
 	epoch   int64
-	layers  *balance.LayerPlanner
+	planner *balance.LayerPlanner
 	shape   balance.Shape
-	// counts are the last counts of each rank, by engine; a rank that starts anew counts
+	// lastCounts are the last lastCounts of each rank, by engine; a rank that starts anew lastCounts
 	// from zero.
-	counts map[string][]int64
-	born   map[string]int64
-	// held are the experts that each rank holds, by engine, of the version in use.
-	held map[string]heldExperts
-	// target is the version to change to, zero for none, and plan its map.
-	target int64
-	plan   []balance.LayerMap
-	// began is when the target was set.
-	began time.Duration
-	// pass is the time of a pass, pause the longest one between events that callers accept.
-	pass, pause time.Duration
-	// step is the last pass begun that was reported, at lookedAt.
-	step     int64
-	lookedAt time.Duration
-	// closedAt is when the group was first seen not to be open, zero while it is.
-	closedAt time.Duration
+	lastCounts map[string][]int64
+	born       map[string]int64
+	// loaded are the experts that each rank holds, by engine, of the version in use.
+	loaded map[string]loadedExperts
+	// targetVersion is the version to change to, zero for none, and plan its map.
+	targetVersion int64
+	targetMaps    []balance.LayerMap
+	// targetSetAt is when the target was set.
+	targetSetAt time.Duration
+	// passTime is the time of a passTime, maxPause the longest one between events that callers accept.
+	passTime, maxPause time.Duration
+	// lastStep is the last pass begun that was reported, at lookedAt.
+	lastStep   int64
+	lastStepAt time.Duration
+	// closedSince is when the group was first seen not to be open, zero while it is.
+	closedSince time.Duration
 }
 
-type heldExperts struct {
+type loadedExperts struct {
 	epoch, version int64
 	sets           [][]int32
 }
@@ -56,105 +56,105 @@
 func newGroup(c *Coordinator, name string) *group {
 	return &group{
 		c: c, name: name, machine: mapswitch.New(mapswitch.Config{}),
-		counts: make(map[string][]int64), born: make(map[string]int64), held: make(map[string]heldExperts),
+		lastCounts: make(map[string][]int64), born: make(map[string]int64), loaded: make(map[string]loadedExperts),
 	}
 }
 
-// knows says whether the experts that an engine holds are known.
-func (g *group) knows(id string) bool {
-	_, ok := g.held[id]
+// knowsExperts says whether the experts that an engine holds are known.
+func (g *group) knowsExperts(id string) bool {
+	_, ok := g.loaded[id]
 	return ok
 }
 
-// look takes in the ranks' replies and does what is next. It returns whether the next look must
+// update takes in the ranks' replies and does what is next. It returns whether the next update must
 // not wait: the group is being switched, is forming, or has just been claimed.
-func (g *group) look(ctx context.Context, members []*member) bool {
+func (g *group) update(ctx context.Context, members []*member) bool {
 	now := clock.Now()
 	status := statuses(members)
-	if status == nil || !g.begin(members) {
-		return g.forming(now)
+	if status == nil || !g.ensurePlanner(members) {
+		return g.isForming(now)
 	}
-	g.closedAt = 0
-	if g.c.followedBy(status) {
+	g.closedSince = 0
+	if g.c.isSuperseded(status) {
 		g.c.fenced = true
 		return false
 	}
 	slices.SortFunc(members, func(a, b *member) int { return int(a.reply.GetState().GetRank() - b.reply.GetState().GetRank()) })
-	passes := g.measure(members, now)
-	g.machine.SetPassTime(g.pass)
+	passes := g.updatePassTime(members, now)
+	g.machine.SetPassTime(g.passTime)
 	g.observe(members, passes)
-	current := g.current(members)
-	if g.target == 0 && current != nil {
-		g.choose(current, now)
+	current := g.currentMaps(members)
+	if g.targetVersion == 0 && current != nil {
+		g.planChange(current, now)
 	}
-	return g.drive(ctx, members, status)
+	return g.advanceSwitch(ctx, members, status)
 }
 
-// forming says that a group which is not open has not been so for long.
-func (g *group) forming(now time.Duration) bool {
-	if g.closedAt == 0 {
-		g.closedAt = now
+// isForming says that a group which is not open has not been so for long.
+func (g *group) isForming(now time.Duration) bool {
+	if g.closedSince == 0 {
+		g.closedSince = now
 	}
-	return now-g.closedAt < formTime
+	return now-g.closedSince < formingTime
 }
 
-// begin makes the group's plan once its shape is known, and anew in a new epoch.
-func (g *group) begin(members []*member) bool {
+// ensurePlanner makes the group's plan once its shape is known, and anew in a new epoch.
+func (g *group) ensurePlanner(members []*member) bool {
 	state := members[0].reply.GetState()
-	e := members[0].engine.Shape
-	shape := balance.Shape{LayerSets: e.LayerSets, Experts: e.Experts, Ranks: int(state.GetSize()), SlotsPerRank: e.Slots, MaxNewExperts: e.Spare}
+	cfg := members[0].engine.Config
+	shape := balance.Shape{LayerSets: cfg.LayerSets, Experts: cfg.Experts, Ranks: int(state.GetSize()), SlotsPerRank: cfg.Slots, MaxNewExperts: cfg.Spare}
 	if g.epoch != state.GetEpoch() {
 		g.epoch = state.GetEpoch()
-		g.target, g.plan = 0, nil
-		g.pass, g.lookedAt, g.step = 0, 0, 0
-		clear(g.held)
+		g.targetVersion, g.targetMaps = 0, nil
+		g.passTime, g.lastStepAt, g.lastStep = 0, 0, 0
+		clear(g.loaded)
 	}
-	if g.layers != nil && g.shape == shape {
+	if g.planner != nil && g.shape == shape {
 		return true
 	}
-	layers, err := balance.NewLayerPlanner(shape, balance.LayerPlannerConfig{CopyTime: loadTime(e)})
+	planner, err := balance.NewLayerPlanner(shape, balance.LayerPlannerConfig{CopyTime: copyTime(cfg)})
 	if err != nil {
 		return false
 	}
-	g.layers, g.shape = layers, shape
+	g.planner, g.shape = planner, shape
 	return true
 }
 
-// loadTime is the time in which a rank copies one expert.
-func loadTime(e *routing.Engine) time.Duration {
-	if e.LinkMbps <= 0 {
+// copyTime is the time in which a rank copies one expert.
+func copyTime(cfg *routing.Engine) time.Duration {
+	if cfg.LinkMbps <= 0 {
 		return 0
 	}
 	const bitsPerByte = 8
-	return time.Duration(e.ExpertMB * bitsPerByte / e.LinkMbps * float64(time.Second))
+	return time.Duration(cfg.ExpertMB * bitsPerByte / cfg.LinkMbps * float64(time.Second))
 }
 
-// pressedPart is the part of the pause that callers accept from which on a pass is long:
+// longPassFraction is the part of the pause that callers accept from which on a pass is long:
 // beyond it a few more requests, or a little more skew, make streams late.
-const pressedPart = 0.6
+const longPassFraction = 0.6
 
-// pressed says that passes are long against the pauses that callers accept.
-func (g *group) pressed() bool {
-	return g.pause > 0 && float64(g.pass) > pressedPart*float64(g.pause)
+// isPassLong says that passes are long against the pauses that callers accept.
+func (g *group) isPassLong() bool {
+	return g.maxPause > 0 && float64(g.passTime) > longPassFraction*float64(g.maxPause)
 }
 
-// passWeight is the weight of the newest look in the average time of a pass.
-const passWeight = 0.5
+// passTimeWeight is the weight of the newest look in the average time of a pass.
+const passTimeWeight = 0.5
 
-// measure follows the time of a pass and returns the number of passes since the last look.
-func (g *group) measure(members []*member, now time.Duration) int64 {
-	g.pause = members[0].engine.Pause
+// updatePassTime follows the time of a pass and returns the number of passes since the last look.
+func (g *group) updatePassTime(members []*member, now time.Duration) int64 {
+	g.maxPause = members[0].engine.MaxPause
 	step := members[0].reply.GetState().GetStep()
-	passes := step - g.step
-	if g.lookedAt > 0 && passes > 0 {
-		each := (now - g.lookedAt) / time.Duration(passes)
-		if g.pass == 0 {
-			g.pass = each
+	passes := step - g.lastStep
+	if g.lastStepAt > 0 && passes > 0 {
+		passTime := (now - g.lastStepAt) / time.Duration(passes)
+		if g.passTime == 0 {
+			g.passTime = passTime
 		}
-		g.pass += time.Duration(passWeight * float64(each-g.pass))
+		g.passTime += time.Duration(passTimeWeight * float64(passTime-g.passTime))
 	}
 	if passes != 0 {
-		g.step, g.lookedAt = step, now
+		g.lastStep, g.lastStepAt = step, now
 	}
 	return passes
 }
@@ -170,8 +170,8 @@
 		if len(counts) != g.shape.LayerSets*g.shape.Experts {
 			continue
 		}
-		last := g.counts[id]
-		g.counts[id] = counts
+		last := g.lastCounts[id]
+		g.lastCounts[id] = counts
 		if last == nil || g.born[id] != m.reply.GetState().GetBorn() {
 			g.born[id] = m.reply.GetState().GetBorn()
 			continue
@@ -180,16 +180,16 @@
 			sums[i/g.shape.Experts][i%g.shape.Experts] += float64(max(n-last[i], 0))
 		}
 	}
-	g.layers.Observe(passes, sums)
-	paces := make([]float64, len(members))
+	g.planner.Observe(passes, sums)
+	slowdowns := make([]float64, len(members))
 	for rank, m := range members {
-		paces[rank] = m.reply.GetState().GetPace()
+		slowdowns[rank] = m.reply.GetState().GetPace()
 	}
-	g.layers.ObserveSlowdowns(paces)
+	g.planner.ObserveSlowdowns(slowdowns)
 }
 
-// current returns the maps in use, or nil until all ranks have told theirs.
-func (g *group) current(members []*member) []balance.LayerMap {
+// currentMaps returns the maps in use, or nil until all ranks have told theirs.
+func (g *group) currentMaps(members []*member) []balance.LayerMap {
 	maps := make([]balance.LayerMap, g.shape.LayerSets)
 	for i := range maps {
 		maps[i] = make(balance.LayerMap, g.shape.Ranks)
@@ -198,19 +198,19 @@
 	for rank, m := range members {
 		state := m.reply.GetState()
 		if sets := m.reply.GetExperts(); len(sets) == g.shape.LayerSets && m.reply.GetExpertsVersion() == state.GetMap() {
-			told := heldExperts{epoch: state.GetEpoch(), version: state.GetMap()}
+			loaded := loadedExperts{epoch: state.GetEpoch(), version: state.GetMap()}
 			for _, set := range sets {
-				told.sets = append(told.sets, set.GetExperts())
+				loaded.sets = append(loaded.sets, set.GetExperts())
 			}
-			g.held[m.engine.ID] = told
+			g.loaded[m.engine.ID] = loaded
 		}
-		told, ok := g.held[m.engine.ID]
-		if !ok || told.version != state.GetMap() || told.epoch != state.GetEpoch() {
-			delete(g.held, m.engine.ID)
+		loaded, ok := g.loaded[m.engine.ID]
+		if !ok || loaded.version != state.GetMap() || loaded.epoch != state.GetEpoch() {
+			delete(g.loaded, m.engine.ID)
 			complete = false
 			continue
 		}
-		for set, experts := range told.sets {
+		for set, experts := range loaded.sets {
 			maps[set][rank] = experts
 		}
 	}
@@ -220,38 +220,38 @@
 	return maps
 }
 
-// switchTime is the least time that a change of maps takes beside its copies.
-const switchTime = 150 * time.Millisecond
+// minSwitchTime is the least time that a change of maps takes beside its copies.
+const minSwitchTime = 150 * time.Millisecond
 
-// choose sets a target when a change of maps is worth it.
-func (g *group) choose(current []balance.LayerMap, now time.Duration) {
-	g.layers.SetSwitchTime(max(switchTime, time.Duration(g.machine.LeadPasses())*g.pass))
-	change := g.layers.Plan(current, g.pressed())
+// planChange sets a target when a change of maps is worth it.
+func (g *group) planChange(current []balance.LayerMap, now time.Duration) {
+	g.planner.SetSwitchTime(max(minSwitchTime, time.Duration(g.machine.LeadPasses())*g.passTime))
+	change := g.planner.Plan(current, g.isPassLong())
 	if change == nil {
 		return
 	}
-	g.target, g.plan, g.began = g.c.version(), change.Maps, now
+	g.targetVersion, g.targetMaps, g.targetSetAt = g.c.newVersion(), change.Maps, now
 	_ = level.Info(g.c.logger).Log("msg", "Experts are moved to follow their popularity.", "group", g.name, "epoch", g.epoch,
-		"version", g.target, "pass", g.pass, "pressed", g.pressed(), "skew", change.SkewBefore, "skew_after", change.SkewAfter,
+		"version", g.targetVersion, "pass", g.passTime, "pressed", g.isPassLong(), "skew", change.SkewBefore, "skew_after", change.SkewAfter,
 		"loads", change.MaxCopies, "fence", g.c.fence.Load())
 }
 
-// drive gives the orders that are next, and goes on with what the ranks answer.
-func (g *group) drive(ctx context.Context, members []*member, status []mapswitch.Status) bool {
+// advanceSwitch gives the orders that are next, and goes on with what the ranks answer.
+func (g *group) advanceSwitch(ctx context.Context, members []*member, status []mapswitch.Status) bool {
 	busy := false
-	for range rounds {
-		d := g.machine.Decide(clock.Now(), status, g.target)
-		busy = busy || d.InProgress
-		if d.NeedsNewTarget {
-			g.renew(members)
+	for range maxOrderRounds {
+		decision := g.machine.Decide(clock.Now(), status, g.targetVersion)
+		busy = busy || decision.InProgress
+		if decision.NeedsNewTarget {
+			g.renewVersion(members)
 		}
-		if !d.InProgress && g.target != 0 {
-			g.done()
+		if !decision.InProgress && g.targetVersion != 0 {
+			g.finishSwitch()
 		}
-		if len(d.Orders) == 0 || g.c.fenced {
+		if len(decision.Orders) == 0 || g.c.fenced {
 			break
 		}
-		g.order(ctx, members, d.Orders)
+		g.sendOrders(ctx, members, decision.Orders)
 		if status = statuses(members); status == nil {
 			break
 		}
@@ -259,28 +259,28 @@
 	return busy
 }
 
-// done ends a target that is in use.
-func (g *group) done() {
+// finishSwitch ends a target that is in use.
+func (g *group) finishSwitch() {
 	_ = level.Info(g.c.logger).Log("msg", "A new expert map is in use.", "group", g.name, "epoch", g.epoch,
-		"version", g.target, "took_ms", (clock.Now() - g.began).Milliseconds())
-	g.target, g.plan = 0, nil
-	clear(g.held)
+		"version", g.targetVersion, "took_ms", (clock.Now() - g.targetSetAt).Milliseconds())
+	g.targetVersion, g.targetMaps = 0, nil
+	clear(g.loaded)
 }
 
-// renew makes the maps in use a target under a new version, which costs no copies: it gets a
+// renewVersion makes the maps in use a target under a new version, which costs no copies: it gets a
 // group going that others left held.
-func (g *group) renew(members []*member) {
-	current := g.current(members)
+func (g *group) renewVersion(members []*member) {
+	current := g.currentMaps(members)
 	if current == nil {
 		return
 	}
-	g.target, g.plan, g.began = g.c.version(), current, clock.Now()
+	g.targetVersion, g.targetMaps, g.targetSetAt = g.c.newVersion(), current, clock.Now()
 	_ = level.Info(g.c.logger).Log("msg", "The expert map is given a new version.", "group", g.name, "epoch", g.epoch,
-		"version", g.target, "fence", g.c.fence.Load())
+		"version", g.targetVersion, "fence", g.c.fence.Load())
 }
 
-// order gives orders to the ranks, all at once, and takes in their answers.
-func (g *group) order(ctx context.Context, members []*member, orders []mapswitch.Order) {
+// sendOrders gives orders to the ranks, all at once, and takes in their answers.
+func (g *group) sendOrders(ctx context.Context, members []*member, orders []mapswitch.Order) {
 	byRank := make(map[int]mapswitch.Order, len(orders))
 	for _, o := range orders {
 		byRank[o.Rank] = o
@@ -291,32 +291,32 @@
 		engines[rank] = m.engine
 		rankOf[m.engine.ID] = rank
 	}
-	layers := wireMap(g.plan)
-	answers := g.c.askAll(ctx, engines, func(e Engine) *api.RankRequest {
+	layers := mapToWire(g.targetMaps)
+	responses := g.c.callAll(ctx, engines, func(e Engine) *api.RankRequest {
 		o, ok := byRank[rankOf[e.ID]]
 		if !ok {
 			return nil
 		}
 		if o.Kind == mapswitch.Claim {
-			o.Version = g.c.noVersion()
+			o.Version = g.c.reservedVersion()
 		}
-		sent := ranks.OrderToWire(o, g.c.fence.Load(), nil)
+		msg := ranks.OrderToWire(o, g.c.fence.Load(), nil)
 		if o.Kind == mapswitch.Prepare {
-			sent = ranks.OrderToWire(o, g.c.fence.Load(), layers)
+			msg = ranks.OrderToWire(o, g.c.fence.Load(), layers)
 		}
-		return &api.RankRequest{Order: sent}
+		return &api.RankRequest{Order: msg}
 	})
-	g.logOrders(byRank, answers)
-	for rank, a := range answers {
+	g.logOrders(byRank, responses)
+	for rank, resp := range responses {
 		o, ok := byRank[rank]
 		if !ok {
 			continue
 		}
-		members[rank].take(o, a)
-		if a.reply.GetState() != nil && a.reply.GetResult() == api.OrderResult_ORDER_UNKNOWN && !a.direct {
+		members[rank].applyResponse(o, resp)
+		if resp.reply.GetState() != nil && resp.reply.GetResult() == api.OrderResult_ORDER_UNKNOWN && !resp.direct {
 			g.machine.OrderUnanswered(o)
 		}
-		if o.Kind == mapswitch.Claim && a.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
+		if o.Kind == mapswitch.Claim && resp.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
 			g.machine.ClaimAccepted(rank, o.Epoch)
 		}
 	}
@@ -324,41 +324,41 @@
 
 // logOrders logs orders to ranks: one line for those of a kind that were taken, which are many
 // and alike, and one for each that was not.
-func (g *group) logOrders(byRank map[int]mapswitch.Order, answers []answer) {
-	taken := make(map[mapswitch.Order]int)
+func (g *group) logOrders(byRank map[int]mapswitch.Order, responses []response) {
+	accepted := make(map[mapswitch.Order]int)
 	for rank, o := range byRank {
-		a := answers[rank]
-		if a.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
+		resp := responses[rank]
+		if resp.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
 			o.Rank = 0
-			taken[o]++
+			accepted[o]++
 			continue
 		}
 		_ = level.Warn(g.c.logger).Log("msg", "A rank did not take an order.", "group", g.name, "rank", rank, "kind", o.Kind,
-			"version", o.Version, "step", o.Step, "epoch", o.Epoch, "fence", g.c.fence.Load(), "outcome", a.reply.GetResult(),
-			"direct", a.direct, "err", a.err, "result", result.Label(api.ResultCode_CONFLICT))
+			"version", o.Version, "step", o.Step, "epoch", o.Epoch, "fence", g.c.fence.Load(), "outcome", resp.reply.GetResult(),
+			"direct", resp.direct, "err", resp.err, "result", result.Label(api.ResultCode_CONFLICT))
 	}
-	for o, n := range taken {
+	for o, n := range accepted {
 		_ = level.Info(g.c.logger).Log("msg", "Ranks have taken an order.", "group", g.name, "ranks", n, "kind", o.Kind,
 			"version", o.Version, "step", o.Step, "epoch", o.Epoch, "fence", g.c.fence.Load())
 	}
 }
 
-// take takes in what came back for an order.
-func (m *member) take(o mapswitch.Order, a answer) {
-	if a.reply.GetState() != nil {
-		m.reply.State = a.reply.GetState()
-		m.late = a.direct
+// applyResponse takes in what came back for an order.
+func (m *member) applyResponse(o mapswitch.Order, resp response) {
+	if resp.reply.GetState() != nil {
+		m.reply.State = resp.reply.GetState()
+		m.stale = resp.direct
 	}
-	if a.direct && o.Kind == mapswitch.Arm && a.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
+	if resp.direct && o.Kind == mapswitch.Arm && resp.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
 		// What the engine says of itself from afar is older than its answer.
 		m.reply.State.ArmedVersion, m.reply.State.ArmedStep = o.Version, o.Step
-		m.late = false
+		m.stale = false
 	}
 }
 
-func wireMap(plan []balance.LayerMap) [][][]int32 {
-	layers := make([][][]int32, len(plan))
-	for i, set := range plan {
+func mapToWire(maps []balance.LayerMap) [][][]int32 {
+	layers := make([][][]int32, len(maps))
+	for i, set := range maps {
 		layers[i] = set
 	}
 	return layers
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -353,8 +353,8 @@
 	for _, l := range c.g.fleet.loads() {
 		b.Loads = append(b.Loads, &api.ServerLoad{Id: l.id, InFlight: uint32(l.inFlight)})
 	}
-	for id, pace := range c.g.experts.Paces() {
-		b.Paces = append(b.Paces, &api.ServerPace{Id: id, Pace: float32(pace.Slower), Closed: pace.Closed})
+	for id, pace := range c.g.experts.Impairments() {
+		b.Paces = append(b.Paces, &api.ServerPace{Id: id, Pace: float32(pace.Slowdown), Closed: pace.Closed})
 	}
 	others := make(map[string]bool)
 	for i := range min(len(live), mostOthers) {
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -25,21 +25,21 @@
 		if service == nil || service.Engine == nil || service.Engine.Experts == 0 {
 			continue
 		}
-		engines = append(engines, experts.Engine{ID: e.ID, Address: e.Address, Shape: service.Engine, Pause: c.table.Pause(e.Service)})
+		engines = append(engines, experts.Engine{ID: e.ID, Address: e.Address, Config: service.Engine, MaxPause: c.table.Pause(e.Service)})
 	}
 	return engines
 }
 
 // pacesOf returns the backend servers that are slow or closed, by the word of the one that
 // coordinates.
-func (c *control) pacesOf(live []*api.PeerBeat) map[string]experts.Pace {
+func (c *control) pacesOf(live []*api.PeerBeat) map[string]experts.Impairment {
 	if c.g.experts.Fence() != 0 {
-		return c.g.experts.Paces()
+		return c.g.experts.Impairments()
 	}
-	paces := make(map[string]experts.Pace)
+	paces := make(map[string]experts.Impairment)
 	for _, b := range live {
 		for _, p := range b.GetPaces() {
-			paces[p.GetId()] = experts.Pace{Slower: float64(p.GetPace()), Closed: p.GetClosed()}
+			paces[p.GetId()] = experts.Impairment{Slowdown: float64(p.GetPace()), Closed: p.GetClosed()}
 		}
 	}
 	return paces
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -196,7 +196,7 @@
 }
 
 // setOthers takes the work of the other entries by server, and the servers that are slow.
-func (f *fleet) setOthers(others map[string]int, paces map[string]experts.Pace, now time.Duration) {
+func (f *fleet) setOthers(others map[string]int, paces map[string]experts.Impairment, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.servers {
@@ -207,9 +207,9 @@
 }
 
 // setPace takes in how slow a server is. The caller holds the lock.
-func (f *fleet) setPace(id string, s *server, p experts.Pace) {
+func (f *fleet) setPace(id string, s *server, p experts.Impairment) {
 	limit, closed := s.limit(), s.closed
-	s.pace, s.closed = p.Slower, p.Closed
+	s.pace, s.closed = p.Slowdown, p.Closed
 	if s.limit() != limit || s.closed != closed {
 		_ = level.Info(f.logger).Log("msg", "A backend server gets work by its pace.", "server", id, "service", s.Service,
 			"pace", s.pace, "closed", s.closed, "limit", s.limit())
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -169,7 +169,7 @@
 // others, so that it gets hardly any.
 func TestASlowEngineGetsLittle(t *testing.T) {
 	f := newTestFleet(12, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
+	f.setOthers(nil, map[string]experts.Impairment{"i-3": {Slowdown: 5}}, 0)
 	got := map[string]int{}
 	for range 90 {
 		if id, code := f.pickFor(0); code == api.ResultCode_OK {
@@ -238,7 +238,7 @@
 func TestASlowServerGetsNoRequests(t *testing.T) {
 	const picks = 2000
 	f := newTestFleet(4, 12, 1, 0)
-	slow := map[string]experts.Pace{"i-1": {Slower: 5}}
+	slow := map[string]experts.Impairment{"i-1": {Slowdown: 5}}
 	f.setOthers(nil, slow, 0)
 	// While all are idle, and then until the fast ones are full.
 	for i := range 2 * picks {
@@ -251,7 +251,7 @@
 		}
 	}
 	for id := range f.servers {
-		slow[id] = experts.Pace{Slower: 5}
+		slow[id] = experts.Impairment{Slowdown: 5}
 	}
 	all := newTestFleet(4, 12, 1, 0)
 	all.setOthers(nil, slow, 0)
@@ -267,7 +267,7 @@
 	both := entries(2, 12)
 	both[0].FailureDomain = "out"
 	f.set(both, map[string]bool{"out": true}, service(0), census{1, 1}, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.setOthers(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, 0)
 	if id, code := f.pickFor(0); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
@@ -277,9 +277,9 @@
 // is left.
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.setOthers(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, 0)
 	f.judge.RecordUnreachable("i-0", 0)
-	f.setOthers(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
+	f.setOthers(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, msec)
 	if id, code := f.pickFor(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -163,19 +163,19 @@
 	return err
 }
 
-// Coordinates implements experts.Beliefs.
-func (g *Gateway) Coordinates() bool {
+// IsCoordinator implements experts.ClusterView.
+func (g *Gateway) IsCoordinator() bool {
 	v := g.view.Load()
 	return v != nil && v.coordinates
 }
 
-// Leaving implements experts.Beliefs.
-func (g *Gateway) Leaving() bool {
+// IsLeaving implements experts.ClusterView.
+func (g *Gateway) IsLeaving() bool {
 	v := g.view.Load()
 	return g.leaving.Load() && v != nil && !v.followed
 }
 
-// Engines implements experts.Beliefs.
+// Engines implements experts.ClusterView.
 func (g *Gateway) Engines() []experts.Engine {
 	v := g.view.Load()
 	if v == nil {
