--- a/internal/experts/asking.go
+++ b/internal/experts/asking.go
@@ -125,7 +125,7 @@
 // callEngine asks an engine itself. Counts and lists are not read from afar: they are dear, and
 // reading them stops the group.
 func (c *Coordinator) callEngine(ctx context.Context, e Engine, req *api.RankRequest) response {
-	reply := ranks.Ask(ctx, platform.NewEngine(e.Address, c.client), &api.RankRequest{Order: req.GetOrder()})
+	reply := ranks.Execute(ctx, platform.NewEngine(e.Address, c.client), &api.RankRequest{Order: req.GetOrder()})
 	return response{reply: reply, direct: true, err: replyError(reply)}
 }
 
@@ -146,11 +146,11 @@
 
 // callAgent asks the process beside an engine.
 func (c *Coordinator) callAgent(ctx context.Context, e Engine, req *api.RankRequest) (*api.RankReply, error) {
-	address, err := ranks.Beside(e.Address, c.peerPort)
+	address, err := ranks.AgentAddress(e.Address, c.peerPort)
 	if err != nil {
 		return nil, err
 	}
-	reply, err := ranks.Via(ctx, c.client, address, req)
+	reply, err := ranks.CallAgent(ctx, c.client, address, req)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 // order to hold on stands still with its engine, out of everyone's reach, and the whole group
 // with it until it wakes. A coordinator that stands still instead is followed by another.
 func (c *Coordinator) sendHoldOrRelease(ctx context.Context, e Engine, o *api.RankOrder) response {
-	orderResult, orderErr := ranks.Order(ctx, platform.NewEngine(e.Address, c.client), o)
+	orderResult, orderErr := ranks.SendOrder(ctx, platform.NewEngine(e.Address, c.client), o)
 	resp := response{}
 	resp.reply, resp.err = c.callAgent(ctx, e, &api.RankRequest{})
 	if isConnectionRefused(resp.err) {
--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -316,7 +316,7 @@
 			return nil
 		}
 		seen[rank] = true
-		out[rank] = ranks.Status(state)
+		out[rank] = ranks.StatusFromWire(state)
 		out[rank].Stale = m.stale
 	}
 	return out
--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -60,7 +60,7 @@
 
 // startAgent starts the process beside an engine.
 func (g *testGroup) startAgent(t *testing.T, rank int, engine string) {
-	address, err := ranks.Beside(engine, fakeplatform.PortPeers)
+	address, err := ranks.AgentAddress(engine, fakeplatform.PortPeers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 		if kind := req.GetOrder().GetKind(); kind == api.RankOrder_HOLD || kind == api.RankOrder_GO {
 			g.agentHoldOrders.Add(1)
 		}
-		answer, _ := proto.Marshal(ranks.Ask(r.Context(), platform.NewEngine(engine, http.DefaultClient), req))
+		answer, _ := proto.Marshal(ranks.Execute(r.Context(), platform.NewEngine(engine, http.DefaultClient), req))
 		_, _ = w.Write(answer)
 	})}
 	go func() { _ = server.Serve(l) }()
--- a/internal/gateway/shut.go
+++ b/internal/gateway/shut.go
@@ -78,13 +78,13 @@
 func (g *Gateway) open(s registry.Server) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), platform.EngineTime)
 	defer cancel()
-	beside, err := ranks.Beside(s.Address, g.settings.PeerPort)
+	beside, err := ranks.AgentAddress(s.Address, g.settings.PeerPort)
 	if err != nil {
 		return true
 	}
-	reply, err := ranks.Via(ctx, g.peerClient, beside, &api.RankRequest{})
+	reply, err := ranks.CallAgent(ctx, g.peerClient, beside, &api.RankRequest{})
 	if err != nil {
-		reply = ranks.Ask(ctx, platform.NewEngine(s.Address, g.peerClient), &api.RankRequest{})
+		reply = ranks.Execute(ctx, platform.NewEngine(s.Address, g.peerClient), &api.RankRequest{})
 	}
 	state := reply.GetState()
 	return state != nil && (state.GetGroup() == "" || state.GetOpen())
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -172,7 +172,7 @@
 // alive asks the process beside an engine for any answer. It returns an error when the VM is
 // silent; one that refuses the connection is not, as while that process starts again.
 func (g *Gateway) alive(s registry.Server) error {
-	address, err := ranks.Beside(s.Address, g.settings.PeerPort)
+	address, err := ranks.AgentAddress(s.Address, g.settings.PeerPort)
 	if err != nil {
 		// Nothing can be asked, and so nothing is known.
 		return nil
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -107,7 +107,7 @@
 
 func (a *agent) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+ranks.Path, a.serve)
+	mux.HandleFunc("POST "+ranks.RequestPath, a.serve)
 	mux.HandleFunc("GET "+ranks.AlivePath, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		textmetrics.Write(w, a.metrics.registry, metrics.DefaultRegistry)
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineTime)
 	defer cancel()
 	began := clock.Now()
-	reply := ranks.Ask(ctx, a.engine, req)
+	reply := ranks.Execute(ctx, a.engine, req)
 	a.note(reply, clock.Now()-began)
 	if o := req.GetOrder(); o != nil {
 		a.metrics.orders.Inc(1)
--- a/internal/rankagent/rankagent_test.go
+++ b/internal/rankagent/rankagent_test.go
@@ -44,7 +44,7 @@
 	server := httptest.NewServer(a.handler())
 	defer server.Close()
 	reply := &api.RankReply{}
-	if err := proto.Unmarshal(body(t, server.Client().Post, server.URL+ranks.Path, nil), reply); err != nil || reply.GetError() == "" {
+	if err := proto.Unmarshal(body(t, server.Client().Post, server.URL+ranks.RequestPath, nil), reply); err != nil || reply.GetError() == "" {
 		t.Errorf("the reply is %v, %v", reply, err)
 	}
 	resp, err := server.Client().Get(server.URL + "/metrics")
@@ -65,9 +65,9 @@
 		method, path, body string
 		want               int
 	}{
-		{http.MethodPost, ranks.Path, "not protobuf", http.StatusBadRequest},
-		{http.MethodPost, ranks.Path, strings.Repeat("x", maxRequest+1), http.StatusBadRequest},
-		{http.MethodGet, ranks.Path, "", http.StatusMethodNotAllowed},
+		{http.MethodPost, ranks.RequestPath, "not protobuf", http.StatusBadRequest},
+		{http.MethodPost, ranks.RequestPath, strings.Repeat("x", maxRequest+1), http.StatusBadRequest},
+		{http.MethodGet, ranks.RequestPath, "", http.StatusMethodNotAllowed},
 		{http.MethodPost, "/other", "", http.StatusNotFound},
 	} {
 		w := httptest.NewRecorder()
--- a/internal/ranks/ranks.go
+++ b/internal/ranks/ranks.go
@@ -18,17 +18,17 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// Path is where the process beside an engine takes requests.
-const Path = "/rank"
+// RequestPath is where the process beside an engine takes requests.
+const RequestPath = "/rank"
 
 // AlivePath is where it says that its VM lives, and no more.
 const AlivePath = "/alive"
 
-// maxReply bounds a reply, bytes.
-const maxReply = 4 << 20
+// maxReplyBytes bounds a reply, bytes.
+const maxReplyBytes = 4 << 20
 
-// Ask gives an engine the order of a request, and then reads what the request wants.
-func Ask(ctx context.Context, engine *platform.Engine, req *api.RankRequest) *api.RankReply {
+// Execute gives an engine the order of a request, and then reads what the request wants.
+func Execute(ctx context.Context, engine *platform.Engine, req *api.RankRequest) *api.RankReply {
 	reply := &api.RankReply{}
 	fail := func(err error) {
 		if reply.GetError() == "" {
@@ -36,11 +36,11 @@
 		}
 	}
 	if o := req.GetOrder(); o != nil {
-		made, err := Order(ctx, engine, o)
+		orderResult, err := SendOrder(ctx, engine, o)
 		if err != nil {
 			fail(err)
 		}
-		reply.Result = made
+		reply.Result = orderResult
 	}
 	report, err := engine.Report(ctx)
 	if err != nil {
@@ -67,34 +67,34 @@
 	return reply
 }
 
-// Order gives an engine an order and reads nothing.
+// SendOrder gives an engine an order and reads nothing.
 //
 // Load: engines that leave orders unanswered. Harm prevented: the time for which the engine's
 // state could still be read is spent on the answer, and nothing at all is known of the rank.
-func Order(ctx context.Context, engine *platform.Engine, o *api.RankOrder) (api.OrderResult, error) {
+func SendOrder(ctx context.Context, engine *platform.Engine, o *api.RankOrder) (api.OrderResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, platform.OrderTime)
 	defer cancel()
-	made, err := engine.Order(ctx, fromWire(o))
-	return resultToWire[made], err
+	orderResult, err := engine.Order(ctx, orderFromWire(o))
+	return resultToWire[orderResult], err
 }
 
-// Beside is the address of the process beside an engine: on the engine's VM, at the port that
+// AgentAddress is the address of the process beside an engine: on the engine's VM, at the port that
 // all processes of the system listen on.
-func Beside(engine string, port int) (string, error) {
-	host, _, err := net.SplitHostPort(engine)
+func AgentAddress(engineAddress string, port int) (string, error) {
+	host, _, err := net.SplitHostPort(engineAddress)
 	if err != nil {
 		return "", errors.Wrap(err, "rank")
 	}
 	return net.JoinHostPort(host, strconv.Itoa(port)), nil
 }
 
-// Via asks the process beside an engine, at an address.
-func Via(ctx context.Context, client *http.Client, address string, req *api.RankRequest) (*api.RankReply, error) {
+// CallAgent asks the process beside an engine, at an address.
+func CallAgent(ctx context.Context, client *http.Client, address string, req *api.RankRequest) (*api.RankReply, error) {
 	data, err := proto.Marshal(req)
 	if err != nil {
 		return nil, errors.Wrap(err, "rank")
 	}
-	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+Path, bytes.NewReader(data))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+RequestPath, bytes.NewReader(data))
 	if err != nil {
 		return nil, errors.Wrap(err, "rank")
 	}
@@ -105,7 +105,7 @@
 		return nil, errors.Wrap(err, "rank")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "rank")
 	}
@@ -158,7 +158,7 @@
 	return w
 }
 
-func fromWire(w *api.RankOrder) platform.EngineOrder {
+func orderFromWire(w *api.RankOrder) platform.EngineOrder {
 	o := platform.EngineOrder{
 		Order: mapswitch.Order{Kind: kindFromWire[w.GetKind()], Version: w.GetVersion(), Step: w.GetStep(), Epoch: w.GetEpoch()},
 		Fence: w.GetFence(),
@@ -187,8 +187,8 @@
 	return s
 }
 
-// Status returns the part of a state that switching maps goes by.
-func Status(s *api.RankState) mapswitch.Status {
+// StatusFromWire returns the part of a state that switching maps goes by.
+func StatusFromWire(s *api.RankState) mapswitch.Status {
 	status := mapswitch.Status{Epoch: s.GetEpoch(), Step: s.GetStep(), Map: s.GetMap(), Prepared: s.GetPrepared()}
 	if s.GetArmedVersion() != 0 {
 		status.Armed = &mapswitch.Arming{Version: s.GetArmedVersion(), Step: s.GetArmedStep()}
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), platform.EngineTime)
 	defer cancel()
 	engine := platform.NewEngine(strings.TrimPrefix(server.URL, "http://"), http.DefaultClient)
-	reply := ranks.Ask(ctx, engine, &api.RankRequest{Order: &api.RankOrder{Kind: api.RankOrder_ARM, Version: 5, Step: 19, Epoch: 3}})
+	reply := ranks.Execute(ctx, engine, &api.RankRequest{Order: &api.RankOrder{Kind: api.RankOrder_ARM, Version: 5, Step: 19, Epoch: 3}})
 	if reply.GetResult() != api.OrderResult_ORDER_UNKNOWN || reply.GetError() == "" {
 		t.Errorf("the order counts as answered: %v", reply)
 	}
