--- a/internal/rankagent/metrics.go
+++ b/internal/rankagent/metrics.go
@@ -8,18 +8,18 @@
 
 // counters are the metrics of a rank-agent.
 type counters struct {
-	registry              metrics.Registry
-	asked, failed, orders metrics.Counter
-	took                  metrics.Histogram
+	registry                   metrics.Registry
+	requests, failures, orders metrics.Counter
+	duration                   metrics.Histogram
 }
 
 func newCounters() *counters {
 	r := metrics.NewRegistry()
 	return &counters{
 		registry: r,
-		asked:    metrics.NewRegisteredCounter("rank.asked", r),
-		failed:   metrics.NewRegisteredCounter("rank.asked.failed", r),
+		requests: metrics.NewRegisteredCounter("rank.asked", r),
+		failures: metrics.NewRegisteredCounter("rank.asked.failed", r),
 		orders:   metrics.NewRegisteredCounter("rank.orders", r),
-		took:     metrics.NewRegisteredHistogram("rank.asked.ms", r, textmetrics.NewSample()),
+		duration: metrics.NewRegisteredHistogram("rank.asked.ms", r, textmetrics.NewSample()),
 	}
 }
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	// maxRequest bounds a request, bytes: a map of thousands of experts.
-	maxRequest = 4 << 20
-	// readTime bounds reading a request.
-	readTime = 2 * time.Second
-	// idleTime is how long a coordinator's connection may be idle.
-	idleTime = 30 * time.Second
-	// stopTime bounds ending what is under way at a stop.
-	stopTime = time.Second
+	// maxRequestBytes bounds a request, bytes: a map of thousands of experts.
+	maxRequestBytes = 4 << 20
+	// readTimeout bounds reading a request.
+	readTimeout = 2 * time.Second
+	// idleTimeout is how long a coordinator's connection may be idle.
+	idleTimeout = 30 * time.Second
+	// shutdownTimeout bounds ending what is under way at a stop.
+	shutdownTimeout = time.Second
 )
 
 // Run serves until ctx ends.
@@ -51,7 +51,7 @@
 		return errors.Wrap(err, "listen for the coordinator")
 	}
 	server := &http.Server{
-		Handler: a.handler(), ReadTimeout: readTime, IdleTimeout: idleTime,
+		Handler: a.handler(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: logging.Library(logger, "The library for HTTP reports an error.", result.Label(api.ResultCode_INTERNAL)),
 	}
 	_ = level.Info(logger).Log("msg", "The process starts.", "failure_domain", s.FailureDomain, "engine", s.Engine)
@@ -62,7 +62,7 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	stopCtx, cancel := context.WithTimeout(context.Background(), stopTime)
+	stopCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(stopCtx)
 	_ = level.Info(logger).Log("msg", "The process stops.", "uptime_ms", clock.Now().Milliseconds())
@@ -75,29 +75,29 @@
 	metrics *counters
 
 	mu sync.Mutex
-	// silentAt is since when the engine does not answer; zero while it does.
-	silentAt time.Duration
+	// silentSince is since when the engine does not answer; zero while it does.
+	silentSince time.Duration
 }
 
-// note counts an answer of the engine, and logs that it has gone silent or answers again.
-func (a *agent) note(reply *api.RankReply, took time.Duration) {
-	a.metrics.asked.Inc(1)
-	a.metrics.took.Update(took.Milliseconds())
+// recordReply counts an answer of the engine, and logs that it has gone silent or answers again.
+func (a *agent) recordReply(reply *api.RankReply, duration time.Duration) {
+	a.metrics.requests.Inc(1)
+	a.metrics.duration.Update(duration.Milliseconds())
 	failed := reply.GetError() != ""
 	if failed {
-		a.metrics.failed.Inc(1)
+		a.metrics.failures.Inc(1)
 	}
 	now := clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case failed && a.silentAt == 0:
-		a.silentAt = now
+	case failed && a.silentSince == 0:
+		a.silentSince = now
 		_ = level.Warn(a.logger).Log("msg", "The engine does not answer.", "err", reply.GetError(),
 			"result", result.Label(api.ResultCode_BACKEND_FAILED))
-	case !failed && a.silentAt != 0:
-		_ = level.Info(a.logger).Log("msg", "The engine answers again.", "away_ms", (now - a.silentAt).Milliseconds())
-		a.silentAt = 0
+	case !failed && a.silentSince != 0:
+		_ = level.Info(a.logger).Log("msg", "The engine answers again.", "away_ms", (now - a.silentSince).Milliseconds())
+		a.silentSince = 0
 	}
 }
 
@@ -107,7 +107,7 @@
 
 func (a *agent) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+ranks.RequestPath, a.serve)
+	mux.HandleFunc("POST "+ranks.RequestPath, a.handleRank)
 	mux.HandleFunc("GET "+ranks.AlivePath, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		textmetrics.Write(w, a.metrics.registry, metrics.DefaultRegistry)
@@ -115,8 +115,8 @@
 	return mux
 }
 
-func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
+func (a *agent) handleRank(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		result.WriteHTTP(w, result.New(api.ResultCode_BAD_REQUEST))
 		return
@@ -128,9 +128,9 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineTime)
 	defer cancel()
-	began := clock.Now()
+	startedAt := clock.Now()
 	reply := ranks.Execute(ctx, a.engine, req)
-	a.note(reply, clock.Now()-began)
+	a.recordReply(reply, clock.Now()-startedAt)
 	if o := req.GetOrder(); o != nil {
 		a.metrics.orders.Inc(1)
 		_ = level.Info(a.logger).Log("msg", "An order was passed on.", "kind", o.GetKind(), "version", o.GetVersion(),
--- a/internal/rankagent/rankagent_test.go
+++ b/internal/rankagent/rankagent_test.go
@@ -19,24 +19,24 @@
 
 // An engine hangs for a while and is asked many times. The log has one line when it goes
 // silent and one when it is back, with how long that was, and the counters have each question.
-func TestASilentEngineIsToldOnce(t *testing.T) {
+func TestSilentEngineIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	a := newAgent(nil, log.NewLogfmtLogger(&out))
 	for _, err := range []string{"", "timeout", "timeout", "refused", "", ""} {
-		a.note(&api.RankReply{Error: err}, time.Millisecond)
+		a.recordReply(&api.RankReply{Error: err}, time.Millisecond)
 	}
 	if text := out.String(); strings.Count(text, "\n") != 2 || !strings.Contains(text, `msg="The engine does not answer." err=timeout`) ||
 		!strings.Contains(text, `msg="The engine answers again." away_ms=`) {
 		t.Errorf("got:\n%s", text)
 	}
-	if asked, failed := a.metrics.asked.Count(), a.metrics.failed.Count(); asked != 6 || failed != 3 {
+	if asked, failed := a.metrics.requests.Count(), a.metrics.failures.Count(); asked != 6 || failed != 3 {
 		t.Errorf("%d asked, %d failed", asked, failed)
 	}
 }
 
 // The coordinator asks for the state of an engine that is gone. It gets an answer that says
 // so, as fast as the connection is refused, and operators see it in the metrics.
-func TestAnEngineThatIsGone(t *testing.T) {
+func TestUnreachableEngineIsReported(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	address := strings.TrimPrefix(gone.URL, "http://")
 	gone.Close()
@@ -44,7 +44,7 @@
 	server := httptest.NewServer(a.handler())
 	defer server.Close()
 	reply := &api.RankReply{}
-	if err := proto.Unmarshal(body(t, server.Client().Post, server.URL+ranks.RequestPath, nil), reply); err != nil || reply.GetError() == "" {
+	if err := proto.Unmarshal(postBody(t, server.Client().Post, server.URL+ranks.RequestPath, nil), reply); err != nil || reply.GetError() == "" {
 		t.Errorf("the reply is %v, %v", reply, err)
 	}
 	resp, err := server.Client().Get(server.URL + "/metrics")
@@ -66,7 +66,7 @@
 		want               int
 	}{
 		{http.MethodPost, ranks.RequestPath, "not protobuf", http.StatusBadRequest},
-		{http.MethodPost, ranks.RequestPath, strings.Repeat("x", maxRequest+1), http.StatusBadRequest},
+		{http.MethodPost, ranks.RequestPath, strings.Repeat("x", maxRequestBytes+1), http.StatusBadRequest},
 		{http.MethodGet, ranks.RequestPath, "", http.StatusMethodNotAllowed},
 		{http.MethodPost, "/other", "", http.StatusNotFound},
 	} {
@@ -78,7 +78,7 @@
 	}
 }
 
-func body(t *testing.T, post func(string, string, io.Reader) (*http.Response, error), url string, data []byte) []byte {
+func postBody(t *testing.T, post func(string, string, io.Reader) (*http.Response, error), url string, data []byte) []byte {
 	t.Helper()
 	resp, err := post(url, "application/protobuf", bytes.NewReader(data))
 	if err != nil {
