--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -114,7 +114,7 @@
 	fresh := a.t.route.Kind == routing.Once || a.t.history.hung
 	conn, err := a.g.pool.Get(ctx, a.server.ID, a.server.Address, limit, fresh)
 	if err != nil {
-		if errors.Is(err, upstream.ErrFull) {
+		if errors.Is(err, upstream.ErrConnectionLimit) {
 			a.fate = fateRefused
 		} else {
 			a.fate = fateUnreachable
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 
 func newGateway(s *platform.Settings, logger log.Logger) *Gateway {
 	transport := &http.Transport{
-		DialContext:           (&net.Dialer{Timeout: answerTime, Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()}).DialContext,
+		DialContext:           (&net.Dialer{Timeout: answerTime, Control: upstream.SetTCPUserTimeout, KeepAliveConfig: upstream.KeepAliveConfig()}).DialContext,
 		MaxIdleConnsPerHost:   4,
 		IdleConnTimeout:       10 * time.Second,
 		DisableCompression:    true,
@@ -99,7 +99,7 @@
 			retryRatio: s.Bounds.RetryRatio, retrySlack: s.Bounds.RetrySlack,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		pool:    upstream.NewPool(connectTime),
-		listen:  net.ListenConfig{Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()},
+		listen:  net.ListenConfig{Control: upstream.SetTCPUserTimeout, KeepAliveConfig: upstream.KeepAliveConfig()},
 		metrics: counts,
 		peerClient: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: connectTime}).DialContext,
@@ -213,7 +213,7 @@
 			_ = g.socket.Close()
 			return ctx.Err()
 		case <-ticker.C:
-			g.pool.Sweep(g.fleet.known)
+			g.pool.CloseExpired(g.fleet.known)
 		}
 	}
 }
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -45,7 +45,7 @@
 		return errors.New("the settings name no engine on this VM")
 	}
 	a := newAgent(platform.NewEngine(s.Engine, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}), logger)
-	lc := net.ListenConfig{Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()}
+	lc := net.ListenConfig{Control: upstream.SetTCPUserTimeout, KeepAliveConfig: upstream.KeepAliveConfig()}
 	listener, err := lc.Listen(ctx, "tcp", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)))
 	if err != nil {
 		return errors.Wrap(err, "listen for the coordinator")
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,17 +12,17 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrCrossed says that a connection brought an answer that belongs to no request.
-var ErrCrossed = errors.New("the answer belongs to another request")
+// ErrUnmatchedResponse says that a connection brought an answer that belongs to no request.
+var ErrUnmatchedResponse = errors.New("the answer belongs to another request")
 
 const (
-	// writeAside is the size of a body from which it is written beside reading the answer,
+	// asyncWriteBytes is the size of a body from which it is written beside reading the answer,
 	// bytes: a backend server may answer before it has read a long body, and a body up to
 	// this size fits into the socket's buffer.
-	writeAside = 16 << 10
-	// maxCrossed is the number of answers to other requests that are passed over on one
+	asyncWriteBytes = 16 << 10
+	// maxUnmatchedResponses is the number of answers to other requests that are passed over on one
 	// connection.
-	maxCrossed = 4
+	maxUnmatchedResponses = 4
 )
 
 // Conn is a connection to a backend server. It carries one request at a time.
@@ -32,10 +32,10 @@
 	server    string
 	br        *bufio.Reader
 	idleSince time.Duration
-	// keep is how long the backend server lets the connection be idle.
-	keep time.Duration
-	// written carries the result of writing a long body.
-	written chan error
+	// idleTimeout is how long the backend server lets the connection be idle.
+	idleTimeout time.Duration
+	// writeResult carries the result of writing a long body.
+	writeResult chan error
 }
 
 // RoundTrip writes a request once and reads the head of its answer. matches says whether an
@@ -45,7 +45,7 @@
 //
 // An error does not say that the request did not run.
 func (c *Conn) RoundTrip(ctx context.Context, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
-	stop := context.AfterFunc(ctx, c.abort)
+	stop := context.AfterFunc(ctx, c.reset)
 	resp, err := c.roundTrip(req, matches)
 	if err != nil {
 		stop()
@@ -55,12 +55,12 @@
 	return resp, nil
 }
 
-// abort resets the connection.
+// reset resets the connection.
 //
 // Load: a backend server whose VM stands still, or is cut off for a while. Harm prevented: an
 // orderly close comes behind the request, which waits there and runs seconds after its caller
 // has left, or has been told that it failed.
-func (c *Conn) abort() {
+func (c *Conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -81,16 +81,16 @@
 }
 
 func (c *Conn) roundTrip(req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
-	c.written = make(chan error, 1)
-	if req.ContentLength > writeAside {
-		go func() { c.written <- c.write(req) }()
+	c.writeResult = make(chan error, 1)
+	if req.ContentLength > asyncWriteBytes {
+		go func() { c.writeResult <- c.write(req) }()
 	} else {
 		if err := c.write(req); err != nil {
 			return nil, err
 		}
-		c.written <- nil
+		c.writeResult <- nil
 	}
-	for range maxCrossed {
+	for range maxUnmatchedResponses {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, errors.Wrap(err, "read answer")
@@ -103,13 +103,13 @@
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			// Without a length it would swallow the answer behind it.
-			return nil, ErrCrossed
+			return nil, ErrUnmatchedResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, errors.Wrap(err, "pass over another answer")
 		}
 	}
-	return nil, ErrCrossed
+	return nil, ErrUnmatchedResponse
 }
 
 func (c *Conn) write(req *http.Request) error {
@@ -125,34 +125,34 @@
 
 // Release gives the connection back. It is kept for another request only when the answer
 // was read whole and the request was written whole, and the backend server keeps it too.
-func (c *Conn) Release(resp *http.Response, whole bool, keep time.Duration, now time.Duration) {
-	if resp == nil || !whole || resp.Close || c.br.Buffered() > 0 || !c.finished() {
-		c.drop()
+func (c *Conn) Release(resp *http.Response, complete bool, idleTimeout time.Duration, now time.Duration) {
+	if resp == nil || !complete || resp.Close || c.br.Buffered() > 0 || !c.isRequestWritten() {
+		c.discard()
 		return
 	}
 	c.idleSince = now
-	c.keep = keep
-	c.pool.put(c)
+	c.idleTimeout = idleTimeout
+	c.pool.putIdle(c)
 }
 
-// finished says that the request has been written whole.
-func (c *Conn) finished() bool {
+// isRequestWritten says that the request has been written whole.
+func (c *Conn) isRequestWritten() bool {
 	select {
-	case err := <-c.written:
+	case err := <-c.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-func (c *Conn) drop() {
+func (c *Conn) discard() {
 	_ = c.Close()
-	c.pool.closed(c.server)
+	c.pool.releaseConn(c.server)
 }
 
-// quiet says that nothing has come in on an idle connection: neither its end nor bytes that
+// hasNoInput says that nothing has come in on an idle connection: neither its end nor bytes that
 // belong to no request.
-func (c *Conn) quiet() bool {
+func (c *Conn) hasNoInput() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -161,12 +161,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	var one [1]byte
+	empty := false
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = readErr == syscall.EAGAIN
+		_, readErr := syscall.Read(int(fd), buf[:])
+		empty = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error)
+	result := make(chan error)
 	go func() {
 		req := &http.Request{Method: http.MethodPost, URL: &url.URL{Opaque: "/push"}, Host: "h", Header: http.Header{}}
 		_, err := conn.RoundTrip(ctx, req, func(*http.Response) bool { return true })
-		ended <- err
+		result <- err
 	}()
 	server, err := listener.Accept()
 	if err != nil {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if err := <-ended; err == nil {
+	if err := <-result; err == nil {
 		t.Error("a request that was given up has an answer")
 	}
 	if rest, err := io.ReadAll(server); err == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,62 +19,62 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// ErrFull says that a backend server has all connections that this entry may have to it.
-var ErrFull = errors.New("no connection is left to the backend server")
+// ErrConnectionLimit says that a backend server has all connections that this entry may have to it.
+var ErrConnectionLimit = errors.New("no connection is left to the backend server")
 
 const (
-	// silence is how long the kernel waits for the other side to acknowledge what was sent,
+	// userTimeout is how long the kernel waits for the other side to acknowledge what was sent,
 	// or to answer probes, before it gives a connection up. Connections can go silent for
 	// good while new ones work; only this shows it. Above any delay of a sound network, and
 	// below the deadlines of short requests.
-	silence = 1500 * time.Millisecond
-	// probeAfter and probeEach are when an idle connection is probed.
-	probeAfter = time.Second
-	probeEach  = 500 * time.Millisecond
-	probes     = 2
-	// keepMargin is how long before the backend server would close an idle connection it
+	userTimeout = 1500 * time.Millisecond
+	// keepAliveIdle and probeEach are when an idle connection is probed.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 2
+	// idleTimeoutMargin is how long before the backend server would close an idle connection it
 	// is no longer used: a request must not cross the close.
-	keepMargin = 700 * time.Millisecond
-	// keepUnknown is how long a connection is kept to a backend server that does not say
+	idleTimeoutMargin = 700 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept to a backend server that does not say
 	// how long it does.
-	keepUnknown = 300 * time.Millisecond
+	defaultIdleTimeout = 300 * time.Millisecond
 )
 
 // Pool keeps connections to backend servers by the servers' IDs.
 type Pool struct {
 	dialer net.Dialer
 
-	mu   sync.Mutex
-	idle map[string][]*Conn
-	open map[string]int
+	mu        sync.Mutex
+	idle      map[string][]*Conn
+	openCount map[string]int
 }
 
 // NewPool returns a pool that gives a connection up when it does not stand after timeout.
-func NewPool(timeout time.Duration) *Pool {
+func NewPool(dialTimeout time.Duration) *Pool {
 	return &Pool{
-		dialer: net.Dialer{Timeout: timeout, Control: SilentLinks, KeepAliveConfig: KeepAlive()},
-		idle:   make(map[string][]*Conn),
-		open:   make(map[string]int),
+		dialer:    net.Dialer{Timeout: dialTimeout, Control: SetTCPUserTimeout, KeepAliveConfig: KeepAliveConfig()},
+		idle:      make(map[string][]*Conn),
+		openCount: make(map[string]int),
 	}
 }
 
-// KeepAlive probes idle connections, so that one which has gone silent shows.
-func KeepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEach, Count: probes}
+// KeepAliveConfig probes idle connections, so that one which has gone silent shows.
+func KeepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
-const tcpUserTimeout = 18
+// tcpUserTimeoutOption is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+const tcpUserTimeoutOption = 18
 
-// SilentLinks bounds how long a socket waits for acknowledgements; it is the Control
+// SetTCPUserTimeout bounds how long a socket waits for acknowledgements; it is the Control
 // function of a dialer or listener.
-func SilentLinks(_, _ string, raw syscall.RawConn) error {
+func SetTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	failed := raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silence.Milliseconds()))
+	controlErr := raw.Control(func(fd uintptr) {
+		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(userTimeout.Milliseconds()))
 	})
-	if failed != nil {
-		return failed
+	if controlErr != nil {
+		return controlErr
 	}
 	return err
 }
@@ -82,90 +82,90 @@
 // Get returns a connection to a backend server: an idle one, or with fresh or without an
 // idle one a new one. At most limit are open at a time; zero means no bound. When it
 // returns an error, nothing was sent.
-func (p *Pool) Get(ctx context.Context, server, address string, limit int, fresh bool) (*Conn, error) {
-	if !fresh {
-		if c := p.take(server, clock.Now()); c != nil {
+func (p *Pool) Get(ctx context.Context, server, address string, limit int, forceNew bool) (*Conn, error) {
+	if !forceNew {
+		if c := p.takeIdle(server, clock.Now()); c != nil {
 			return c, nil
 		}
 	}
-	if !p.reserve(server, limit) {
-		return nil, ErrFull
+	if !p.reserveConn(server, limit) {
+		return nil, ErrConnectionLimit
 	}
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		p.closed(server)
+		p.releaseConn(server)
 		return nil, errors.Wrap(err, "connect")
 	}
 	return &Conn{Conn: conn, pool: p, server: server, br: bufio.NewReader(conn)}, nil
 }
 
-// take returns the connection that was used last, since the others may then close for
+// takeIdle returns the connection that was used last, since the others may then close for
 // being idle.
-func (p *Pool) take(server string, now time.Duration) *Conn {
+func (p *Pool) takeIdle(server string, now time.Duration) *Conn {
 	for {
 		p.mu.Lock()
-		list := p.idle[server]
-		if len(list) == 0 {
+		conns := p.idle[server]
+		if len(conns) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		c := list[len(list)-1]
-		p.idle[server] = list[:len(list)-1]
+		c := conns[len(conns)-1]
+		p.idle[server] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		if c.fresh(now) && c.quiet() {
+		if c.canReuse(now) && c.hasNoInput() {
 			return c
 		}
-		c.drop()
+		c.discard()
 	}
 }
 
-func (c *Conn) fresh(now time.Duration) bool {
-	keep := keepUnknown
-	if c.keep > 0 {
-		keep = c.keep - keepMargin
+func (c *Conn) canReuse(now time.Duration) bool {
+	idleTimeout := defaultIdleTimeout
+	if c.idleTimeout > 0 {
+		idleTimeout = c.idleTimeout - idleTimeoutMargin
 	}
-	return now-c.idleSince < keep
+	return now-c.idleSince < idleTimeout
 }
 
-func (p *Pool) reserve(server string, limit int) bool {
+func (p *Pool) reserveConn(server string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit > 0 && p.open[server] >= limit {
+	if limit > 0 && p.openCount[server] >= limit {
 		return false
 	}
-	p.open[server]++
+	p.openCount[server]++
 	return true
 }
 
-func (p *Pool) closed(server string) {
+func (p *Pool) releaseConn(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open[server]--
-	if p.open[server] <= 0 {
-		delete(p.open, server)
+	p.openCount[server]--
+	if p.openCount[server] <= 0 {
+		delete(p.openCount, server)
 	}
 }
 
-func (p *Pool) put(c *Conn) {
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
-// Sweep closes idle connections whose time is over, and all to servers of which known
+// CloseExpired closes idle connections whose time is over, and all to servers of which known
 // returns false.
-func (p *Pool) Sweep(known func(server string) bool) {
+func (p *Pool) CloseExpired(isKnown func(server string) bool) {
 	now := clock.Now()
-	var stale []*Conn
+	var expired []*Conn
 	p.mu.Lock()
-	for server, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if known(server) && c.fresh(now) {
+	for server, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if isKnown(server) && c.canReuse(now) {
 				kept = append(kept, c)
 				continue
 			}
-			stale = append(stale, c)
+			expired = append(expired, c)
 		}
 		if len(kept) == 0 {
 			delete(p.idle, server)
@@ -174,7 +174,7 @@
 		p.idle[server] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range stale {
-		c.drop()
+	for _, c := range expired {
+		c.discard()
 	}
 }
