--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -29,7 +29,7 @@
 )
 
 // engineConfig is that of the group: 16 experts on 4 ranks with 6 slots.
-var engineConfig = &routing.Engine{LayerSets: 1, Experts: expertCount, Slots: 6, Spare: 2, Stride: 4, ExpertMB: 1, LinkMbps: 1e6}
+var engineConfig = &routing.Engine{LayerSets: 1, Experts: expertCount, SlotsPerRank: 6, MaxNewExperts: 2, StepsPerPass: 4, ExpertMB: 1, LinkMbps: 1e6}
 
 // testGroup is a lock-step group with a process beside each engine, which can be silent.
 type testGroup struct {
@@ -44,7 +44,7 @@
 
 func newTestGroup(t *testing.T, drift int64) *testGroup {
 	g := &testGroup{Group: fakeplatform.NewGroup(t, fakeplatform.GroupShape{
-		Ranks: groupSize, Experts: expertCount, Places: engineConfig.Slots, Spare: engineConfig.Spare, Drift: drift,
+		Ranks: groupSize, Experts: expertCount, Places: engineConfig.SlotsPerRank, Spare: engineConfig.MaxNewExperts, Drift: drift,
 	}, 1)}
 	for rank, address := range g.Engines {
 		g.engines = append(g.engines, Engine{ID: fmt.Sprint("i-", rank), Address: address, Config: engineConfig, MaxPause: time.Second})
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -102,7 +102,7 @@
 func (g *group) ensurePlanner(members []*member) bool {
 	state := members[0].reply.GetState()
 	cfg := members[0].engine.Config
-	shape := balance.Shape{LayerSets: cfg.LayerSets, Experts: cfg.Experts, Ranks: int(state.GetSize()), SlotsPerRank: cfg.Slots, MaxNewExperts: cfg.Spare}
+	shape := balance.Shape{LayerSets: cfg.LayerSets, Experts: cfg.Experts, Ranks: int(state.GetSize()), SlotsPerRank: cfg.SlotsPerRank, MaxNewExperts: cfg.MaxNewExperts}
 	if g.epoch != state.GetEpoch() {
 		g.epoch = state.GetEpoch()
 		g.targetVersion, g.targetMaps = 0, nil
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -111,7 +111,7 @@
 	// A request that must not repeat goes over a new connection. A kept one may have gone
 	// silent, or be closed just now: whether the request was read could not be told, and it
 	// is lost though it never ran. The same for one that hung before: it has no attempts to lose.
-	fresh := a.t.route.Kind == routing.Once || a.t.history.hung
+	fresh := a.t.route.Kind == routing.AtMostOnce || a.t.history.hung
 	conn, err := a.g.pool.Get(ctx, a.server.ID, a.server.Address, limit, fresh)
 	if err != nil {
 		if errors.Is(err, upstream.ErrConnectionLimit) {
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -25,7 +25,7 @@
 		if service == nil || service.Engine == nil || service.Engine.Experts == 0 {
 			continue
 		}
-		engines = append(engines, experts.Engine{ID: e.ID, Address: e.Address, Config: service.Engine, MaxPause: c.table.Pause(e.Service)})
+		engines = append(engines, experts.Engine{ID: e.ID, Address: e.Address, Config: service.Engine, MaxPause: c.table.MaxPause(e.Service)})
 	}
 	return engines
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -103,7 +103,7 @@
 	if err := t.findTeam(v.table); err != nil {
 		return err
 	}
-	t.service = t.route.Choose(rand.Float64())
+	t.service = t.route.PickService(rand.Float64())
 	if t.route.Timeout > 0 && (t.until == 0 || t.arrived+t.route.Timeout < t.until) {
 		t.until = t.arrived + t.route.Timeout
 	}
--- a/internal/gateway/lateness.go
+++ b/internal/gateway/lateness.go
@@ -34,7 +34,7 @@
 		switch {
 		case t.out.firstAt-t.arrived > orElse(t.route.Objective, usualFirst):
 			return lateFirst
-		case t.out.gap > orElse(t.route.Pause, usualPause):
+		case t.out.gap > orElse(t.route.MaxPause, usualPause):
 			return latePause
 		}
 		return onTime
--- a/internal/gateway/lateness_test.go
+++ b/internal/gateway/lateness_test.go
@@ -12,9 +12,9 @@
 // later one, by the aims of the route.
 func TestLateness(t *testing.T) {
 	const ms = time.Millisecond
-	stream := &routing.Route{Kind: routing.Stream, Objective: 400 * ms, Pause: 120 * ms}
+	stream := &routing.Route{Kind: routing.Stream, Objective: 400 * ms, MaxPause: 120 * ms}
 	bare := &routing.Route{Kind: routing.Stream}
-	once := &routing.Route{Kind: routing.Once, Objective: 300 * ms}
+	once := &routing.Route{Kind: routing.AtMostOnce, Objective: 300 * ms}
 	for _, c := range []struct {
 		name       string
 		route      *routing.Route
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -66,7 +66,7 @@
 
 // wait is what the request has of its answer. The caller holds the lock.
 func (w *guard) wait() silence.Progress {
-	return silence.Progress{HasBegun: w.begun, Objective: w.t.route.Objective, MaxPause: w.t.route.Pause, Since: w.since}
+	return silence.Progress{HasBegun: w.begun, Objective: w.t.route.Objective, MaxPause: w.t.route.MaxPause, Since: w.since}
 }
 
 // heard says that some of the answer has come.
@@ -137,7 +137,7 @@
 // mayMove says whether a request that is at a backend server now may be given to another one
 // instead, though it may have run or may still run there.
 func mayMove(r *routing.Route, h history) bool {
-	return r.Repeatable() && h.sent+1 < r.Attempts
+	return r.Repeatable() && h.sent+1 < r.MaxAttempts
 }
 
 // askAlive asks the VM of an engine until it answers.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -17,8 +17,8 @@
 
 // The kinds.
 const (
-	// Once is for work that must not repeat: it runs at most once.
-	Once Kind = iota
+	// AtMostOnce is for work that must not repeat: it runs at most once.
+	AtMostOnce Kind = iota
 	// Idempotent work may run again.
 	Idempotent
 	// Stream is generated output, a series of events. It runs once, unless the route is
@@ -56,13 +56,13 @@
 	Timeout time.Duration
 	// Objective is the latency up to which an answer is on time.
 	Objective time.Duration
-	// Pause is the longest time between two events of a stream that is on time.
-	Pause time.Duration
+	// MaxPause is the longest time between two events of a stream that is on time.
+	MaxPause time.Duration
 	// Priority is the rank of the requests, 0 first.
 	Priority int
-	// Attempts is the number of backend servers that one request may be sent to.
-	Attempts int
-	Targets  []Target
+	// MaxAttempts is the number of backend servers that one request may be sent to.
+	MaxAttempts int
+	Targets     []Target
 	// Anonymous routes need no key.
 	Anonymous bool
 }
@@ -72,17 +72,17 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Choose returns the service for a request by the weights of the targets; at is a random
+// PickService returns the service for a request by the weights of the targets; at is a random
 // number in [0, 1). Empty when the route has no target.
-func (r *Route) Choose(at float64) string {
+func (r *Route) PickService(random float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
 		sum += t.Weight
 	}
-	left := at * sum
+	remaining := random * sum
 	for _, t := range r.Targets {
-		left -= t.Weight
-		if left < 0 {
+		remaining -= t.Weight
+		if remaining < 0 {
 			return t.Service
 		}
 	}
@@ -99,21 +99,21 @@
 	Concurrency int
 	// KVTokens is the number of tokens that the memory of one engine holds.
 	KVTokens int
-	// Step is the time of a token step of an idle engine, PerRequest what each request
+	// StepTime is the time of a token step of an idle engine, StepTimePerRequest what each request
 	// that is writing adds to it.
-	Step, PerRequest time.Duration
-	// ReadPerSecond is the number of prompt tokens read a second.
-	ReadPerSecond float64
-	// Stride is the number of token steps in one pass of all ranks.
-	Stride int
-	// LayerSets, Experts, Slots and Spare describe the expert maps: sets of layers, experts
+	StepTime, StepTimePerRequest time.Duration
+	// PromptTokensPerSecond is the number of prompt tokens read a second.
+	PromptTokensPerSecond float64
+	// StepsPerPass is the number of token steps in one pass of all ranks.
+	StepsPerPass int
+	// LayerSets, Experts, SlotsPerRank and MaxNewExperts describe the expert maps: sets of layers, experts
 	// in each, the most that one rank holds of them, and the most new ones in one change.
 	// Zero where the engines have no experts.
-	LayerSets, Experts, Slots, Spare int
+	LayerSets, Experts, SlotsPerRank, MaxNewExperts int
 	// ExpertMB is the size of one expert, MB, LinkMbps the rate at which one is loaded.
 	ExpertMB, LinkMbps float64
-	// Form is how long a group needs to open again after a rank came back.
-	Form time.Duration
+	// FormTime is how long a group needs to open again after a rank came back.
+	FormTime time.Duration
 }
 
 // Service is a group of backend servers that do the same work.
@@ -123,9 +123,9 @@
 	// MaxConnections is the number of connections that one backend server takes from all
 	// entries together; zero for no bound.
 	MaxConnections int
-	// ColdFor is how long a backend server stays cold after its start, ColdRate the
+	// ColdTime is how long a backend server stays cold after its start, ColdRate the
 	// requests a second that it bears meanwhile; zero where it bears all.
-	ColdFor  time.Duration
+	ColdTime time.Duration
 	ColdRate float64
 	Engine   *Engine
 }
@@ -157,33 +157,33 @@
 
 // Table finds routes, services and teams of one configuration.
 type Table struct {
-	Version  int64
-	Limits   Limits
-	hosts    map[string][]*Route
-	services map[string]*Service
-	keys     map[string]*Team
-	pauses   map[string]time.Duration
-	teams    int
+	Version   int64
+	Limits    Limits
+	hosts     map[string][]*Route
+	services  map[string]*Service
+	keys      map[string]*Team
+	maxPauses map[string]time.Duration
+	teamCount int
 }
 
 // NewTable indexes a configuration. The configuration must not change afterwards.
 func NewTable(cfg *Config) *Table {
 	t := &Table{
-		Version:  cfg.Version,
-		Limits:   cfg.Limits,
-		hosts:    make(map[string][]*Route),
-		services: make(map[string]*Service, len(cfg.Services)),
-		keys:     make(map[string]*Team),
-		pauses:   make(map[string]time.Duration),
-		teams:    len(cfg.Teams),
+		Version:   cfg.Version,
+		Limits:    cfg.Limits,
+		hosts:     make(map[string][]*Route),
+		services:  make(map[string]*Service, len(cfg.Services)),
+		keys:      make(map[string]*Team),
+		maxPauses: make(map[string]time.Duration),
+		teamCount: len(cfg.Teams),
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 		for _, target := range r.Targets {
-			if known := t.pauses[target.Service]; r.Pause > 0 && (known == 0 || r.Pause < known) {
-				t.pauses[target.Service] = r.Pause
+			if known := t.maxPauses[target.Service]; r.MaxPause > 0 && (known == 0 || r.MaxPause < known) {
+				t.maxPauses[target.Service] = r.MaxPause
 			}
 		}
 	}
@@ -218,9 +218,9 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pause returns the shortest pause that callers of a service's streams accept between two
+// MaxPause returns the shortest pause that callers of a service's streams accept between two
 // events; zero when no route says.
-func (t *Table) Pause(service string) time.Duration { return t.pauses[service] }
+func (t *Table) MaxPause(service string) time.Duration { return t.maxPauses[service] }
 
 // Services returns all services.
 func (t *Table) Services() map[string]*Service { return t.services }
@@ -230,7 +230,7 @@
 
 // TeamNames returns the names of all teams, in no order.
 func (t *Table) TeamNames() []string {
-	seen := make(map[string]bool, t.teams)
+	seen := make(map[string]bool, t.teamCount)
 	var names []string
 	for _, team := range t.keys {
 		if !seen[team.Name] {
@@ -242,4 +242,4 @@
 }
 
 // HasTeams says that requests need a key.
-func (t *Table) HasTeams() bool { return t.teams > 0 }
+func (t *Table) HasTeams() bool { return t.teamCount > 0 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func table() *Table {
+func newTestTable() *Table {
 	return NewTable(&Config{
 		Version: 3,
 		Routes: []Route{
@@ -24,7 +24,7 @@
 		{"c.example", "/x/", ""},
 	} {
 		got := ""
-		if r := table().Match(c.host, c.path); r != nil {
+		if r := newTestTable().Match(c.host, c.path); r != nil {
 			got = r.Name
 		}
 		if got != c.want {
@@ -34,10 +34,10 @@
 }
 
 func TestTeamOfKey(t *testing.T) {
-	if team := table().Team("k2"); team == nil || team.Name != "north" {
+	if team := newTestTable().Team("k2"); team == nil || team.Name != "north" {
 		t.Errorf("k2 belongs to %v", team)
 	}
-	if team := table().Team("k3"); team != nil {
+	if team := newTestTable().Team("k3"); team != nil {
 		t.Errorf("an unknown key belongs to %v", team)
 	}
 }
@@ -45,14 +45,14 @@
 func TestChooseFollowsTheWeights(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"b", 0}, {"c", 10}}}
 	for _, c := range []struct {
-		at   float64
-		want string
+		random float64
+		want   string
 	}{{0, "a"}, {0.89, "a"}, {0.91, "c"}, {0.999999, "c"}} {
-		if got := r.Choose(c.at); got != c.want {
-			t.Errorf("at %v: %s, want %s", c.at, got, c.want)
+		if got := r.PickService(c.random); got != c.want {
+			t.Errorf("at %v: %s, want %s", c.random, got, c.want)
 		}
 	}
-	if got := (&Route{}).Choose(0.5); got != "" {
+	if got := (&Route{}).PickService(0.5); got != "" {
 		t.Errorf("a route without targets chose %q", got)
 	}
 }
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEvent bounds one event, bytes: far more than the text of one step of a model.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event, bytes: far more than the text of one step of a model.
+const maxEventBytes = 1 << 20
 
 // ErrTooLong says that an event does not end within maxEvent bytes.
 var ErrTooLong = errors.New("an event is too long")
@@ -40,7 +40,7 @@
 	event := Event{}
 	for {
 		start := len(r.buf)
-		if err := r.line(); err != nil {
+		if err := r.readLine(); err != nil {
 			if err == io.EOF && len(r.buf) > 0 {
 				return Event{}, io.ErrUnexpectedEOF
 			}
@@ -57,12 +57,12 @@
 	}
 }
 
-// line appends one line with its end to the buffer.
-func (r *Reader) line() error {
+// readLine appends one readLine with its end to the buffer.
+func (r *Reader) readLine() error {
 	for {
-		part, err := r.r.ReadSlice('\n')
-		r.buf = append(r.buf, part...)
-		if len(r.buf) > maxEvent {
+		chunk, err := r.r.ReadSlice('\n')
+		r.buf = append(r.buf, chunk...)
+		if len(r.buf) > maxEventBytes {
 			return ErrTooLong
 		}
 		if err == bufio.ErrBufferFull {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -36,16 +36,16 @@
 	f.Add("id: 1\ndata: a\n\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		r := NewReader(strings.NewReader(in))
-		read := 0
+		consumed := 0
 		for {
 			event, err := r.Next()
 			if err != nil {
 				break
 			}
-			if string(event.Raw) != in[read:read+len(event.Raw)] {
-				t.Fatalf("event %q is not what stands at %d", event.Raw, read)
+			if string(event.Raw) != in[consumed:consumed+len(event.Raw)] {
+				t.Fatalf("event %q is not what stands at %d", event.Raw, consumed)
 			}
-			read += len(event.Raw)
+			consumed += len(event.Raw)
 		}
 	})
 }
