--- a/internal/experts/asking.go
+++ b/internal/experts/asking.go
@@ -16,7 +16,8 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// callAll asks all engines at once.
+// callAll sends requests to all engines concurrently and waits for the responses. Engines for which
+// request returns nil are skipped.
 func (c *Coordinator) callAll(ctx context.Context, engines []Engine, request func(Engine) *api.RankRequest) []response {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -51,17 +52,17 @@
 	return responses
 }
 
-// response is what came back for one engine; the reply is nil when nothing did.
+// response is the response of one engine or its rank agent. The reply is nil if there was none.
 type response struct {
 	reply *api.RankReply
-	// direct says that the engine itself was asked, from afar.
+	// direct reports whether the engine was called from this VM, not by its rank agent.
 	direct bool
-	// err says why the engine, or the process beside it, did not answer.
+	// err is why the engine or its rank agent did not answer.
 	err error
 }
 
-// logAvailability logs that an engine has gone silent, or answers again. The caller is the
-// coordinator's own goroutine.
+// logAvailability logs when an engine stops answering and when it answers again. Only the
+// coordinator's goroutine may call it.
 func (c *Coordinator) logAvailability(e Engine, resp response, now time.Duration) {
 	agent := c.agents[e.ID]
 	if agent == nil || resp.reply == nil && resp.err == nil || errors.Is(resp.err, context.Canceled) {
@@ -79,11 +80,10 @@
 	}
 }
 
-// shouldBypassAgent says that an engine is to be asked without the process beside it.
-//
-// Load: a VM that stands still, or a process that starts again, while its engine runs on.
-// Harm prevented: the whole group cannot be switched, or worse, stands held until that one
-// process is back. Now and then the process is tried all the same.
+// shouldBypassAgent reports whether to call an engine without its rank agent, which has not
+// answered for a while: its VM is unresponsive, or the agent restarts, while the engine continues
+// to run. Without this, the whole group could not switch maps, or would stay held, until that one
+// agent is back. The agent is still probed at intervals.
 func (c *Coordinator) shouldBypassAgent(e Engine) bool {
 	agent := c.agents[e.ID]
 	if agent == nil {
@@ -98,20 +98,20 @@
 	return true
 }
 
-// agentState is the process agentState an engine.
+// agentState is what is known of an engine's rank agent.
 type agentState struct {
-	// lastAnswered is when it last lastAnswered, lastTried when it was last asked.
+	// lastAnswered is when the agent last answered, lastTried when it was last called.
 	lastAnswered, lastTried time.Duration
-	// silentSince is since when the engine does not answer, itself or through this process; zero
-	// while it does.
+	// silentSince is when the engine stopped answering, directly or through the agent; zero while
+	// it answers.
 	silentSince time.Duration
 }
 
-// call asks the process beside an engine, or the engine itself: with direct, or when that process
-// refuses the connection and so has taken no order.
+// call sends a request to an engine's rank agent, or to the engine itself if direct is set or the
+// agent refuses the connection and so cannot have received the order.
 //
-// Load: the processes beside engines are replaced one after the other. Harm prevented: whichever
-// refuses at the moment keeps the whole group held until it is back, and the next one after it.
+// Without the second case, a rolling replacement of rank agents would keep the whole group held
+// until the agent that is down is back, and then the next one.
 func (c *Coordinator) call(ctx context.Context, e Engine, req *api.RankRequest, direct bool) response {
 	if !direct {
 		resp := c.callThroughAgent(ctx, e, req)
@@ -122,14 +122,15 @@
 	return c.callEngine(ctx, e, req)
 }
 
-// callEngine asks an engine itself. Counts and lists are not read from afar: they are dear, and
-// reading them stops the group.
+// callEngine sends the order of a request to the engine itself and reads its state. It reads no
+// counts or expert lists: from another VM they are expensive and stop the group.
 func (c *Coordinator) callEngine(ctx context.Context, e Engine, req *api.RankRequest) response {
 	reply := ranks.Execute(ctx, platform.NewEngine(e.Address, c.client), &api.RankRequest{Order: req.GetOrder()})
 	return response{reply: reply, direct: true, err: replyError(reply)}
 }
 
-// callThroughAgent asks the process beside an engine.
+// callThroughAgent sends a request to the rank agent, except for orders to hold or to release a
+// hold, which go to the engine itself.
 func (c *Coordinator) callThroughAgent(ctx context.Context, e Engine, req *api.RankRequest) response {
 	if isHoldOrRelease(req.GetOrder()) {
 		return c.sendHoldOrRelease(ctx, e, req.GetOrder())
@@ -138,13 +139,13 @@
 	return response{reply: reply, err: err}
 }
 
-// isConnectionRefused says that nothing was sent, since nobody listens: the VM lives, and the process on it
-// is starting again.
+// isConnectionRefused reports whether nothing was sent because nothing listens at the address: the
+// VM is up and its rank agent is restarting.
 func isConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// callAgent asks the process beside an engine.
+// callAgent sends a request to an engine's rank agent.
 func (c *Coordinator) callAgent(ctx context.Context, e Engine, req *api.RankRequest) (*api.RankReply, error) {
 	address, err := ranks.AgentAddress(e.Address, c.peerPort)
 	if err != nil {
@@ -157,17 +158,17 @@
 	return reply, replyError(reply)
 }
 
-// isHoldOrRelease says whether an order keeps the group from beginning a pass, or ends that.
+// isHoldOrRelease reports whether an order holds the group before a pass or releases such a hold.
 func isHoldOrRelease(o *api.RankOrder) bool {
 	return o.GetKind() == api.RankOrder_HOLD || o.GetKind() == api.RankOrder_GO
 }
 
-// sendHoldOrRelease gives such an order to the engine itself, and reads its state from the process
-// beside it.
+// sendHoldOrRelease sends such an order to the engine itself and reads its state from the rank
+// agent.
 //
-// Load: a VM that stands still at any moment. Harm prevented: the one that has just passed an
-// order to hold on stands still with its engine, out of everyone's reach, and the whole group
-// with it until it wakes. A coordinator that stands still instead is followed by another.
+// Any VM may become unresponsive at any moment. If the rank agent forwarded the hold and its VM
+// then froze together with the engine, nobody could release the hold, and the whole group would
+// wait until that VM wakes. If the coordinator's VM freezes instead, another entry takes over.
 func (c *Coordinator) sendHoldOrRelease(ctx context.Context, e Engine, o *api.RankOrder) response {
 	orderResult, orderErr := ranks.SendOrder(ctx, platform.NewEngine(e.Address, c.client), o)
 	resp := response{}
@@ -182,7 +183,7 @@
 	return resp
 }
 
-// replyError returns the failure that a reply tells of, if any.
+// replyError returns the error that a reply reports, or nil.
 func replyError(reply *api.RankReply) error {
 	if text := reply.GetError(); text != "" {
 		return errors.New(text)
--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -1,10 +1,10 @@
-// Package experts coordinates the expert maps of lock-step groups of engines: it follows
-// which experts requests choose, plans maps that keep the ranks evenly busy, and takes all
-// ranks of a group from one map to the next.
+// Package experts coordinates the expert maps of lock-step groups of engines: it tracks which
+// experts requests choose, plans maps that balance the load of the ranks, and switches all ranks of
+// a group from one map to the next.
 //
-// One entry coordinates at a time. It holds a fencing number from the platform's store;
-// engines that check it refuse an earlier coordinator. All that a coordinator must know to
-// go on from another one it reads from the engines.
+// One entry coordinates at a time. It holds a fence from the platform's store; engines that compare
+// fences refuse an earlier coordinator. A new coordinator reads all that it needs to continue from
+// the engines.
 package experts
 
 import (
@@ -27,67 +27,69 @@
 )
 
 const (
-	// pollInterval is the time between two looks at the engines: often enough to follow a
-	// popularity that changes within seconds.
+	// pollInterval is the time between polls of the engines, short enough to follow a popularity of
+	// experts that changes within seconds.
 	pollInterval = 200 * time.Millisecond
-	// busyPollInterval is the same while a group is being switched, and may have to wait for it.
+	// busyPollInterval is the time between polls while a group is switching maps: it may be held
+	// and wait for the next order.
 	busyPollInterval = 30 * time.Millisecond
-	// callTimeout bounds one question to all engines together.
+	// callTimeout limits one round of calls to all engines.
 	callTimeout = 500 * time.Millisecond
-	// fenceTimeout bounds asking the store for a fencing number.
+	// fenceTimeout limits a request to the store for a fence.
 	fenceTimeout = time.Second
-	// fenceRetryInterval is the time between two requests for a number while the store gives none. An
-	// outage costs a few calls more, and a group without coordinator waits for its slowest
-	// rank in every pass for no longer than the outage.
+	// fenceRetryInterval is the time between requests for a fence while the store assigns none.
+	// Without a coordinator, a group waits for its slowest rank in every pass, so this must end
+	// soon after the store's outage. The price is a few more calls during the outage.
 	fenceRetryInterval = 400 * time.Millisecond
-	// standbyPollInterval is the time between two looks whether this entry coordinates, while it does not.
+	// standbyPollInterval is how often an entry that does not coordinate checks whether it must.
 	standbyPollInterval = 50 * time.Millisecond
-	// takeoverDelay is how long an entry must be the one to coordinate before it begins: those
-	// that start or return at the same time do not take turns. Within it entries that live
-	// hear of each other; the first one that has a number keeps the duty.
+	// takeoverDelay is how long an entry must remain selected before it begins to coordinate.
+	// Entries that start or return together would otherwise take over from each other in turn.
+	// Within this time live entries hear of each other, and the first one with a fence stays the
+	// coordinator.
 	takeoverDelay = 100 * time.Millisecond
-	// formingTime is for how long after it was seen closed a group is looked at as often as one
-	// that is being switched: ranks form a group within a second, and when it opens all that
-	// has waited begins with a map that fits nothing.
+	// formingTime is how long a closed group is polled as often as one that switches maps. Ranks
+	// form a group within a second, and when it opens, all queued requests begin on a map that does
+	// not fit their experts.
 	formingTime = 3 * time.Second
-	// fencedBackoff is how long it does nothing after engines refused its number: another one
-	// coordinates.
+	// fencedBackoff is how long an entry does nothing after engines refused its fence, since
+	// another one coordinates.
 	fencedBackoff = 3 * time.Second
-	// agentSilentAfter is how long the process beside an engine must be silent before the engine is
-	// asked directly: that is dear, and tells less.
+	// agentSilentAfter is how long a rank agent must not answer before its engine is called
+	// directly, which is expensive and returns less.
 	agentSilentAfter = 600 * time.Millisecond
-	// agentProbeInterval is how often the process is tried meanwhile.
+	// agentProbeInterval is the time between probes of a rank agent that does not answer.
 	agentProbeInterval = time.Second
 
-	// topicDuties holds one key for each duty that one entry has at a time; the offset of
-	// its newest record is the number of the one that has it.
+	// topicDuties holds one key for each duty that only one entry has at a time. The offset of the
+	// key's newest record gives the fence of the entry that has the duty.
 	topicDuties = "keyed.duties"
 	keyExperts  = "experts"
 )
 
-// Engine is one engine that may be a rank.
+// Engine is an engine that may be a rank of a group.
 type Engine struct {
 	ID string
-	// Address is where it takes requests.
+	// Address is the engine's host and port.
 	Address string
 	Config  *routing.Engine
-	// MaxPause is the longest pause between two events that callers of its service accept;
-	// zero for unknown.
+	// MaxPause is the longest pause between two events of a stream that callers of the engine's
+	// service accept; zero if unknown.
 	MaxPause time.Duration
 }
 
-// ClusterView is what a coordinator goes by.
+// ClusterView is this entry's view of the other entries and of the engines.
 type ClusterView interface {
-	// IsCoordinator says whether this entry is the one to coordinate.
+	// IsCoordinator reports whether this entry is selected to coordinate.
 	IsCoordinator() bool
-	// IsLeaving says that this entry is stopping and that no other one coordinates yet: it
-	// goes on coordinating until then.
+	// IsLeaving reports whether this entry is shutting down and no other one coordinates yet. It
+	// continues to coordinate until one does.
 	IsLeaving() bool
 	// Engines returns the engines that have experts.
 	Engines() []Engine
 }
 
-// Coordinator is this entry's part in coordinating.
+// Coordinator coordinates the expert maps while this entry is selected to.
 type Coordinator struct {
 	vm       string
 	peerPort int
@@ -96,8 +98,8 @@
 	client   *http.Client
 	logger   log.Logger
 
-	// fence is this coordinator's number, zero for none; since is when it became the one to
-	// coordinate, restUntil when it may ask for a number again.
+	// fence is this coordinator's fence, zero if it has none. selectedAt is when this entry was
+	// selected, backoffUntil the earliest time of its next request for a fence.
 	fence        atomic.Int64
 	selectedAt   time.Duration
 	selected     bool
@@ -105,13 +107,13 @@
 	versionCount int64
 	groups       map[string]*group
 	agents       map[string]*agentState // by engine
-	// impairments are the engines that are slow or closed, for others to read.
+	// impairments holds the engines that are slow or closed. Other goroutines read it.
 	impairments atomic.Pointer[map[string]Impairment]
-	// fenced says that an engine refused the number.
+	// fenced reports whether an engine has refused the fence.
 	fenced bool
 }
 
-// New returns a coordinator that has done nothing yet.
+// New returns a coordinator. It does nothing before Run.
 func New(vm string, peerPort int, cluster ClusterView, store *platform.Store, logger log.Logger) *Coordinator {
 	return &Coordinator{
 		vm: vm, peerPort: peerPort, cluster: cluster, store: store, logger: logger,
@@ -125,7 +127,7 @@
 	}
 }
 
-// Run coordinates whenever this entry is the one to, until ctx ends.
+// Run coordinates whenever this entry is selected to, until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	for {
 		interval := standbyPollInterval
@@ -143,23 +145,24 @@
 	}
 }
 
-// Fence is the number with which this entry coordinates, zero when it does not. It may be
-// called by any goroutine.
+// Fence returns the fence with which this entry coordinates, or zero if it does not. It is safe for
+// concurrent use.
 func (c *Coordinator) Fence() int64 { return c.fence.Load() }
 
-// minSlowdown is the pace from which on an engine counts as slow: well above what healthy ones
-// differ by.
+// minSlowdown is the slowdown from which on an engine counts as slow. It is well above the
+// differences between healthy engines.
 const minSlowdown = 1.3
 
-// Impairment is what keeps an engine from its usual work.
+// Impairment describes an engine that is slow or takes no work.
 type Impairment struct {
-	// Slowdown is how many times slower than usual it is.
+	// Slowdown is the ratio of the engine's time for its work to its usual time.
 	Slowdown float64
-	// Closed says that it takes no work, since its group is broken.
+	// Closed reports whether the engine takes no work because its group is broken.
 	Closed bool
 }
 
-// Impairments returns the engines that are slow or closed. It may be called by any goroutine.
+// Impairments returns the engines that are slow or closed, by ID. It is safe for concurrent use,
+// and the map must not be changed.
 func (c *Coordinator) Impairments() map[string]Impairment {
 	if impairments := c.impairments.Load(); impairments != nil {
 		return *impairments
@@ -167,10 +170,11 @@
 	return nil
 }
 
-// ensureFence says whether this entry coordinates and has a number for it.
+// ensureFence reports whether this entry coordinates and has a fence. If it is selected and has
+// none, it requests one from the store.
 //
-// An entry that leaves goes on until engines refuse its number: the one that follows it needs
-// a moment for a number of its own, and popularity does not wait.
+// An entry that shuts down continues until engines refuse its fence: its successor needs a moment
+// to get a fence of its own, and the popularity of experts changes meanwhile.
 func (c *Coordinator) ensureFence(ctx context.Context) bool {
 	now := clock.Now()
 	replaced := c.fenced && c.cluster.IsLeaving()
@@ -187,7 +191,7 @@
 		c.selectedAt = now
 	}
 	if c.fenced {
-		_ = level.Warn(c.logger).Log("msg", "Engines follow another coordinator.", "fence", c.fence.Load(),
+		_ = level.Warn(c.logger).Log("msg", "Engines refused the fence of this entry: another entry coordinates.", "fence", c.fence.Load(),
 			"result", result.Label(api.ResultCode_CONFLICT))
 		c.resign()
 		c.backoffUntil = now + fencedBackoff
@@ -202,7 +206,7 @@
 	defer cancel()
 	offset, err := c.store.Put(callCtx, topicDuties, keyExperts, []byte(c.vm))
 	if err != nil {
-		_ = level.Warn(c.logger).Log("msg", "The store gave no fencing number.", "err", err,
+		_ = level.Warn(c.logger).Log("msg", "The store assigned no fence. The request is retried.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
 		c.backoffUntil = now + fenceRetryInterval
 		return false
@@ -212,7 +216,7 @@
 	return true
 }
 
-// resign forgets what belongs to the number.
+// resign drops the fence and all state that belongs to it.
 func (c *Coordinator) resign() {
 	c.fence.Store(0)
 	c.impairments.Store(nil)
@@ -220,21 +224,21 @@
 	c.groups = make(map[string]*group)
 }
 
-// versionsPerFence is the number of versions that one coordinator can make.
+// versionsPerFence is the number of map versions that one coordinator can create.
 const versionsPerFence = 1 << 20
 
-// newVersion makes a newVersion that no coordinator has used: two maps under one newVersion would
-// look alike to the ranks.
+// newVersion returns a version that no coordinator has used. Ranks could not distinguish two maps
+// with the same version.
 func (c *Coordinator) newVersion() int64 {
 	c.versionCount++
 	return c.fence.Load()*versionsPerFence + c.versionCount
 }
 
-// reservedVersion is a version that no coordinator makes.
+// reservedVersion returns a version with this coordinator's fence that newVersion never returns.
 func (c *Coordinator) reservedVersion() int64 { return c.fence.Load() * versionsPerFence }
 
-// isSuperseded says that ranks have a version of a coordinator with a higher number. A
-// coordinator that only found its own versions too low would make new ones for good.
+// isSuperseded reports whether ranks have a version from a coordinator with a higher fence. Without
+// this check, a coordinator would only find its own versions outdated and create new ones forever.
 func (c *Coordinator) isSuperseded(status []mapswitch.Status) bool {
 	for _, s := range status {
 		newest := max(s.Map, s.Prepared)
@@ -248,8 +252,8 @@
 	return false
 }
 
-// poll reads all engines and does for each group what is next. It returns whether the next poll
-// must not wait.
+// poll reads the state of all engines and takes the next step of each group. It reports whether the
+// next poll is due after busyPollInterval.
 func (c *Coordinator) poll(ctx context.Context) bool {
 	engines := c.cluster.Engines()
 	responses := c.callAll(ctx, engines, func(e Engine) *api.RankRequest {
@@ -281,8 +285,8 @@
 	return busy
 }
 
-// needsExperts says whether the experts that an engine holds must be read: once for each map
-// that it uses.
+// needsExperts reports whether the experts that an engine holds must be read, which happens once
+// for each map that it uses.
 func (c *Coordinator) needsExperts(e Engine) bool {
 	for _, g := range c.groups {
 		if g.knowsExperts(e.ID) {
@@ -292,16 +296,16 @@
 	return true
 }
 
-// member is one rank of a group with its last reply.
+// member is a rank of a group and its latest reply.
 type member struct {
 	engine Engine
 	reply  *api.RankReply
-	// stale says that the state in the reply is of some moments ago.
+	// stale reports whether the state in the reply may be some hundred milliseconds old.
 	stale bool
 }
 
-// statuses returns what the ranks report, in their order; nil unless all of them do and the
-// group is open.
+// statuses returns the reports of all ranks in rank order, or nil if one is missing or the group is
+// not open.
 func statuses(members []*member) []mapswitch.Status {
 	size := int(members[0].reply.GetState().GetSize())
 	if len(members) != size {
--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -28,17 +28,18 @@
 	expertCount = 16
 )
 
-// engineConfig is that of the group: 16 experts on 4 ranks with 6 slots.
+// engineConfig configures the group: 16 experts on 4 ranks with 6 slots each.
 var engineConfig = &routing.Engine{LayerSets: 1, Experts: expertCount, SlotsPerRank: 6, MaxNewExperts: 2, StepsPerPass: 4, ExpertMB: 1, LinkMbps: 1e6}
 
-// testGroup is a lock-step group with a process beside each engine, which can be silent.
+// testGroup is a lock-step group with a rank agent for each engine, which can be made silent.
 type testGroup struct {
 	*fakeplatform.Group
 	engines []Engine
 	silent  [groupSize]atomic.Bool
-	// agentHoldOrders counts the orders that stop the group, or let it go, of processes beside engines.
+	// agentHoldOrders counts the orders to hold the group, or to release a hold, that rank agents
+	// received.
 	agentHoldOrders atomic.Int64
-	// agents are the processes agents engines.
+	// agents holds the rank agents by rank.
 	agents [groupSize]*http.Server
 }
 
@@ -58,7 +59,7 @@
 	return g
 }
 
-// startAgent starts the process beside an engine.
+// startAgent starts the rank agent of an engine.
 func (g *testGroup) startAgent(t *testing.T, rank int, engine string) {
 	address, err := ranks.AgentAddress(engine, fakeplatform.PortPeers)
 	if err != nil {
@@ -89,7 +90,7 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// fakeCluster is what a coordinator goes by.
+// fakeCluster is the view of an entry that is selected to coordinate.
 type fakeCluster struct {
 	engines     []Engine
 	coordinates atomic.Bool
@@ -99,10 +100,10 @@
 func (b *fakeCluster) IsLeaving() bool     { return false }
 func (b *fakeCluster) Engines() []Engine   { return b.engines }
 
-// newStore gives numbers, each higher than the last.
+// newStore returns a store that assigns rising fences.
 func newStore(t *testing.T) *platform.Store { return newRefusingStore(t, 0) }
 
-// newRefusingStore turns so many calls away before it gives numbers.
+// newRefusingStore returns a store that refuses the given number of calls before it assigns fences.
 func newRefusingStore(t *testing.T, refusals int64) *platform.Store {
 	var offset, calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -143,15 +144,15 @@
 	t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
-// waitForPasses waits for further passes.
+// waitForPasses waits until more than n further passes have begun.
 func (g *testGroup) waitForPasses(t *testing.T, n int64) {
 	t.Helper()
 	start := g.State().Passes
 	waitFor(t, "passes go on", func() bool { return g.State().Passes > start+n })
 }
 
-// Half of all tokens go to one expert, which one rank holds: every pass waits for it. The
-// coordinator has it copied to others, and no pass begins with two maps on the way.
+// Half of all tokens go to one expert, which one rank holds, so every pass waits for that rank. The
+// coordinator has the expert copied to other ranks, and no pass begins with two maps meanwhile.
 func TestAPopularExpertIsCopied(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
@@ -159,8 +160,8 @@
 	waitFor(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
-// The answers of a third of the orders are lost. The switch still ends, and the group does
-// not stay held.
+// The answers to a third of the orders are lost. The switch still completes, and the group does not
+// stay held.
 func TestLostAnswersToOrders(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
@@ -170,20 +171,21 @@
 	g.waitForPasses(t, 20)
 }
 
-// A VM stands still right after it has passed on the order that holds the group: nobody reaches
-// its engine to let the group go until it wakes. No VM beside an engine passes on such orders.
+// A VM becomes unresponsive right after its rank agent has forwarded the order to hold the group.
+// Until it wakes, nobody can reach its engine to release the hold. Rank agents must therefore never
+// receive such orders.
 func TestNoVMBesideAnEngineHoldsTheGroup(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 200)
 	startCoordinator(t, g, newStore(t))
 	waitFor(t, "several versions were in use", func() bool { return g.State().Versions >= 3 })
 	if n := g.agentHoldOrders.Load(); n != 0 {
-		t.Errorf("%d orders to stop the group came from the VMs of its engines", n)
+		t.Errorf("rank agents received %d orders to hold the group or to release a hold, want 0", n)
 	}
 }
 
-// The process beside one engine is gone. Its engine is asked directly, and the group is
-// switched all the same.
+// The rank agent of one engine does not answer. The engine is called directly, and the group still
+// makes passes and switches maps.
 func TestSilentRankAgentIsBypassed(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
@@ -193,8 +195,8 @@
 	g.waitForPasses(t, 400)
 }
 
-// A coordinator dies with the group held. The next one has a higher number, brings the switch
-// to its end and lets the group go; the first one, when it is back, is refused and rests.
+// A coordinator dies while the group is held. The next one has a higher fence, completes the switch
+// and releases the hold. When the first one returns, it is refused and backs off.
 func TestNextCoordinatorFinishesTheSwitch(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 200)
@@ -203,14 +205,15 @@
 	_, first := startCoordinator(t, g, store)
 	waitFor(t, "passes go on", func() bool { return g.State().Step > held+5 })
 	_, second := startCoordinator(t, g, store)
-	waitFor(t, "the second one has a higher number", func() bool { return second.Fence() > first.Fence() })
-	waitFor(t, "the first one rests", func() bool { return first.Fence() == 0 })
+	waitFor(t, "the second coordinator has a higher fence", func() bool { return second.Fence() > first.Fence() })
+	waitFor(t, "the first coordinator gives up its fence", func() bool { return first.Fence() == 0 })
 	g.waitForPasses(t, 20)
 }
 
-// The coordinator is replaced while the store is away, and experts' popularity moves on: every
-// pass waits for one rank. Once the store answers again the next coordinator begins within a
-// moment of its next question, not after the rest of one whom engines have refused.
+// The coordinator is replaced during an outage of the store. Meanwhile the popularity of experts
+// changes, and every pass waits for one rank. Once the store answers, the next coordinator must
+// begin within the short interval between requests for a fence, not after the long backoff of a
+// coordinator that engines refused.
 func TestACoordinatorBeginsSoonAfterAnOutage(t *testing.T) {
 	t.Parallel()
 	const refusals = 12
@@ -219,8 +222,8 @@
 	waitFor(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
-// The processes beside engines are replaced one after the other, so that one refuses connections
-// at any time, while popularity moves on. Maps must follow it within seconds all the same.
+// Rank agents are replaced one after the other, so that at any time one of them refuses
+// connections, while the popularity of experts changes. Maps must still follow within seconds.
 func TestMapsAreChangedWhileProcessesBesideEnginesAreReplaced(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 120)
@@ -250,8 +253,8 @@
 	close(stop)
 	<-stopped
 	const maxWithoutNewMap = 4 * time.Second
-	t.Logf("no new map for %v at most", longest)
+	t.Logf("longest time without a new map: %v", longest)
 	if longest > maxWithoutNewMap {
-		t.Errorf("popularity is not followed within %v", maxWithoutNewMap)
+		t.Errorf("no new map within %v although the popularity of experts changes", maxWithoutNewMap)
 	}
 }
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -16,11 +16,11 @@
 	"github.com/apricothub/apricothub/internal/routing"
 )
 
-// maxOrderRounds bounds the orders that follow each other at one look: a switch takes three maxOrderRounds,
-// and more only after orders that did not arrive.
+// maxOrderRounds limits the rounds of orders in one poll. A switch takes three rounds, and more
+// only if orders were lost.
 const maxOrderRounds = 8
 
-// group is one lock-step group as its coordinator sees it.
+// group is the coordinator's state of a lock-step group.
 type group struct {
 	c       *Coordinator
 	name    string
@@ -28,23 +28,24 @@
 	epoch   int64
 	planner *balance.LayerPlanner
 	shape   balance.Shape
-	// lastCounts are the last lastCounts of each rank, by engine; a rank that starts anew lastCounts
-	// from zero.
+	// lastCounts holds the latest counts of each rank and born its start time, both by engine ID.
+	// The counts of a rank that restarts begin at zero.
 	lastCounts map[string][]int64
 	born       map[string]int64
-	// loaded are the experts that each rank holds, by engine, of the version in use.
+	// loaded holds the experts of each rank in the map in use, by engine ID.
 	loaded map[string]loadedExperts
-	// targetVersion is the version to change to, zero for none, and plan its map.
+	// targetVersion is the version to switch to, zero for none, and targetMaps its map.
 	targetVersion int64
 	targetMaps    []balance.LayerMap
 	// targetSetAt is when the target was set.
 	targetSetAt time.Duration
-	// passTime is the time of a passTime, maxPause the longest one between events that callers accept.
+	// passTime is the moving average of the duration of a pass, maxPause the longest pause between
+	// two events of a stream that callers accept.
 	passTime, maxPause time.Duration
-	// lastStep is the last pass begun that was reported, at lookedAt.
+	// lastStep is the latest pass reported as begun, lastStepAt when it was reported.
 	lastStep   int64
 	lastStepAt time.Duration
-	// closedSince is when the group was first seen not to be open, zero while it is.
+	// closedSince is when the group was first seen closed; zero while it is open.
 	closedSince time.Duration
 }
 
@@ -60,14 +61,14 @@
 	}
 }
 
-// knowsExperts says whether the experts that an engine holds are known.
+// knowsExperts reports whether the experts that an engine holds are known.
 func (g *group) knowsExperts(id string) bool {
 	_, ok := g.loaded[id]
 	return ok
 }
 
-// update takes in the ranks' replies and does what is next. It returns whether the next update must
-// not wait: the group is being switched, is forming, or has just been claimed.
+// update applies the ranks' replies and takes the group's next step. It reports whether the group
+// must be polled again soon: it switches maps, is forming, or has just been claimed.
 func (g *group) update(ctx context.Context, members []*member) bool {
 	now := clock.Now()
 	status := statuses(members)
@@ -90,7 +91,7 @@
 	return g.advanceSwitch(ctx, members, status)
 }
 
-// isForming says that a group which is not open has not been so for long.
+// isForming reports whether a group that is not open has been closed for a short time only.
 func (g *group) isForming(now time.Duration) bool {
 	if g.closedSince == 0 {
 		g.closedSince = now
@@ -98,7 +99,8 @@
 	return now-g.closedSince < formingTime
 }
 
-// ensurePlanner makes the group's plan once its shape is known, and anew in a new epoch.
+// ensurePlanner creates the planner if there is none for the group's shape, and clears what belongs
+// to an earlier epoch. It returns false if no planner fits the shape.
 func (g *group) ensurePlanner(members []*member) bool {
 	state := members[0].reply.GetState()
 	cfg := members[0].engine.Config
@@ -120,7 +122,7 @@
 	return true
 }
 
-// copyTime is the time in which a rank copies one expert.
+// copyTime returns the time that a rank takes to load a copy of one expert.
 func copyTime(cfg *routing.Engine) time.Duration {
 	if cfg.LinkMbps <= 0 {
 		return 0
@@ -129,19 +131,20 @@
 	return time.Duration(cfg.ExpertMB * bitsPerByte / cfg.LinkMbps * float64(time.Second))
 }
 
-// longPassFraction is the part of the pause that callers accept from which on a pass is long:
-// beyond it a few more requests, or a little more skew, make streams late.
+// longPassFraction is the fraction of the accepted pause from which on a pass counts as long.
+// Beyond it, a few more requests or a little more skew make streams late.
 const longPassFraction = 0.6
 
-// isPassLong says that passes are long against the pauses that callers accept.
+// isPassLong reports whether passes are long, compared with the pauses that callers accept.
 func (g *group) isPassLong() bool {
 	return g.maxPause > 0 && float64(g.passTime) > longPassFraction*float64(g.maxPause)
 }
 
-// passTimeWeight is the weight of the newest look in the average time of a pass.
+// passTimeWeight is the weight of the newest sample in the moving average of the pass time.
 const passTimeWeight = 0.5
 
-// updatePassTime follows the time of a pass and returns the number of passes since the last look.
+// updatePassTime updates the moving average of the pass time and returns the number of passes since
+// the last poll.
 func (g *group) updatePassTime(members []*member, now time.Duration) int64 {
 	g.maxPause = members[0].engine.MaxPause
 	step := members[0].reply.GetState().GetStep()
@@ -159,7 +162,8 @@
 	return passes
 }
 
-// observe sums what all ranks' requests chose since the last look.
+// observe passes to the planner how often each expert was chosen since the last poll, summed over
+// all ranks, and the slowdowns of the ranks.
 func (g *group) observe(members []*member, passes int64) {
 	sums := make([][]float64, g.shape.LayerSets)
 	for i := range sums {
@@ -188,7 +192,7 @@
 	g.planner.ObserveSlowdowns(slowdowns)
 }
 
-// currentMaps returns the maps in use, or nil until all ranks have told theirs.
+// currentMaps returns the maps in use, or nil until all ranks have reported theirs.
 func (g *group) currentMaps(members []*member) []balance.LayerMap {
 	maps := make([]balance.LayerMap, g.shape.LayerSets)
 	for i := range maps {
@@ -220,10 +224,10 @@
 	return maps
 }
 
-// minSwitchTime is the least time that a change of maps takes beside its copies.
+// minSwitchTime is the least time that a switch of maps takes in addition to its copies.
 const minSwitchTime = 150 * time.Millisecond
 
-// planChange sets a target when a change of maps is worth it.
+// planChange sets a target if the planner finds a change of maps that is worth its cost.
 func (g *group) planChange(current []balance.LayerMap, now time.Duration) {
 	g.planner.SetSwitchTime(max(minSwitchTime, time.Duration(g.machine.LeadPasses())*g.passTime))
 	change := g.planner.Plan(current, g.isPassLong())
@@ -236,7 +240,8 @@
 		"loads", change.MaxCopies, "fence", g.c.fence.Load())
 }
 
-// advanceSwitch gives the orders that are next, and goes on with what the ranks answer.
+// advanceSwitch sends the next orders and continues with the ranks' responses. It reports whether a
+// switch is in progress.
 func (g *group) advanceSwitch(ctx context.Context, members []*member, status []mapswitch.Status) bool {
 	busy := false
 	for range maxOrderRounds {
@@ -259,7 +264,7 @@
 	return busy
 }
 
-// finishSwitch ends a target that is in use.
+// finishSwitch clears a target that has come into use.
 func (g *group) finishSwitch() {
 	_ = level.Info(g.c.logger).Log("msg", "A new expert map is in use.", "group", g.name, "epoch", g.epoch,
 		"version", g.targetVersion, "took_ms", (clock.Now() - g.targetSetAt).Milliseconds())
@@ -267,8 +272,8 @@
 	clear(g.loaded)
 }
 
-// renewVersion makes the maps in use a target under a new version, which costs no copies: it gets a
-// group going that others left held.
+// renewVersion sets the maps in use as target under a new version, which needs no copies. It
+// releases a group that an earlier coordinator left held.
 func (g *group) renewVersion(members []*member) {
 	current := g.currentMaps(members)
 	if current == nil {
@@ -279,7 +284,7 @@
 		"version", g.targetVersion, "fence", g.c.fence.Load())
 }
 
-// sendOrders gives orders to the ranks, all at once, and takes in their answers.
+// sendOrders sends orders to the ranks concurrently and applies their responses.
 func (g *group) sendOrders(ctx context.Context, members []*member, orders []mapswitch.Order) {
 	byRank := make(map[int]mapswitch.Order, len(orders))
 	for _, o := range orders {
@@ -322,8 +327,8 @@
 	}
 }
 
-// logOrders logs orders to ranks: one line for those of a kind that were taken, which are many
-// and alike, and one for each that was not.
+// logOrders logs one line for all equal orders that ranks accepted, which are many, and one line
+// for each order that was not accepted.
 func (g *group) logOrders(byRank map[int]mapswitch.Order, responses []response) {
 	accepted := make(map[mapswitch.Order]int)
 	for rank, o := range byRank {
@@ -333,24 +338,24 @@
 			accepted[o]++
 			continue
 		}
-		_ = level.Warn(g.c.logger).Log("msg", "A rank did not take an order.", "group", g.name, "rank", rank, "kind", o.Kind,
+		_ = level.Warn(g.c.logger).Log("msg", "A rank did not accept an order.", "group", g.name, "rank", rank, "kind", o.Kind,
 			"version", o.Version, "step", o.Step, "epoch", o.Epoch, "fence", g.c.fence.Load(), "outcome", resp.reply.GetResult(),
 			"direct", resp.direct, "err", resp.err, "result", result.Label(api.ResultCode_CONFLICT))
 	}
 	for o, n := range accepted {
-		_ = level.Info(g.c.logger).Log("msg", "Ranks have taken an order.", "group", g.name, "ranks", n, "kind", o.Kind,
+		_ = level.Info(g.c.logger).Log("msg", "Ranks accepted an order.", "group", g.name, "ranks", n, "kind", o.Kind,
 			"version", o.Version, "step", o.Step, "epoch", o.Epoch, "fence", g.c.fence.Load())
 	}
 }
 
-// applyResponse takes in what came back for an order.
+// applyResponse updates the rank's state with the response to an order.
 func (m *member) applyResponse(o mapswitch.Order, resp response) {
 	if resp.reply.GetState() != nil {
 		m.reply.State = resp.reply.GetState()
 		m.stale = resp.direct
 	}
 	if resp.direct && o.Kind == mapswitch.Arm && resp.reply.GetResult() == api.OrderResult_ORDER_TAKEN {
-		// What the engine says of itself from afar is older than its answer.
+		// The state that an engine reports to another VM is older than its answer to the order.
 		m.reply.State.ArmedVersion, m.reply.State.ArmedStep = o.Version, o.Step
 		m.stale = false
 	}
--- a/internal/logging/sentences_test.go
+++ b/internal/logging/sentences_test.go
@@ -28,7 +28,7 @@
 	"Another entry is heard.":                                             true,
 	"A request was served late.":                                          true,
 	"A request was served after another attempt.":                         true,
-	"Ranks have taken an order.":                                          true,
+	"Ranks accepted an order.":                                            true,
 	"A registration is gone.":                                             true,
 	"An engine answers again.":                                            true,
 	"An answer goes on over another link.":                                true,
