--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -150,11 +150,11 @@
 	step := members[0].reply.GetState().GetStep()
 	passes := step - g.lastStep
 	if g.lastStepAt > 0 && passes > 0 {
-		passTime := (now - g.lastStepAt) / time.Duration(passes)
+		sample := (now - g.lastStepAt) / time.Duration(passes)
 		if g.passTime == 0 {
-			g.passTime = passTime
+			g.passTime = sample
 		}
-		g.passTime += time.Duration(passTimeWeight * float64(passTime-g.passTime))
+		g.passTime += time.Duration(passTimeWeight * float64(sample-g.passTime))
 	}
 	if passes != 0 {
 		g.lastStep, g.lastStepAt = step, now
@@ -202,19 +202,19 @@
 	for rank, m := range members {
 		state := m.reply.GetState()
 		if sets := m.reply.GetExperts(); len(sets) == g.shape.LayerSets && m.reply.GetExpertsVersion() == state.GetMap() {
-			loaded := loadedExperts{epoch: state.GetEpoch(), version: state.GetMap()}
+			rankExperts := loadedExperts{epoch: state.GetEpoch(), version: state.GetMap()}
 			for _, set := range sets {
-				loaded.sets = append(loaded.sets, set.GetExperts())
+				rankExperts.sets = append(rankExperts.sets, set.GetExperts())
 			}
-			g.loaded[m.engine.ID] = loaded
+			g.loaded[m.engine.ID] = rankExperts
 		}
-		loaded, ok := g.loaded[m.engine.ID]
-		if !ok || loaded.version != state.GetMap() || loaded.epoch != state.GetEpoch() {
+		rankExperts, ok := g.loaded[m.engine.ID]
+		if !ok || rankExperts.version != state.GetMap() || rankExperts.epoch != state.GetEpoch() {
 			delete(g.loaded, m.engine.ID)
 			complete = false
 			continue
 		}
-		for set, experts := range loaded.sets {
+		for set, experts := range rankExperts.sets {
 			maps[set][rank] = experts
 		}
 	}
