--- a/internal/ranks/ranks.go
+++ b/internal/ranks/ranks.go
@@ -1,5 +1,5 @@
-// Package ranks talks to the engines of a lock-step group about expert maps: through the
-// process beside each engine, or to the engine itself while that process does not answer.
+// Package ranks sends requests about expert maps to the engines of a lock-step group: through the
+// rank agent on each engine's VM, or to the engine itself while the rank agent does not answer.
 package ranks
 
 import (
@@ -18,16 +18,17 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// RequestPath is where the process beside an engine takes requests.
+// RequestPath is the HTTP path at which rank agents take requests.
 const RequestPath = "/rank"
 
-// AlivePath is where it says that its VM lives, and no more.
+// AlivePath is the HTTP path at which rank agents report only that their VM is up.
 const AlivePath = "/alive"
 
-// maxReplyBytes bounds a reply, bytes.
+// maxReplyBytes limits the size of a reply.
 const maxReplyBytes = 4 << 20
 
-// Execute gives an engine the order of a request, and then reads what the request wants.
+// Execute sends the order of a request to an engine, then reads the state and whatever else the
+// request asks for. The reply carries the first error and whatever could be read.
 func Execute(ctx context.Context, engine *platform.Engine, req *api.RankRequest) *api.RankReply {
 	reply := &api.RankReply{}
 	fail := func(err error) {
@@ -67,10 +68,10 @@
 	return reply
 }
 
-// SendOrder gives an engine an order and reads nothing.
+// SendOrder sends an order to an engine and reads no state.
 //
-// Load: engines that leave orders unanswered. Harm prevented: the time for which the engine's
-// state could still be read is spent on the answer, and nothing at all is known of the rank.
+// It waits for the answer no longer than platform.OrderTime. Engines may leave orders unanswered,
+// and waiting longer would use up the time in which the rank's state can still be read.
 func SendOrder(ctx context.Context, engine *platform.Engine, o *api.RankOrder) (api.OrderResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, platform.OrderTime)
 	defer cancel()
@@ -78,43 +79,43 @@
 	return resultToWire[orderResult], err
 }
 
-// AgentAddress is the address of the process beside an engine: on the engine's VM, at the port that
+// AgentAddress returns the address of an engine's rank agent: on the engine's VM, at the port that
 // all processes of the system listen on.
 func AgentAddress(engineAddress string, port int) (string, error) {
 	host, _, err := net.SplitHostPort(engineAddress)
 	if err != nil {
-		return "", errors.Wrap(err, "rank")
+		return "", errors.Wrap(err, "split engine address")
 	}
 	return net.JoinHostPort(host, strconv.Itoa(port)), nil
 }
 
-// CallAgent asks the process beside an engine, at an address.
+// CallAgent sends a request to the rank agent at an address.
 func CallAgent(ctx context.Context, client *http.Client, address string, req *api.RankRequest) (*api.RankReply, error) {
 	data, err := proto.Marshal(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "rank")
+		return nil, errors.Wrap(err, "encode rank request")
 	}
 	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+RequestPath, bytes.NewReader(data))
 	if err != nil {
-		return nil, errors.Wrap(err, "rank")
+		return nil, errors.Wrap(err, "create rank request")
 	}
-	// An order must not be sent twice by the library.
+	// An order must not be sent twice: without GetBody the HTTP client cannot retry it.
 	httpReq.GetBody = nil
 	resp, err := client.Do(httpReq)
 	if err != nil {
-		return nil, errors.Wrap(err, "rank")
+		return nil, errors.Wrap(err, "call rank agent")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "rank")
+		return nil, errors.Wrap(err, "read rank reply")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("rank: status %d", resp.StatusCode)
+		return nil, errors.Errorf("rank agent returned HTTP status %d", resp.StatusCode)
 	}
 	reply := &api.RankReply{}
 	if err := proto.Unmarshal(answer, reply); err != nil {
-		return nil, errors.Wrap(err, "rank")
+		return nil, errors.Wrap(err, "decode rank reply")
 	}
 	return reply, nil
 }
@@ -144,8 +145,8 @@
 	platform.OrderFenced:  api.OrderResult_ORDER_FENCED,
 }
 
-// OrderToWire makes the message of an order; the map is that of a version to prepare, by
-// set of layers and rank.
+// OrderToWire returns the message of an order. layers is the map of a version to prepare, by layer
+// set and rank; nil for other orders.
 func OrderToWire(o mapswitch.Order, fence int64, layers [][][]int32) *api.RankOrder {
 	w := &api.RankOrder{Kind: kindToWire[o.Kind], Version: o.Version, Step: o.Step, Epoch: o.Epoch, Fence: fence}
 	for _, set := range layers {
@@ -187,7 +188,7 @@
 	return s
 }
 
-// StatusFromWire returns the part of a state that switching maps goes by.
+// StatusFromWire returns the part of a rank's state that matters for switching maps.
 func StatusFromWire(s *api.RankState) mapswitch.Status {
 	status := mapswitch.Status{Epoch: s.GetEpoch(), Step: s.GetStep(), Map: s.GetMap(), Prepared: s.GetPrepared()}
 	if s.GetArmedVersion() != 0 {
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -13,12 +13,12 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// An engine leaves an order unanswered while its group is held. The reply still tells the
-// rank's state, so that the order is given again at once instead of after a further look.
+// An engine leaves an order unanswered while its group is held. The reply must still carry the
+// rank's state, so that the order is sent again at once and not only after another poll.
 func TestAnUnansweredOrderLeavesTimeForTheState(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /apricothub/order", func(_ http.ResponseWriter, r *http.Request) {
-		// The server notices that its caller has gone once the body is read.
+		// The server detects that the client has disconnected only after the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
@@ -32,9 +32,9 @@
 	engine := platform.NewEngine(strings.TrimPrefix(server.URL, "http://"), http.DefaultClient)
 	reply := ranks.Execute(ctx, engine, &api.RankRequest{Order: &api.RankOrder{Kind: api.RankOrder_ARM, Version: 5, Step: 19, Epoch: 3}})
 	if reply.GetResult() != api.OrderResult_ORDER_UNKNOWN || reply.GetError() == "" {
-		t.Errorf("the order counts as answered: %v", reply)
+		t.Errorf("the order is reported as answered: %v", reply)
 	}
 	if s := reply.GetState(); s.GetStep() != 17 || !s.GetHeld() {
-		t.Errorf("the state is %v", s)
+		t.Errorf("the reply has the state %v, want step 17 and a hold", s)
 	}
 }
