--- a/internal/rankagent/metrics.go
+++ b/internal/rankagent/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/apricothub/apricothub/internal/textmetrics"
 )
 
-// counters are the metrics of a rank-agent.
+// counters are the metrics of a rank agent.
 type counters struct {
 	registry                   metrics.Registry
 	requests, failures, orders metrics.Counter
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -1,6 +1,6 @@
-// Package rankagent is the process beside a model engine. It holds nothing: it passes the
-// orders of the entry that coordinates expert maps on to its engine, and answers with the
-// engine's state, which is free and fresh only on the engine's own machine.
+// Package rankagent is the rank agent, a stateless process on the VM of a model engine. It forwards
+// orders of the entry that coordinates expert maps to the engine and returns the engine's state:
+// only on the engine's own VM is the state up to date and cheap to read.
 package rankagent
 
 import (
@@ -29,17 +29,17 @@
 )
 
 const (
-	// maxRequestBytes bounds a request, bytes: a map of thousands of experts.
+	// maxRequestBytes limits a request. It leaves room for a map of thousands of experts.
 	maxRequestBytes = 4 << 20
-	// readTimeout bounds reading a request.
+	// readTimeout limits the time to read a request.
 	readTimeout = 2 * time.Second
-	// idleTimeout is how long a coordinator's connection may be idle.
+	// idleTimeout is how long a connection of a coordinator may be idle.
 	idleTimeout = 30 * time.Second
-	// shutdownTimeout bounds ending what is under way at a stop.
+	// shutdownTimeout limits the time for requests in flight to complete at shutdown.
 	shutdownTimeout = time.Second
 )
 
-// Run serves until ctx ends.
+// Run serves rank requests until ctx ends, then shuts down gracefully.
 func Run(ctx context.Context, s *platform.Settings, logger log.Logger) error {
 	if s.Engine == "" {
 		return errors.New("the settings name no engine on this VM")
@@ -75,11 +75,12 @@
 	metrics *counters
 
 	mu sync.Mutex
-	// silentSince is since when the engine does not answer; zero while it does.
+	// silentSince is when the engine stopped answering; zero while it answers.
 	silentSince time.Duration
 }
 
-// recordReply counts an answer of the engine, and logs that it has gone silent or answers again.
+// recordReply counts a reply of the engine, and logs when the engine stops answering and when it
+// answers again.
 func (a *agent) recordReply(reply *api.RankReply, duration time.Duration) {
 	a.metrics.requests.Inc(1)
 	a.metrics.duration.Update(duration.Milliseconds())
--- a/internal/rankagent/rankagent_test.go
+++ b/internal/rankagent/rankagent_test.go
@@ -17,8 +17,9 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// An engine hangs for a while and is asked many times. The log has one line when it goes
-// silent and one when it is back, with how long that was, and the counters have each question.
+// An engine hangs for a while and is called many times. There must be one log line when it stops
+// answering and one when it answers again, with the time between, while the metrics count every
+// call.
 func TestSilentEngineIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	a := newAgent(nil, log.NewLogfmtLogger(&out))
@@ -30,12 +31,12 @@
 		t.Errorf("got:\n%s", text)
 	}
 	if asked, failed := a.metrics.requests.Count(), a.metrics.failures.Count(); asked != 6 || failed != 3 {
-		t.Errorf("%d asked, %d failed", asked, failed)
+		t.Errorf("%d requests and %d failures counted, want 6 and 3", asked, failed)
 	}
 }
 
-// The coordinator asks for the state of an engine that is gone. It gets an answer that says
-// so, as fast as the connection is refused, and operators see it in the metrics.
+// The coordinator requests the state of an engine that no longer listens. It gets a reply with the
+// error as soon as the connection is refused, and the metrics count the failure.
 func TestUnreachableEngineIsReported(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	address := strings.TrimPrefix(gone.URL, "http://")
@@ -58,7 +59,7 @@
 	}
 }
 
-// Something that is no coordinator talks to the port.
+// A client that is no coordinator sends requests to the port.
 func TestBadRequests(t *testing.T) {
 	a := newAgent(platform.NewEngine("127.0.0.1:1", http.DefaultClient), log.NewNopLogger())
 	for _, c := range []struct {
