--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,38 +12,37 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrUnmatchedResponse says that a connection brought an answer that belongs to no request.
-var ErrUnmatchedResponse = errors.New("the answer belongs to another request")
+// ErrUnmatchedResponse is returned if a connection received responses to other requests only.
+var ErrUnmatchedResponse = errors.New("the response belongs to another request")
 
 const (
-	// asyncWriteBytes is the size of a body from which it is written beside reading the answer,
-	// bytes: a backend server may answer before it has read a long body, and a body up to
-	// this size fits into the socket's buffer.
+	// asyncWriteBytes is the body size above which a request is written while its response is
+	// read, since a backend server may respond before it has read a long body. A body up to this
+	// size fits into the socket's buffer.
 	asyncWriteBytes = 16 << 10
-	// maxUnmatchedResponses is the number of answers to other requests that are passed over on one
-	// connection.
+	// maxUnmatchedResponses limits the responses that are read and skipped for one request.
 	maxUnmatchedResponses = 4
 )
 
-// Conn is a connection to a backend server. It carries one request at a time.
+// Conn is a connection to a backend server that carries one request at a time.
 type Conn struct {
 	net.Conn
 	pool      *Pool
 	server    string
 	br        *bufio.Reader
 	idleSince time.Duration
-	// idleTimeout is how long the backend server lets the connection be idle.
+	// idleTimeout is how long the backend server keeps the connection open while idle; zero if
+	// unknown.
 	idleTimeout time.Duration
-	// writeResult carries the result of writing a long body.
+	// writeResult receives the result of writing the request.
 	writeResult chan error
 }
 
-// RoundTrip writes a request once and reads the head of its answer. matches says whether an
-// answer is that of this request; others are passed over, since a faulty backend server may
-// answer twice. Once ctx ends the connection is reset. The caller reads the body and calls
-// Release.
+// RoundTrip writes a request once and reads the header of its response. matches reports whether a
+// response belongs to this request. Others are skipped, since a faulty backend server may respond
+// twice. When ctx ends, the connection is reset. The caller reads the body and calls Release.
 //
-// An error does not say that the request did not run.
+// After an error, the request may still have been executed.
 func (c *Conn) RoundTrip(ctx context.Context, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
 	stop := context.AfterFunc(ctx, c.reset)
 	resp, err := c.roundTrip(req, matches)
@@ -55,11 +54,11 @@
 	return resp, nil
 }
 
-// reset resets the connection.
+// reset closes the connection with a TCP reset.
 //
-// Load: a backend server whose VM stands still, or is cut off for a while. Harm prevented: an
-// orderly close comes behind the request, which waits there and runs seconds after its caller
-// has left, or has been told that it failed.
+// The VM of the backend server may be unresponsive or unreachable for a while. An orderly close
+// would arrive behind the request, which would then be executed seconds after its caller has left
+// or has been told that it failed.
 func (c *Conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -67,7 +66,7 @@
 	_ = c.Close()
 }
 
-// body ends the watch over the context with the body.
+// body is a response body that stops watching the context when it is closed.
 type body struct {
 	io.ReadCloser
 	stop func() bool
@@ -75,8 +74,8 @@
 
 func (b *body) Close() error {
 	b.stop()
-	// The library would read the rest of the body; what is not read is closed with the
-	// connection.
+	// Closing the body of net/http would read the rest of it. The unread rest is dropped with the
+	// connection instead.
 	return nil
 }
 
@@ -93,7 +92,7 @@
 	for range maxUnmatchedResponses {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
@@ -102,11 +101,11 @@
 			return resp, nil
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			// Without a length it would swallow the answer behind it.
+			// A response without a length extends to the end of the connection, past the next one.
 			return nil, ErrUnmatchedResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, errors.Wrap(err, "pass over another answer")
+			return nil, errors.Wrap(err, "skip unmatched response")
 		}
 	}
 	return nil, ErrUnmatchedResponse
@@ -115,16 +114,17 @@
 func (c *Conn) write(req *http.Request) error {
 	bw := bufio.NewWriter(c.Conn)
 	if err := req.Write(bw); err != nil {
-		return errors.Wrap(err, "send request")
+		return errors.Wrap(err, "write request")
 	}
 	if err := bw.Flush(); err != nil {
-		return errors.Wrap(err, "send request")
+		return errors.Wrap(err, "flush request")
 	}
 	return nil
 }
 
-// Release gives the connection back. It is kept for another request only when the answer
-// was read whole and the request was written whole, and the backend server keeps it too.
+// Release returns the connection to the pool. It is kept for another request only if the request
+// was written and the response was read completely, and the backend server keeps it open too. A
+// zero idleTimeout means that the backend server did not state one.
 func (c *Conn) Release(resp *http.Response, complete bool, idleTimeout time.Duration, now time.Duration) {
 	if resp == nil || !complete || resp.Close || c.br.Buffered() > 0 || !c.isRequestWritten() {
 		c.discard()
@@ -135,7 +135,7 @@
 	c.pool.putIdle(c)
 }
 
-// isRequestWritten says that the request has been written whole.
+// isRequestWritten reports whether the request has been written completely.
 func (c *Conn) isRequestWritten() bool {
 	select {
 	case err := <-c.writeResult:
@@ -150,8 +150,8 @@
 	c.pool.releaseConn(c.server)
 }
 
-// hasNoInput says that nothing has come in on an idle connection: neither its end nor bytes that
-// belong to no request.
+// hasNoInput reports whether an idle connection has received nothing: neither its end nor bytes
+// that belong to no request.
 func (c *Conn) hasNoInput() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,8 +12,8 @@
 	"github.com/apricothub/apricothub/internal/upstream"
 )
 
-// A backend server stands still while its caller gives up, and reads the request when it is
-// back. The connection was reset, so that it does not take the request for one to be run.
+// A backend server is unresponsive while its caller gives up, and reads the request afterwards. The
+// connection must have been reset, or the server would execute a request that nobody waits for.
 func TestAGivenUpRequestIsReset(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,15 +36,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	// Some of the request has come: it was written.
+	// One byte has arrived, so the request was written.
 	if _, err := server.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
 	if err := <-result; err == nil {
-		t.Error("a request that was given up has an answer")
+		t.Error("a canceled request has a response")
 	}
 	if rest, err := io.ReadAll(server); err == nil {
-		t.Errorf("%q and an orderly end", rest)
+		t.Errorf("the server read %q and an orderly close, want a reset", rest)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,8 @@
-// Package upstream keeps an entry's connections to backend servers.
+// Package upstream pools an entry's connections to backend servers.
 //
-// It writes each request once and never repeats one by itself: whether a request may be
-// sent again is for the caller to decide, who knows what may run twice. The standard
-// library's client repeats some requests on its own when a kept connection turns out
-// closed.
+// It writes each request once and never retries on its own: only the caller knows which requests
+// may be executed twice. The client of net/http retries some requests if a kept connection turns
+// out to be closed.
 package upstream
 
 import (
@@ -19,28 +18,28 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// ErrConnectionLimit says that a backend server has all connections that this entry may have to it.
-var ErrConnectionLimit = errors.New("no connection is left to the backend server")
+// ErrConnectionLimit is returned if no further connection to a backend server may be opened.
+var ErrConnectionLimit = errors.New("connection limit of the backend server reached")
 
 const (
-	// userTimeout is how long the kernel waits for the other side to acknowledge what was sent,
-	// or to answer probes, before it gives a connection up. Connections can go silent for
-	// good while new ones work; only this shows it. Above any delay of a sound network, and
-	// below the deadlines of short requests.
+	// userTimeout is how long the kernel waits for the peer to acknowledge data or to answer
+	// keep-alive probes before it closes a connection. A connection can become silent forever while
+	// new ones work, and only this timeout detects it. It is above any delay of a healthy network
+	// and below the deadlines of short requests.
 	userTimeout = 1500 * time.Millisecond
-	// keepAliveIdle and probeEach are when an idle connection is probed.
+	// keepAliveIdle is the idle time before the first keep-alive probe, keepAliveInterval the time
+	// between probes, and keepAliveProbes the number of unanswered probes that end a connection.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveProbes   = 2
-	// idleTimeoutMargin is how long before the backend server would close an idle connection it
-	// is no longer used: a request must not cross the close.
+	// idleTimeoutMargin is how long before the backend server closes an idle connection it is no
+	// longer used, so that no request is sent while the server closes.
 	idleTimeoutMargin = 700 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept to a backend server that does not say
-	// how long it does.
+	// defaultIdleTimeout is how long a connection is kept if the backend server states no timeout.
 	defaultIdleTimeout = 300 * time.Millisecond
 )
 
-// Pool keeps connections to backend servers by the servers' IDs.
+// Pool keeps idle connections to backend servers and counts the open ones, by server ID.
 type Pool struct {
 	dialer net.Dialer
 
@@ -49,7 +48,7 @@
 	openCount map[string]int
 }
 
-// NewPool returns a pool that gives a connection up when it does not stand after timeout.
+// NewPool returns a pool that waits at most dialTimeout for a connection to be established.
 func NewPool(dialTimeout time.Duration) *Pool {
 	return &Pool{
 		dialer:    net.Dialer{Timeout: dialTimeout, Control: SetTCPUserTimeout, KeepAliveConfig: KeepAliveConfig()},
@@ -58,16 +57,16 @@
 	}
 }
 
-// KeepAliveConfig probes idle connections, so that one which has gone silent shows.
+// KeepAliveConfig returns the TCP keep-alive settings that detect silent idle connections.
 func KeepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
 }
 
-// tcpUserTimeoutOption is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeoutOption is TCP_USER_TIMEOUT of Linux, which package syscall does not define.
 const tcpUserTimeoutOption = 18
 
-// SetTCPUserTimeout bounds how long a socket waits for acknowledgements; it is the Control
-// function of a dialer or listener.
+// SetTCPUserTimeout limits how long a socket waits for acknowledgements. It is a Control function
+// for a net.Dialer or net.ListenConfig.
 func SetTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	controlErr := raw.Control(func(fd uintptr) {
@@ -79,8 +78,8 @@
 	return err
 }
 
-// Get returns a connection to a backend server: an idle one, or with fresh or without an
-// idle one a new one. At most limit are open at a time; zero means no bound. When it
+// Get returns an idle connection to a backend server, or a new one if there is none or forceNew is
+// set. At most limit connections to the server are open at a time; zero means no limit. If Get
 // returns an error, nothing was sent.
 func (p *Pool) Get(ctx context.Context, server, address string, limit int, forceNew bool) (*Conn, error) {
 	if !forceNew {
@@ -99,8 +98,8 @@
 	return &Conn{Conn: conn, pool: p, server: server, br: bufio.NewReader(conn)}, nil
 }
 
-// takeIdle returns the connection that was used last, since the others may then close for
-// being idle.
+// takeIdle removes and returns the most recently used idle connection, so that unneeded ones reach
+// their idle timeout. It returns nil if there is none.
 func (p *Pool) takeIdle(server string, now time.Duration) *Conn {
 	for {
 		p.mu.Lock()
@@ -152,8 +151,8 @@
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
-// CloseExpired closes idle connections whose time is over, and all to servers of which known
-// returns false.
+// CloseExpired closes idle connections whose idle timeout is over, and all idle ones to servers for
+// which isKnown returns false.
 func (p *Pool) CloseExpired(isKnown func(server string) bool) {
 	now := clock.Now()
 	var expired []*Conn
