--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,4 +1,5 @@
-// Package sse splits a stream of server-sent events into whole events, unchanged.
+// Package sse splits a stream of server-sent events into complete events, with their bytes
+// unchanged.
 package sse
 
 import (
@@ -9,32 +10,32 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEventBytes bounds one event, bytes: far more than the text of one step of a model.
+// maxEventBytes limits one event. It is far above the size of the text of one step of a model.
 const maxEventBytes = 1 << 20
 
-// ErrTooLong says that an event does not end within maxEvent bytes.
-var ErrTooLong = errors.New("an event is too long")
+// ErrTooLong is returned for an event longer than maxEventBytes.
+var ErrTooLong = errors.New("event exceeds the size limit")
 
-// Event is one event.
+// Event is a server-sent event.
 type Event struct {
-	// Raw is the whole event with the empty line that ends it. It is valid until the next
+	// Raw is the complete event, including the empty line that ends it. It is valid until the next
 	// call of Next.
 	Raw []byte
-	// ID is the value of its last id field; empty when it has none.
+	// ID is the value of the event's last id field, or empty if it has none.
 	ID string
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// NewReader returns a reader of the events in r.
+// NewReader returns a Reader of the events in r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReader(r)} }
 
-// Next returns the next whole event. The error is io.EOF at the end of the stream, and
-// io.ErrUnexpectedEOF when the stream ends within an event.
+// Next returns the next complete event. The error is io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	r.buf = r.buf[:0]
 	event := Event{}
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -43,7 +43,7 @@
 				break
 			}
 			if string(event.Raw) != in[consumed:consumed+len(event.Raw)] {
-				t.Fatalf("event %q is not what stands at %d", event.Raw, consumed)
+				t.Fatalf("event %q differs from the input at offset %d", event.Raw, consumed)
 			}
 			consumed += len(event.Raw)
 		}
