--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,8 @@
-// Package routing holds what operators have configured, and finds the route of a request
+// Package routing holds the configuration that operators publish, and finds the route of a request
 // and the team of a key in it.
 //
-// A Table is immutable: a new configuration makes a new Table, which is swapped in whole,
-// so that one request never sees parts of two versions.
+// A Table is immutable. A new configuration creates a new Table that replaces the old one as a
+// whole, so that one request never sees parts of two versions.
 package routing
 
 import (
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is how often a request of a route may be executed.
 type Kind uint8
 
-// The kinds.
+// Kinds of routes.
 const (
-	// AtMostOnce is for work that must not repeat: it runs at most once.
+	// AtMostOnce requests must not be executed twice.
 	AtMostOnce Kind = iota
-	// Idempotent work may run again.
+	// Idempotent requests may be executed more than once.
 	Idempotent
-	// Stream is generated output, a series of events. It runs once, unless the route is
-	// resumable: then another backend server may go on behind the last event.
+	// Stream requests generate output as a stream of events. They are executed once, unless the
+	// route is resumable: then another backend server may continue after the last event.
 	Stream
 )
 
-// String names the kind, as logs show it.
+// String returns the name of the kind as it appears in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -38,42 +38,42 @@
 	}
 }
 
-// Target is a service that a route sends a part of its requests to.
+// Target is a service that receives a fraction of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the part, against the weights of the route's other targets.
+	// Weight is relative to the weights of the route's other targets.
 	Weight float64
 }
 
-// Route says where the requests of one host and path go, and within which bounds.
+// Route defines where requests for a host and path prefix go, and their limits.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
 	Resumable  bool
-	// Timeout is how long a caller is kept waiting at most; zero for no bound.
+	// Timeout is the longest time that a caller waits; zero means no limit.
 	Timeout time.Duration
-	// Objective is the latency up to which an answer is on time.
+	// Objective is the target latency: a response within it is on time.
 	Objective time.Duration
-	// MaxPause is the longest time between two events of a stream that is on time.
+	// MaxPause is the longest time between two events of a stream for the stream to be on time.
 	MaxPause time.Duration
-	// Priority is the rank of the requests, 0 first.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// MaxAttempts is the number of backend servers that one request may be sent to.
+	// MaxAttempts is the number of backend servers to which one request may be sent.
 	MaxAttempts int
 	Targets     []Target
-	// Anonymous routes need no key.
+	// Anonymous reports whether requests need no key.
 	Anonymous bool
 }
 
-// Repeatable says that a request may be sent again after it may have run.
+// Repeatable reports whether a request may be retried after it may have been executed.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// PickService returns the service for a request by the weights of the targets; at is a random
-// number in [0, 1). Empty when the route has no target.
+// PickService returns the service for a request according to the weights of the targets, or an
+// empty string if the route has no target. random is a random number in [0, 1).
 func (r *Route) PickService(random float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
@@ -92,49 +92,50 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Engine is what the configuration says of a service's model engines; nil for a plain
-// service.
+// Engine configures the model engines of a service.
 type Engine struct {
 	// Concurrency is the number of requests in one batch.
 	Concurrency int
 	// KVTokens is the number of tokens that the memory of one engine holds.
 	KVTokens int
-	// StepTime is the time of a token step of an idle engine, StepTimePerRequest what each request
-	// that is writing adds to it.
+	// StepTime is the duration of a token step of an idle engine, StepTimePerRequest the increase
+	// for each request that is generating output.
 	StepTime, StepTimePerRequest time.Duration
-	// PromptTokensPerSecond is the number of prompt tokens read a second.
+	// PromptTokensPerSecond is the rate at which an engine processes prompts.
 	PromptTokensPerSecond float64
-	// StepsPerPass is the number of token steps in one pass of all ranks.
+	// StepsPerPass is the number of token steps in one pass of all ranks of a group.
 	StepsPerPass int
-	// LayerSets, Experts, SlotsPerRank and MaxNewExperts describe the expert maps: sets of layers, experts
-	// in each, the most that one rank holds of them, and the most new ones in one change.
-	// Zero where the engines have no experts.
+	// LayerSets, Experts, SlotsPerRank and MaxNewExperts define the shape of expert maps: the
+	// number of layer sets and, for each layer set, the experts, the most that one rank holds and
+	// the most that are new to it in one change of maps. All are zero if the engines have no
+	// experts.
 	LayerSets, Experts, SlotsPerRank, MaxNewExperts int
-	// ExpertMB is the size of one expert, MB, LinkMbps the rate at which one is loaded.
+	// ExpertMB is the size of one expert in MB, LinkMbps the rate at which a rank loads it.
 	ExpertMB, LinkMbps float64
-	// FormTime is how long a group needs to open again after a rank came back.
+	// FormTime is how long a group needs to open after a rank has returned.
 	FormTime time.Duration
 }
 
-// Service is a group of backend servers that do the same work.
+// Service is a set of backend servers that do the same work.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is the number of connections that one backend server takes from all
-	// entries together; zero for no bound.
+	// MaxConnections is the number of connections that one backend server accepts from all entries
+	// together; zero means no limit.
 	MaxConnections int
-	// ColdTime is how long a backend server stays cold after its start, ColdRate the
-	// requests a second that it bears meanwhile; zero where it bears all.
+	// ColdTime is how long a backend server stays cold after its start, ColdRate the number of
+	// requests per second that it can serve meanwhile; zero means no limit.
 	ColdTime time.Duration
 	ColdRate float64
-	Engine   *Engine
+	// Engine is nil if the backend servers are not model engines.
+	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits limit what a caller may send.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound one request.
+	// HeaderBytes and BodyBytes are the limits for one request.
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout bounds the time for one header, IdleTimeout that between requests.
+	// HeaderTimeout limits the time to read one header, IdleTimeout the time between requests.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
@@ -142,11 +143,11 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route; nil for none.
+	// Priority overrides the priority of the route; nil means that it does not.
 	Priority *int
 }
 
-// Config is one version of what operators configured.
+// Config is one version of the configuration.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -166,7 +167,7 @@
 	teamCount int
 }
 
-// NewTable indexes a configuration. The configuration must not change afterwards.
+// NewTable returns the Table of a configuration, which must not change afterwards.
 func NewTable(cfg *Config) *Table {
 	t := &Table{
 		Version:   cfg.Version,
@@ -201,8 +202,8 @@
 	return t
 }
 
-// Match returns the route with the longest prefix of the path, or nil. The host may carry
-// a port.
+// Match returns the route of the host with the longest path prefix that matches, or nil. The host
+// may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -218,11 +219,11 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// MaxPause returns the shortest pause that callers of a service's streams accept between two
-// events; zero when no route says.
+// MaxPause returns the longest pause between two events that all callers of a service's streams
+// accept: the smallest MaxPause of the routes to the service, or zero if none has one.
 func (t *Table) MaxPause(service string) time.Duration { return t.maxPauses[service] }
 
-// Services returns all services.
+// Services returns all services by name.
 func (t *Table) Services() map[string]*Service { return t.services }
 
 // Team returns the team that holds a key, or nil.
@@ -241,5 +242,5 @@
 	return names
 }
 
-// HasTeams says that requests need a key.
+// HasTeams reports whether any team is configured, so that requests need a key.
 func (t *Table) HasTeams() bool { return t.teamCount > 0 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("k2 belongs to %v", team)
 	}
 	if team := newTestTable().Team("k3"); team != nil {
-		t.Errorf("an unknown key belongs to %v", team)
+		t.Errorf("unknown key k3 belongs to %v", team)
 	}
 }
 
@@ -49,10 +49,10 @@
 		want   string
 	}{{0, "a"}, {0.89, "a"}, {0.91, "c"}, {0.999999, "c"}} {
 		if got := r.PickService(c.random); got != c.want {
-			t.Errorf("at %v: %s, want %s", c.random, got, c.want)
+			t.Errorf("random number %v: service %s, want %s", c.random, got, c.want)
 		}
 	}
 	if got := (&Route{}).PickService(0.5); got != "" {
-		t.Errorf("a route without targets chose %q", got)
+		t.Errorf("a route without targets has picked service %q", got)
 	}
 }
