--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -96,9 +96,9 @@
 	coordinates atomic.Bool
 }
 
-func (b *fakeCluster) IsCoordinator() bool { return b.coordinates.Load() }
-func (b *fakeCluster) IsLeaving() bool     { return false }
-func (b *fakeCluster) Engines() []Engine   { return b.engines }
+func (f *fakeCluster) IsCoordinator() bool { return f.coordinates.Load() }
+func (f *fakeCluster) IsLeaving() bool     { return false }
+func (f *fakeCluster) Engines() []Engine   { return f.engines }
 
 // newStore returns a store that assigns rising fences.
 func newStore(t *testing.T) *platform.Store { return newRefusingStore(t, 0) }
@@ -157,7 +157,7 @@
 	t.Parallel()
 	g := newTestGroup(t, 0)
 	startCoordinator(t, g, newStore(t))
-	waitFor(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
 // The answers to a third of the orders are lost. The switch still completes, and the group does not
@@ -167,7 +167,7 @@
 	g := newTestGroup(t, 0)
 	g.SetTrouble(fakeplatform.Trouble{Lost: 0.33})
 	startCoordinator(t, g, newStore(t))
-	waitFor(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 	g.waitForPasses(t, 20)
 }
 
@@ -219,7 +219,7 @@
 	const refusals = 12
 	g := newTestGroup(t, 0)
 	startCoordinator(t, g, newRefusingStore(t, refusals))
-	waitFor(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
 // Rank agents are replaced one after the other, so that at any time one of them refuses
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// readLine appends one readLine with its end to the buffer.
+// readLine appends one line, including its line break, to the buffer.
 func (r *Reader) readLine() error {
 	for {
 		chunk, err := r.r.ReadSlice('\n')
