--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -18,29 +18,27 @@
 )
 
 const (
-	// maxEvent bounds one event of a streamed answer, bytes.
-	maxEvent = 1 << 20
-	// partSize is the size of a part of an answer that is not a stream of events.
+	// maxEventBytes limits one event of a streamed answer.
+	maxEventBytes = 1 << 20
+	// partSize is the size in bytes of a part of an answer that is not a stream of events.
 	partSize = 32 << 10
-	// doneEvent is how an engine ends a streamed completion.
+	// doneEvent is the last event of a streamed completion.
 	doneEvent = "data: [DONE]"
-	// dialTimeout is how long the backend server on the same VM may take to accept
-	// a connection.
+	// dialTimeout is how long the backend server on the same VM may take to accept a connection.
 	dialTimeout = 2 * time.Second
-	// mapLoadTimeout bounds the loading of one expert map through the rate-limited
-	// weight store.
+	// mapLoadTimeout limits the loading of one expert map through the rate-limited weight store.
 	mapLoadTimeout = 5 * time.Minute
-	// orderTimeout bounds the loading of one version or adapter through the
-	// rate-limited weight store; large weights take most of an hour when several
-	// engines read at once.
+	// orderTimeout limits the loading of one version or adapter through the rate-limited weight
+	// store. Large weights take most of an hour when several engines read at once.
 	orderTimeout = time.Hour
 )
 
-// errNotDone says that a stream ended without the mark that it is whole.
-var errNotDone = errors.New("the stream ended before [DONE]")
+// errIncompleteStream reports a stream that ended without its last event.
+var errIncompleteStream = errors.New("the stream ended before [DONE]")
 
-// errInterim says that a backend server sent interim answers without end.
-var errInterim = errors.New("the backend server sent too many interim answers")
+// errTooManyInterim reports a backend server that sent more than maxInterimAnswers interim
+// answers.
+var errTooManyInterim = errors.New("the backend server sent too many interim answers")
 
 // backendError is a failure at the backend server.
 type backendError struct {
@@ -53,24 +51,23 @@
 
 func (e *backendError) Unwrap() error { return e.Err }
 
-// backend sends requests to the one backend server of the VM.
+// backend sends requests to the backend server of the VM.
 type backend struct {
 	base string
-	// oneshot sends work; transport the little of it that oneshot doesn't take, and orders.
+	// oneshot sends work; transport sends the work that oneshot cannot send, and orders.
 	oneshot   *oneshot
 	transport *http.Transport
-	// asking keeps its connections: a question may be asked twice.
-	asking *http.Transport
+	// queryTransport keeps its connections: a query may be sent twice.
+	queryTransport *http.Transport
 }
 
-// newBackend returns a client that can send each request only once.
+// newBackend returns a client that sends each request at most once.
 //
-// net/http's Transport sends a request again by itself when a kept connection turns
-// out to be closed and the request looks idempotent to it, which a request with an
-// Idempotency-Key does; and http.Client sends again on a redirect. A push would run
-// twice with one answer. So every request has a connection of its own, on which
-// Transport never tries again, and RoundTrip is called directly, which follows no
-// redirect. Most work goes by oneshot, which can do neither.
+// http.Transport repeats a request by itself when a kept connection turns out to be closed and the
+// request looks idempotent, as one with an Idempotency-Key does, and http.Client repeats it on a
+// redirect. A push would then run twice with one answer. Therefore every request has a connection
+// of its own, on which Transport never retries, and RoundTrip, which follows no redirect, is
+// called directly. Most work is sent by oneshot, which can do neither.
 func newBackend(base string) *backend {
 	base = strings.TrimSuffix(base, "/")
 	return &backend{
@@ -81,14 +78,14 @@
 			DisableCompression: true,
 			Proxy:              nil,
 		},
-		asking: newAsking(),
+		queryTransport: newQueryTransport(),
 	}
 }
 
 // send sends one piece of work and returns the answer's header and body.
 func (b *backend) send(ctx context.Context, work *api.Work) (*http.Response, error) {
-	// The reader hides its type, so that the request has no GetBody and its body
-	// cannot be rewound.
+	// The wrapper hides the reader's type, so that the request has no GetBody and its body cannot
+	// be rewound.
 	body := struct{ io.Reader }{bytes.NewReader(work.GetBody())}
 	req, err := http.NewRequestWithContext(ctx, work.GetMethod(), b.base+work.GetPath(), body)
 	if err != nil {
@@ -110,35 +107,35 @@
 	return resp, nil
 }
 
-// roundTrip sends a request over a connection of its own. connected is called once that
-// stands.
+// roundTrip sends a request over a connection of its own. It calls connected once the connection
+// is established.
 func (b *backend) roundTrip(req *http.Request, connected func()) (*http.Response, error) {
-	if b.oneshot.takes(req) {
+	if b.oneshot.canSend(req) {
 		return b.oneshot.roundTrip(req, connected)
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected() }}
 	return b.transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 }
 
-// readParts hands the parts of an answer to take, and returns an error unless the
-// answer came whole.
-func readParts(resp *http.Response, take func([]byte) error) error {
+// readParts passes the parts of an answer to handle. It returns an error unless the answer is
+// complete.
+func readParts(resp *http.Response, handle func([]byte) error) error {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return readEvents(resp.Body, take)
+		return readEvents(resp.Body, handle)
 	}
-	return readPlain(resp.Body, take)
+	return readPlain(resp.Body, handle)
 }
 
-// readEvents takes one event as one part, so that a caller can go on after any.
-func readEvents(body io.Reader, take func([]byte) error) error {
+// readEvents passes each event as one part, so that a caller can resume after any event.
+func readEvents(body io.Reader, handle func([]byte) error) error {
 	reader := bufio.NewReader(body)
 	var event []byte
 	done := false
 	for {
 		line, err := reader.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > maxEvent {
-			return errors.New("an event of the answer is too large")
+		if len(event) > maxEventBytes {
+			return errors.New("an event of the answer exceeds the size limit")
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -146,7 +143,7 @@
 		case err == io.EOF && done && len(event) == 0:
 			return nil
 		case err == io.EOF:
-			return errNotDone
+			return errIncompleteStream
 		case err != nil:
 			return err
 		}
@@ -154,26 +151,26 @@
 			continue
 		}
 		done = done || bytes.HasPrefix(event, []byte(doneEvent))
-		if err := take(event); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 		event = nil
 	}
 }
 
-// readPlain fills parts. It reads by hand: io.ReadFull reports a body's true end in the
-// middle of a part by the same error that net/http gives for a body that was cut.
-func readPlain(body io.Reader, take func([]byte) error) error {
+// readPlain passes parts of partSize bytes. It does not use io.ReadFull, which reports a body that
+// ends in the middle of a part with the same error that net/http returns for a truncated body.
+func readPlain(body io.Reader, handle func([]byte) error) error {
 	for {
 		part := make([]byte, partSize)
-		n, err := fill(body, part)
+		n, err := readFull(body, part)
 		if n < partSize {
-			// The answer is kept, and counted by its bytes: thousands of short ones would
-			// take many times the memory that is set for answers.
+			// The answer is kept, and the memory limit for answers counts its bytes: with full
+			// buffers, thousands of short answers would take many times that limit.
 			part = bytes.Clone(part[:n])
 		}
 		if n > 0 {
-			if err := take(part); err != nil {
+			if err := handle(part); err != nil {
 				return err
 			}
 		}
@@ -186,9 +183,9 @@
 	}
 }
 
-// fill reads until the part is full or the body ends, and passes the body's own error
-// on as it is.
-func fill(body io.Reader, part []byte) (int, error) {
+// readFull reads until the part is full or the body ends, and returns the body's own error
+// unchanged.
+func readFull(body io.Reader, part []byte) (int, error) {
 	n := 0
 	for n < len(part) {
 		read, err := body.Read(part[n:])
@@ -200,42 +197,42 @@
 	return n, nil
 }
 
-// running asks a model engine what it still runs. A backend server that does not
-// know the question runs nothing that matters here.
-func (b *backend) running(ctx context.Context) ([]string, error) {
+// queryRunning asks a model engine which requests it still runs. A backend server without this
+// interface runs nothing that matters here.
+func (b *backend) queryRunning(ctx context.Context) ([]string, error) {
 	var answer struct {
 		IDs []string `json:"ids"`
 	}
-	status, err := b.ask(ctx, "/engine/running", &answer)
+	status, err := b.query(ctx, "/engine/running", &answer)
 	if status == http.StatusNotFound {
 		return nil, nil
 	}
 	return answer.IDs, err
 }
 
-// saysCold asks a model engine whether it is in cold start, as far as it knows; its
-// reports lag.
-func (b *backend) saysCold(ctx context.Context) (bool, error) {
+// queryCold asks a model engine whether it is in cold start. The engine's own view lags.
+func (b *backend) queryCold(ctx context.Context) (bool, error) {
 	var answer struct {
 		Cold bool `json:"cold"`
 	}
-	status, err := b.ask(ctx, "/engine/load", &answer)
-	return answer.Cold, unlessMissing(status, err)
+	status, err := b.query(ctx, "/engine/load", &answer)
+	return answer.Cold, mapNotFound(status, err)
 }
 
-// errMissing says that the engine does not know a question.
-var errMissing = errors.New("the engine has no such interface")
+// errUnsupported says that the engine does not have an interface.
+var errUnsupported = errors.New("the engine does not have this interface")
 
-func unlessMissing(status int, err error) error {
+// mapNotFound returns errUnsupported for status 404 and err otherwise.
+func mapNotFound(status int, err error) error {
 	if status == http.StatusNotFound {
-		return errMissing
+		return errUnsupported
 	}
 	return err
 }
 
-// cacheEvents asks an engine for the prefixes that came into its cache since an event,
-// and returns the number to ask from next.
-func (b *backend) cacheEvents(ctx context.Context, from uint64) ([]uint64, uint64, error) {
+// queryCacheEvents asks an engine for the prefixes added to its cache since an event. It also
+// returns the number of the event to ask from next.
+func (b *backend) queryCacheEvents(ctx context.Context, from uint64) ([]uint64, uint64, error) {
 	var answer struct {
 		Events []struct {
 			Op     string `json:"op"`
@@ -243,28 +240,28 @@
 		} `json:"events"`
 		Next uint64 `json:"next"`
 	}
-	status, err := b.ask(ctx, fmt.Sprintf("/engine/events?from=%d", from), &answer)
+	status, err := b.query(ctx, fmt.Sprintf("/engine/events?from=%d", from), &answer)
 	var added []uint64
 	for _, event := range answer.Events {
 		if event.Op == "add" {
 			added = append(added, event.Prefix)
 		}
 	}
-	return added, answer.Next, unlessMissing(status, err)
+	return added, answer.Next, mapNotFound(status, err)
 }
 
-// held is what an engine says that it has loaded.
-type held struct {
-	// Version is empty when it holds what it was started with.
+// loadedModel is what an engine reports that it has loaded.
+type loadedModel struct {
+	// Version is empty when the engine has what it was started with.
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// holds asks an engine what it has loaded.
-func (b *backend) holds(ctx context.Context) (held, error) {
-	var answer held
-	status, err := b.ask(ctx, "/engine/version", &answer)
-	return answer, unlessMissing(status, err)
+// queryLoaded asks an engine what it has loaded.
+func (b *backend) queryLoaded(ctx context.Context) (loadedModel, error) {
+	var answer loadedModel
+	status, err := b.query(ctx, "/engine/version", &answer)
+	return answer, mapNotFound(status, err)
 }
 
 // Kinds of orders.
@@ -284,58 +281,59 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// errOldFence says that the engine has had an order with a higher fencing number.
-var errOldFence = errors.New("the engine has had a newer order")
+// errStaleFence says that the engine has had an order with a higher fence.
+var errStaleFence = errors.New("the engine has had an order with a higher fence")
 
-// order gives an order and waits until it has been carried out.
-func (b *backend) order(ctx context.Context, order engineOrder) error {
-	status, err := b.controlWithin(ctx, orderTimeout, http.MethodPost, "/engine/orders", order, nil)
+// sendOrder sends an order and waits until it has been carried out.
+func (b *backend) sendOrder(ctx context.Context, order engineOrder) error {
+	status, err := b.callControlWithin(ctx, orderTimeout, http.MethodPost, "/engine/orders", order, nil)
 	if status == http.StatusConflict {
-		return errOldFence
+		return errStaleFence
 	}
-	return unlessMissing(status, err)
+	return mapNotFound(status, err)
 }
 
-// expertCounts is what an engine tells of its experts and ranks, as running counts.
+// expertCounts holds an engine's running counts of its experts and ranks.
 type expertCounts struct {
-	// Tokens that each expert of the group has had.
+	// Tokens is the number of tokens processed by each expert of the group.
 	Tokens []float64 `json:"tokens"`
 	// Ranks are those of this engine. Engines that do not measure them leave them out.
 	Ranks []rankCount `json:"ranks"`
 }
 
-// rankCount is how many tokens a rank's experts have had, and how long it took for them.
+// rankCount is the number of tokens that a rank's experts have processed, and the time it took.
 type rankCount struct {
 	Tokens  float64 `json:"tokens"`
 	Seconds float64 `json:"seconds"`
 }
 
-// experts asks an engine for the counts of its experts and ranks.
-func (b *backend) experts(ctx context.Context) (expertCounts, error) {
+// queryExperts asks an engine for the counts of its experts and ranks.
+func (b *backend) queryExperts(ctx context.Context) (expertCounts, error) {
 	var answer expertCounts
-	_, err := b.ask(ctx, "/engine/experts", &answer)
+	_, err := b.query(ctx, "/engine/experts", &answer)
 	return answer, err
 }
 
-// cancel asks a model engine to give up one request.
+// cancel asks a model engine to cancel one request.
 func (b *backend) cancel(ctx context.Context, id string) error {
 	body := map[string]string{"id": id}
-	_, err := b.control(ctx, http.MethodPost, "/engine/cancel", body, nil)
+	_, err := b.callControl(ctx, http.MethodPost, "/engine/cancel", body, nil)
 	return err
 }
 
-// loadMap has an engine fetch the weights of an expert map, however long it takes.
+// loadMap makes an engine fetch the weights of an expert map, and waits for up to mapLoadTimeout.
 func (b *backend) loadMap(ctx context.Context, body any) error {
-	_, err := b.controlWithin(ctx, mapLoadTimeout, http.MethodPost, "/engine/map/load", body, nil)
+	_, err := b.callControlWithin(ctx, mapLoadTimeout, http.MethodPost, "/engine/map/load", body, nil)
 	return err
 }
 
-// control makes one short call of the engine's own interface.
-func (b *backend) control(ctx context.Context, method, path string, body, answer any) (int, error) {
-	return b.controlWithin(ctx, dialTimeout, method, path, body, answer)
+// callControl makes one short call of the engine's control interface.
+func (b *backend) callControl(ctx context.Context, method, path string, body, answer any) (int, error) {
+	return b.callControlWithin(ctx, dialTimeout, method, path, body, answer)
 }
 
-// controlWithin makes one call of the engine's own interface, with JSON both ways.
-func (b *backend) controlWithin(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (int, error) {
-	return b.call(ctx, b.transport, timeout, method, path, body, answer)
+// callControlWithin makes one call of the engine's control interface, with JSON in both
+// directions.
+func (b *backend) callControlWithin(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (int, error) {
+	return b.callOver(ctx, b.transport, timeout, method, path, body, answer)
 }
--- a/internal/agent/cancel_test.go
+++ b/internal/agent/cancel_test.go
@@ -11,10 +11,10 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A caller hangs up just as its request is sent. The engine is told to cancel it before it
-// has taken the request out of its socket, knows nothing of it, and then begins it. Its
-// place at the agent must not be free meanwhile: a cold engine that gets one request more
-// than it bears falls over, with the answers of all other callers.
+// A caller hangs up just as its request is sent. The engine is told to cancel the request before
+// it has read it from its socket, does not know it, and starts it afterwards. The slot at the
+// agent must not be released meanwhile: one request more than its limit crashes a cold engine,
+// which breaks the answers of all other callers.
 func TestACancelThatComesBeforeItsRequest(t *testing.T) {
 	var begun, cancelled atomic.Bool
 	sent := make(chan struct{})
@@ -31,7 +31,7 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", ColdLimit: 1, FullLimit: 1})
-	j, refused := e.take(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Method: "POST", Path: "/v1/completions", DeadlineMs: 5000, RequestId: "r"})
+	j, refused := e.accept(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Method: "POST", Path: "/v1/completions", DeadlineMs: 5000, RequestId: "r"})
 	if refused != nil {
 		t.Fatal(refused)
 	}
@@ -39,13 +39,13 @@
 	e.mu.Lock()
 	j.cancel()
 	e.mu.Unlock()
-	end(t, e, j)
+	awaitEnd(t, e, j)
 	for running := 1; running > 0; time.Sleep(time.Millisecond) {
 		e.mu.Lock()
 		running = e.limiter.Running()
 		e.mu.Unlock()
 	}
 	if !begun.Load() || !cancelled.Load() {
-		t.Errorf("the place is free again: begun %v, cancelled %v", begun.Load(), cancelled.Load())
+		t.Errorf("the slot was released: begun %v, canceled %v", begun.Load(), cancelled.Load())
 	}
 }
--- a/internal/agent/pace_test.go
+++ b/internal/agent/pace_test.go
@@ -12,9 +12,8 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// An engine's kept connection goes silent for good; new ones work. Callers would see a
-// warm engine given no more than the cold limit. The question must be answered over a new
-// connection instead.
+// A kept connection to an engine stops working while new ones work. Callers would see a warm
+// engine limited to the cold limit. The query must be answered over a new connection instead.
 func TestSilentKeptConnection(t *testing.T) {
 	var connections, silent atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,41 +32,41 @@
 	defer server.Close()
 	b := newBackend(server.URL)
 	for range 5 {
-		if _, err := b.saysCold(context.Background()); err != nil {
+		if _, err := b.queryCold(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if n := connections.Load(); n != 1 {
-		t.Errorf("%d connections for five questions", n)
+		t.Errorf("%d connections for five queries", n)
 	}
 	silent.Store(1)
-	if saysCold, err := b.saysCold(context.Background()); err != nil || saysCold {
-		t.Errorf("cold %v, %v", saysCold, err)
+	if isCold, err := b.queryCold(context.Background()); err != nil || isCold {
+		t.Errorf("cold %v, %v", isCold, err)
 	}
 }
 
-// An idle engine turns cold between two slow questions, and work comes. The questions
-// must go on at once, at the pace of a busy engine, and slow down only long after it.
-func TestWorkWakesTheQuestions(t *testing.T) {
+// An idle engine turns cold between two slow polls, and work arrives. Polling must resume at once
+// at the interval of a busy engine, and slow down again only after idleAfter.
+func TestWorkWakesPolling(t *testing.T) {
 	now := clock.Now()
-	p := newPace(now - idleAfter - 1)
-	asked := make(chan struct{})
+	p := newPollPacer(now - idleAfter - 1)
+	polled := make(chan struct{})
 	go func() {
-		p.wait(context.Background())
-		close(asked)
+		p.waitNext(context.Background())
+		close(polled)
 	}()
 	time.Sleep(10 * time.Millisecond)
-	p.began(now)
+	p.workStarted(now)
 	select {
-	case <-asked:
-	case <-time.After(idlePoll / 2):
-		t.Error("the question waits")
+	case <-polled:
+	case <-time.After(idlePollInterval / 2):
+		t.Error("the poll was not triggered")
 	}
-	if p.idle(now + time.Hour) {
-		t.Error("idle with work running")
+	if p.isIdle(now + time.Hour) {
+		t.Error("idle while work is running")
 	}
-	p.ended(now + time.Hour)
-	if p.idle(now+time.Hour+idleAfter) || !p.idle(now+time.Hour+idleAfter+1) {
-		t.Error("not idle from the right time on")
+	p.workEnded(now + time.Hour)
+	if p.isIdle(now+time.Hour+idleAfter) || !p.isIdle(now+time.Hour+idleAfter+1) {
+		t.Error("not idle exactly after idleAfter")
 	}
 }
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -10,125 +10,125 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// watch follows what the engine says of itself: first what it still runs for a
-// predecessor of this agent, and for as long as the process lives whether it is cold.
-// A plain service is not asked; it knows no such questions.
-func (e *executor) watch(ctx context.Context) error {
+// pollEngine polls the engine: first for the requests that it still runs for the previous agent,
+// and as long as the process lives for whether it is cold, its prefix cache and what it has
+// loaded. A plain service is not polled, because it does not have this interface.
+func (e *executor) pollEngine(ctx context.Context) error {
 	if e.settings.GetModel() == "" {
 		e.mu.Lock()
-		e.asked = true
+		e.runningKnown = true
 		e.mu.Unlock()
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	go e.watchCold(ctx)
-	go e.watchPrefixes(ctx)
-	go e.watchVersion(ctx)
-	return e.adopt(ctx)
+	go e.pollCold(ctx)
+	go e.pollPrefixes(ctx)
+	go e.pollLoaded(ctx)
+	return e.adoptRunning(ctx)
 }
 
-func (e *executor) watchCold(ctx context.Context) {
+func (e *executor) pollCold(ctx context.Context) {
 	for ctx.Err() == nil {
-		saysCold, err := e.backend.saysCold(ctx)
-		if errors.Is(err, errMissing) {
+		isCold, err := e.backend.queryCold(ctx)
+		if errors.Is(err, errUnsupported) {
 			return
 		}
 		if ctx.Err() == nil {
-			e.noteAnswer(clock.Now(), err)
+			e.recordPoll(clock.Now(), err)
 		}
 		if err != nil {
-			// It may be about to come back from a restart, cold.
 			e.mu.Lock()
+			// It may be about to return from a restart, cold.
 			e.limiter.AssumeCold()
 			e.mu.Unlock()
 		} else {
-			e.reported(saysCold)
+			e.setReportedCold(isCold)
 		}
-		e.pace.wait(ctx)
+		e.pollPacer.waitNext(ctx)
 	}
 }
 
-// watchPrefixes follows the engine's events on its prefix cache. They come late and with
-// gaps; a prefix that is not known to be there costs the engine a prefill, no more.
-func (e *executor) watchPrefixes(ctx context.Context) {
+// pollPrefixes follows the events of the engine's prefix cache. They arrive late and with gaps. A
+// cached prefix that is not known here only costs the engine a prefill.
+func (e *executor) pollPrefixes(ctx context.Context) {
 	var next uint64
 	for ctx.Err() == nil {
-		prefixes, after, err := e.backend.cacheEvents(ctx, next)
-		if errors.Is(err, errMissing) {
+		prefixes, following, err := e.backend.queryCacheEvents(ctx, next)
+		if errors.Is(err, errUnsupported) {
 			return
 		}
 		if err == nil {
-			next = after
+			next = following
 			e.mu.Lock()
 			e.prefixes.add(clock.Now(), prefixes)
 			e.mu.Unlock()
 		}
-		e.pace.wait(ctx)
+		e.pollPacer.waitNext(ctx)
 	}
 }
 
-// newPrefixes are the prefixes that came into an engine's cache of late.
-type newPrefixes struct {
-	hashes []uint64
-	came   []time.Duration
+// recentPrefixes holds the prefixes recently added to the engine's cache.
+type recentPrefixes struct {
+	hashes  []uint64
+	addedAt []time.Duration
 }
 
 const (
-	// tellPrefixes is how long a prefix is told in reports: some reports' time, so
-	// that a lost one loses nothing.
-	tellPrefixes = time.Second
-	// maxPrefixes bounds what one report tells.
-	maxPrefixes = 64
+	// prefixReportTime is how long reports contain a prefix: several reports, so that losing one
+	// loses nothing.
+	prefixReportTime = time.Second
+	// maxReportedPrefixes limits the prefixes in one report.
+	maxReportedPrefixes = 64
 )
 
-func (p *newPrefixes) add(now time.Duration, hashes []uint64) {
+func (p *recentPrefixes) add(now time.Duration, hashes []uint64) {
 	for _, h := range hashes {
 		p.hashes = append(p.hashes, h)
-		p.came = append(p.came, now)
+		p.addedAt = append(p.addedAt, now)
 	}
-	old := max(len(p.hashes)-maxPrefixes, 0)
-	for old < len(p.came) && now-p.came[old] > tellPrefixes {
-		old++
+	expired := max(len(p.hashes)-maxReportedPrefixes, 0)
+	for expired < len(p.addedAt) && now-p.addedAt[expired] > prefixReportTime {
+		expired++
 	}
-	p.hashes = slices.Clone(p.hashes[old:])
-	p.came = slices.Clone(p.came[old:])
+	p.hashes = slices.Clone(p.hashes[expired:])
+	p.addedAt = slices.Clone(p.addedAt[expired:])
 }
 
-// adopt asks the backend server what it still runs for a predecessor of this agent,
-// and counts it against the limit until it has ended. Without this a restarted
-// agent would double the load of a backend server that is still busy.
-func (e *executor) adopt(ctx context.Context) error {
+// adoptRunning asks the backend server which requests it still runs for the previous agent, and
+// counts them against the limit until they have ended. Otherwise a restarted agent would double
+// the load of a busy backend server.
+func (e *executor) adoptRunning(ctx context.Context) error {
 	var before map[string]bool
 	for ctx.Err() == nil {
-		ids, err := e.backend.running(ctx)
+		ids, err := e.backend.queryRunning(ctx)
 		if err == nil {
-			before = e.noteRunning(ids, before)
+			before = e.updateAdopted(ids, before)
 			if len(before) == 0 {
 				break
 			}
 		}
-		wait(ctx, watchPoll)
+		sleep(ctx, busyPollInterval)
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// noteRunning compares what runs with what ran before. The first answer opens the
-// agent for work; later ones only take away.
-func (e *executor) noteRunning(ids []string, before map[string]bool) map[string]bool {
+// updateAdopted compares the running requests with those of the last poll. The first answer opens
+// the agent for work; later ones only remove requests.
+func (e *executor) updateAdopted(ids []string, before map[string]bool) map[string]bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := make(map[string]bool, len(ids))
+	remaining := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		if before == nil || before[id] {
-			now[id] = true
+			remaining[id] = true
 		}
 	}
 	if before == nil {
-		e.limiter.Adopt(len(now))
-		e.asked = true
-		return now
+		e.limiter.Adopt(len(remaining))
+		e.runningKnown = true
+		return remaining
 	}
-	e.limiter.AdoptedDone(len(before) - len(now))
-	return now
+	e.limiter.AdoptedDone(len(before) - len(remaining))
+	return remaining
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -13,8 +13,8 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// A server breaks off in the middle of an event. Another one goes on behind the last whole
-// event, and the caller sees one stream: nothing missing, nothing twice.
+// A server breaks off in the middle of an event. Another server must resume after the last whole
+// event, and the caller must see one stream with nothing missing and nothing twice.
 func TestAStreamGoesOnAtAnotherServer(t *testing.T) {
 	t.Parallel()
 	broken := make(chan string, 2)
@@ -32,7 +32,7 @@
 		_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(3))+fakeplatform.Chunk(fakeplatform.Event(4))+"0\r\n\r\n")
 		return true
 	}
-	_, _, e := world(t, answer, answer)
+	_, _, e := startWorld(t, answer, answer)
 	r := e.ask("POST", "/draft/1", "d1")
 	if want := fakeplatform.Event(1) + fakeplatform.Event(2) + fakeplatform.Event(3) + fakeplatform.Event(4); r.body != want || r.err != nil {
 		t.Errorf("the caller got %q, %v", r.body, r.err)
@@ -42,11 +42,11 @@
 	}
 }
 
-// A stream that cannot be resumed breaks off. The caller must notice: an answer that ends
-// early must not look whole.
+// A stream that cannot be resumed breaks off. The caller must notice: a truncated answer must not
+// look whole.
 func TestABrokenStreamLooksBroken(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		return false
 	})
@@ -55,11 +55,11 @@
 	}
 }
 
-// A server goes back in its stream, or leaves events out. What the caller has cannot be put
-// right, and what comes next would make it worse.
+// A server sends an event again. The caller already has it, and passing it on would corrupt the
+// stream.
 func TestEventsOutOfOrderArePassedOnToNobody(t *testing.T) {
 	t.Parallel()
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)+fakeplatform.Event(2)+fakeplatform.Event(2))+"0\r\n\r\n")
 		return true
 	})
@@ -68,11 +68,11 @@
 	}
 }
 
-// A caller leaves in the middle of its stream. The server must not go on working for nobody.
+// A caller leaves in the middle of its stream. The server must stop working on it.
 func TestACallerThatLeavesEndsTheWork(t *testing.T) {
 	t.Parallel()
 	ended := make(chan struct{})
-	_, _, e := world(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
--- a/internal/httpguard/after_test.go
+++ b/internal/httpguard/after_test.go
@@ -12,10 +12,10 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// A caller takes its answer, or cannot be written to any more. Whoever keeps the answer
-// for a caller that comes back is told which, once, and not before it is written.
+// An answer is written, or its connection fails. The function that keeps the answer for a caller's
+// retry must be told which, exactly once, and not before the answer has been written.
 func TestAfterAnswer(t *testing.T) {
-	told := make(chan bool, 2)
+	sentResults := make(chan bool, 2)
 	returned := false
 	server := httptest.NewUnstartedServer(nil)
 	server.Config = NewServer(&api.Limits{HeaderBytes: 1 << 16}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -27,11 +27,11 @@
 			w.Header().Set("Connection", "close")
 		}
 		_, _ = io.WriteString(w, "answer")
-		if !AfterAnswer(r.Context(), func(sent bool) { told <- sent && returned }) {
-			t.Error("the connection is not known")
+		if !AfterAnswer(r.Context(), func(sent bool) { sentResults <- sent && returned }) {
+			t.Error("AfterAnswer does not know the connection")
 		}
 	}), log.NewNopLogger())
-	server.Listener = Listener(server.Listener, 10)
+	server.Listener = LimitListener(server.Listener, 10)
 	server.Start()
 	defer server.Close()
 	for path, want := range map[string]bool{"/": true, "/closes": true, "/broken": false} {
@@ -43,15 +43,15 @@
 			_ = resp.Body.Close()
 		}
 		select {
-		case sent := <-told:
+		case sent := <-sentResults:
 			if sent != want {
 				t.Errorf("%s: sent %v, want %v", path, sent, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%s: nobody was told", path)
+			t.Errorf("%s: the function was not called", path)
 		}
 	}
-	if len(told) > 0 {
-		t.Error("told twice")
+	if len(sentResults) > 0 {
+		t.Error("the function was called twice")
 	}
 }
