--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -79,6 +79,6 @@
 	case (outcome != notRun || h.mayHaveRun) && !r.Repeatable():
 		return false, "it may have run, and must not run twice"
 	default:
-		return h.sent < r.MaxAttempts, "the route's attempts are spent"
+		return h.sent < r.Attempts, "the route's attempts are spent"
 	}
 }
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -9,10 +9,10 @@
 // A push whose answer was lost may have taken effect. It must not be sent again, whatever attempts
 // the route has left; one that a backend server refused may.
 func TestShouldRetry(t *testing.T) {
-	once := &routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 2}
-	lookup := &routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
-	draft := &routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}
-	chat := &routing.Route{Kind: routing.Stream, MaxAttempts: 2}
+	once := &routing.Route{Kind: routing.AtMostOnce, Attempts: 2}
+	lookup := &routing.Route{Kind: routing.Idempotent, Attempts: 2}
+	draft := &routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
+	chat := &routing.Route{Kind: routing.Stream, Attempts: 2}
 	for _, c := range []struct {
 		name  string
 		v     attemptOutcome
@@ -23,7 +23,7 @@
 		{"a push whose answer was lost", broken, once, history{sent: 1, mayHaveRun: true}, false},
 		{"a push that failed", serverError, once, history{sent: 1, mayHaveRun: true}, false},
 		{"a push that was refused", notRun, once, history{sent: 1}, true},
-		{"a push that was refused, with no attempt left", notRun, &routing.Route{MaxAttempts: 1}, history{sent: 1}, false},
+		{"a push that was refused, with no attempt left", notRun, &routing.Route{Attempts: 1}, history{sent: 1}, false},
 		{"a push that was not sent", unsent, once, history{unsent: 1}, true},
 		{"a push that could not be sent anywhere", unsent, once, history{unsent: maxUnsent}, false},
 		{"a look-up whose answer was lost", broken, lookup, history{sent: 1, mayHaveRun: true}, true},
@@ -49,11 +49,11 @@
 		h     history
 		want  bool
 	}{
-		{"a push", routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 3}, history{}, false},
-		{"a stream that cannot be resumed", routing.Route{Kind: routing.Stream, MaxAttempts: 3}, history{}, false},
-		{"a draft", routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}, history{}, true},
-		{"a draft at its last server", routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}, history{sent: 1}, false},
-		{"a look-up", routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}, history{}, true},
+		{"a push", routing.Route{Kind: routing.AtMostOnce, Attempts: 3}, history{}, false},
+		{"a stream that cannot be resumed", routing.Route{Kind: routing.Stream, Attempts: 3}, history{}, false},
+		{"a draft", routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}, history{}, true},
+		{"a draft at its last server", routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}, history{sent: 1}, false},
+		{"a look-up", routing.Route{Kind: routing.Idempotent, Attempts: 2}, history{}, true},
 	} {
 		if got := canMove(&c.route, c.h); got != c.want {
 			t.Errorf("%s: may be moved %v, want %v", c.name, got, c.want)
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -137,7 +137,7 @@
 // canMove reports whether a request that is at a backend server may be sent to another one instead,
 // though it may have run or may still run there.
 func canMove(r *routing.Route, h history) bool {
-	return r.Repeatable() && h.sent+1 < r.MaxAttempts
+	return r.Repeatable() && h.sent+1 < r.Attempts
 }
 
 // probeVM probes the VM of an engine until it answers.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -60,9 +60,9 @@
 	MaxPause time.Duration
 	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// MaxAttempts is the number of backend servers to which one request may be sent.
-	MaxAttempts int
-	Targets     []Target
+	// Attempts is the number of backend servers to which one request may be sent.
+	Attempts int
+	Targets  []Target
 	// Anonymous reports whether requests need no key.
 	Anonymous bool
 }
