--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -1,10 +1,10 @@
-// Package experts coordinates the expert maps of lock-step groups of engines: it follows
-// which experts requests choose, plans maps that keep the ranks evenly busy, and takes all
-// ranks of a group from one map to the next.
+// Package experts coordinates the expert maps of lock-step groups of engines: it tracks which
+// experts requests choose, plans maps that balance the load of the ranks, and switches all ranks of
+// a group from one map to the next.
 //
-// One entry coordinates at a time. It holds a fencing number from the platform's store;
-// engines that check it refuse an earlier coordinator. All that a coordinator must know to
-// go on from another one it reads from the engines.
+// One entry coordinates at a time. It holds a fence from the platform's store; engines that compare
+// fences refuse an earlier coordinator. A new coordinator reads all that it needs to continue from
+// the engines.
 package experts
 
 import (
@@ -27,184 +27,188 @@
 )
 
 const (
-	// lookEach is the time between two looks at the engines: often enough to follow a
-	// popularity that changes within seconds.
-	lookEach = 200 * time.Millisecond
-	// busyEach is the same while a group is being switched, and may have to wait for it.
-	busyEach = 30 * time.Millisecond
-	// askTime bounds one question to all engines together.
-	askTime = 500 * time.Millisecond
-	// fenceTime bounds asking the store for a fencing number.
-	fenceTime = time.Second
-	// askAgain is the time between two requests for a number while the store gives none. An
-	// outage costs a few calls more, and a group without coordinator waits for its slowest
-	// rank in every pass for no longer than the outage.
-	askAgain = 400 * time.Millisecond
-	// waitEach is the time between two looks whether this entry coordinates, while it does not.
-	waitEach = 50 * time.Millisecond
-	// settleTime is how long an entry must be the one to coordinate before it begins: those
-	// that start or return at the same time do not take turns. Within it entries that live
-	// hear of each other; the first one that has a number keeps the duty.
-	settleTime = 100 * time.Millisecond
-	// formTime is for how long after it was seen closed a group is looked at as often as one
-	// that is being switched: ranks form a group within a second, and when it opens all that
-	// has waited begins with a map that fits nothing.
-	formTime = 3 * time.Second
-	// restTime is how long it does nothing after engines refused its number: another one
-	// coordinates.
-	restTime = 3 * time.Second
-	// silentFor is how long the process beside an engine must be silent before the engine is
-	// asked directly: that is dear, and tells less.
-	silentFor = 600 * time.Millisecond
-	// probeEach is how often the process is tried meanwhile.
-	probeEach = time.Second
+	// pollInterval is the time between polls of the engines, short enough to follow a popularity of
+	// experts that changes within seconds.
+	pollInterval = 200 * time.Millisecond
+	// busyPollInterval is the time between polls while a group is switching maps: it may be held
+	// and wait for the next order.
+	busyPollInterval = 30 * time.Millisecond
+	// callTimeout limits one round of calls to all engines.
+	callTimeout = 500 * time.Millisecond
+	// fenceTimeout limits a request to the store for a fence.
+	fenceTimeout = time.Second
+	// fenceRetryInterval is the time between requests for a fence while the store assigns none.
+	// Without a coordinator, a group waits for its slowest rank in every pass, so this must end
+	// soon after the store's outage. The price is a few more calls during the outage.
+	fenceRetryInterval = 400 * time.Millisecond
+	// standbyPollInterval is how often an entry that does not coordinate checks whether it must.
+	standbyPollInterval = 50 * time.Millisecond
+	// takeoverDelay is how long an entry must remain selected before it begins to coordinate.
+	// Entries that start or return together would otherwise take over from each other in turn.
+	// Within this time live entries hear of each other, and the first one with a fence stays the
+	// coordinator.
+	takeoverDelay = 100 * time.Millisecond
+	// formingTime is how long a closed group is polled as often as one that switches maps. Ranks
+	// form a group within a second, and when it opens, all queued requests begin on a map that does
+	// not fit their experts.
+	formingTime = 3 * time.Second
+	// fencedBackoff is how long an entry does nothing after engines refused its fence, since
+	// another one coordinates.
+	fencedBackoff = 3 * time.Second
+	// agentSilentAfter is how long a rank agent must not answer before its engine is called
+	// directly, which is expensive and returns less.
+	agentSilentAfter = 600 * time.Millisecond
+	// agentProbeInterval is the time between probes of a rank agent that does not answer.
+	agentProbeInterval = time.Second
 
-	// topicDuties holds one key for each duty that one entry has at a time; the offset of
-	// its newest record is the number of the one that has it.
+	// topicDuties holds one key for each duty that only one entry has at a time. The offset of the
+	// key's newest record gives the fence of the entry that has the duty.
 	topicDuties = "keyed.duties"
 	keyExperts  = "experts"
 )
 
-// Engine is one engine that may be a rank.
+// Engine is an engine that may be a rank of a group.
 type Engine struct {
 	ID string
-	// Address is where it takes requests.
+	// Address is the engine's host and port.
 	Address string
-	Shape   *routing.Engine
-	// Pause is the longest pause between two events that callers of its service accept;
-	// zero for unknown.
-	Pause time.Duration
+	Config  *routing.Engine
+	// MaxPause is the longest pause between two events of a stream that callers of the engine's
+	// service accept; zero if unknown.
+	MaxPause time.Duration
 }
 
-// Beliefs is what a coordinator goes by.
-type Beliefs interface {
-	// Coordinates says whether this entry is the one to coordinate.
-	Coordinates() bool
-	// Leaving says that this entry is stopping and that no other one coordinates yet: it
-	// goes on coordinating until then.
-	Leaving() bool
+// ClusterView is this entry's view of the other entries and of the engines.
+type ClusterView interface {
+	// IsCoordinator reports whether this entry is selected to coordinate.
+	IsCoordinator() bool
+	// IsLeaving reports whether this entry is shutting down and no other one coordinates yet. It
+	// continues to coordinate until one does.
+	IsLeaving() bool
 	// Engines returns the engines that have experts.
 	Engines() []Engine
 }
 
-// Coordinator is this entry's part in coordinating.
+// Coordinator coordinates the expert maps while this entry is selected to.
 type Coordinator struct {
 	vm       string
 	peerPort int
-	beliefs  Beliefs
+	cluster  ClusterView
 	store    *platform.Store
 	client   *http.Client
 	logger   log.Logger
 
-	// fence is this coordinator's number, zero for none; since is when it became the one to
-	// coordinate, restUntil when it may ask for a number again.
-	fence     atomic.Int64
-	since     time.Duration
-	chosen    bool
-	restUntil time.Duration
-	versions  int64
-	groups    map[string]*group
-	beside    map[string]*beside // by engine
-	// paces are the engines that are slow or closed, for others to read.
-	paces atomic.Pointer[map[string]Pace]
-	// fenced says that an engine refused the number.
+	// fence is this coordinator's fence, zero if it has none. selectedAt is when this entry was
+	// selected, backoffUntil the earliest time of its next request for a fence.
+	fence        atomic.Int64
+	selectedAt   time.Duration
+	selected     bool
+	backoffUntil time.Duration
+	versionCount int64
+	groups       map[string]*group
+	agents       map[string]*agentState // by engine
+	// impairments holds the engines that are slow or closed. Other goroutines read it.
+	impairments atomic.Pointer[map[string]Impairment]
+	// fenced reports whether an engine has refused the fence.
 	fenced bool
 }
 
-// New returns a coordinator that has done nothing yet.
-func New(vm string, peerPort int, beliefs Beliefs, store *platform.Store, logger log.Logger) *Coordinator {
+// New returns a coordinator. It does nothing before Run.
+func New(vm string, peerPort int, cluster ClusterView, store *platform.Store, logger log.Logger) *Coordinator {
 	return &Coordinator{
-		vm: vm, peerPort: peerPort, beliefs: beliefs, store: store, logger: logger,
+		vm: vm, peerPort: peerPort, cluster: cluster, store: store, logger: logger,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: askTime}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: callTimeout}).DialContext,
 			MaxIdleConnsPerHost: 2,
 			IdleConnTimeout:     10 * time.Second,
 		}},
 		groups: make(map[string]*group),
-		beside: make(map[string]*beside),
+		agents: make(map[string]*agentState),
 	}
 }
 
-// Run coordinates whenever this entry is the one to, until ctx ends.
+// Run coordinates whenever this entry is selected to, until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	for {
-		wait := waitEach
-		if c.ready(ctx) {
-			wait = lookEach
-			if c.look(ctx) {
-				wait = busyEach
+		interval := standbyPollInterval
+		if c.ensureFence(ctx) {
+			interval = pollInterval
+			if c.poll(ctx) {
+				interval = busyPollInterval
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(wait):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// Fence is the number with which this entry coordinates, zero when it does not. It may be
-// called by any goroutine.
+// Fence returns the fence with which this entry coordinates, or zero if it does not. It is safe for
+// concurrent use.
 func (c *Coordinator) Fence() int64 { return c.fence.Load() }
 
-// slowPace is the pace from which on an engine counts as slow: well above what healthy ones
-// differ by.
-const slowPace = 1.3
+// minSlowdown is the slowdown from which on an engine counts as slow. It is well above the
+// differences between healthy engines.
+const minSlowdown = 1.3
 
-// Pace is what keeps an engine from its usual work.
-type Pace struct {
-	// Slower is how many times slower than usual it is.
-	Slower float64
-	// Closed says that it takes no work, since its group is broken.
+// Impairment describes an engine that is slow or takes no work.
+type Impairment struct {
+	// Slowdown is the ratio of the engine's time for its work to its usual time.
+	Slowdown float64
+	// Closed reports whether the engine takes no work because its group is broken.
 	Closed bool
 }
 
-// Paces returns the engines that are slow or closed. It may be called by any goroutine.
-func (c *Coordinator) Paces() map[string]Pace {
-	if paces := c.paces.Load(); paces != nil {
-		return *paces
+// Impairments returns the engines that are slow or closed, by ID. It is safe for concurrent use,
+// and the map must not be changed.
+func (c *Coordinator) Impairments() map[string]Impairment {
+	if impairments := c.impairments.Load(); impairments != nil {
+		return *impairments
 	}
 	return nil
 }
 
-// ready says whether this entry coordinates and has a number for it.
+// ensureFence reports whether this entry coordinates and has a fence. If it is selected and has
+// none, it requests one from the store.
 //
-// An entry that leaves goes on until engines refuse its number: the one that follows it needs
-// a moment for a number of its own, and popularity does not wait.
-func (c *Coordinator) ready(ctx context.Context) bool {
+// An entry that shuts down continues until engines refuse its fence: its successor needs a moment
+// to get a fence of its own, and the popularity of experts changes meanwhile.
+func (c *Coordinator) ensureFence(ctx context.Context) bool {
 	now := clock.Now()
-	followed := c.fenced && c.beliefs.Leaving()
-	if followed || !c.beliefs.Coordinates() && !(c.beliefs.Leaving() && c.fence.Load() != 0) {
+	replaced := c.fenced && c.cluster.IsLeaving()
+	if replaced || !c.cluster.IsCoordinator() && !(c.cluster.IsLeaving() && c.fence.Load() != 0) {
 		if c.fence.Load() != 0 {
 			_ = level.Info(c.logger).Log("msg", "This entry no longer coordinates the expert maps.", "fence", c.fence.Load())
 		}
 		c.resign()
-		c.chosen = false
+		c.selected = false
 		return false
 	}
-	if !c.chosen {
-		c.chosen = true
-		c.since = now
+	if !c.selected {
+		c.selected = true
+		c.selectedAt = now
 	}
 	if c.fenced {
-		_ = level.Warn(c.logger).Log("msg", "Engines follow another coordinator.", "fence", c.fence.Load(),
+		_ = level.Warn(c.logger).Log("msg", "Engines refused the fence of this entry: another entry coordinates.", "fence", c.fence.Load(),
 			"result", result.Label(api.ResultCode_CONFLICT))
 		c.resign()
-		c.restUntil = now + restTime
+		c.backoffUntil = now + fencedBackoff
 	}
-	if now-c.since < settleTime || now < c.restUntil || len(c.beliefs.Engines()) == 0 {
+	if now-c.selectedAt < takeoverDelay || now < c.backoffUntil || len(c.cluster.Engines()) == 0 {
 		return false
 	}
 	if c.fence.Load() != 0 {
 		return true
 	}
-	callCtx, cancel := context.WithTimeout(ctx, fenceTime)
+	callCtx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	offset, err := c.store.Put(callCtx, topicDuties, keyExperts, []byte(c.vm))
 	if err != nil {
-		_ = level.Warn(c.logger).Log("msg", "The store gave no fencing number.", "err", err,
+		_ = level.Warn(c.logger).Log("msg", "The store assigned no fence. The request is retried.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
-		c.restUntil = now + askAgain
+		c.backoffUntil = now + fenceRetryInterval
 		return false
 	}
 	c.fence.Store(offset + 1)
@@ -212,30 +216,30 @@
 	return true
 }
 
-// resign forgets what belongs to the number.
+// resign drops the fence and all state that belongs to it.
 func (c *Coordinator) resign() {
 	c.fence.Store(0)
-	c.paces.Store(nil)
+	c.impairments.Store(nil)
 	c.fenced = false
 	c.groups = make(map[string]*group)
 }
 
-// versionsPerFence is the number of versions that one coordinator can make.
+// versionsPerFence is the number of map versions that one coordinator can create.
 const versionsPerFence = 1 << 20
 
-// version makes a version that no coordinator has used: two maps under one version would
-// look alike to the ranks.
-func (c *Coordinator) version() int64 {
-	c.versions++
-	return c.fence.Load()*versionsPerFence + c.versions
+// newVersion returns a version that no coordinator has used. Ranks could not distinguish two maps
+// with the same version.
+func (c *Coordinator) newVersion() int64 {
+	c.versionCount++
+	return c.fence.Load()*versionsPerFence + c.versionCount
 }
 
-// noVersion is a version that no coordinator makes.
-func (c *Coordinator) noVersion() int64 { return c.fence.Load() * versionsPerFence }
+// reservedVersion returns a version with this coordinator's fence that newVersion never returns.
+func (c *Coordinator) reservedVersion() int64 { return c.fence.Load() * versionsPerFence }
 
-// followedBy says that ranks have a version of a coordinator with a higher number. A
-// coordinator that only found its own versions too low would make new ones for good.
-func (c *Coordinator) followedBy(status []mapswitch.Status) bool {
+// isSuperseded reports whether ranks have a version from a coordinator with a higher fence. Without
+// this check, a coordinator would only find its own versions outdated and create new ones forever.
+func (c *Coordinator) isSuperseded(status []mapswitch.Status) bool {
 	for _, s := range status {
 		newest := max(s.Map, s.Prepared)
 		if s.Armed != nil {
@@ -248,27 +252,27 @@
 	return false
 }
 
-// look reads all engines and does for each group what is next. It returns whether the next look
-// must not wait.
-func (c *Coordinator) look(ctx context.Context) bool {
-	engines := c.beliefs.Engines()
-	answers := c.askAll(ctx, engines, func(e Engine) *api.RankRequest {
-		return &api.RankRequest{Counts: true, Experts: c.wantsExperts(e)}
+// poll reads the state of all engines and takes the next step of each group. It reports whether the
+// next poll is due after busyPollInterval.
+func (c *Coordinator) poll(ctx context.Context) bool {
+	engines := c.cluster.Engines()
+	responses := c.callAll(ctx, engines, func(e Engine) *api.RankRequest {
+		return &api.RankRequest{Counts: true, Experts: c.needsExperts(e)}
 	})
 	members := make(map[string][]*member)
-	paces := make(map[string]Pace)
-	for i, a := range answers {
-		state := a.reply.GetState()
+	impairments := make(map[string]Impairment)
+	for i, resp := range responses {
+		state := resp.reply.GetState()
 		closed := state.GetGroup() != "" && !state.GetOpen()
-		if closed || state.GetPace() >= slowPace {
-			paces[engines[i].ID] = Pace{Slower: max(state.GetPace(), 1), Closed: closed}
+		if closed || state.GetPace() >= minSlowdown {
+			impairments[engines[i].ID] = Impairment{Slowdown: max(state.GetPace(), 1), Closed: closed}
 		}
 		if state.GetGroup() == "" || state.GetSize() == 0 {
 			continue
 		}
-		members[state.GetGroup()] = append(members[state.GetGroup()], &member{engine: engines[i], reply: a.reply, late: a.direct})
+		members[state.GetGroup()] = append(members[state.GetGroup()], &member{engine: engines[i], reply: resp.reply, stale: resp.direct})
 	}
-	c.paces.Store(&paces)
+	c.impairments.Store(&impairments)
 	busy := false
 	for name, ms := range members {
 		g := c.groups[name]
@@ -276,32 +280,32 @@
 			g = newGroup(c, name)
 			c.groups[name] = g
 		}
-		busy = g.look(ctx, ms) || busy
+		busy = g.update(ctx, ms) || busy
 	}
 	return busy
 }
 
-// wantsExperts says whether the experts that an engine holds must be read: once for each map
-// that it uses.
-func (c *Coordinator) wantsExperts(e Engine) bool {
+// needsExperts reports whether the experts that an engine holds must be read, which happens once
+// for each map that it uses.
+func (c *Coordinator) needsExperts(e Engine) bool {
 	for _, g := range c.groups {
-		if g.knows(e.ID) {
+		if g.knowsExperts(e.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// member is one rank of a group with its last reply.
+// member is a rank of a group and its latest reply.
 type member struct {
 	engine Engine
 	reply  *api.RankReply
-	// late says that the state in the reply is of some moments ago.
-	late bool
+	// stale reports whether the state in the reply may be some hundred milliseconds old.
+	stale bool
 }
 
-// statuses returns what the ranks report, in their order; nil unless all of them do and the
-// group is open.
+// statuses returns the reports of all ranks in rank order, or nil if one is missing or the group is
+// not open.
 func statuses(members []*member) []mapswitch.Status {
 	size := int(members[0].reply.GetState().GetSize())
 	if len(members) != size {
@@ -316,8 +320,8 @@
 			return nil
 		}
 		seen[rank] = true
-		out[rank] = ranks.Status(state)
-		out[rank].Stale = m.late
+		out[rank] = ranks.StatusFromWire(state)
+		out[rank].Stale = m.stale
 	}
 	return out
 }
--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -23,32 +23,33 @@
 )
 
 const (
-	generous  = 20 * time.Second
-	groupSize = 4
-	expertsN  = 16
+	waitTimeout = 20 * time.Second
+	groupSize   = 4
+	expertCount = 16
 )
 
-// shape is that of the group: 16 experts on 4 ranks with 6 slots.
-var shape = &routing.Engine{LayerSets: 1, Experts: expertsN, Slots: 6, Spare: 2, Stride: 4, ExpertMB: 1, LinkMbps: 1e6}
+// engineConfig configures the group: 16 experts on 4 ranks with 6 slots each.
+var engineConfig = &routing.Engine{LayerSets: 1, Experts: expertCount, SlotsPerRank: 6, MaxNewExperts: 2, StepsPerPass: 4, ExpertMB: 1, LinkMbps: 1e6}
 
-// testGroup is a lock-step group with a process beside each engine, which can be silent.
+// testGroup is a lock-step group with a rank agent for each engine, which can be made silent.
 type testGroup struct {
 	*fakeplatform.Group
 	engines []Engine
 	silent  [groupSize]atomic.Bool
-	// held counts the orders that stop the group, or let it go, of processes beside engines.
-	held atomic.Int64
-	// beside are the processes beside engines.
-	beside [groupSize]*http.Server
+	// agentHoldOrders counts the orders to hold the group, or to release a hold, that rank agents
+	// received.
+	agentHoldOrders atomic.Int64
+	// agents holds the rank agents by rank.
+	agents [groupSize]*http.Server
 }
 
 func newTestGroup(t *testing.T, drift int64) *testGroup {
 	g := &testGroup{Group: fakeplatform.NewGroup(t, fakeplatform.GroupShape{
-		Ranks: groupSize, Experts: expertsN, Places: shape.Slots, Spare: shape.Spare, Drift: drift,
+		Ranks: groupSize, Experts: expertCount, Places: engineConfig.SlotsPerRank, Spare: engineConfig.MaxNewExperts, Drift: drift,
 	}, 1)}
-	for at, address := range g.Engines {
-		g.engines = append(g.engines, Engine{ID: fmt.Sprint("i-", at), Address: address, Shape: shape, Pause: time.Second})
-		g.listenBeside(t, at, address)
+	for rank, address := range g.Engines {
+		g.engines = append(g.engines, Engine{ID: fmt.Sprint("i-", rank), Address: address, Config: engineConfig, MaxPause: time.Second})
+		g.startAgent(t, rank, address)
 	}
 	t.Cleanup(func() {
 		for _, fault := range g.State().Faults {
@@ -58,9 +59,9 @@
 	return g
 }
 
-// listenBeside starts the process beside an engine.
-func (g *testGroup) listenBeside(t *testing.T, at int, engine string) {
-	address, err := ranks.Beside(engine, fakeplatform.PortPeers)
+// startAgent starts the rank agent of an engine.
+func (g *testGroup) startAgent(t *testing.T, rank int, engine string) {
+	address, err := ranks.AgentAddress(engine, fakeplatform.PortPeers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +70,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if g.silent[at].Load() {
+		if g.silent[rank].Load() {
 			<-r.Context().Done()
 			return
 		}
@@ -79,31 +80,31 @@
 			t.Error(err)
 		}
 		if kind := req.GetOrder().GetKind(); kind == api.RankOrder_HOLD || kind == api.RankOrder_GO {
-			g.held.Add(1)
+			g.agentHoldOrders.Add(1)
 		}
-		answer, _ := proto.Marshal(ranks.Ask(r.Context(), platform.NewEngine(engine, http.DefaultClient), req))
+		answer, _ := proto.Marshal(ranks.Execute(r.Context(), platform.NewEngine(engine, http.DefaultClient), req))
 		_, _ = w.Write(answer)
 	})}
 	go func() { _ = server.Serve(l) }()
-	g.beside[at] = server
+	g.agents[rank] = server
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// fakeBeliefs is what a coordinator goes by.
-type fakeBeliefs struct {
+// fakeCluster is the view of an entry that is selected to coordinate.
+type fakeCluster struct {
 	engines     []Engine
 	coordinates atomic.Bool
 }
 
-func (b *fakeBeliefs) Coordinates() bool { return b.coordinates.Load() }
-func (b *fakeBeliefs) Leaving() bool     { return false }
-func (b *fakeBeliefs) Engines() []Engine { return b.engines }
+func (f *fakeCluster) IsCoordinator() bool { return f.coordinates.Load() }
+func (f *fakeCluster) IsLeaving() bool     { return false }
+func (f *fakeCluster) Engines() []Engine   { return f.engines }
 
-// newStore gives numbers, each higher than the last.
-func newStore(t *testing.T) *platform.Store { return newStoreAfter(t, 0) }
+// newStore returns a store that assigns rising fences.
+func newStore(t *testing.T) *platform.Store { return newRefusingStore(t, 0) }
 
-// newStoreAfter turns so many calls away before it gives numbers.
-func newStoreAfter(t *testing.T, refusals int64) *platform.Store {
+// newRefusingStore returns a store that refuses the given number of calls before it assigns fences.
+func newRefusingStore(t *testing.T, refusals int64) *platform.Store {
 	var offset, calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) <= refusals {
@@ -116,10 +117,10 @@
 	return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), http.DefaultTransport)
 }
 
-func coordinate(t *testing.T, g *testGroup, store *platform.Store) (*fakeBeliefs, *Coordinator) {
-	b := &fakeBeliefs{engines: g.engines}
-	b.coordinates.Store(true)
-	c := New("vm", fakeplatform.PortPeers, b, store, log.NewNopLogger())
+func startCoordinator(t *testing.T, g *testGroup, store *platform.Store) (*fakeCluster, *Coordinator) {
+	cluster := &fakeCluster{engines: g.engines}
+	cluster.coordinates.Store(true)
+	c := New("vm", fakeplatform.PortPeers, cluster, store, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -130,114 +131,116 @@
 		cancel()
 		<-done
 	})
-	return b, c
+	return cluster, c
 }
 
-func until(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if is() {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", generous, what)
+	t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
-// passesGoOn waits for further passes.
-func (g *testGroup) passesGoOn(t *testing.T, further int64) {
+// waitForPasses waits until more than n further passes have begun.
+func (g *testGroup) waitForPasses(t *testing.T, n int64) {
 	t.Helper()
-	from := g.State().Passes
-	until(t, "passes go on", func() bool { return g.State().Passes > from+further })
+	start := g.State().Passes
+	waitFor(t, "passes go on", func() bool { return g.State().Passes > start+n })
 }
 
-// Half of all tokens go to one expert, which one rank holds: every pass waits for it. The
-// coordinator has it copied to others, and no pass begins with two maps on the way.
+// Half of all tokens go to one expert, which one rank holds, so every pass waits for that rank. The
+// coordinator has the expert copied to other ranks, and no pass begins with two maps meanwhile.
 func TestAPopularExpertIsCopied(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
-	coordinate(t, g, newStore(t))
-	until(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
+	startCoordinator(t, g, newStore(t))
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
-// The answers of a third of the orders are lost. The switch still ends, and the group does
-// not stay held.
+// The answers to a third of the orders are lost. The switch still completes, and the group does not
+// stay held.
 func TestLostAnswersToOrders(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
 	g.SetTrouble(fakeplatform.Trouble{Lost: 0.33})
-	coordinate(t, g, newStore(t))
-	until(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
-	g.passesGoOn(t, 20)
+	startCoordinator(t, g, newStore(t))
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
+	g.waitForPasses(t, 20)
 }
 
-// A VM stands still right after it has passed on the order that holds the group: nobody reaches
-// its engine to let the group go until it wakes. No VM beside an engine passes on such orders.
+// A VM becomes unresponsive right after its rank agent has forwarded the order to hold the group.
+// Until it wakes, nobody can reach its engine to release the hold. Rank agents must therefore never
+// receive such orders.
 func TestNoVMBesideAnEngineHoldsTheGroup(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 200)
-	coordinate(t, g, newStore(t))
-	until(t, "several versions were in use", func() bool { return g.State().Versions >= 3 })
-	if n := g.held.Load(); n != 0 {
-		t.Errorf("%d orders to stop the group came from the VMs of its engines", n)
+	startCoordinator(t, g, newStore(t))
+	waitFor(t, "several versions were in use", func() bool { return g.State().Versions >= 3 })
+	if n := g.agentHoldOrders.Load(); n != 0 {
+		t.Errorf("rank agents received %d orders to hold the group or to release a hold, want 0", n)
 	}
 }
 
-// The process beside one engine is gone. Its engine is asked directly, and the group is
-// switched all the same.
-func TestASilentProcessBesideAnEngine(t *testing.T) {
+// The rank agent of one engine does not answer. The engine is called directly, and the group still
+// makes passes and switches maps.
+func TestSilentRankAgentIsBypassed(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
-	coordinate(t, g, newStore(t))
-	until(t, "the first map is in use", func() bool { return g.State().Version != 0 })
+	startCoordinator(t, g, newStore(t))
+	waitFor(t, "the first map is in use", func() bool { return g.State().Version != 0 })
 	g.silent[2].Store(true)
-	g.passesGoOn(t, 400)
+	g.waitForPasses(t, 400)
 }
 
-// A coordinator dies with the group held. The next one has a higher number, brings the switch
-// to its end and lets the group go; the first one, when it is back, is refused and rests.
-func TestAnotherCoordinatorGoesOn(t *testing.T) {
+// A coordinator dies while the group is held. The next one has a higher fence, completes the switch
+// and releases the hold. When the first one returns, it is refused and backs off.
+func TestNextCoordinatorFinishesTheSwitch(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 200)
 	store := newStore(t)
 	held := g.Hold(1, 3)
-	_, first := coordinate(t, g, store)
-	until(t, "passes go on", func() bool { return g.State().Step > held+5 })
-	_, second := coordinate(t, g, store)
-	until(t, "the second one has a higher number", func() bool { return second.Fence() > first.Fence() })
-	until(t, "the first one rests", func() bool { return first.Fence() == 0 })
-	g.passesGoOn(t, 20)
+	_, first := startCoordinator(t, g, store)
+	waitFor(t, "passes go on", func() bool { return g.State().Step > held+5 })
+	_, second := startCoordinator(t, g, store)
+	waitFor(t, "the second coordinator has a higher fence", func() bool { return second.Fence() > first.Fence() })
+	waitFor(t, "the first coordinator gives up its fence", func() bool { return first.Fence() == 0 })
+	g.waitForPasses(t, 20)
 }
 
-// The coordinator is replaced while the store is away, and experts' popularity moves on: every
-// pass waits for one rank. Once the store answers again the next coordinator begins within a
-// moment of its next question, not after the rest of one whom engines have refused.
+// The coordinator is replaced during an outage of the store. Meanwhile the popularity of experts
+// changes, and every pass waits for one rank. Once the store answers, the next coordinator must
+// begin within the short interval between requests for a fence, not after the long backoff of a
+// coordinator that engines refused.
 func TestACoordinatorBeginsSoonAfterAnOutage(t *testing.T) {
 	t.Parallel()
 	const refusals = 12
 	g := newTestGroup(t, 0)
-	coordinate(t, g, newStoreAfter(t, refusals))
-	until(t, "the popular expert stands on several ranks", func() bool { return g.State().Replicas >= 3 })
+	startCoordinator(t, g, newRefusingStore(t, refusals))
+	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 }
 
-// The processes beside engines are replaced one after the other, so that one refuses connections
-// at any time, while popularity moves on. Maps must follow it within seconds all the same.
+// Rank agents are replaced one after the other, so that at any time one of them refuses
+// connections, while the popularity of experts changes. Maps must still follow within seconds.
 func TestMapsAreChangedWhileProcessesBesideEnginesAreReplaced(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 120)
-	coordinate(t, g, newStore(t))
-	until(t, "a map is in use", func() bool { return g.State().Versions > 1 })
+	startCoordinator(t, g, newStore(t))
+	waitFor(t, "a map is in use", func() bool { return g.State().Versions > 1 })
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		for n := 0; ; n++ {
-			at := n % groupSize
-			_ = g.beside[at].Close()
+			rank := n % groupSize
+			_ = g.agents[rank].Close()
 			select {
 			case <-stop:
 				return
 			case <-time.After(500 * time.Millisecond):
 			}
-			g.listenBeside(t, at, g.Engines[at])
+			g.startAgent(t, rank, g.Engines[rank])
 		}
 	}()
 	versions, changed, longest := g.State().Versions, time.Now(), time.Duration(0)
@@ -249,9 +252,9 @@
 	}
 	close(stop)
 	<-stopped
-	const followed = 4 * time.Second
-	t.Logf("no new map for %v at most", longest)
-	if longest > followed {
-		t.Errorf("popularity is not followed within %v", followed)
+	const maxWithoutNewMap = 4 * time.Second
+	t.Logf("longest time without a new map: %v", longest)
+	if longest > maxWithoutNewMap {
+		t.Errorf("no new map within %v although the popularity of experts changes", maxWithoutNewMap)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -112,10 +112,10 @@
 	// silent or be closing: then it would be unknown whether the request was read, and the request
 	// would be lost although it never ran. The same goes for a request that hung before, since it
 	// has no attempts to lose.
-	newConn := a.t.route.Kind == routing.Once || a.t.history.hung
+	newConn := a.t.route.Kind == routing.AtMostOnce || a.t.history.hung
 	conn, err := a.g.pool.Get(ctx, a.server.ID, a.server.Address, limit, newConn)
 	if err != nil {
-		if errors.Is(err, upstream.ErrFull) {
+		if errors.Is(err, upstream.ErrConnectionLimit) {
 			a.serverOutcome = outcomeRefused
 		} else {
 			a.serverOutcome = outcomeUnreachable
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -170,7 +170,7 @@
 // ranks, so it must get hardly any.
 func TestASlowEngineGetsLittle(t *testing.T) {
 	f := newTestFleet(12, 12, 1, 0)
-	f.setPeerReports(nil, map[string]experts.Pace{"i-3": {Slower: 5}}, 0)
+	f.setPeerReports(nil, map[string]experts.Impairment{"i-3": {Slowdown: 5}}, 0)
 	got := map[string]int{}
 	for range 90 {
 		if id, code := f.pickApp(0); code == api.ResultCode_OK {
@@ -239,7 +239,7 @@
 func TestASlowServerGetsNoRequests(t *testing.T) {
 	const picks = 2000
 	f := newTestFleet(4, 12, 1, 0)
-	slow := map[string]experts.Pace{"i-1": {Slower: 5}}
+	slow := map[string]experts.Impairment{"i-1": {Slowdown: 5}}
 	f.setPeerReports(nil, slow, 0)
 	// First while all are idle, then until the fast ones are full.
 	for i := range 2 * picks {
@@ -252,7 +252,7 @@
 		}
 	}
 	for id := range f.servers {
-		slow[id] = experts.Pace{Slower: 5}
+		slow[id] = experts.Impairment{Slowdown: 5}
 	}
 	all := newTestFleet(4, 12, 1, 0)
 	all.setPeerReports(nil, slow, 0)
@@ -268,7 +268,7 @@
 	both := registrations(2, 12)
 	both[0].FailureDomain = "out"
 	f.setServers(both, map[string]bool{"out": true}, serviceTable(0), entryCounts{1, 1}, 0)
-	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.setPeerReports(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, 0)
 	if id, code := f.pickApp(0); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
@@ -277,9 +277,9 @@
 // The only fast server is unreachable and ejected for a while. The slow one must serve.
 func TestASlowServerServesWhenTheFastOnesFail(t *testing.T) {
 	f := newTestFleet(2, 12, 1, 0)
-	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, 0)
+	f.setPeerReports(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, 0)
 	f.ejector.RecordUnreachable("i-0", 0)
-	f.setPeerReports(nil, map[string]experts.Pace{"i-1": {Slower: 5}}, msec)
+	f.setPeerReports(nil, map[string]experts.Impairment{"i-1": {Slowdown: 5}}, msec)
 	if id, code := f.pickApp(msec); code != api.ResultCode_OK || id != "i-1" {
 		t.Errorf("%q, %v", id, code)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 
 func newGateway(s *platform.Settings, logger log.Logger) *Gateway {
 	transport := &http.Transport{
-		DialContext:           (&net.Dialer{Timeout: storeTimeout, Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()}).DialContext,
+		DialContext:           (&net.Dialer{Timeout: storeTimeout, Control: upstream.SetTCPUserTimeout, KeepAliveConfig: upstream.KeepAliveConfig()}).DialContext,
 		MaxIdleConnsPerHost:   4,
 		IdleConnTimeout:       10 * time.Second,
 		DisableCompression:    true,
@@ -99,7 +99,7 @@
 			retryRatio: s.Bounds.RetryRatio, retryReserve: s.Bounds.RetrySlack,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		pool:    upstream.NewPool(connectTimeout),
-		listen:  net.ListenConfig{Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()},
+		listen:  net.ListenConfig{Control: upstream.SetTCPUserTimeout, KeepAliveConfig: upstream.KeepAliveConfig()},
 		metrics: counters,
 		peerClient: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
@@ -163,19 +163,19 @@
 	return err
 }
 
-// Coordinates implements experts.Beliefs.
-func (g *Gateway) Coordinates() bool {
+// IsCoordinator implements experts.ClusterView.
+func (g *Gateway) IsCoordinator() bool {
 	v := g.view.Load()
 	return v != nil && v.isCoordinator
 }
 
-// Leaving implements experts.Beliefs.
-func (g *Gateway) Leaving() bool {
+// IsLeaving implements experts.ClusterView.
+func (g *Gateway) IsLeaving() bool {
 	v := g.view.Load()
 	return g.leaving.Load() && v != nil && !v.takenOver
 }
 
-// Engines implements experts.Beliefs.
+// Engines implements experts.ClusterView.
 func (g *Gateway) Engines() []experts.Engine {
 	v := g.view.Load()
 	if v == nil {
@@ -213,7 +213,7 @@
 			_ = g.socket.Close()
 			return ctx.Err()
 		case <-ticker.C:
-			g.pool.Sweep(g.fleet.isKnown)
+			g.pool.CloseExpired(g.fleet.isKnown)
 		}
 	}
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -102,7 +102,7 @@
 	if err := t.findTeam(v.table); err != nil {
 		return err
 	}
-	t.service = t.route.Choose(rand.Float64())
+	t.service = t.route.PickService(rand.Float64())
 	if t.route.Timeout > 0 && (t.deadline == 0 || t.arrivedAt+t.route.Timeout < t.deadline) {
 		t.deadline = t.arrivedAt + t.route.Timeout
 	}
--- a/internal/gateway/lateness.go
+++ b/internal/gateway/lateness.go
@@ -35,7 +35,7 @@
 		switch {
 		case t.out.begunAt-t.arrivedAt > orDefault(t.route.Objective, defaultFirstEvent):
 			return lateFirst
-		case t.out.maxEventGap > orDefault(t.route.Pause, defaultMaxPause):
+		case t.out.maxEventGap > orDefault(t.route.MaxPause, defaultMaxPause):
 			return latePause
 		}
 		return onTime
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -9,7 +9,7 @@
 // A push whose answer was lost may have taken effect. It must not be sent again, whatever attempts
 // the route has left; one that a backend server refused may.
 func TestShouldRetry(t *testing.T) {
-	once := &routing.Route{Kind: routing.Once, Attempts: 2}
+	once := &routing.Route{Kind: routing.AtMostOnce, Attempts: 2}
 	lookup := &routing.Route{Kind: routing.Idempotent, Attempts: 2}
 	draft := &routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
 	chat := &routing.Route{Kind: routing.Stream, Attempts: 2}
@@ -49,7 +49,7 @@
 		h     history
 		want  bool
 	}{
-		{"a push", routing.Route{Kind: routing.Once, Attempts: 3}, history{}, false},
+		{"a push", routing.Route{Kind: routing.AtMostOnce, Attempts: 3}, history{}, false},
 		{"a stream that cannot be resumed", routing.Route{Kind: routing.Stream, Attempts: 3}, history{}, false},
 		{"a draft", routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}, history{}, true},
 		{"a draft at its last server", routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}, history{sent: 1}, false},
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -66,7 +66,7 @@
 
 // progress returns how far the answer has come. The caller holds the lock.
 func (w *watchdog) progress() silence.Progress {
-	return silence.Progress{HasBegun: w.hasBegun, Objective: w.t.route.Objective, MaxPause: w.t.route.Pause, Since: w.lastProgress}
+	return silence.Progress{HasBegun: w.hasBegun, Objective: w.t.route.Objective, MaxPause: w.t.route.MaxPause, Since: w.lastProgress}
 }
 
 // noteProgress records that part of the answer has arrived.
@@ -172,7 +172,7 @@
 // probeVMOnce asks the process beside an engine for any answer. It returns an error if the VM is
 // silent. A refused connection is none, since that process may be restarting.
 func (g *Gateway) probeVMOnce(s registry.Server) error {
-	address, err := ranks.Beside(s.Address, g.settings.PeerPort)
+	address, err := ranks.AgentAddress(s.Address, g.settings.PeerPort)
 	if err != nil {
 		// There is nothing to probe, so nothing is known.
 		return nil
--- a/internal/rankagent/rankagent_test.go
+++ b/internal/rankagent/rankagent_test.go
@@ -17,26 +17,27 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// An engine hangs for a while and is asked many times. The log has one line when it goes
-// silent and one when it is back, with how long that was, and the counters have each question.
-func TestASilentEngineIsToldOnce(t *testing.T) {
+// An engine hangs for a while and is called many times. There must be one log line when it stops
+// answering and one when it answers again, with the time between, while the metrics count every
+// call.
+func TestSilentEngineIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	a := newAgent(nil, log.NewLogfmtLogger(&out))
 	for _, err := range []string{"", "timeout", "timeout", "refused", "", ""} {
-		a.note(&api.RankReply{Error: err}, time.Millisecond)
+		a.recordReply(&api.RankReply{Error: err}, time.Millisecond)
 	}
 	if text := out.String(); strings.Count(text, "\n") != 2 || !strings.Contains(text, `msg="The engine does not answer." err=timeout`) ||
 		!strings.Contains(text, `msg="The engine answers again." away_ms=`) {
 		t.Errorf("got:\n%s", text)
 	}
-	if asked, failed := a.metrics.asked.Count(), a.metrics.failed.Count(); asked != 6 || failed != 3 {
-		t.Errorf("%d asked, %d failed", asked, failed)
+	if asked, failed := a.metrics.requests.Count(), a.metrics.failures.Count(); asked != 6 || failed != 3 {
+		t.Errorf("%d requests and %d failures counted, want 6 and 3", asked, failed)
 	}
 }
 
-// The coordinator asks for the state of an engine that is gone. It gets an answer that says
-// so, as fast as the connection is refused, and operators see it in the metrics.
-func TestAnEngineThatIsGone(t *testing.T) {
+// The coordinator requests the state of an engine that no longer listens. It gets a reply with the
+// error as soon as the connection is refused, and the metrics count the failure.
+func TestUnreachableEngineIsReported(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	address := strings.TrimPrefix(gone.URL, "http://")
 	gone.Close()
@@ -44,7 +45,7 @@
 	server := httptest.NewServer(a.handler())
 	defer server.Close()
 	reply := &api.RankReply{}
-	if err := proto.Unmarshal(body(t, server.Client().Post, server.URL+ranks.Path, nil), reply); err != nil || reply.GetError() == "" {
+	if err := proto.Unmarshal(postBody(t, server.Client().Post, server.URL+ranks.RequestPath, nil), reply); err != nil || reply.GetError() == "" {
 		t.Errorf("the reply is %v, %v", reply, err)
 	}
 	resp, err := server.Client().Get(server.URL + "/metrics")
@@ -58,16 +59,16 @@
 	}
 }
 
-// Something that is no coordinator talks to the port.
+// A client that is no coordinator sends requests to the port.
 func TestBadRequests(t *testing.T) {
 	a := newAgent(platform.NewEngine("127.0.0.1:1", http.DefaultClient), log.NewNopLogger())
 	for _, c := range []struct {
 		method, path, body string
 		want               int
 	}{
-		{http.MethodPost, ranks.Path, "not protobuf", http.StatusBadRequest},
-		{http.MethodPost, ranks.Path, strings.Repeat("x", maxRequest+1), http.StatusBadRequest},
-		{http.MethodGet, ranks.Path, "", http.StatusMethodNotAllowed},
+		{http.MethodPost, ranks.RequestPath, "not protobuf", http.StatusBadRequest},
+		{http.MethodPost, ranks.RequestPath, strings.Repeat("x", maxRequestBytes+1), http.StatusBadRequest},
+		{http.MethodGet, ranks.RequestPath, "", http.StatusMethodNotAllowed},
 		{http.MethodPost, "/other", "", http.StatusNotFound},
 	} {
 		w := httptest.NewRecorder()
@@ -78,7 +79,7 @@
 	}
 }
 
-func body(t *testing.T, post func(string, string, io.Reader) (*http.Response, error), url string, data []byte) []byte {
+func postBody(t *testing.T, post func(string, string, io.Reader) (*http.Response, error), url string, data []byte) []byte {
 	t.Helper()
 	resp, err := post(url, "application/protobuf", bytes.NewReader(data))
 	if err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,40 +12,39 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrCrossed says that a connection brought an answer that belongs to no request.
-var ErrCrossed = errors.New("the answer belongs to another request")
+// ErrUnmatchedResponse is returned if a connection received responses to other requests only.
+var ErrUnmatchedResponse = errors.New("the response belongs to another request")
 
 const (
-	// writeAside is the size of a body from which it is written beside reading the answer,
-	// bytes: a backend server may answer before it has read a long body, and a body up to
-	// this size fits into the socket's buffer.
-	writeAside = 16 << 10
-	// maxCrossed is the number of answers to other requests that are passed over on one
-	// connection.
-	maxCrossed = 4
+	// asyncWriteBytes is the body size above which a request is written while its response is
+	// read, since a backend server may respond before it has read a long body. A body up to this
+	// size fits into the socket's buffer.
+	asyncWriteBytes = 16 << 10
+	// maxUnmatchedResponses limits the responses that are read and skipped for one request.
+	maxUnmatchedResponses = 4
 )
 
-// Conn is a connection to a backend server. It carries one request at a time.
+// Conn is a connection to a backend server that carries one request at a time.
 type Conn struct {
 	net.Conn
 	pool      *Pool
 	server    string
 	br        *bufio.Reader
 	idleSince time.Duration
-	// keep is how long the backend server lets the connection be idle.
-	keep time.Duration
-	// written carries the result of writing a long body.
-	written chan error
+	// idleTimeout is how long the backend server keeps the connection open while idle; zero if
+	// unknown.
+	idleTimeout time.Duration
+	// writeResult receives the result of writing the request.
+	writeResult chan error
 }
 
-// RoundTrip writes a request once and reads the head of its answer. matches says whether an
-// answer is that of this request; others are passed over, since a faulty backend server may
-// answer twice. Once ctx ends the connection is reset. The caller reads the body and calls
-// Release.
+// RoundTrip writes a request once and reads the header of its response. matches reports whether a
+// response belongs to this request. Others are skipped, since a faulty backend server may respond
+// twice. When ctx ends, the connection is reset. The caller reads the body and calls Release.
 //
-// An error does not say that the request did not run.
+// After an error, the request may still have been executed.
 func (c *Conn) RoundTrip(ctx context.Context, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
-	stop := context.AfterFunc(ctx, c.abort)
+	stop := context.AfterFunc(ctx, c.reset)
 	resp, err := c.roundTrip(req, matches)
 	if err != nil {
 		stop()
@@ -55,19 +54,19 @@
 	return resp, nil
 }
 
-// abort resets the connection.
+// reset closes the connection with a TCP reset.
 //
-// Load: a backend server whose VM stands still, or is cut off for a while. Harm prevented: an
-// orderly close comes behind the request, which waits there and runs seconds after its caller
-// has left, or has been told that it failed.
-func (c *Conn) abort() {
+// The VM of the backend server may be unresponsive or unreachable for a while. An orderly close
+// would arrive behind the request, which would then be executed seconds after its caller has left
+// or has been told that it failed.
+func (c *Conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// body ends the watch over the context with the body.
+// body is a response body that stops watching the context when it is closed.
 type body struct {
 	io.ReadCloser
 	stop func() bool
@@ -75,25 +74,25 @@
 
 func (b *body) Close() error {
 	b.stop()
-	// The library would read the rest of the body; what is not read is closed with the
-	// connection.
+	// Closing the body of net/http would read the rest of it. The unread rest is dropped with the
+	// connection instead.
 	return nil
 }
 
 func (c *Conn) roundTrip(req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
-	c.written = make(chan error, 1)
-	if req.ContentLength > writeAside {
-		go func() { c.written <- c.write(req) }()
+	c.writeResult = make(chan error, 1)
+	if req.ContentLength > asyncWriteBytes {
+		go func() { c.writeResult <- c.write(req) }()
 	} else {
 		if err := c.write(req); err != nil {
 			return nil, err
 		}
-		c.written <- nil
+		c.writeResult <- nil
 	}
-	for range maxCrossed {
+	for range maxUnmatchedResponses {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
@@ -102,57 +101,58 @@
 			return resp, nil
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			// Without a length it would swallow the answer behind it.
-			return nil, ErrCrossed
+			// A response without a length extends to the end of the connection, past the next one.
+			return nil, ErrUnmatchedResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, errors.Wrap(err, "pass over another answer")
+			return nil, errors.Wrap(err, "skip unmatched response")
 		}
 	}
-	return nil, ErrCrossed
+	return nil, ErrUnmatchedResponse
 }
 
 func (c *Conn) write(req *http.Request) error {
 	bw := bufio.NewWriter(c.Conn)
 	if err := req.Write(bw); err != nil {
-		return errors.Wrap(err, "send request")
+		return errors.Wrap(err, "write request")
 	}
 	if err := bw.Flush(); err != nil {
-		return errors.Wrap(err, "send request")
+		return errors.Wrap(err, "flush request")
 	}
 	return nil
 }
 
-// Release gives the connection back. It is kept for another request only when the answer
-// was read whole and the request was written whole, and the backend server keeps it too.
-func (c *Conn) Release(resp *http.Response, whole bool, keep time.Duration, now time.Duration) {
-	if resp == nil || !whole || resp.Close || c.br.Buffered() > 0 || !c.finished() {
-		c.drop()
+// Release returns the connection to the pool. It is kept for another request only if the request
+// was written and the response was read completely, and the backend server keeps it open too. A
+// zero idleTimeout means that the backend server did not state one.
+func (c *Conn) Release(resp *http.Response, complete bool, idleTimeout time.Duration, now time.Duration) {
+	if resp == nil || !complete || resp.Close || c.br.Buffered() > 0 || !c.isRequestWritten() {
+		c.discard()
 		return
 	}
 	c.idleSince = now
-	c.keep = keep
-	c.pool.put(c)
+	c.idleTimeout = idleTimeout
+	c.pool.putIdle(c)
 }
 
-// finished says that the request has been written whole.
-func (c *Conn) finished() bool {
+// isRequestWritten reports whether the request has been written completely.
+func (c *Conn) isRequestWritten() bool {
 	select {
-	case err := <-c.written:
+	case err := <-c.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-func (c *Conn) drop() {
+func (c *Conn) discard() {
 	_ = c.Close()
-	c.pool.closed(c.server)
+	c.pool.releaseConn(c.server)
 }
 
-// quiet says that nothing has come in on an idle connection: neither its end nor bytes that
-// belong to no request.
-func (c *Conn) quiet() bool {
+// hasNoInput reports whether an idle connection has received nothing: neither its end nor bytes
+// that belong to no request.
+func (c *Conn) hasNoInput() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -161,12 +161,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	var one [1]byte
+	empty := false
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = readErr == syscall.EAGAIN
+		_, readErr := syscall.Read(int(fd), buf[:])
+		empty = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
