--- a/internal/agent/note.go
+++ b/internal/agent/note.go
@@ -27,8 +27,8 @@
 	if work.GetKind() == api.WorkKind_WORK_CALL {
 		record.Offer = "service:" + work.GetService()
 	}
-	record.Ticket = work.GetTicket() != nil
-	record.Once = record.Ticket
+	record.HasTicket = work.GetTicket() != nil
+	record.AtMostOnce = record.HasTicket
 	waited := now
 	if started > 0 {
 		waited = started
@@ -46,7 +46,7 @@
 func (e *executor) logWork(work *api.Work, record *journal.Record, refused *api.Refusal) {
 	fields := logging.Fields(func() []any {
 		return []any{
-			"team", record.Customer, "service", record.Offer, "ticket", record.Ticket,
+			"team", record.Customer, "service", record.Offer, "ticket", record.HasTicket,
 			"took_ms", record.TookMs, "waited_ms", record.WaitMs, "config", work.GetApplied(),
 		}
 	})
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -10,11 +10,11 @@
 // clockBoottime is CLOCK_BOOTTIME of Linux.
 const clockBoottime = 7
 
-// start is when the process started, on the same clock.
-var start, _ = boottime()
+// bootStart is when the process started, on the same clock.
+var bootStart, _ = boottime()
 
-// started serves where CLOCK_BOOTTIME is missing.
-var started = time.Now()
+// fallbackStart serves where CLOCK_BOOTTIME is missing.
+var fallbackStart = time.Now()
 
 // Now returns the time since the process started. It never goes back, and it
 // counts on while the process is stopped or its VM suspended: a process that was
@@ -23,9 +23,9 @@
 func Now() time.Duration {
 	now, ok := boottime()
 	if !ok {
-		return time.Since(started)
+		return time.Since(fallbackStart)
 	}
-	return now - start
+	return now - bootStart
 }
 
 func boottime() (time.Duration, bool) {
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -166,7 +166,7 @@
 	if err == nil {
 		err = e.follow(ctx, a, out)
 	}
-	journal.From(ctx).Tried(a.vm, clock.Now()-started, err)
+	journal.From(ctx).AddAttempt(a.vm, clock.Now()-started, err)
 	if err != nil {
 		e.logAttempt(a, err)
 	}
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -49,7 +49,7 @@
 
 func inputs(record *journal.Record, state *member.State, err error) []any {
 	fields := []any{
-		"team", record.Customer, "service", record.Offer, "ticket", record.Ticket,
+		"team", record.Customer, "service", record.Offer, "ticket", record.HasTicket,
 		"took_ms", record.TookMs, "waited_ms", record.WaitMs, "tried", len(record.Attempts),
 		"config", state.View.Applied(), "trusted_ms", (state.ServeUntil - clock.Now()).Milliseconds(),
 	}
--- a/internal/entry/keyslog.go
+++ b/internal/entry/keyslog.go
@@ -54,11 +54,11 @@
 	var expired *platform.ExpiredError
 	switch {
 	case errors.As(err, &expired):
-		k.restart(expired.First)
+		k.restart(expired.Oldest)
 		return nil
 	case err != nil:
 		return err
-	case batch.Next < from:
+	case batch.NextOffset < from:
 		return errStreamShrank
 	}
 	return k.take(batch)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -143,7 +143,7 @@
 // admitted asks the gate, then dispatches.
 func (e *entry) admitted(w http.ResponseWriter, r *http.Request, req *request) error {
 	record := journal.From(r.Context())
-	record.Offer, record.Once, record.Ticket = req.offer, req.once, req.given != nil
+	record.Offer, record.AtMostOnce, record.HasTicket = req.offer, req.once, req.given != nil
 	ctx, cancel := context.WithTimeout(r.Context(), req.deadline-clock.Now())
 	defer cancel()
 	out := newOutput(w, req.deadline-clock.Now())
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -14,11 +14,11 @@
 // maxAttempts bounds the attempts that a record keeps.
 const maxAttempts = 8
 
-// maxText bounds the text that a record keeps of an error.
-const maxText = 200
+// maxTextBytes bounds the text that a record keeps of an error.
+const maxTextBytes = 200
 
-// strangerRecords is how many requests of no known customer are kept.
-const strangerRecords = 50
+// unknownCustomerRecords is how many requests of no known customer are kept.
+const unknownCustomerRecords = 50
 
 // Record is one request. Only the goroutine that serves the request writes it.
 type Record struct {
@@ -27,10 +27,10 @@
 	Customer string `json:"customer,omitempty"`
 	// Offer is the model or service asked for.
 	Offer string `json:"offer,omitempty"`
-	// Once says that the request runs at most once.
-	Once bool `json:"once,omitempty"`
-	// Ticket says that the caller brought a ticket, which fixes the agent.
-	Ticket   bool      `json:"ticket,omitempty"`
+	// AtMostOnce says that the request runs at most once.
+	AtMostOnce bool `json:"once,omitempty"`
+	// HasTicket says that the caller brought a ticket, which fixes the agent.
+	HasTicket   bool      `json:"ticket,omitempty"`
 	Attempts []Attempt `json:"attempts,omitempty"`
 	// Result is the number and name of the result code; Ran and Text go with it.
 	Result string `json:"result"`
@@ -44,7 +44,7 @@
 	// AgoMs is the time since the end, as of the dump.
 	AgoMs int64 `json:"ago_ms"`
 
-	began, ended time.Duration
+	startedAt, endedAt time.Duration
 }
 
 // Attempt is one try at one agent.
@@ -55,8 +55,8 @@
 	TookMs int64  `json:"took_ms"`
 }
 
-// Tried notes an attempt that has ended; err is nil for a whole answer.
-func (r *Record) Tried(vm string, took time.Duration, err *result.Error) {
+// AddAttempt notes an attempt that has ended; err is nil for a whole answer.
+func (r *Record) AddAttempt(vm string, took time.Duration, err *result.Error) {
 	if len(r.Attempts) >= maxAttempts {
 		return
 	}
@@ -74,9 +74,9 @@
 	mu      sync.Mutex
 	served  ring
 	refused ring
-	// strangers are requests of no known customer: whoever can reach the entry
+	// unknownCustomer are requests of no known customer: whoever can reach the entry
 	// can make any number of them, and they must not push out customers' ones.
-	strangers ring
+	unknownCustomer ring
 }
 
 // New makes a journal of at most capacity served and capacity refused requests.
@@ -84,7 +84,7 @@
 	return &Journal{
 		served:    ring{capacity: capacity},
 		refused:   ring{capacity: capacity},
-		strangers: ring{capacity: strangerRecords},
+		unknownCustomer: ring{capacity: unknownCustomerRecords},
 	}
 }
 
@@ -93,7 +93,7 @@
 // Begin starts the record of a request, which From finds in the context. now is the
 // time since the process started.
 func Begin(ctx context.Context, now time.Duration) (context.Context, *Record) {
-	r := &Record{began: now}
+	r := &Record{startedAt: now}
 	return context.WithValue(ctx, contextKey{}, r), r
 }
 
@@ -108,19 +108,19 @@
 
 // End closes a record and keeps it; err is nil for a whole answer.
 func (j *Journal) End(r *Record, now time.Duration, err error) {
-	r.ended = now
-	r.TookMs = (now - r.began).Milliseconds()
+	r.endedAt = now
+	r.TookMs = (now - r.startedAt).Milliseconds()
 	r.Result = result.Label(api.ResultCode_OK)
 	if err != nil {
 		e := result.From(err)
-		r.Result, r.Ran, r.Text = result.Label(e.Code), result.RanName(e.Ran), clip(e.Text)
+		r.Result, r.Ran, r.Text = result.Label(e.Code), result.RanName(e.Ran), truncate(e.Text)
 		r.RetryAfterMs = e.RetryAfter.Milliseconds()
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	switch {
 	case r.Customer == "":
-		j.strangers.add(r)
+		j.unknownCustomer.add(r)
 	case err != nil:
 		j.refused.add(r)
 	default:
@@ -132,15 +132,15 @@
 type Dump struct {
 	Refused []Record `json:"refused"`
 	Served  []Record `json:"served"`
-	// Strangers are requests of no known customer, addresses asked for among them.
-	Strangers []Record `json:"strangers"`
+	// UnknownCustomer are requests of no known customer, addresses asked for among them.
+	UnknownCustomer []Record `json:"strangers"`
 }
 
 // Dump copies the records.
 func (j *Journal) Dump(now time.Duration) Dump {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return Dump{Refused: j.refused.newest(now), Served: j.served.newest(now), Strangers: j.strangers.newest(now)}
+	return Dump{Refused: j.refused.newestFirst(now), Served: j.served.newestFirst(now), UnknownCustomer: j.unknownCustomer.newestFirst(now)}
 }
 
 // ring keeps the newest records.
@@ -163,20 +163,20 @@
 	r.next = (r.next + 1) % r.capacity
 }
 
-func (r *ring) newest(now time.Duration) []Record {
+func (r *ring) newestFirst(now time.Duration) []Record {
 	all := make([]Record, 0, len(r.records))
 	for i := range r.records {
-		at := (r.next + len(r.records) - 1 - i) % len(r.records)
-		record := *r.records[at]
-		record.AgoMs = (now - record.ended).Milliseconds()
+		index := (r.next + len(r.records) - 1 - i) % len(r.records)
+		record := *r.records[index]
+		record.AgoMs = (now - record.endedAt).Milliseconds()
 		all = append(all, record)
 	}
 	return all
 }
 
-func clip(text string) string {
-	if len(text) <= maxText {
+func truncate(text string) string {
+	if len(text) <= maxTextBytes {
 		return text
 	}
-	return text[:maxText] + "…"
+	return text[:maxTextBytes] + "…"
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,12 +10,12 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-func TestWhyARequestWasRefused(t *testing.T) {
+func TestDumpTellsWhyARequestWasRefused(t *testing.T) {
 	j := New(10)
 	ctx, r := Begin(context.Background(), time.Second)
 	From(ctx).Customer = "north"
-	From(ctx).Tried("vm-1", 5*time.Millisecond, result.New(api.ResultCode_COLD))
-	From(ctx).Tried("vm-2", 7*time.Millisecond, nil)
+	From(ctx).AddAttempt("vm-1", 5*time.Millisecond, result.New(api.ResultCode_COLD))
+	From(ctx).AddAttempt("vm-2", 7*time.Millisecond, nil)
 	j.End(r, 3*time.Second, result.Refuse(api.ResultCode_OVER_SHARE, 1200*time.Millisecond, "past its share"))
 
 	dump := j.Dump(4 * time.Second)
@@ -31,7 +31,7 @@
 	if len(got.Attempts) != 2 || got.Attempts[0] != want[0] || got.Attempts[1] != want[1] {
 		t.Errorf("got %+v", got.Attempts)
 	}
-	From(context.Background()).Tried("vm-1", 0, nil) // A context without a record is no fault.
+	From(context.Background()).AddAttempt("vm-1", 0, nil) // A context without a record is no fault.
 }
 
 // A flood of refusals must neither take the memory nor push out what was served.
@@ -44,7 +44,7 @@
 		_, r := Begin(context.Background(), 0)
 		r.Request, r.Customer = strconv.Itoa(i), "north"
 		for range 100 {
-			r.Tried("vm", 0, nil)
+			r.AddAttempt("vm", 0, nil)
 		}
 		j.End(r, 0, result.New(api.ResultCode_SATURATED))
 	}
@@ -53,8 +53,8 @@
 		j.End(r, 0, result.New(api.ResultCode_UNKNOWN_KEY))
 	}
 	dump := j.Dump(0)
-	if len(dump.Strangers) != strangerRecords {
-		t.Errorf("%d strangers", len(dump.Strangers))
+	if len(dump.UnknownCustomer) != unknownCustomerRecords {
+		t.Errorf("%d strangers", len(dump.UnknownCustomer))
 	}
 	if len(dump.Served) != 1 || len(dump.Refused) != 3 || len(dump.Refused[0].Attempts) != maxAttempts {
 		t.Fatalf("%d served, %d refused", len(dump.Served), len(dump.Refused))
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -174,7 +174,7 @@
 	case err == nil:
 		n.Do(func() { n.takeBatch(sent, ask.From, batch) })
 	case errors.As(err, &expired):
-		n.Do(func() { n.reader.HandleExpired(expired.First) })
+		n.Do(func() { n.reader.HandleExpired(expired.Oldest) })
 	default:
 		f.failed(ctx, sent, err)
 		return
@@ -212,7 +212,7 @@
 }
 
 func (n *Node) takeBatch(sent time.Duration, from int64, batch *platform.Batch) {
-	progress := n.reader.HandleLog(config.LogResponse{From: from, Records: batch.LogRecords(), Next: batch.Next})
+	progress := n.reader.HandleLog(config.LogResponse{From: from, Records: batch.LogRecords(), Next: batch.NextOffset})
 	if progress.AtTail {
 		n.fresh.SetApplied(n.fold.Applied())
 		n.fresh.ConfirmTail(sent)
@@ -256,7 +256,7 @@
 func (n *Node) followVMs(ctx context.Context) error {
 	var last *platform.VMList
 	for ctx.Err() == nil {
-		list, err := n.options.Platform.VMs(ctx, last)
+		list, err := n.options.Platform.ListVMs(ctx, last)
 		if err == nil && list != last {
 			reporters := n.reportersOf(list.VMs)
 			n.Do(func() {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,48 +17,48 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxAnswer bounds what is read of one answer, bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds what is read of one answer, bytes.
+const maxResponseBytes = 64 << 20
 
-// ErrTooLarge says that an answer has more bytes than are taken. A read that asks for
+// ErrResponseTooLarge says that an answer has more bytes than are taken. A read that asks for
 // fewer records may pass.
-var ErrTooLarge = errors.New("the platform's answer is too large")
+var ErrResponseTooLarge = errors.New("the platform's answer is too large")
 
 // ExpiredError says that the log no longer keeps the offset asked for.
 type ExpiredError struct {
-	// First is the oldest offset kept, Next the offset of the next append.
-	First, Next int64
+	// Oldest is the oldest offset kept, NextOffset the offset of the next append.
+	Oldest, NextOffset int64
 }
 
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("the log keeps offsets from %d on", e.First)
+	return fmt.Sprintf("the log keeps offsets from %d on", e.Oldest)
 }
 
 // Client is a client of the platform. It is safe for use by many goroutines.
 type Client struct {
-	base string
-	// records is the path of the log's records: those of the configuration, or of a
+	baseURL string
+	// recordsPath is the path of the log's recordsPath: those of the configuration, or of a
 	// stream beside it.
-	records string
+	recordsPath string
 	http    *http.Client
 	timeout time.Duration
-	// maxAnswer is the constant, but for tests.
-	maxAnswer int64
+	// maxResponseBytes is the constant, but for tests.
+	maxResponseBytes int64
 }
 
 // New returns a client of the platform at a base URL. Each request may take as
 // long as timeout, beyond the time it asks the platform to wait.
-func New(base string, timeout time.Duration) *Client {
+func New(baseURL string, timeout time.Duration) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     30 * time.Second,
 	}
 	return &Client{
-		base:      strings.TrimSuffix(base, "/"),
-		records:   "/log/records",
+		baseURL:      strings.TrimSuffix(baseURL, "/"),
+		recordsPath:   "/log/records",
 		http:      &http.Client{Transport: transport},
 		timeout:   timeout,
-		maxAnswer: maxAnswer,
+		maxResponseBytes: maxResponseBytes,
 	}
 }
 
@@ -66,30 +66,30 @@
 // its own offsets. It has connections of its own too: reads that wait on a busy stream
 // must not take those of the configuration.
 func (c *Client) Stream(name string) *Client {
-	stream := New(c.base, c.timeout)
-	stream.records = "/log/streams/" + url.PathEscape(name) + "/records"
-	stream.maxAnswer = c.maxAnswer
+	stream := New(c.baseURL, c.timeout)
+	stream.recordsPath = "/log/streams/" + url.PathEscape(name) + "/records"
+	stream.maxResponseBytes = c.maxResponseBytes
 	return stream
 }
 
 // Append appends one record and returns its offset. An error does not say that
 // the record was not appended: the answer may be what was lost.
 func (c *Client) Append(ctx context.Context, record []byte) (int64, error) {
-	var answer struct {
+	var response struct {
 		Offset int64 `json:"offset"`
 	}
-	err := c.call(ctx, http.MethodPost, c.records, record, 0, &answer)
+	err := c.doJSON(ctx, http.MethodPost, c.recordsPath, record, 0, &response)
 	if err != nil {
 		return 0, errors.Wrap(err, "append to the log")
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
 // Batch is the answer to a read of the log.
 type Batch struct {
-	// First is the oldest offset kept, Next the offset of the next append.
-	First   int64 `json:"first"`
-	Next    int64 `json:"next"`
+	// Oldest is the oldest offset kept, Next the offset of the next append.
+	Oldest   int64 `json:"first"`
+	NextOffset    int64 `json:"next"`
 	Records []struct {
 		Offset int64  `json:"offset"`
 		Data   []byte `json:"data"`
@@ -109,32 +109,32 @@
 // Read returns up to limit records from an offset on, waiting for the first as
 // long as wait. It returns an *ExpiredError for an offset no longer kept.
 func (c *Client) Read(ctx context.Context, from int64, limit int, wait time.Duration) (*Batch, error) {
-	path := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.records, from, limit, wait.Milliseconds())
+	path := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.recordsPath, from, limit, wait.Milliseconds())
 	var batch Batch
-	err := c.call(ctx, http.MethodGet, path, nil, wait, &batch)
+	err := c.doJSON(ctx, http.MethodGet, path, nil, wait, &batch)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the log")
 	}
 	return &batch, nil
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration, answer any) error {
-	got, err := c.do(ctx, method, path, body, wait, "")
+func (c *Client) doJSON(ctx context.Context, method, path string, body []byte, wait time.Duration, response any) error {
+	resp, err := c.do(ctx, method, path, body, wait, "")
 	if err != nil {
 		return err
 	}
-	return decode(got.status, got.data, answer)
+	return decodeResponse(resp.status, resp.body, response)
 }
 
-// answered is an answer of the platform.
-type answered struct {
+// response is an answer of the platform.
+type response struct {
 	status int
-	data   []byte
-	tag    string // of the contents, if the platform gives one
+	body   []byte
+	etag    string // of the contents, if the platform gives one
 }
 
 // do makes one request. With a tag it asks only for contents that have another.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration, tag string) (*answered, error) {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration, etag string) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
 	// A body that is not a *bytes.Reader gives the request no GetBody, so that
@@ -143,43 +143,43 @@
 	if body != nil {
 		reader = struct{ io.Reader }{bytes.NewReader(body)}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 	if err != nil {
 		return nil, err
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(data)) > c.maxAnswer {
-		return nil, ErrTooLarge
+	if int64(len(data)) > c.maxResponseBytes {
+		return nil, ErrResponseTooLarge
 	}
-	return &answered{status: resp.StatusCode, data: data, tag: resp.Header.Get("ETag")}, nil
+	return &response{status: resp.StatusCode, body: data, etag: resp.Header.Get("ETag")}, nil
 }
 
-func decode(status int, data []byte, answer any) error {
+func decodeResponse(status int, data []byte, into any) error {
 	if status == http.StatusGone {
-		var gone struct {
+		var expired struct {
 			First int64 `json:"first"`
 			Next  int64 `json:"next"`
 		}
-		if err := json.Unmarshal(data, &gone); err != nil {
+		if err := json.Unmarshal(data, &expired); err != nil {
 			return errors.Wrap(err, "the platform's answer cannot be read")
 		}
-		return &ExpiredError{First: gone.First, Next: gone.Next}
+		return &ExpiredError{Oldest: expired.First, NextOffset: expired.Next}
 	}
 	if status != http.StatusOK {
 		return errors.Errorf("the platform answered with status %d", status)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, into); err != nil {
 		return errors.Wrap(err, "the platform's answer cannot be read")
 	}
 	return nil
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -11,15 +11,15 @@
 	"github.com/go-faster/errors"
 )
 
-func serve(t *testing.T, answer http.HandlerFunc) *Client {
+func serve(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
-	server := httptest.NewServer(answer)
+	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return New(server.URL+"/", 200*time.Millisecond)
 }
 
 // What the platform answers, and what becomes of it.
-func TestAnswers(t *testing.T) {
+func TestReadResponses(t *testing.T) {
 	ctx := context.Background()
 	for name, c := range map[string]struct {
 		status int
@@ -27,11 +27,11 @@
 		check  func(batch *Batch, err error) bool
 	}{
 		"records": {200, `{"first":3,"next":5,"records":[{"offset":3,"data":"YQ=="}]}`, func(b *Batch, err error) bool {
-			return err == nil && b.Next == 5 && len(b.LogRecords()) == 1 && string(b.LogRecords()[0].GetData()) == "a"
+			return err == nil && b.NextOffset == 5 && len(b.LogRecords()) == 1 && string(b.LogRecords()[0].GetData()) == "a"
 		}},
 		"expired": {410, `{"first":7,"next":9}`, func(_ *Batch, err error) bool {
 			var expired *ExpiredError
-			return errors.As(err, &expired) && expired.First == 7 && expired.Next == 9
+			return errors.As(err, &expired) && expired.Oldest == 7 && expired.NextOffset == 9
 		}},
 		"broken off": {200, `{"first":3,"next":5,"rec`, func(_ *Batch, err error) bool { return err != nil }},
 		"no JSON":    {410, `gone`, func(_ *Batch, err error) bool { return err != nil }},
@@ -52,17 +52,17 @@
 
 // An answer may not take the process's memory, and one that is cut off there must not
 // be taken for one that a smaller read could not mend.
-func TestTooLargeAnAnswer(t *testing.T) {
+func TestResponseOverTheSizeLimit(t *testing.T) {
 	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 101)) })
-	client.maxAnswer = 100
-	if _, err := client.VMs(context.Background(), nil); !errors.Is(err, ErrTooLarge) {
+	client.maxResponseBytes = 100
+	if _, err := client.ListVMs(context.Background(), nil); !errors.Is(err, ErrResponseTooLarge) {
 		t.Errorf("got %v", err)
 	}
 }
 
 // The platform takes an append and closes the connection without an answer. The record
 // may stand in the log: an append sent again by the library would stand there twice.
-func TestAnAppendIsSentOnce(t *testing.T) {
+func TestAppendIsNeverRetried(t *testing.T) {
 	var appends atomic.Int32
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -72,7 +72,7 @@
 		appends.Add(1)
 		panic(http.ErrAbortHandler)
 	})
-	_, _ = client.VMs(context.Background(), nil) // Now there is a connection to use again.
+	_, _ = client.ListVMs(context.Background(), nil) // Now there is a connection to use again.
 	if _, err := client.Append(context.Background(), []byte("x")); err == nil {
 		t.Error("an append without an answer counts as done")
 	}
@@ -82,19 +82,19 @@
 }
 
 // A platform that takes connections and says nothing must not hold a reader for ever.
-func TestASilentPlatform(t *testing.T) {
+func TestUnresponsivePlatformTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	client := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
-	began := time.Now()
-	if _, err := client.VMs(context.Background(), nil); err == nil || time.Since(began) > 2*time.Second {
-		t.Errorf("%v after %v", err, time.Since(began))
+	start := time.Now()
+	if _, err := client.ListVMs(context.Background(), nil); err == nil || time.Since(start) > 2*time.Second {
+		t.Errorf("%v after %v", err, time.Since(start))
 	}
 }
 
 // A stream beside the configuration's has a path of its own: its offsets must never be
 // taken for those of operators' changes.
-func TestStream(t *testing.T) {
+func TestStreamHasItsOwnPath(t *testing.T) {
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/log/streams/keys/records" {
 			t.Errorf("asked for %s", r.URL)
@@ -104,7 +104,7 @@
 	if offset, err := client.Append(context.Background(), []byte("x")); err != nil || offset != 4 {
 		t.Errorf("append: %d, %v", offset, err)
 	}
-	if batch, err := client.Read(context.Background(), 5, 1, 0); err != nil || batch.Next != 5 {
+	if batch, err := client.Read(context.Background(), 5, 1, 0); err != nil || batch.NextOffset != 5 {
 		t.Errorf("read: %+v, %v", batch, err)
 	}
 }
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -34,33 +34,33 @@
 // VMList is the platform's list as it was read once.
 type VMList struct {
 	VMs []VM
-	tag string
+	etag string
 }
 
-// VMs returns the platform's list of live and leaving VMs; last itself when it has not
+// ListVMs returns the platform's list of live and leaving ListVMs; last itself when it has not
 // changed since that was read, nil for none. The list is large and changes little: a
 // platform that tags its answers (ETag) is asked only for another one, and one that does
 // not sends it whole.
-func (c *Client) VMs(ctx context.Context, last *VMList) (*VMList, error) {
-	tag := ""
+func (c *Client) ListVMs(ctx context.Context, last *VMList) (*VMList, error) {
+	etag := ""
 	if last != nil {
-		tag = last.tag
+		etag = last.etag
 	}
-	got, err := c.do(ctx, http.MethodGet, "/vms", nil, 0, tag)
+	resp, err := c.do(ctx, http.MethodGet, "/vms", nil, 0, etag)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the list of VMs")
 	}
-	if got.status == http.StatusNotModified && tag != "" {
+	if resp.status == http.StatusNotModified && etag != "" {
 		return last, nil
 	}
-	var answer struct {
+	var response struct {
 		VMs []VM `json:"vms"`
 	}
-	if err := decode(got.status, got.data, &answer); err != nil {
+	if err := decodeResponse(resp.status, resp.body, &response); err != nil {
 		return nil, errors.Wrap(err, "read the list of VMs")
 	}
-	if last != nil && last.tag == got.tag && slices.Equal(last.VMs, answer.VMs) {
+	if last != nil && last.etag == resp.etag && slices.Equal(last.VMs, response.VMs) {
 		return last, nil
 	}
-	return &VMList{VMs: answer.VMs, tag: got.tag}, nil
+	return &VMList{VMs: response.VMs, etag: resp.etag}, nil
 }
--- a/internal/platform/vms_test.go
+++ b/internal/platform/vms_test.go
@@ -11,24 +11,24 @@
 // platform does not show any more.
 func TestListIsReadOnceForEachChange(t *testing.T) {
 	const one, two = `{"vms":[{"id":"a"}]}`, `{"vms":[{"id":"a"},{"id":"b"}]}`
-	body, tag, whole := "", "", 0
+	body, etag, fullResponses := "", "", 0
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		if tag != "" {
-			w.Header().Set("ETag", tag)
+		if etag != "" {
+			w.Header().Set("ETag", etag)
 		}
-		if tag != "" && r.Header.Get("If-None-Match") == tag {
+		if etag != "" && r.Header.Get("If-None-Match") == etag {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		whole++
+		fullResponses++
 		_, _ = w.Write([]byte(body))
 	})
 	var last *VMList
 	for i, step := range []struct {
-		body, tag string
+		body, etag string
 		vms       int
 		changed   bool
-		whole     int
+		fullResponses     int
 	}{
 		{one, `"1"`, 1, true, 1},
 		{one, `"1"`, 1, false, 1},
@@ -38,10 +38,10 @@
 		{two, "", 2, false, 5},
 		{`{"vms":[]}`, "", 0, true, 6},
 	} {
-		body, tag = step.body, step.tag
-		list, err := client.VMs(context.Background(), last)
-		if err != nil || len(list.VMs) != step.vms || (list != last) != step.changed || whole != step.whole {
-			t.Errorf("step %d: %v, changed %v, %d whole answers, %v", i, list, list != last, whole, err)
+		body, etag = step.body, step.etag
+		list, err := client.ListVMs(context.Background(), last)
+		if err != nil || len(list.VMs) != step.vms || (list != last) != step.changed || fullResponses != step.fullResponses {
+			t.Errorf("step %d: %v, changed %v, %d whole answers, %v", i, list, list != last, fullResponses, err)
 		}
 		last = list
 	}
