--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -30,9 +30,9 @@
 // send sends a report at once, or with the next heartbeat.
 func send(s *link.Session, m *api.Control, urgent bool) {
 	if urgent {
-		s.Report(nil) // An older one would come after this.
+		s.PostWithHeartbeat(nil) // An older one would come after this.
 		s.Post(m)
 		return
 	}
-	s.Report(m)
+	s.PostWithHeartbeat(m)
 }
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -67,8 +67,8 @@
 	}
 	a.config = link.Config{
 		Self: &api.Hello{Vm: vm, Role: api.Role_ROLE_AGENT, FailureDomain: "a", Incarnation: "1"}, Key: []byte("key"),
-		Heartbeat: 10 * time.Millisecond, Suspect: 150 * time.Millisecond, Dead: 400 * time.Millisecond,
-		Idle: 330 * time.Millisecond,
+		HeartbeatInterval: 10 * time.Millisecond, SuspectAfter: 150 * time.Millisecond, DeadAfter: 400 * time.Millisecond,
+		IdleInterval: 330 * time.Millisecond,
 	}
 	t.Cleanup(func() {
 		_ = ln.Close()
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -149,7 +149,7 @@
 			ended = true
 			return f.end(ctx, stream)
 		}
-		if stream.Waiting() {
+		if stream.HasBuffered() {
 			continue
 		}
 		if err := f.out.flush(); err != nil {
--- a/internal/entry/prove.go
+++ b/internal/entry/prove.go
@@ -15,7 +15,7 @@
 // A ticket that the caller holds is not held back: it may have been used before, and
 // "not run" could not be said of it.
 func (e *entry) proved(ctx context.Context, a *attempt) *result.Error {
-	if !a.req.once || a.req.given != nil || a.peer.Session.Prove(ctx) {
+	if !a.req.once || a.req.given != nil || a.peer.Session.Probe(ctx) {
 		return nil
 	}
 	if ctx.Err() != nil {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -30,8 +30,8 @@
 	// AtMostOnce says that the request runs at most once.
 	AtMostOnce bool `json:"once,omitempty"`
 	// HasTicket says that the caller brought a ticket, which fixes the agent.
-	HasTicket   bool      `json:"ticket,omitempty"`
-	Attempts []Attempt `json:"attempts,omitempty"`
+	HasTicket bool      `json:"ticket,omitempty"`
+	Attempts  []Attempt `json:"attempts,omitempty"`
 	// Result is the number and name of the result code; Ran and Text go with it.
 	Result string `json:"result"`
 	Ran    string `json:"ran,omitempty"`
@@ -82,8 +82,8 @@
 // New makes a journal of at most capacity served and capacity refused requests.
 func New(capacity int) *Journal {
 	return &Journal{
-		served:    ring{capacity: capacity},
-		refused:   ring{capacity: capacity},
+		served:          ring{capacity: capacity},
+		refused:         ring{capacity: capacity},
 		unknownCustomer: ring{capacity: unknownCustomerRecords},
 	}
 }
--- a/internal/link/join_test.go
+++ b/internal/link/coalesce_test.go
@@ -9,10 +9,10 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// draining reads what a stream brings.
-type draining struct{ *counting }
+// drainingHandler reads what a stream brings.
+type drainingHandler struct{ *countingHandler }
 
-func (draining) Stream(_ *Session, _ *api.Open, stream *Stream) {
+func (drainingHandler) Stream(_ *Session, _ *api.Open, stream *Stream) {
 	for stream.Receive(&api.WorkEvent{}) == nil {
 	}
 }
@@ -24,9 +24,9 @@
 		b.Fatal(err)
 	}
 	defer ln.Close()
-	go func() { _ = Serve(ln, config("right"), draining{&counting{}}) }()
+	go func() { _ = Serve(ln, config("right"), drainingHandler{&countingHandler{}}) }()
 	address := ln.Addr().String()
-	s, err := Dial(address, config("right"), &counting{})
+	s, err := Dial(address, config("right"), &countingHandler{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -43,13 +43,13 @@
 	}
 }
 
-// record keeps the writes that reach a connection.
-type record struct {
+// recordingConn keeps the writes that reach a connection.
+type recordingConn struct {
 	net.Conn
 	writes []int
 }
 
-func (r *record) Write(p []byte) (int, error) {
+func (r *recordingConn) Write(p []byte) (int, error) {
 	r.writes = append(r.writes, len(p))
 	return len(p), nil
 }
@@ -58,22 +58,22 @@
 // be held back, or the other side would wait for room for ever.
 //
 // What opens a stream goes out with the frame after it, and what ends one at once.
-func TestHeaderGoesWithItsBody(t *testing.T) {
+func TestFrameHeaderIsWrittenWithItsBody(t *testing.T) {
 	header := func(kind byte, length byte) []byte {
 		return []byte{0, kind, 0, 0, 0, 0, 0, 1, 0, 0, 0, length}
 	}
-	opens := func(flags byte) []byte {
+	openFrame := func(flags byte) []byte {
 		return []byte{0, 1, 0, flags, 0, 0, 0, 1, 0, 0, 0, 0}
 	}
-	r := &record{}
-	c := &joined{Conn: r}
-	large := make([]byte, joinLimit+1)
-	for _, p := range [][]byte{header(0, 12), make([]byte, 12), header(1, 9), header(0, 0), header(0, 1), large, header(2, 0), opens(1), header(0, 12), make([]byte, 12), opens(2), header(1, 9), opens(5)} {
+	r := &recordingConn{}
+	c := &coalescingConn{Conn: r}
+	large := make([]byte, maxCoalescedBytes+1)
+	for _, p := range [][]byte{header(0, 12), make([]byte, 12), header(1, 9), header(0, 0), header(0, 1), large, header(2, 0), openFrame(1), header(0, 12), make([]byte, 12), openFrame(2), header(1, 9), openFrame(5)} {
 		if n, err := c.Write(p); n != len(p) || err != nil {
 			t.Fatalf("%d of %d bytes, %v", n, len(p), err)
 		}
 	}
-	want := []int{24, 12, 12, 12, joinLimit + 1, 12, 36, 24, 12}
+	want := []int{24, 12, 12, 12, maxCoalescedBytes + 1, 12, 36, 24, 12}
 	if !slices.Equal(r.writes, want) {
 		t.Errorf("writes of %v bytes, want %v", r.writes, want)
 	}
@@ -81,16 +81,16 @@
 
 // Messages that came together are sent on together; one that has come in part must not
 // hold back what came before it, or a token would wait for the next.
-func TestWaiting(t *testing.T) {
+func TestHasBuffered(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	stream := newStream(near)
 	part := &api.WorkEvent{Body: &api.WorkEvent_Part{Part: &api.Part{Number: 1, Data: make([]byte, 200)}}}
-	one, _ := appendMessage(nil, part)
-	go func() { _, _ = far.Write(slices.Concat(one, one, one[:100])) }()
+	frame, _ := appendMessage(nil, part)
+	go func() { _, _ = far.Write(slices.Concat(frame, frame, frame[:100])) }()
 	for i, waiting := range []bool{true, false} {
-		if err := stream.Receive(&api.WorkEvent{}); err != nil || stream.Waiting() != waiting {
-			t.Errorf("after message %d: waiting %v, %v", i, stream.Waiting(), err)
+		if err := stream.Receive(&api.WorkEvent{}); err != nil || stream.HasBuffered() != waiting {
+			t.Errorf("after message %d: waiting %v, %v", i, stream.HasBuffered(), err)
 		}
 	}
 }
--- a/internal/link/count.go
+++ b/internal/link/count.go
@@ -6,37 +6,37 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Counters returns the configuration with counters of a registry.
-func (cfg Config) Counters(registry metrics.Registry) Config {
-	cfg.In = metrics.GetOrRegisterCounter("link.bytes.in", registry)
-	cfg.Out = metrics.GetOrRegisterCounter("link.bytes.out", registry)
-	cfg.Beats = metrics.GetOrRegisterCounter("link.heartbeats.out", registry)
+// WithCounters returns the configuration with counters of a registry.
+func (cfg Config) WithCounters(registry metrics.Registry) Config {
+	cfg.BytesIn = metrics.GetOrRegisterCounter("link.bytes.in", registry)
+	cfg.BytesOut = metrics.GetOrRegisterCounter("link.bytes.out", registry)
+	cfg.HeartbeatsOut = metrics.GetOrRegisterCounter("link.heartbeats.out", registry)
 	return cfg
 }
 
-// count returns the connection with its bytes counted, if they are wanted.
-func (cfg Config) count(conn net.Conn) net.Conn {
-	if cfg.In == nil || cfg.Out == nil {
+// countBytes returns the connection with its bytes counted, if they are wanted.
+func (cfg Config) countBytes(conn net.Conn) net.Conn {
+	if cfg.BytesIn == nil || cfg.BytesOut == nil {
 		return conn
 	}
-	return &counted{Conn: conn, in: cfg.In, out: cfg.Out}
+	return &countingConn{Conn: conn, in: cfg.BytesIn, out: cfg.BytesOut}
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn is a connection whose bytes are countingConn.
+type countingConn struct {
 	net.Conn
 	in, out metrics.Counter
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Inc(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out.Inc(int64(n))
 	return n, err
--- a/internal/link/count_test.go
+++ b/internal/link/count_test.go
@@ -8,15 +8,15 @@
 )
 
 // The bytes of the handshake are counted too, in both directions.
-func TestBytesAreCounted(t *testing.T) {
+func TestHandshakeBytesAreCounted(t *testing.T) {
 	address, _ := listen(t)
-	cfg := config("right").Counters(metrics.NewRegistry())
-	s, err := Dial(address, cfg, &counting{})
+	cfg := config("right").WithCounters(metrics.NewRegistry())
+	s, err := Dial(address, cfg, &countingHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close(io.EOF)
-	if cfg.In.Count() == 0 || cfg.Out.Count() == 0 {
-		t.Errorf("in %d, out %d", cfg.In.Count(), cfg.Out.Count())
+	if cfg.BytesIn.Count() == 0 || cfg.BytesOut.Count() == 0 {
+		t.Errorf("in %d, out %d", cfg.BytesIn.Count(), cfg.BytesOut.Count())
 	}
 }
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -15,14 +15,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessage bounds one message, bytes: the largest body of a request and its
+// maxMessageBytes bounds one message, bytes: the largest body of a request and its
 // header fit.
-const maxMessage = 72 << 20
+const maxMessageBytes = 72 << 20
 
-// maxHandshake bounds a message of the handshake, bytes. A length is believed, and
+// maxHandshakeBytes bounds a message of the handshake, bytes. A length is believed, and
 // its memory taken, before the bytes are there: with the bound of work a stranger
 // could take it all by a few connections that send nothing more.
-const maxHandshake = 4 << 10
+const maxHandshakeBytes = 4 << 10
 
 // Stream carries length-framed messages of one piece of work. One goroutine may
 // receive while others send.
@@ -31,13 +31,13 @@
 	reader *bufio.Reader
 	mu     sync.Mutex
 	buf    []byte
-	// ended, if set, is called once with the first Close.
-	ended func()
-	once  sync.Once
+	// onClose, if set, is called once with the first Close.
+	onClose func()
+	once    sync.Once
 }
 
-// keepBuffer bounds the buffer that a stream keeps for the next message, bytes.
-const keepBuffer = 64 << 10
+// maxKeptBuffer bounds the buffer that a stream keeps for the next message, bytes.
+const maxKeptBuffer = 64 << 10
 
 func newStream(conn net.Conn) *Stream {
 	return &Stream{conn: conn, reader: bufio.NewReader(conn)}
@@ -55,7 +55,7 @@
 		}
 	}
 	_, err := s.conn.Write(buf)
-	if cap(buf) <= keepBuffer {
+	if cap(buf) <= maxKeptBuffer {
 		s.buf = buf
 	}
 	return err
@@ -76,16 +76,16 @@
 }
 
 // Receive reads the next message into m.
-func (s *Stream) Receive(m proto.Message) error { return s.receive(m, maxMessage) }
+func (s *Stream) Receive(m proto.Message) error { return s.receive(m, maxMessageBytes) }
 
 // receive reads the next message if it has at most so many bytes.
-func (s *Stream) receive(m proto.Message, most int64) error {
-	options := protodelim.UnmarshalOptions{MaxSize: most}
+func (s *Stream) receive(m proto.Message, maxBytes int64) error {
+	options := protodelim.UnmarshalOptions{MaxSize: maxBytes}
 	return options.UnmarshalFrom(s.reader, m)
 }
 
-// Waiting says that a whole message has come that was not received yet.
-func (s *Stream) Waiting() bool {
+// HasBuffered says that a whole message has come that was not received yet.
+func (s *Stream) HasBuffered() bool {
 	head, _ := s.reader.Peek(min(s.reader.Buffered(), binary.MaxVarintLen64))
 	size, n := binary.Uvarint(head)
 	return n > 0 && size <= uint64(s.reader.Buffered()-n)
@@ -96,8 +96,8 @@
 
 // Close ends the stream. A Receive that waits returns with an error.
 func (s *Stream) Close() error {
-	if s.ended != nil {
-		s.once.Do(s.ended)
+	if s.onClose != nil {
+		s.once.Do(s.onClose)
 	}
 	// yamux's Close ends only the writing side: a reader would wait until the
 	// other side closes too, which a silent link never does.
--- a/internal/link/handshake.go
+++ b/internal/link/handshake.go
@@ -19,8 +19,8 @@
 
 const nonceSize = 32
 
-// ErrProof says that the other side does not hold the shared key.
-var ErrProof = errors.New("the other side does not hold the link key")
+// ErrWrongKey says that the other side does not hold the shared key.
+var ErrWrongKey = errors.New("the other side does not hold the link key")
 
 // handshake proves to each side that the other holds the key, then exchanges
 // hellos. Nothing is said of this process before the proof.
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	m := &api.Control{}
-	if err := control.receive(m, maxHandshake); err != nil {
+	if err := control.receive(m, maxHandshakeBytes); err != nil {
 		return nil, err
 	}
 	theirs := m.GetChallenge().GetNonce()
@@ -61,22 +61,22 @@
 		return err
 	}
 	m := &api.Control{}
-	if err := control.receive(m, maxHandshake); err != nil {
+	if err := control.receive(m, maxHandshakeBytes); err != nil {
 		return err
 	}
 	other := listener
 	if side == listener {
 		other = dialer
 	}
-	if !proves(m.GetProof().GetMac(), cfg, other, theirs, own) {
-		return ErrProof
+	if !verifyProof(m.GetProof().GetMac(), cfg, other, theirs, own) {
+		return ErrWrongKey
 	}
 	return nil
 }
 
-// proves says that a proof was made with one of the keys that are taken. No other key
-// set means none: a proof with the empty key, which anybody can make, proves nothing.
-func proves(mac []byte, cfg Config, side string, first, second []byte) bool {
+// verifyProof says that a proof was made with one of the keys that are taken. No other key
+// set means none: a proof with the empty key, which anybody can make, verifyProof nothing.
+func verifyProof(mac []byte, cfg Config, side string, first, second []byte) bool {
 	if hmac.Equal(mac, proofMAC(cfg.Key, side, first, second)) {
 		return true
 	}
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	m := &api.Control{}
-	if err := control.receive(m, maxHandshake); err != nil {
+	if err := control.receive(m, maxHandshakeBytes); err != nil {
 		return nil, err
 	}
 	peer := m.GetHello()
--- a/internal/link/handshake_test.go
+++ b/internal/link/handshake_test.go
@@ -14,44 +14,44 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// counting is a handler that counts the links that stand.
-type counting struct{ up atomic.Int32 }
+// countingHandler is a handler that counts the links that stand.
+type countingHandler struct{ up atomic.Int32 }
 
-func (c *counting) Up(*Session)                                       { c.up.Add(1) }
-func (c *counting) Down(*Session, error)                              {}
-func (c *counting) Control(*Session, *api.Control, time.Duration)     {}
-func (c *counting) Stream(s *Session, open *api.Open, stream *Stream) {}
-func (c *counting) Heartbeat() *api.Heartbeat                         { return &api.Heartbeat{} }
+func (c *countingHandler) Up(*Session)                                       { c.up.Add(1) }
+func (c *countingHandler) Down(*Session, error)                              {}
+func (c *countingHandler) Control(*Session, *api.Control, time.Duration)     {}
+func (c *countingHandler) Stream(s *Session, open *api.Open, stream *Stream) {}
+func (c *countingHandler) Heartbeat() *api.Heartbeat                         { return &api.Heartbeat{} }
 
 func config(key string) Config {
 	return Config{
 		Self: &api.Hello{Vm: "vm", Incarnation: "1"}, Key: []byte(key),
-		Heartbeat: 20 * time.Millisecond, Suspect: 200 * time.Millisecond, Dead: 5 * time.Second,
+		HeartbeatInterval: 20 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: 5 * time.Second,
 	}
 }
 
 // listen serves links with the key "right".
-func listen(t *testing.T) (string, *counting) {
+func listen(t *testing.T) (string, *countingHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	h := &counting{}
+	h := &countingHandler{}
 	go func() { _ = Serve(ln, config("right"), h) }()
 	return ln.Addr().String(), h
 }
 
-func TestOnlyTheKeyOpensALink(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	address, h := listen(t)
-	if _, err := Dial(address, config("wrong"), &counting{}); err == nil {
+	if _, err := Dial(address, config("wrong"), &countingHandler{}); err == nil {
 		t.Error("a link stands without the key")
 	}
 	if h.up.Load() != 0 {
 		t.Error("the listener took a link without the key")
 	}
-	s, err := Dial(address, config("right"), &counting{})
+	s, err := Dial(address, config("right"), &countingHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 // The link key is changed VM by VM, with links that must stand all the while. Each step is
 // a process with one pair of keys that meets one of the step before or after it, in both
 // directions; a key that is on neither side's list never opens a link.
-func TestKeysChangeVMByVM(t *testing.T) {
+func TestKeyRotationKeepsLinks(t *testing.T) {
 	keys := func(key, other string) Config {
 		c := config(key)
 		c.OtherKey = []byte(other)
@@ -74,11 +74,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = ln.Close() })
-		go func() { _ = Serve(ln, listener, &counting{}) }()
+		go func() { _ = Serve(ln, listener, &countingHandler{}) }()
 		for j, dialler := range steps {
-			near := i-j <= 1 && j-i <= 1
-			s, err := Dial(ln.Addr().String(), dialler, &counting{})
-			if near && err != nil {
+			compatible := i-j <= 1 && j-i <= 1
+			s, err := Dial(ln.Addr().String(), dialler, &countingHandler{})
+			if compatible && err != nil {
 				t.Errorf("step %d cannot dial step %d: %v", j, i, err)
 			}
 			if err == nil {
@@ -86,7 +86,7 @@
 			}
 		}
 		for _, stranger := range []Config{keys("wrong", ""), keys("wrong", "old"), keys("", "")} {
-			if s, err := Dial(ln.Addr().String(), stranger, &counting{}); err == nil {
+			if s, err := Dial(ln.Addr().String(), stranger, &countingHandler{}); err == nil {
 				t.Errorf("step %d takes a link with the key %q", i, stranger.Key)
 				s.Close(io.EOF)
 			}
@@ -94,8 +94,8 @@
 	}
 }
 
-// stranger connects without holding the key.
-func stranger(t *testing.T, address string) net.Conn {
+// dialWithoutKey connects without holding the key.
+func dialWithoutKey(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -108,9 +108,9 @@
 
 // A stranger connects, learns the challenge, and sends back the proof that it was
 // sent, as its own. The proof names its side, so this must not pass.
-func TestReflectedProof(t *testing.T) {
+func TestReflectedProofIsRejected(t *testing.T) {
 	address, h := listen(t)
-	stream := newStream(stranger(t, address))
+	stream := newStream(dialWithoutKey(t, address))
 	m := &api.Control{}
 	if err := stream.Receive(m); err != nil {
 		t.Fatal(err)
@@ -131,18 +131,18 @@
 // A stranger announces a message of 64 MB and sends none of it, on many connections
 // at once. Work may send such messages; before the proof each would take 64 MB of a
 // process's memory until its time is over. It must be cut off at once.
-func TestHugeMessageBeforeTheProof(t *testing.T) {
+func TestHugeMessageBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
-	raw := stranger(t, address)
+	raw := dialWithoutKey(t, address)
 	if _, err := raw.Write(binary.AppendUvarint(nil, 64<<20)); err != nil {
 		t.Fatal(err)
 	}
-	from := time.Now()
+	start := time.Now()
 	// The end of what the listener says is the end of the link.
 	if _, err := io.Copy(io.Discard, raw); err != nil {
 		t.Errorf("not cut off: %v", err)
 	}
-	if took := time.Since(from); took > 2*time.Second {
+	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("cut off after %v", took)
 	}
 }
@@ -150,16 +150,16 @@
 // A stranger opens many streams at once and fills the window of each, 256 KB. The
 // streams would lie in memory until somebody took them. Before the proof there must
 // be no streams at all.
-func TestStreamsBeforeTheProof(t *testing.T) {
+func TestStreamsBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
-	mux, err := yamux.Client(stranger(t, address), muxConfig(config("")))
+	mux, err := yamux.Client(dialWithoutKey(t, address), muxConfig(config("")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := mux.Open(); err != nil { // The control stream stays silent.
 		return // Cut off before anything could be sent.
 	}
-	taken, window := 0, make([]byte, 256<<10)
+	sent, window := 0, make([]byte, 256<<10)
 	for range 64 {
 		raw, err := mux.Open()
 		if err != nil {
@@ -167,13 +167,13 @@
 		}
 		_ = raw.SetDeadline(time.Now().Add(time.Second))
 		n, err := raw.Write(window)
-		taken += n
+		sent += n
 		if err != nil {
 			break
 		}
 	}
-	if taken > 4<<20 {
-		t.Errorf("%d bytes were taken from a stranger", taken)
+	if sent > 4<<20 {
+		t.Errorf("%d bytes were taken from a stranger", sent)
 	}
 }
 
@@ -192,14 +192,14 @@
 	}
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, into := range []proto.Message{&api.Control{}, &api.Open{}, &api.WorkEvent{}, &api.WorkSignal{}} {
+		for _, message := range []proto.Message{&api.Control{}, &api.Open{}, &api.WorkEvent{}, &api.WorkSignal{}} {
 			near, far := net.Pipe()
 			go func() {
 				_, _ = far.Write(data)
 				_ = far.Close()
 			}()
 			stream := newStream(near)
-			for stream.receive(into, maxHandshake) == nil {
+			for stream.receive(message, maxHandshakeBytes) == nil {
 			}
 			_ = near.Close()
 		}
--- a/internal/link/pacer.go
+++ b/internal/link/heartbeat_sender.go
@@ -10,11 +10,11 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// Pacer sends the heartbeats of all links of a process, by one timer: with a timer and
+// HeartbeatSender sends the heartbeats of all links of a process, by one timer: with a timer and
 // a question to the control state for each link, an entry spent most of its processor
 // time without work on waking up.
-type Pacer struct {
-	kick chan struct{}
+type HeartbeatSender struct {
+	wakeup chan struct{}
 
 	mu       sync.Mutex
 	sessions map[*Session]struct{}
@@ -22,29 +22,29 @@
 	due      []*Session // of the round under way
 }
 
-// NewPacer returns a pacer. All links that share it must have one handler.
-func NewPacer() *Pacer {
-	return &Pacer{kick: make(chan struct{}, 1), sessions: make(map[*Session]struct{})}
+// NewHeartbeatSender returns a pacer. All links that share it must have one handler.
+func NewHeartbeatSender() *HeartbeatSender {
+	return &HeartbeatSender{wakeup: make(chan struct{}, 1), sessions: make(map[*Session]struct{})}
 }
 
-// Hurry has all links beat with the next tick: there is news that is told by heartbeats.
-func (p *Pacer) Hurry() {
+// SendAllAtNextTick has all links beat with the next tick: there is news that is told by heartbeats.
+func (p *HeartbeatSender) SendAllAtNextTick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sessions {
-		s.rhythm.hurry()
+		s.heartbeat.sendAtNextTick()
 	}
 }
 
 // wake has the links beat at once that must.
-func (p *Pacer) wake() {
+func (p *HeartbeatSender) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Pacer) add(s *Session) {
+func (p *HeartbeatSender) add(s *Session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sessions[s] = struct{}{}
@@ -53,43 +53,43 @@
 		return
 	}
 	p.running = true
-	go p.run(s.cfg.Heartbeat)
+	go p.run(s.cfg.HeartbeatInterval)
 }
 
 // run sends heartbeats for as long as there are links.
-func (p *Pacer) run(every time.Duration) {
-	ticker := time.NewTicker(every)
+func (p *HeartbeatSender) run(interval time.Duration) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for timed := false; p.round(timed); {
+	for onTick := false; p.sendDue(onTick); {
 		select {
 		case <-ticker.C:
-			timed = true
-		case <-p.kick:
-			timed = false
+			onTick = true
+		case <-p.wakeup:
+			onTick = false
 		}
 	}
 }
 
-// round sends the heartbeats that are due, and returns false when there are no links.
+// sendDue sends the heartbeats that are due, and returns false when there are no links.
 // What they say is asked for once, after their echoes were read: the receiver takes the
 // knowledge for newer than the heartbeat that is echoed.
-func (p *Pacer) round(timed bool) bool {
-	if !p.collect(timed) {
+func (p *HeartbeatSender) sendDue(onTick bool) bool {
+	if !p.collectDue(onTick) {
 		return false
 	}
 	if len(p.due) == 0 {
 		return true
 	}
-	common := p.due[0].handler.Heartbeat()
+	template := p.due[0].handler.Heartbeat()
 	for _, s := range p.due {
-		s.beat(proto.CloneOf(common))
+		s.queueHeartbeat(proto.CloneOf(template))
 	}
 	return true
 }
 
-// collect finds the links whose heartbeats are due, and closes those that have been
+// collectDue finds the links whose heartbeats are due, and closes those that have been
 // silent for too long.
-func (p *Pacer) collect(timed bool) bool {
+func (p *HeartbeatSender) collectDue(onTick bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.due = p.due[:0]
@@ -99,12 +99,12 @@
 			delete(p.sessions, s)
 			continue
 		}
-		if silence := s.rhythm.silence(now); silence > s.cfg.Dead {
+		if silence := s.heartbeat.silence(now); silence > s.cfg.DeadAfter {
 			// Closing hands its news to the control state, which is not waited for.
 			go s.Close(errors.Errorf("silent for %v", silence.Round(time.Millisecond)))
 			continue
 		}
-		if s.rhythm.due(now, timed) {
+		if s.heartbeat.takeDue(now, onTick) {
 			p.due = append(p.due, s)
 		}
 	}
--- a/internal/link/rhythm_test.go
+++ b/internal/link/heartbeat_state_test.go
@@ -12,54 +12,54 @@
 
 const ms = time.Millisecond
 
-// ends are two ends of a link without work, at the usual settings, with a delay of 2 ms.
-type ends struct {
-	a, b *rhythm
-	now  time.Duration
-	lost bool // from b to a
-	said time.Duration
-	sent int
+// linkEnds are two linkEnds of a link without work, at the usual settings, with a delay of 2 ms.
+type linkEnds struct {
+	a, b      *heartbeatState
+	now       time.Duration
+	lost      bool // from b to a
+	notBefore time.Duration
+	sent      int
 }
 
-func newEnds() *ends {
-	cfg := Config{Heartbeat: 200 * ms, Idle: 600 * ms, Suspect: 600 * ms, Dead: 1500 * ms}
-	return &ends{a: newRhythm(cfg, 0), b: newRhythm(cfg, 0)}
+func newLinkEnds() *linkEnds {
+	cfg := Config{HeartbeatInterval: 200 * ms, IdleInterval: 600 * ms, SuspectAfter: 600 * ms, DeadAfter: 1500 * ms}
+	return &linkEnds{a: newHeartbeatState(cfg, 0), b: newHeartbeatState(cfg, 0)}
 }
 
 // run advances to a time; a ticks at multiples of 200 ms, b 70 ms later.
-func (e *ends) run(until time.Duration) {
+func (e *linkEnds) run(until time.Duration) {
 	for ; e.now < until; e.now += ms {
-		e.pass(e.a, e.b, e.now%(200*ms) == 0, false)
-		e.pass(e.b, e.a, e.now%(200*ms) == 70*ms, e.lost)
+		e.sendIfDue(e.a, e.b, e.now%(200*ms) == 0, false)
+		e.sendIfDue(e.b, e.a, e.now%(200*ms) == 70*ms, e.lost)
 	}
 }
 
-func (e *ends) pass(from, to *rhythm, tick, lost bool) {
-	if !from.due(e.now, tick) {
+func (e *linkEnds) sendIfDue(from, to *heartbeatState, tick, lost bool) {
+	if !from.takeDue(e.now, tick) {
 		return
 	}
-	beat := &api.Heartbeat{}
-	from.stamp(beat, e.now)
+	heartbeat := &api.Heartbeat{}
+	from.complete(heartbeat, e.now)
 	e.sent++
 	if lost {
 		return
 	}
-	to.received(e.now + 2*ms)
-	if said, _ := to.noted(beat, e.now+2*ms); to == e.a {
-		e.said = said
+	to.messageReceived(e.now + 2*ms)
+	if notBefore, _ := to.heartbeatReceived(heartbeat, e.now+2*ms); to == e.a {
+		e.notBefore = notBefore
 	}
 }
 
 // A link without work beats three times slower. What the other side says must stay as
 // exactly dated as before, or processes would fence themselves; and neither side may
 // suspect the other.
-func TestIdleLink(t *testing.T) {
-	e := newEnds()
+func TestIdleLinkKeepsReportsFresh(t *testing.T) {
+	e := newLinkEnds()
 	e.run(3 * time.Second)
 	e.sent = 0
 	for until := e.now + 6*time.Second; e.now < until; {
 		e.run(e.now + 10*ms)
-		if age := e.now - e.said; age > 630*ms {
+		if age := e.now - e.notBefore; age > 630*ms {
 			t.Fatalf("what is known is %v old", age)
 		}
 		if e.a.silence(e.now) > 600*ms || e.b.silence(e.now) > 600*ms {
@@ -74,26 +74,26 @@
 // The agent behind an idle link goes silent, and work is sent just before the link would
 // be suspect. From then on its caller must wait no longer than over a link that had work:
 // suspect after 600 ms, dead after 1,500. A link that is suspect already stays so.
-func TestWorkOnALinkThatDied(t *testing.T) {
-	e := newEnds()
+func TestWorkOnADeadIdleLink(t *testing.T) {
+	e := newLinkEnds()
 	e.run(3 * time.Second)
 	e.lost = true
 	for e.a.silence(e.now) <= 580*ms {
 		e.run(e.now + 10*ms)
 	}
-	work := e.now
-	if !e.a.begin(work) {
+	workBegan := e.now
+	if !e.a.beginWork(workBegan) {
 		t.Error("no heartbeat at once")
 	}
-	for at, limit := range map[time.Duration]time.Duration{590 * ms: 600 * ms, 1490 * ms: 1500 * ms} {
-		if e.a.silence(work+at) > limit || e.a.silence(work+at+20*ms) <= limit {
-			t.Errorf("silent for %v after %v", e.a.silence(work+at), at)
+	for after, maxSilence := range map[time.Duration]time.Duration{590 * ms: 600 * ms, 1490 * ms: 1500 * ms} {
+		if e.a.silence(workBegan+after) > maxSilence || e.a.silence(workBegan+after+20*ms) <= maxSilence {
+			t.Errorf("silent for %v after %v", e.a.silence(workBegan+after), after)
 		}
 	}
-	e = newEnds()
+	e = newLinkEnds()
 	e.run(3 * time.Second)
 	e.now += 10 * time.Second // a pause of this process
-	if e.a.begin(e.now); e.a.silence(e.now) <= 600*ms {
+	if e.a.beginWork(e.now); e.a.silence(e.now) <= 600*ms {
 		t.Error("a link is believed in again that was not heard")
 	}
 }
@@ -101,22 +101,22 @@
 // Work that must not repeat is about to go over an idle link. When the link works the
 // probe must be answered at once, long before the next heartbeat; when it is silent in
 // one direction the work must not be sent.
-func TestProveAnIdleLink(t *testing.T) {
+func TestProbeIdleLink(t *testing.T) {
 	for name, broken := range map[string]int{"works": -1, "from the dialer": 0, "to the dialer": 1} {
-		near, far := newRecorder(), newRecorder()
-		s, f := pairWith(t, near, far, Config{Heartbeat: 10 * ms, Idle: 8 * time.Second, Suspect: time.Second, Dead: 20 * time.Second})
-		time.Sleep(linger + 200*ms) // Idle.
+		near, far := newRecordingHandler(), newRecordingHandler()
+		s, f := pairWith(t, near, far, Config{HeartbeatInterval: 10 * ms, IdleInterval: 8 * time.Second, SuspectAfter: time.Second, DeadAfter: 20 * time.Second})
+		time.Sleep(activeAfterWork + 200*ms) // Idle.
 		if broken >= 0 {
-			f.lost[broken].Store(true)
+			f.dropping[broken].Store(true)
 		}
 		// Not heard within the limit; what was on its way when the link broke has come.
-		for s.rhythm.quiet(clock.Now()) < 1200*ms {
+		for s.heartbeat.sinceConfirmed(clock.Now()) < 1200*ms {
 			time.Sleep(10 * ms)
 		}
-		from := clock.Now()
-		proved := s.Prove(context.Background())
-		if took := clock.Now() - from; proved != (broken < 0) || proved && took > time.Second {
-			t.Errorf("%s: proved %v after %v", name, proved, took)
+		start := clock.Now()
+		confirmed := s.Probe(context.Background())
+		if took := clock.Now() - start; confirmed != (broken < 0) || confirmed && took > time.Second {
+			t.Errorf("%s: proved %v after %v", name, confirmed, took)
 		}
 		s.Close(io.EOF)
 	}
@@ -124,13 +124,13 @@
 
 // A rolling update: one side is a process of the version before, which knows of the short
 // interval only and would take the long one for silence. It must be sent what it expects.
-func TestIdleLinkToAnOlderProcess(t *testing.T) {
-	e := newEnds()
-	e.b.cfg.Idle = 0 // As one that says nothing of it.
-	e.b.theirs = 0
+func TestIdleLinkToAProcessWithoutIdleInterval(t *testing.T) {
+	e := newLinkEnds()
+	e.b.cfg.IdleInterval = 0 // As one that says nothing of it.
+	e.b.peerIdleInterval = 0
 	for until := 5 * time.Second; e.now < until; {
 		e.run(e.now + 10*ms)
-		e.b.theirs = 0
+		e.b.peerIdleInterval = 0
 		if e.now > 500*ms && (e.a.silence(e.now) > 300*ms || e.b.silence(e.now) > 300*ms) {
 			t.Fatalf("silent for %v and %v after %v", e.a.silence(e.now), e.b.silence(e.now), e.now)
 		}
--- a/internal/link/session_test.go
+++ b/internal/link/session_test.go
@@ -16,8 +16,8 @@
 type forwarder struct {
 	address string
 	to      string
-	// lost is one flag for each direction, from the dialer and to it.
-	lost [2]atomic.Bool
+	// dropping is one flag for each direction, from the dialer and to it.
+	dropping [2]atomic.Bool
 }
 
 func forward(t *testing.T, to string) *forwarder {
@@ -39,14 +39,14 @@
 				return
 			}
 			t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-			go f.copy(far, near, &f.lost[0])
-			go f.copy(near, far, &f.lost[1])
+			go f.copy(far, near, &f.dropping[0])
+			go f.copy(near, far, &f.dropping[1])
 		}
 	}()
 	return f
 }
 
-func (f *forwarder) copy(to, from net.Conn, lost *atomic.Bool) {
+func (f *forwarder) copy(to, from net.Conn, dropping *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -54,58 +54,58 @@
 			_ = to.Close()
 			return
 		}
-		if !lost.Load() {
+		if !dropping.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
-// recorder is a handler that keeps what it is told.
-type recorder struct {
-	mu       sync.Mutex
-	session  *Session
-	down     chan error
-	stream   func(stream *Stream)
-	control  func(m *api.Control)
-	downHeld chan struct{} // Down waits for it, if set
+// recordingHandler is a handler that keeps what it is told.
+type recordingHandler struct {
+	mu        sync.Mutex
+	session   *Session
+	down      chan error
+	stream    func(stream *Stream)
+	control   func(m *api.Control)
+	blockDown chan struct{} // Down waits for it, if set
 }
 
-func newRecorder() *recorder { return &recorder{down: make(chan error, 8)} }
+func newRecordingHandler() *recordingHandler { return &recordingHandler{down: make(chan error, 8)} }
 
-func (r *recorder) Up(s *Session) {
+func (r *recordingHandler) Up(s *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.session = s
 }
 
-func (r *recorder) Down(_ *Session, cause error) {
-	if r.downHeld != nil {
-		<-r.downHeld
+func (r *recordingHandler) Down(_ *Session, cause error) {
+	if r.blockDown != nil {
+		<-r.blockDown
 	}
 	r.down <- cause
 }
 
-func (r *recorder) Control(_ *Session, m *api.Control, _ time.Duration) {
+func (r *recordingHandler) Control(_ *Session, m *api.Control, _ time.Duration) {
 	if r.control != nil && m.GetHeartbeat() == nil {
 		r.control(m)
 	}
 }
 
-func (r *recorder) Stream(_ *Session, _ *api.Open, stream *Stream) {
+func (r *recordingHandler) Stream(_ *Session, _ *api.Open, stream *Stream) {
 	if r.stream != nil {
 		r.stream(stream)
 	}
 }
 
-func (r *recorder) Heartbeat() *api.Heartbeat { return &api.Heartbeat{} }
+func (r *recordingHandler) Heartbeat() *api.Heartbeat { return &api.Heartbeat{} }
 
 // pair links two processes through a forwarder.
-func pair(t *testing.T, near, far *recorder) (*Session, *forwarder) {
+func pair(t *testing.T, near, far *recordingHandler) (*Session, *forwarder) {
 	t.Helper()
-	return pairWith(t, near, far, Config{Heartbeat: 10 * time.Millisecond, Suspect: 100 * time.Millisecond, Dead: 400 * time.Millisecond})
+	return pairWith(t, near, far, Config{HeartbeatInterval: 10 * time.Millisecond, SuspectAfter: 100 * time.Millisecond, DeadAfter: 400 * time.Millisecond})
 }
 
-func pairWith(t *testing.T, near, far *recorder, times Config) (*Session, *forwarder) {
+func pairWith(t *testing.T, near, far *recordingHandler, intervals Config) (*Session, *forwarder) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	cfg := config("right")
-	cfg.Heartbeat, cfg.Idle, cfg.Suspect, cfg.Dead = times.Heartbeat, times.Idle, times.Suspect, times.Dead
+	cfg.HeartbeatInterval, cfg.IdleInterval, cfg.SuspectAfter, cfg.DeadAfter = intervals.HeartbeatInterval, intervals.IdleInterval, intervals.SuspectAfter, intervals.DeadAfter
 	go func() { _ = Serve(ln, cfg, far) }()
 	f := forward(t, ln.Addr().String())
 	s, err := Dial(f.address, cfg, near)
@@ -124,11 +124,11 @@
 	return s, f
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	limit := time.Now().Add(5 * time.Second)
-	for !holds() {
-		if time.Now().After(limit) {
+	deadline := time.Now().Add(5 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -138,30 +138,30 @@
 // Something between two processes loses track of their connection, in one direction or
 // in both. Each side must stop giving work to it while it is suspect, and close it when
 // it is dead, although its own direction may still work.
-func TestSilence(t *testing.T) {
-	for name, lost := range map[string][2]bool{"from the dialer": {true, false}, "to the dialer": {false, true}, "both": {true, true}} {
-		near, far := newRecorder(), newRecorder()
+func TestSilentLinkIsSuspectThenClosed(t *testing.T) {
+	for name, dropping := range map[string][2]bool{"from the dialer": {true, false}, "to the dialer": {false, true}, "both": {true, true}} {
+		near, far := newRecordingHandler(), newRecordingHandler()
 		s, f := pair(t, near, far)
 		time.Sleep(50 * time.Millisecond)
 		if s.Suspect() {
 			t.Errorf("%s: suspect while all is well", name)
 		}
-		f.lost[0].Store(lost[0])
-		f.lost[1].Store(lost[1])
+		f.dropping[0].Store(dropping[0])
+		f.dropping[1].Store(dropping[1])
 		eventually(t, name+": suspect on both sides", func() bool {
 			far.mu.Lock()
 			defer far.mu.Unlock()
 			return s.Suspect() && far.session.Suspect()
 		})
-		began := time.Now()
-		for _, r := range []*recorder{near, far} {
+		start := time.Now()
+		for _, r := range []*recordingHandler{near, far} {
 			select {
 			case <-r.down:
 			case <-time.After(2 * time.Second):
 				t.Fatalf("%s: a dead link stands", name)
 			}
 		}
-		if took := time.Since(began); took > time.Second {
+		if took := time.Since(start); took > time.Second {
 			t.Errorf("%s: dead only after %v", name, took)
 		}
 	}
@@ -170,19 +170,19 @@
 // A peer takes no control messages while this process has many for it. Post never waits;
 // past the bound that link is closed and no other; and it does not wait for Down either:
 // the goroutine that posts is the one that Down hands its news to.
-func TestAFloodClosesOnlyItsLink(t *testing.T) {
-	held := make(chan struct{})
-	near, far := newRecorder(), newRecorder()
-	near.downHeld = make(chan struct{})
-	far.control = func(*api.Control) { <-held }
-	defer close(held)
+func TestFullControlQueueClosesOnlyItsLink(t *testing.T) {
+	release := make(chan struct{})
+	near, far := newRecordingHandler(), newRecordingHandler()
+	near.blockDown = make(chan struct{})
+	far.control = func(*api.Control) { <-release }
+	defer close(release)
 	s, _ := pair(t, near, far)
-	other, _ := pair(t, newRecorder(), newRecorder())
+	other, _ := pair(t, newRecordingHandler(), newRecordingHandler())
 	message := &api.Control{Body: &api.Control_Records{Records: &api.LogRecords{Records: []*api.LogRecord{{Data: make([]byte, 4<<10)}}}}}
 	posted := make(chan struct{})
 	go func() {
 		defer close(posted)
-		for range 4 * sendQueue {
+		for range 4 * maxQueuedMessages {
 			s.Post(message)
 		}
 	}()
@@ -191,7 +191,7 @@
 	case <-time.After(3 * time.Second):
 		t.Error("Post waits")
 	}
-	close(near.downHeld)
+	close(near.blockDown)
 	select {
 	case <-near.down:
 	case <-time.After(2 * time.Second):
@@ -206,14 +206,14 @@
 
 // A caller does not read its answer, and the window of that stream is full. Heartbeats
 // and the other streams of the link must go on.
-func TestAFullWindowStallsOnlyItsStream(t *testing.T) {
-	far := newRecorder()
-	held := make(chan struct{})
-	defer close(held)
+func TestFullWindowBlocksOnlyItsStream(t *testing.T) {
+	far := newRecordingHandler()
+	release := make(chan struct{})
+	defer close(release)
 	var streams atomic.Int32
 	far.stream = func(stream *Stream) {
 		if streams.Add(1) == 1 {
-			<-held // Reads nothing.
+			<-release // Reads nothing.
 			return
 		}
 		m := &api.WorkSignal{}
@@ -221,15 +221,15 @@
 			_ = stream.Send(m)
 		}
 	}
-	s, _ := pair(t, newRecorder(), far)
-	stuck, err := s.Open(&api.Open{})
+	s, _ := pair(t, newRecordingHandler(), far)
+	blocked, err := s.Open(&api.Open{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the first stream", func() bool { return streams.Load() == 1 })
 	full := make(chan error, 1)
 	go func() {
-		full <- stuck.Send(&api.Work{Body: make([]byte, 4<<20)})
+		full <- blocked.Send(&api.Work{Body: make([]byte, 4<<20)})
 	}()
 	for range 20 {
 		stream, err := s.Open(&api.Open{})
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -283,7 +283,7 @@
 	defer ln.Close()
 	cfg := link.Config{
 		Self: &api.Hello{Vm: "vm", Incarnation: "incarnation"}, Key: []byte("key"),
-		Heartbeat: 200 * time.Millisecond, Suspect: 5 * time.Second, Dead: 10 * time.Second,
+		HeartbeatInterval: 200 * time.Millisecond, SuspectAfter: 5 * time.Second, DeadAfter: 10 * time.Second,
 	}
 	go func() { _ = link.Serve(ln, cfg, idle{}) }()
 	var all []*link.Session
--- a/internal/member/changes.go
+++ b/internal/member/changes.go
@@ -48,7 +48,7 @@
 	if change == nil {
 		change = &followed{
 			acceptance: config.NewAcceptance(verdict.GetOffset(), millis(n.options.Links.GetFreshnessMs()), now),
-			asked:      now - n.link.Heartbeat,
+			asked:      now - n.link.HeartbeatInterval,
 		}
 		n.follow(changeID, change)
 	}
--- a/internal/member/fake_test.go
+++ b/internal/member/fake_test.go
@@ -213,7 +213,7 @@
 // closeLink ends the link to a VM.
 func (n *testNode) closeLink(vm string) {
 	if p := n.peer(vm); p != nil {
-		p.Session.Close(link.ErrProof)
+		p.Session.Close(link.ErrWrongKey)
 	}
 }
 
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -26,7 +26,7 @@
 // looks every few milliseconds; what agents say changes with their heartbeats, so that
 // entries are asked no more often.
 func (n *Node) askHolders(change *followed, missing []string, now time.Duration) {
-	if n.reporters == nil || now-change.asked < n.link.Heartbeat {
+	if n.reporters == nil || now-change.asked < n.link.HeartbeatInterval {
 		return
 	}
 	change.asked = now
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -178,14 +178,14 @@
 		options: o,
 		logger:  o.Logger,
 		link: link.Config{
-			Self:      o.Self,
-			Key:       []byte(o.Links.GetKey()),
-			OtherKey:  []byte(o.Links.GetOtherKey()),
-			Heartbeat: millis(o.Links.GetHeartbeatMs()),
-			Suspect:   millis(o.Links.GetSuspectMs()),
-			Dead:      millis(o.Links.GetDeadMs()),
-			Idle:      idleHeartbeat(o.Links),
-			Pacer:     link.NewPacer(),
+			Self:              o.Self,
+			Key:               []byte(o.Links.GetKey()),
+			OtherKey:          []byte(o.Links.GetOtherKey()),
+			HeartbeatInterval: millis(o.Links.GetHeartbeatMs()),
+			SuspectAfter:      millis(o.Links.GetSuspectMs()),
+			DeadAfter:         millis(o.Links.GetDeadMs()),
+			IdleInterval:      idleHeartbeat(o.Links),
+			HeartbeatSender:   link.NewHeartbeatSender(),
 		},
 		calls:    make(chan func(), 1024),
 		done:     make(chan struct{}),
@@ -200,9 +200,9 @@
 		gone:     make(map[string]bool),
 		unproved: make(map[string]bool),
 	}
-	n.link.Unproved = n.noteStranger
+	n.link.OnWrongKey = n.noteStranger
 	if o.Registry != nil {
-		n.link = n.link.Counters(o.Registry)
+		n.link = n.link.WithCounters(o.Registry)
 	}
 	n.reader = config.NewReader(n.fold)
 	n.snapshot.last = -1
@@ -262,7 +262,7 @@
 
 func (n *Node) loop(ctx context.Context) error {
 	defer close(n.done)
-	ticker := time.NewTicker(n.link.Heartbeat)
+	ticker := time.NewTicker(n.link.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -311,7 +311,7 @@
 	// hears few of them. With the long interval each would add its own age, and the sum is
 	// past the freshness limit.
 	if n.fresh.NeedsCounts(now) || old != nil && state.tells(old) {
-		n.link.Pacer.Hurry()
+		n.link.HeartbeatSender.SendAllAtNextTick()
 	}
 	if n.options.Hooks.Changed != nil && (old == nil || old.View != view) {
 		n.options.Hooks.Changed(view)
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -163,7 +163,7 @@
 		if until, waiting := n.dialling[vm.ID]; waiting && now < until {
 			continue
 		}
-		n.dialling[vm.ID] = now + n.link.Dead + redialAfter
+		n.dialling[vm.ID] = now + n.link.DeadAfter + redialAfter
 		go n.dial(vm)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	n.post(func() {
 		n.dialFailed(vm.ID)
-		if errors.Is(err, link.ErrProof) {
+		if errors.Is(err, link.ErrWrongKey) {
 			n.noteUnproved(vm.ID)
 			return
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -40,8 +40,8 @@
 	// recordsPath is the path of the log's recordsPath: those of the configuration, or of a
 	// stream beside it.
 	recordsPath string
-	http    *http.Client
-	timeout time.Duration
+	http        *http.Client
+	timeout     time.Duration
 	// maxResponseBytes is the constant, but for tests.
 	maxResponseBytes int64
 }
@@ -54,10 +54,10 @@
 		IdleConnTimeout:     30 * time.Second,
 	}
 	return &Client{
-		baseURL:      strings.TrimSuffix(baseURL, "/"),
-		recordsPath:   "/log/records",
-		http:      &http.Client{Transport: transport},
-		timeout:   timeout,
+		baseURL:          strings.TrimSuffix(baseURL, "/"),
+		recordsPath:      "/log/records",
+		http:             &http.Client{Transport: transport},
+		timeout:          timeout,
 		maxResponseBytes: maxResponseBytes,
 	}
 }
@@ -88,9 +88,9 @@
 // Batch is the answer to a read of the log.
 type Batch struct {
 	// Oldest is the oldest offset kept, Next the offset of the next append.
-	Oldest   int64 `json:"first"`
-	NextOffset    int64 `json:"next"`
-	Records []struct {
+	Oldest     int64 `json:"first"`
+	NextOffset int64 `json:"next"`
+	Records    []struct {
 		Offset int64  `json:"offset"`
 		Data   []byte `json:"data"`
 	} `json:"records"`
@@ -130,7 +130,7 @@
 type response struct {
 	status int
 	body   []byte
-	etag    string // of the contents, if the platform gives one
+	etag   string // of the contents, if the platform gives one
 }
 
 // do makes one request. With a tag it asks only for contents that have another.
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -33,7 +33,7 @@
 
 // VMList is the platform's list as it was read once.
 type VMList struct {
-	VMs []VM
+	VMs  []VM
 	etag string
 }
 
--- a/internal/platform/vms_test.go
+++ b/internal/platform/vms_test.go
@@ -25,10 +25,10 @@
 	})
 	var last *VMList
 	for i, step := range []struct {
-		body, etag string
-		vms       int
-		changed   bool
-		fullResponses     int
+		body, etag    string
+		vms           int
+		changed       bool
+		fullResponses int
 	}{
 		{one, `"1"`, 1, true, 1},
 		{one, `"1"`, 1, false, 1},
