--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -122,20 +122,20 @@
 	p := settings.GetPlatform()
 	timeout := time.Duration(p.GetRequestTimeoutMs()) * time.Millisecond
 	a.node = member.New(member.Options{
-		Self:       self,
-		Platform:   platform.New(p.GetUrl(), timeout),
-		Links:      settings.GetLink(),
-		Poll:       time.Duration(p.GetPollMs()) * time.Millisecond,
-		VMsPoll:    time.Duration(p.GetVmsPollMs()) * time.Millisecond,
-		LogReaders: int(p.GetLogReaders()),
-		Logger:     logger,
-		Registry:   registry,
-		Dials:      func(vm platform.VM) bool { return a.group != nil && a.group.dials(vm) },
+		Self:            self,
+		Platform:        platform.New(p.GetUrl(), timeout),
+		Links:           settings.GetLink(),
+		LogPollInterval: time.Duration(p.GetPollMs()) * time.Millisecond,
+		VMsPollInterval: time.Duration(p.GetVmsPollMs()) * time.Millisecond,
+		LogReaders:      int(p.GetLogReaders()),
+		Logger:          logger,
+		Registry:        registry,
+		ShouldDial:      func(vm platform.VM) bool { return a.group != nil && a.group.dials(vm) },
 		Hooks: member.Hooks{
-			Tick:    a.tick,
-			Peers:   a.peersChanged,
-			Message: a.message,
-			Stream:  a.executor.serve,
+			Tick:          a.tick,
+			PeersChanged:  a.peersChanged,
+			HandleMessage: a.message,
+			HandleStream:  a.executor.serve,
 		},
 	})
 	a.executor.follow(a.node)
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -111,10 +111,10 @@
 func (e *executor) follow(node *member.Node) {
 	e.refusing = func(now time.Duration) api.ResultCode {
 		state := node.State()
-		if code := state.Refusing(now); code != api.ResultCode_OK {
+		if code := state.RefusalCode(now); code != api.ResultCode_OK {
 			return code
 		}
-		if state.Out {
+		if state.OutOfService {
 			return api.ResultCode_OUT_OF_SERVICE
 		}
 		if e.loading.Load() {
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -167,7 +167,7 @@
 		"none": {draining, true, false, ""}, "none in service": {draining, false, true, "e1"},
 	} {
 		s := state
-		s.Linked, s.Out, s.Peers = true, c.out, map[string]*member.Peer{"e2": &c.peer}
+		s.Linked, s.OutOfService, s.Peers = true, c.out, map[string]*member.Peer{"e2": &c.peer}
 		s.ServeUntil = clock.Now() + time.Minute
 		if c.isolated {
 			s.ServeUntil = 0
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -244,7 +244,7 @@
 		<-done
 	})
 	eventually(t, "an entry that serves", func() bool {
-		return e.node.State().Unready(clock.Now()) == api.ResultCode_OK && len(e.directory.backends()) == linked
+		return e.node.State().UnreadyCode(clock.Now()) == api.ResultCode_OK && len(e.directory.backends()) == linked
 	})
 	return e, public.URL
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -162,7 +162,7 @@
 // that is stopping serves on: callers keep its address for a while.
 func (e *entry) serving() (*member.State, error) {
 	state := e.node.State()
-	switch code := state.Refusing(clock.Now()); code {
+	switch code := state.RefusalCode(clock.Now()); code {
 	case api.ResultCode_OK, api.ResultCode_DRAINING:
 		return state, nil
 	default:
@@ -194,8 +194,8 @@
 // addresses lists the entries that take requests, as far as a state shows.
 func (e *entry) addresses(state *member.State) (addresses, error) {
 	answer := addresses{KeepMs: e.settings.GetPolicy().GetAddressKeepMs()}
-	unready := state.Unready(clock.Now())
-	if unready == api.ResultCode_OK && !state.Out {
+	unready := state.UnreadyCode(clock.Now())
+	if unready == api.ResultCode_OK && !state.OutOfService {
 		answer.Addresses = append(answer.Addresses, address{Address: e.self.GetPublicAddress(), Weight: 1})
 	}
 	for vm, peer := range state.Peers {
--- a/internal/entry/linkuse.go
+++ b/internal/entry/linkuse.go
@@ -26,7 +26,7 @@
 	for _, vm := range e.chooseLinks(now, state) {
 		if e.directory.retire(vm) {
 			_ = e.logger.Log("msg", "A link to an agent outside the subset is let go of.", "vm", vm)
-			e.node.Drop(vm)
+			e.node.DropLinks(vm)
 		}
 	}
 }
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -57,7 +57,7 @@
 
 // drives says whether this entry has the lowest name of those that serve.
 func (e *entry) drives(now time.Duration, state *member.State) bool {
-	if state.Unready(now) != api.ResultCode_OK || state.Out {
+	if state.UnreadyCode(now) != api.ResultCode_OK || state.OutOfService {
 		return false
 	}
 	for vm, peer := range state.Peers {
--- a/internal/member/beat_bench_test.go
+++ b/internal/member/beat_bench_test.go
@@ -23,13 +23,13 @@
 			for i := range links {
 				vm := fmt.Sprintf("vm-%d", i)
 				session := &link.Session{Peer: &api.Hello{Vm: vm}}
-				last = &peer{shown: &Peer{Hello: session.Peer, Session: session}, applied: -1}
+				last = &peer{published: &Peer{Hello: session.Peer, Session: session}, applied: -1}
 				n.peers[session], n.byVM[vm] = last, last
 			}
 			n.publish()
-			beat := &api.Heartbeat{Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1}}
+			heartbeat := &api.Heartbeat{Knowledge: &api.Knowledge{Applied: -1, EvidenceAgeMs: -1, QuorumAgeMs: -1}}
 			for b.Loop() {
-				n.heartbeat(last, beat, 1)
+				n.handleHeartbeat(last, heartbeat, 1)
 			}
 		})
 	}
--- a/internal/member/beat_test.go
+++ b/internal/member/beat_test.go
@@ -10,25 +10,25 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// slow has the proportions of the settings at two thirds of their times: at a third, a
+// twoThirdsLinks has the proportions of the settings at two thirds of their times: at a third, a
 // busy machine's pauses of 200 ms make a link suspect.
-var slow = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 400, DeadMs: 1000, FreshnessMs: 1332}
+var twoThirdsLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 400, DeadMs: 1000, FreshnessMs: 1332}
 
-// slower has idle links that beat once in ten seconds: what does not wait for that is told
+// longIdleLinks has idle links that beat once in ten seconds: what does not wait for that is told
 // from what does on the busiest machine.
-var slower = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 4000, DeadMs: 10_000, FreshnessMs: 30_000}
+var longIdleLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 4000, DeadMs: 10_000, FreshnessMs: 30_000}
 
-// slowNodes starts three entries without work; only the first can read the log.
-func slowNodes(t *testing.T, f *fakePlatform, links *api.Links) [3]*testNode {
+// startIdleEntries starts three entries without work; only the first can read the log.
+func startIdleEntries(t *testing.T, f *fakePlatform, links *api.Links) [3]*testNode {
 	t.Helper()
-	lame := f.withoutLog(t)
+	withoutLog := f.withoutLog(t)
 	var nodes [3]*testNode
 	for i, vm := range []string{"e1", "e2", "e3"} {
 		nodes[i] = f.start(t, vm, platform.RoleEntry, func(o *Options) {
 			o.Links = links
-			o.Poll = 166 * time.Millisecond
+			o.LogPollInterval = 166 * time.Millisecond
 			if i > 0 {
-				o.Platform = lame
+				o.Platform = withoutLog
 			}
 		})
 	}
@@ -46,44 +46,44 @@
 // Nobody has work, and the links beat slowly. One entry reads the log, then none does.
 // The two that go by heartbeats alone must not refuse as isolated for a moment, nor may
 // any link be suspect.
-func TestNobodyFencesItselfOverIdleLinks(t *testing.T) {
+func TestIdleLinksKeepEvidenceFresh(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a pause of 400 ms by the machine looks like a silent link: make race")
 	}
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
-	nodes := slowNodes(t, f, slow)
+	nodes := startIdleEntries(t, f, twoThirdsLinks)
 	time.Sleep(time.Second) // Now the links are idle.
-	least := time.Hour
-	for began := clock.Now(); clock.Now()-began < 7500*time.Millisecond; time.Sleep(2 * time.Millisecond) {
-		f.set(func() { f.down = clock.Now()-began > 2500*time.Millisecond })
+	shortest := time.Hour
+	for start := clock.Now(); clock.Now()-start < 7500*time.Millisecond; time.Sleep(2 * time.Millisecond) {
+		f.set(func() { f.down = clock.Now()-start > 2500*time.Millisecond })
 		for i, n := range nodes {
 			state, now := n.State(), clock.Now()
-			if code := state.Refusing(now); code != api.ResultCode_OK {
-				t.Fatalf("e%d refuses after %v: %v", i+1, now-began, code)
+			if code := state.RefusalCode(now); code != api.ResultCode_OK {
+				t.Fatalf("e%d refuses after %v: %v", i+1, now-start, code)
 			}
-			least = min(least, state.ServeUntil-now)
+			shortest = min(shortest, state.ServeUntil-now)
 			for vm, p := range state.Peers {
 				if p.Session.Suspect() {
-					t.Fatalf("e%d suspects %s after %v", i+1, vm, now-began)
+					t.Fatalf("e%d suspects %s after %v", i+1, vm, now-start)
 				}
 			}
 		}
 	}
-	t.Logf("evidence was good for at least %v more", least)
+	t.Logf("evidence was good for at least %v more", shortest)
 }
 
 // Links beat slowly, and a process stops, or a change comes. The others must know, and
 // must be known to know, as soon as over links with work.
-func TestNewsDoesNotWaitForIdleLinks(t *testing.T) {
+func TestUpdatesDoNotWaitForIdleHeartbeats(t *testing.T) {
 	f := newFakePlatform(t)
-	nodes := slowNodes(t, f, slower)
+	nodes := startIdleEntries(t, f, longIdleLinks)
 	time.Sleep(2 * time.Second) // Now the links are idle.
 	var took time.Duration
 	for i, id := range []string{"a", "b", "c", "d", "e"} {
 		f.mark(t, id, int64(i-1))
 		allApplied(t, int64(i), nodes[:]...)
-		from := clock.Now()
+		start := clock.Now()
 		eventually(t, "all are known to hold it", func() bool {
 			known := true
 			for _, n := range nodes {
@@ -95,14 +95,14 @@
 			}
 			return known
 		})
-		took += (clock.Now() - from) / 5
+		took += (clock.Now() - start) / 5
 	}
-	from := clock.Now()
+	start := clock.Now()
 	nodes[1].SetDraining()
 	eventually(t, "the stop", func() bool { return !nodes[0].peer("e2").Usable() && !nodes[2].peer("e2").Usable() })
-	stop := clock.Now() - from
+	stop := clock.Now() - start
 	t.Logf("known after %v, a stop after %v", took, stop)
-	if limit := idleHeartbeat(slower) / 3; took > limit || stop > limit {
+	if limit := idleHeartbeatInterval(longIdleLinks) / 3; took > limit || stop > limit {
 		t.Errorf("known after %v, a stop after %v: they waited for a heartbeat of an idle link", took, stop)
 	}
 }
--- a/internal/member/changes.go
+++ b/internal/member/changes.go
@@ -9,18 +9,18 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// maxFollowed bounds the changes whose way to all members is followed at once.
-const maxFollowed = 256
+// maxTrackedChanges bounds the changes whose way to all members is followed at once.
+const maxTrackedChanges = 256
 
-// followed is a change whose way to all members is followed.
-type followed struct {
+// trackedChange is a change whose way to all members is trackedChange.
+type trackedChange struct {
 	acceptance *config.Acceptance
-	// asked is when reporters were last asked about it.
-	asked time.Duration
+	// lastAsked is when reporters were last lastAsked about it.
+	lastAsked time.Duration
 }
 
-// Progress is how far a change has come.
-type Progress struct {
+// ChangeProgress is how far a change has come.
+type ChangeProgress struct {
 	// Verdict is nil while no applied record carries the change.
 	Verdict *api.Verdict
 	State   config.AcceptanceState
@@ -29,57 +29,57 @@
 }
 
 // Change tells how far a change has come, and follows it from the first question on.
-func (n *Node) Change(changeID string) Progress {
-	var progress Progress
-	n.Do(func() { progress = n.change(changeID) })
+func (n *Node) Change(changeID string) ChangeProgress {
+	var progress ChangeProgress
+	n.Do(func() { progress = n.changeProgress(changeID) })
 	return progress
 }
 
-func (n *Node) change(changeID string) Progress {
+func (n *Node) changeProgress(changeID string) ChangeProgress {
 	verdict, ok := n.fold.Verdict(changeID)
 	if !ok {
-		return Progress{}
+		return ChangeProgress{}
 	}
 	if !verdict.GetAccepted() {
-		return Progress{Verdict: verdict}
+		return ChangeProgress{Verdict: verdict}
 	}
 	now := clock.Now()
-	change := n.followed[changeID]
-	if change == nil {
-		change = &followed{
+	tracked := n.trackedChanges[changeID]
+	if tracked == nil {
+		tracked = &trackedChange{
 			acceptance: config.NewAcceptance(verdict.GetOffset(), millis(n.options.Links.GetFreshnessMs()), now),
-			asked:      now - n.link.HeartbeatInterval,
+			lastAsked:  now - n.link.HeartbeatInterval,
 		}
-		n.follow(changeID, change)
+		n.trackChange(changeID, tracked)
 	}
-	n.feed(change.acceptance, now)
-	state, missing := change.acceptance.State(now)
+	n.updateAcceptance(tracked.acceptance, now)
+	state, missing := tracked.acceptance.State(now)
 	if state != config.InForce {
-		n.askHolders(change, missing, now)
+		n.requestHolders(tracked, missing, now)
 	}
-	return Progress{Verdict: verdict, State: state, Missing: missing}
+	return ChangeProgress{Verdict: verdict, State: state, Missing: missing}
 }
 
-func (n *Node) follow(changeID string, change *followed) {
-	if len(n.followed) >= maxFollowed {
-		for id := range n.followed {
-			delete(n.followed, id)
+func (n *Node) trackChange(changeID string, tracked *trackedChange) {
+	if len(n.trackedChanges) >= maxTrackedChanges {
+		for id := range n.trackedChanges {
+			delete(n.trackedChanges, id)
 			break
 		}
 	}
-	n.followed[changeID] = change
+	n.trackedChanges[changeID] = tracked
 }
 
-// feed tells an acceptance what every member has shown. A process that is linked and not
+// updateAcceptance tells an acceptance what every member has shown. A process that is linked and not
 // on the list counts only while it lacks the change: package fresh takes its majorities
 // from the list, and one that was reached by others would not meet them.
-func (n *Node) feed(acceptance *config.Acceptance, now time.Duration) {
+func (n *Node) updateAcceptance(acceptance *config.Acceptance, now time.Duration) {
 	listed := make(map[string]bool, len(n.vms))
 	for _, vm := range n.vms {
 		listed[vm.ID] = true
 		acceptance.ExpectMember(vm.ID, roleOf(vm))
 	}
-	for vm := range n.gone {
+	for vm := range n.removedVMs {
 		acceptance.RemoveMember(vm)
 	}
 	if self := n.options.Self; listed[self.GetVm()] {
@@ -87,35 +87,35 @@
 	}
 	for vm, p := range n.byVM {
 		switch {
-		case !p.heard:
+		case !p.hasReported:
 		case !listed[vm] && p.applied >= acceptance.Offset():
 			acceptance.RemoveMember(vm)
 		default:
-			acceptance.UpdateMember(vm, p.shown.Hello.GetRole(), p.applied, p.said)
+			acceptance.UpdateMember(vm, p.published.Hello.GetRole(), p.applied, p.notBefore)
 		}
 	}
 }
 
-// noteGone remembers the VMs that have left the platform's list, until they return.
-func (n *Node) noteGone(vms []platform.VM) {
+// recordRemovedVMs remembers the VMs that have left the platform's list, until they return.
+func (n *Node) recordRemovedVMs(vms []platform.VM) {
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		listed[vm.ID] = true
-		delete(n.gone, vm.ID)
+		delete(n.removedVMs, vm.ID)
 	}
 	for _, vm := range n.vms {
 		if !listed[vm.ID] {
-			n.gone[vm.ID] = true
+			n.removedVMs[vm.ID] = true
 		}
 	}
-	if len(n.gone) > maxGone {
-		n.gone = make(map[string]bool)
+	if len(n.removedVMs) > maxRemovedVMs {
+		n.removedVMs = make(map[string]bool)
 	}
 }
 
-// maxGone bounds the VMs remembered as gone: a few days' worth at the size designed
+// maxRemovedVMs bounds the VMs remembered as gone: a few days' worth at the size designed
 // for.
-const maxGone = 8192
+const maxRemovedVMs = 8192
 
 func roleOf(vm platform.VM) api.Role {
 	if vm.Role == platform.RoleEntry {
@@ -140,10 +140,10 @@
 
 // Overview is what a member knows of itself and of the others.
 type Overview struct {
-	Knowledge   *api.Knowledge
-	LogDown     time.Duration // since the log last answered; 0 while it does
-	Members     []MemberStatus
-	LogAnswered bool
+	Knowledge    *api.Knowledge
+	LogDownFor   time.Duration // since the log last answered; 0 while it does
+	Members      []MemberStatus
+	LogReachable bool
 }
 
 // Overview returns what operators are shown.
@@ -152,9 +152,9 @@
 	n.Do(func() {
 		now := clock.Now()
 		o.Knowledge = n.fresh.Knowledge(now, n.fold.Applied())
-		o.LogAnswered = n.logFailing == 0
-		if !o.LogAnswered {
-			o.LogDown = now - n.logFailing
+		o.LogReachable = n.logFailingSince == 0
+		if !o.LogReachable {
+			o.LogDownFor = now - n.logFailingSince
 		}
 		o.Members = n.memberStatuses()
 	})
@@ -162,10 +162,10 @@
 }
 
 func (n *Node) memberStatuses() []MemberStatus {
-	var all []MemberStatus
-	seen := make(map[string]bool)
+	var statuses []MemberStatus
+	listed := make(map[string]bool)
 	for _, vm := range n.vms {
-		seen[vm.ID] = true
+		listed[vm.ID] = true
 		if vm.ID == n.options.Self.GetVm() {
 			continue
 		}
@@ -174,34 +174,34 @@
 			Role:          roleOf(vm),
 			FailureDomain: vm.FailureDomain,
 			Applied:       -1,
-			Link:          n.missingLink(vm),
+			Link:          n.absentLinkState(vm),
 			Leaving:       vm.State == platform.StateLeaving,
 		}
 		if p := n.byVM[vm.ID]; p != nil {
-			status.fill(p)
+			status.setFromPeer(p)
 		}
-		all = append(all, status)
+		statuses = append(statuses, status)
 	}
 	for vm, p := range n.byVM {
-		if !seen[vm] {
+		if !listed[vm] {
 			status := MemberStatus{VM: vm}
-			status.fill(p)
-			all = append(all, status)
+			status.setFromPeer(p)
+			statuses = append(statuses, status)
 		}
 	}
-	return all
+	return statuses
 }
 
-// missingLink is what operators are shown of a VM without a link.
-func (n *Node) missingLink(vm platform.VM) string {
-	if n.unlinked(vm) {
+// absentLinkState is what operators are shown of a VM without a link.
+func (n *Node) absentLinkState(vm platform.VM) string {
+	if n.isUnlinkedByDesign(vm) {
 		return ""
 	}
 	return "down"
 }
 
-func (s *MemberStatus) fill(p *peer) {
-	hello := p.shown.Hello
+func (s *MemberStatus) setFromPeer(p *peer) {
+	hello := p.published.Hello
 	s.Role = hello.GetRole()
 	s.FailureDomain = hello.GetFailureDomain()
 	s.Incarnation = hello.GetIncarnation()
@@ -210,7 +210,7 @@
 	s.Ready = p.ready
 	s.Draining = p.draining
 	s.Link = "up"
-	if p.shown.Session.Suspect() {
+	if p.published.Session.Suspect() {
 		s.Link = "suspect"
 	}
 }
@@ -220,11 +220,11 @@
 func (n *Node) List(list api.ListName) (int64, []*api.Section, *api.Verdict) {
 	view := n.State().View
 	offset := view.ListOffset(list)
-	var made *api.Verdict
+	var madeBy *api.Verdict
 	n.Do(func() {
 		if verdict, ok := n.fold.VerdictAt(offset); ok && verdict.GetAccepted() {
-			made = verdict
+			madeBy = verdict
 		}
 	})
-	return offset, view.Sections(list), made
+	return offset, view.Sections(list), madeBy
 }
--- a/internal/member/changes_test.go
+++ b/internal/member/changes_test.go
@@ -19,33 +19,33 @@
 func TestOnlyListedVMsCountForAMajority(t *testing.T) {
 	now := time.Hour
 	n := New(Options{
-		Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: quick, Logger: log.NewNopLogger(),
+		Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: fastLinks, Logger: log.NewNopLogger(),
 	})
 	for _, vm := range []string{"e1", "e2", "e3"} {
 		n.vms = append(n.vms, platform.VM{ID: vm, Role: platform.RoleEntry})
 	}
-	old := func(applied int64) *peer {
-		return &peer{shown: &Peer{Hello: &api.Hello{Role: api.Role_ROLE_ENTRY}}, heard: true, applied: applied, said: now}
+	peerAt := func(applied int64) *peer {
+		return &peer{published: &Peer{Hello: &api.Hello{Role: api.Role_ROLE_ENTRY}}, hasReported: true, applied: applied, notBefore: now}
 	}
 	for _, vm := range []string{"z1", "z2", "z3"} {
-		n.byVM[vm] = old(5)
+		n.byVM[vm] = peerAt(5)
 	}
 	acceptance := config.NewAcceptance(5, time.Second, 0)
-	n.fold = heldTo(t, 5)
-	n.feed(acceptance, now)
+	n.fold = foldAt(t, 5)
+	n.updateAcceptance(acceptance, now)
 	if state, _ := acceptance.State(now); state != config.Pending {
 		t.Errorf("the change is %v", state)
 	}
 	for _, vm := range []string{"e2", "e3"} {
-		n.byVM[vm] = old(5)
+		n.byVM[vm] = peerAt(5)
 	}
-	n.byVM["z3"] = old(4)
-	n.feed(acceptance, now)
+	n.byVM["z3"] = peerAt(4)
+	n.updateAcceptance(acceptance, now)
 	if state, missing := acceptance.State(now); state != config.Accepted || len(missing) != 1 || missing[0] != "z3" {
 		t.Errorf("the change is %v, missing %v", state, missing)
 	}
-	n.byVM["z3"] = old(5)
-	n.feed(acceptance, now)
+	n.byVM["z3"] = peerAt(5)
+	n.updateAcceptance(acceptance, now)
 	if state, missing := acceptance.State(now); state != config.InForce {
 		t.Errorf("the change is %v, missing %v", state, missing)
 	}
@@ -53,22 +53,22 @@
 
 // The list of VMs could not be read since the start. This process alone holds a change, as
 // far as it knows; it must not call that all members.
-func TestNothingIsAcceptedWithoutAList(t *testing.T) {
-	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: quick, Logger: log.NewNopLogger()})
-	n.fold = heldTo(t, 5)
+func TestNothingIsAcceptedWithoutAVMList(t *testing.T) {
+	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: fastLinks, Logger: log.NewNopLogger()})
+	n.fold = foldAt(t, 5)
 	acceptance := config.NewAcceptance(5, time.Second, 0)
-	n.feed(acceptance, time.Hour)
+	n.updateAcceptance(acceptance, time.Hour)
 	if state, _ := acceptance.State(time.Hour); state != config.Pending {
 		t.Errorf("the change is %v", state)
 	}
 }
 
-// heldTo returns a fold that has applied so many records.
-func heldTo(t *testing.T, offset int64) *config.Fold {
+// foldAt returns a fold that has applied so many records.
+func foldAt(t *testing.T, offset int64) *config.Fold {
 	t.Helper()
 	fold := config.NewFold()
-	for at := range offset + 1 {
-		if err := fold.Apply(at, nil); err != nil {
+	for next := range offset + 1 {
+		if err := fold.Apply(next, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/member/counts.go
+++ b/internal/member/counts.go
@@ -8,11 +8,11 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// countsPart is the part of the freshness limit after which counts are sent again.
+// countsFraction is the part of the freshness limit after which counts are sent again.
 // From an agent to an entry that it does not know they pass its entry, one that hears
 // most of its failure domain, and one of another domain: with half of the limit gone
 // before counts are sent at all, four times this must fit into the other half.
-const countsPart = 10
+const countsFraction = 10
 
 // sendCounts tells the entries that are linked what this one knows of all members,
 // while its evidence grows old. A process that hears only some of the members goes on
@@ -23,31 +23,31 @@
 	if n.options.Self.GetRole() != api.Role_ROLE_ENTRY || !n.fresh.NeedsCounts(now) {
 		return
 	}
-	every := millis(n.options.Links.GetFreshnessMs()) / countsPart
-	if now-n.countsSent < every {
+	interval := millis(n.options.Links.GetFreshnessMs()) / countsFraction
+	if now-n.lastCountsSent < interval {
 		return
 	}
-	n.countsSent = now
+	n.lastCountsSent = now
 	n.fresh.SetApplied(n.fold.Applied())
 	counts := n.fresh.Counts(now)
 	if counts == nil {
 		return
 	}
 	for _, p := range n.byVM {
-		if p.shown.Hello.GetRole() == api.Role_ROLE_ENTRY {
-			p.shown.Session.Post(&api.Control{Body: &api.Control_Counts{Counts: counts}})
+		if p.published.Hello.GetRole() == api.Role_ROLE_ENTRY {
+			p.published.Session.Post(&api.Control{Body: &api.Control_Counts{Counts: counts}})
 		}
 	}
 }
 
-// takeCounts takes what another entry counts. A link keeps the order of messages, so
+// handleCounts takes what another entry counts. A link keeps the order of messages, so
 // that the counts were made after the last heartbeat on it was said.
-func (n *Node) takeCounts(p *peer, counts *api.Counts) {
-	if !p.heard {
+func (n *Node) handleCounts(p *peer, counts *api.Counts) {
+	if !p.hasReported {
 		return // Nothing says yet how old they may be.
 	}
 	before := n.fresh.State(clock.Now())
-	n.fresh.HandleCounts(p.shown.Hello.GetVm(), p.said, counts, n.fold.Applied())
+	n.fresh.HandleCounts(p.published.Hello.GetVm(), p.notBefore, counts, n.fold.Applied())
 	if n.fresh.State(clock.Now()) != before {
 		n.publish()
 	}
--- a/internal/member/counts_test.go
+++ b/internal/member/counts_test.go
@@ -10,21 +10,21 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// unhurried leaves room for a busy machine: with a limit of 600 ms, and all other tests
+// relaxedLinks leaves room for a busy machine: with a limit of 600 ms, and all other tests
 // beside it, a count was now and then too old after four links. Its heartbeats are half as
 // frequent in parts of the limit.
-var unhurried = &api.Links{Key: "key", HeartbeatMs: 50, SuspectMs: 300, DeadMs: 800, FreshnessMs: 1500}
+var relaxedLinks = &api.Links{Key: "key", HeartbeatMs: 50, SuspectMs: 300, DeadMs: 800, FreshnessMs: 1500}
 
-// sparse starts nine entries and two agents in three failure domains. Each entry hears
+// startSparselyLinked starts nine entries and two agents in three failure domains. Each entry hears
 // those of its own domain; one pair joins the first domain to the second, another the
 // second to the third, and each agent has one entry. So nobody hears a majority of the
 // entries, or of all.
-func sparse(t *testing.T, f *fakePlatform) []*testNode {
+func startSparselyLinked(t *testing.T, f *fakePlatform) []*testNode {
 	t.Helper()
 	start := func(vm, role, domain string, dials ...string) *testNode {
 		n := f.start(t, vm, role, func(o *Options) {
-			o.Links = unhurried
-			o.Dials = func(other platform.VM) bool { return slices.Contains(dials, other.ID) }
+			o.Links = relaxedLinks
+			o.ShouldDial = func(other platform.VM) bool { return slices.Contains(dials, other.ID) }
 		})
 		f.set(func() { f.vms[len(f.vms)-1].FailureDomain = domain })
 		return n
@@ -44,7 +44,7 @@
 	}
 }
 
-func inMode(nodes []*testNode, mode fresh.State) func() bool {
+func allInMode(nodes []*testNode, mode fresh.State) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(nodes, func(n *testNode) bool { return n.State().Mode != mode })
 	}
@@ -55,28 +55,28 @@
 // would be refused everywhere. Then the first domain is cut off. It must refuse within
 // the freshness limit, though what the others said before the cut was a majority; the
 // others, still one, must not.
-func TestOutageWhereNobodyHearsAMajority(t *testing.T) {
+func TestCountsKeepServiceInALogOutage(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
-	all := sparse(t, f)
+	all := startSparselyLinked(t, f)
 	island, others := all[:4], all[4:]
-	eventually(t, "service", inMode(all, fresh.Fresh))
+	eventually(t, "service", allInMode(all, fresh.Fresh))
 	f.set(func() { f.down = true })
-	goOn(t, "in an outage of the log", all)
-	eventually(t, "an outage", inMode(all, fresh.Outage))
-	all[0].Do(func() { all[0].options.Dials = func(platform.VM) bool { return false } })
+	expectNoRefusal(t, "in an outage of the log", all)
+	eventually(t, "an outage", allInMode(all, fresh.Outage))
+	all[0].Do(func() { all[0].options.ShouldDial = func(platform.VM) bool { return false } })
 	all[0].closeLink("e4")
-	eventually(t, "isolation", inMode(island, fresh.Isolated))
-	goOn(t, "beside an island", others)
+	eventually(t, "isolation", allInMode(island, fresh.Isolated))
+	expectNoRefusal(t, "beside an island", others)
 }
 
-// goOn fails when a member refuses within four freshness limits.
-func goOn(t *testing.T, when string, nodes []*testNode) {
+// expectNoRefusal fails when a member refuses within four freshness limits.
+func expectNoRefusal(t *testing.T, when string, nodes []*testNode) {
 	t.Helper()
 	refused := make(map[string]int)
-	for until := clock.Now() + 4*millis(unhurried.GetFreshnessMs()); clock.Now() < until; {
+	for deadline := clock.Now() + 4*millis(relaxedLinks.GetFreshnessMs()); clock.Now() < deadline; {
 		for _, n := range nodes {
-			if n.State().Refusing(clock.Now()) != api.ResultCode_OK {
+			if n.State().RefusalCode(clock.Now()) != api.ResultCode_OK {
 				refused[n.options.Self.GetVm()]++
 			}
 		}
--- a/internal/member/fake_test.go
+++ b/internal/member/fake_test.go
@@ -24,16 +24,16 @@
 
 // fakePlatform is a log and a list of VMs in memory.
 type fakePlatform struct {
-	mu      sync.Mutex
-	client  *platform.Client
-	records [][]byte
-	first   int64 // the oldest offset kept
-	vms     []platform.VM
-	down    bool
-	full    bool // appends fail
-	most    int  // an answer of more records is cut short; 0 for no bound
-	appends int
-	reads   int
+	mu         sync.Mutex
+	client     *platform.Client
+	records    [][]byte
+	oldest     int64 // the oldest offset kept
+	vms        []platform.VM
+	down       bool
+	full       bool // appends fail
+	maxRecords int  // an answer of more records is cut short; 0 for no bound
+	appends    int
+	reads      int
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
@@ -88,24 +88,24 @@
 	defer f.mu.Unlock()
 	f.reads++
 	next := int64(len(f.records))
-	answer := map[string]any{"first": f.first, "next": next}
+	response := map[string]any{"first": f.oldest, "next": next}
 	switch {
 	case f.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case from < f.first:
+	case from < f.oldest:
 		w.WriteHeader(http.StatusGone)
-	case f.most > 0 && min(next-from, int64(limit)) > int64(f.most):
+	case f.maxRecords > 0 && min(next-from, int64(limit)) > int64(f.maxRecords):
 		_, _ = w.Write([]byte(`{"first":0,"next":1,"records":[`))
 		return
 	default:
 		records := []map[string]any{}
-		for at := from; at < next && len(records) < limit; at++ {
-			records = append(records, map[string]any{"offset": at, "data": f.records[at]})
+		for offset := from; offset < next && len(records) < limit; offset++ {
+			records = append(records, map[string]any{"offset": offset, "data": f.records[offset]})
 		}
-		answer["records"] = records
+		response["records"] = records
 	}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 // set changes the platform's state.
@@ -132,8 +132,8 @@
 	stop func()
 }
 
-// quick makes faults show within a fraction of a second.
-var quick = &api.Links{Key: "key", HeartbeatMs: 10, SuspectMs: 150, DeadMs: 400, FreshnessMs: 600}
+// fastLinks makes faults show within a fraction of a second.
+var fastLinks = &api.Links{Key: "key", HeartbeatMs: 10, SuspectMs: 150, DeadMs: 400, FreshnessMs: 600}
 
 // start runs a member and puts its VM on the platform's list.
 func (f *fakePlatform) start(t *testing.T, vm, role string, change func(*Options)) *testNode {
@@ -154,8 +154,8 @@
 	})
 	o := Options{
 		Self:     &api.Hello{Vm: vm, Role: roleOf(listed), FailureDomain: "a", Incarnation: ln.Addr().String()},
-		Platform: f.client, Links: quick, Poll: 20 * time.Millisecond, VMsPoll: 20 * time.Millisecond, Logger: log.NewNopLogger(),
-		Dials: func(other platform.VM) bool { return other.ID > vm },
+		Platform: f.client, Links: fastLinks, LogPollInterval: 20 * time.Millisecond, VMsPollInterval: 20 * time.Millisecond, Logger: log.NewNopLogger(),
+		ShouldDial: func(other platform.VM) bool { return other.ID > vm },
 	}
 	if change != nil {
 		change(&o)
@@ -175,31 +175,31 @@
 	return n
 }
 
-// lines is a log that a test reads.
-type lines struct {
+// logBuffer is a log that a test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), part)
 }
 
 // eventually waits for a condition.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	limit := time.Now().Add(8 * time.Second)
-	for !holds() {
-		if time.Now().After(limit) {
+	deadline := time.Now().Add(8 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -219,9 +219,9 @@
 
 // forwarder stands between two members and can lose track of the connections it has.
 type forwarder struct {
-	address string
-	mu      sync.Mutex
-	lost    []*atomic.Bool
+	address  string
+	mu       sync.Mutex
+	dropping []*atomic.Bool
 }
 
 func forward(t *testing.T, to string) *forwarder {
@@ -245,16 +245,16 @@
 			}
 			lost := &atomic.Bool{}
 			f.mu.Lock()
-			f.lost = append(f.lost, lost)
+			f.dropping = append(f.dropping, lost)
 			f.mu.Unlock()
-			go pass(far, near, lost)
-			go pass(near, far, lost)
+			go copyUnlessLost(far, near, lost)
+			go copyUnlessLost(near, far, lost)
 		}
 	}()
 	return f
 }
 
-func pass(to, from net.Conn, lost *atomic.Bool) {
+func copyUnlessLost(to, from net.Conn, lost *atomic.Bool) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 32<<10)
 	for {
@@ -268,11 +268,11 @@
 	}
 }
 
-// lose makes the bytes of all connections so far go nowhere.
-func (f *forwarder) lose() {
+// dropAll makes the bytes of all connections so far go nowhere.
+func (f *forwarder) dropAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, lost := range f.lost {
+	for _, lost := range f.dropping {
 		lost.Store(true)
 	}
 }
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -9,50 +9,50 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// reportersOf chooses the reporters; nil where entries link to all agents, and for a list
+// selectReporters chooses the reporters; nil where entries link to all agents, and for a list
 // without VMs, which is a fault of the platform.
-func (n *Node) reportersOf(vms []platform.VM) *config.Reporters {
-	if n.options.Hooks.Reporters == nil {
+func (n *Node) selectReporters(vms []platform.VM) *config.Reporters {
+	if n.options.Hooks.SelectReporters == nil {
 		return nil
 	}
-	of := n.options.Hooks.Reporters(vms)
-	if len(of) == 0 {
+	byAgent := n.options.Hooks.SelectReporters(vms)
+	if len(byAgent) == 0 {
 		return nil
 	}
-	return config.NewReporters(of)
+	return config.NewReporters(byAgent)
 }
 
-// askHolders asks the entries that report for the missing agents. An operator who waits
+// requestHolders asks the entries that report for the missing agents. An operator who waits
 // looks every few milliseconds; what agents say changes with their heartbeats, so that
 // entries are asked no more often.
-func (n *Node) askHolders(change *followed, missing []string, now time.Duration) {
-	if n.reporters == nil || now-change.asked < n.link.HeartbeatInterval {
+func (n *Node) requestHolders(change *trackedChange, missing []string, now time.Duration) {
+	if n.reporters == nil || now-change.lastAsked < n.link.HeartbeatInterval {
 		return
 	}
-	change.asked = now
-	asked := map[string]bool{"": true}
+	change.lastAsked = now
+	requested := map[string]bool{"": true}
 	for _, vm := range missing {
 		entry := n.reporters.ReporterOf(vm)
-		if asked[entry] {
+		if requested[entry] {
 			continue
 		}
-		asked[entry] = true
+		requested[entry] = true
 		if entry == n.options.Self.GetVm() {
-			n.reachAgents()
+			n.requestAgentLinks()
 			continue
 		}
 		if p := n.byVM[entry]; p != nil {
 			request := &api.HoldersRequest{Offset: change.acceptance.Offset()}
-			p.shown.Session.Post(&api.Control{Body: &api.Control_HoldersRequest{HoldersRequest: request}})
+			p.published.Session.Post(&api.Control{Body: &api.Control_HoldersRequest{HoldersRequest: request}})
 		}
 	}
 }
 
-// reachAgents sees to it that the agents that this entry reports for are linked while
+// requestAgentLinks sees to it that the agents that this entry reports for are linked while
 // somebody asks: where there are more agents than links, some have no entry at all.
-func (n *Node) reachAgents() {
+func (n *Node) requestAgentLinks() {
 	for _, agent := range n.reporters.AgentsOf(n.options.Self.GetVm()) {
-		n.options.Hooks.Reach(agent)
+		n.options.Hooks.RequestLink(agent)
 	}
 }
 
@@ -61,37 +61,37 @@
 	if n.reporters == nil || n.options.Self.GetRole() != api.Role_ROLE_ENTRY {
 		return
 	}
-	n.reachAgents()
+	n.requestAgentLinks()
 	limit := millis(n.options.Links.GetFreshnessMs())
-	holders := n.reporters.BuildHolders(n.options.Self.GetVm(), offset, limit, clock.Now(), n.word)
-	p.shown.Session.Post(&api.Control{Body: &api.Control_Holders{Holders: holders}})
+	holders := n.reporters.BuildHolders(n.options.Self.GetVm(), offset, limit, clock.Now(), n.appliedReport)
+	p.published.Session.Post(&api.Control{Body: &api.Control_Holders{Holders: holders}})
 }
 
-// word is what the process on a VM last said of itself over the newest link to it. A new
+// appliedReport is what the process on a VM last said of itself over the newest link to it. A new
 // process has a new link, on which nothing was said yet.
-func (n *Node) word(vm string) (config.AppliedReport, bool) {
+func (n *Node) appliedReport(vm string) (config.AppliedReport, bool) {
 	p := n.byVM[vm]
-	if p == nil || !p.heard {
+	if p == nil || !p.hasReported {
 		return config.AppliedReport{}, false
 	}
-	return config.AppliedReport{Applied: p.applied, NotBefore: p.said}, true
+	return config.AppliedReport{Applied: p.applied, NotBefore: p.notBefore}, true
 }
 
-// takeHolders takes what another entry reports. A link keeps the order of messages, so
+// handleHolders takes what another entry reports. A link keeps the order of messages, so
 // that the report was made after the last heartbeat on it was said. On an older link there
 // may be an older report, which must not take the place of a later one.
-func (n *Node) takeHolders(p *peer, holders *api.Holders) {
-	entry := p.shown.Hello.GetVm()
-	if !p.heard || p.shown.Hello.GetRole() != api.Role_ROLE_ENTRY || n.byVM[entry] != p {
+func (n *Node) handleHolders(p *peer, holders *api.Holders) {
+	entry := p.published.Hello.GetVm()
+	if !p.hasReported || p.published.Hello.GetRole() != api.Role_ROLE_ENTRY || n.byVM[entry] != p {
 		return
 	}
-	for _, change := range n.followed {
-		change.acceptance.ApplyHolders(n.reporters, entry, holders, p.said, n.hears)
+	for _, change := range n.trackedChanges {
+		change.acceptance.ApplyHolders(n.reporters, entry, holders, p.notBefore, n.isHeard)
 	}
 }
 
-// hears says that a VM is linked and not silent.
-func (n *Node) hears(vm string) bool {
+// isHeard says that a VM is linked and not silent.
+func (n *Node) isHeard(vm string) bool {
 	p := n.byVM[vm]
-	return p != nil && p.heard && !p.shown.Session.Suspect()
+	return p != nil && p.hasReported && !p.published.Session.Suspect()
 }
--- a/internal/member/holders_test.go
+++ b/internal/member/holders_test.go
@@ -16,19 +16,19 @@
 // the reporter, from an agent, or before any heartbeat must not be taken: its time is
 // not known, or it is older than what was taken. Each would let an operator be told that
 // a change is in force which the new process lacks.
-func TestOnlyTheNewestLinksAreTakenAtTheirWord(t *testing.T) {
+func TestReportsOfOlderLinksAreIgnored(t *testing.T) {
 	now := time.Hour
-	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: quick, Logger: log.NewNopLogger()})
+	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: fastLinks, Logger: log.NewNopLogger()})
 	n.reporters = config.NewReporters(map[string]string{"a1": "e2"})
-	on := func(vm string, role api.Role, heard bool) *peer {
-		return &peer{shown: &Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}}, heard: heard, applied: 5, said: now}
+	newPeer := func(vm string, role api.Role, heard bool) *peer {
+		return &peer{published: &Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}}, hasReported: heard, applied: 5, notBefore: now}
 	}
-	n.byVM["a1"] = on("a1", api.Role_ROLE_AGENT, true)
-	if w, ok := n.word("a1"); !ok || w != (config.AppliedReport{Applied: 5, NotBefore: now}) {
+	n.byVM["a1"] = newPeer("a1", api.Role_ROLE_AGENT, true)
+	if w, ok := n.appliedReport("a1"); !ok || w != (config.AppliedReport{Applied: 5, NotBefore: now}) {
 		t.Errorf("of a1: %v, %v", w, ok)
 	}
-	n.byVM["a1"] = on("a1", api.Role_ROLE_AGENT, false)
-	if _, ok := n.word("a1"); ok {
+	n.byVM["a1"] = newPeer("a1", api.Role_ROLE_AGENT, false)
+	if _, ok := n.appliedReport("a1"); ok {
 		t.Error("a new process has the word of its predecessor")
 	}
 	delete(n.byVM, "a1")
@@ -36,21 +36,21 @@
 		return config.AppliedReport{Applied: 5, NotBefore: now}, true
 	})
 	missing := func(from *peer) int {
-		change := &followed{acceptance: config.NewAcceptance(5, time.Second, now)}
+		change := &trackedChange{acceptance: config.NewAcceptance(5, time.Second, now)}
 		change.acceptance.ExpectMember("a1", api.Role_ROLE_AGENT)
-		n.followed["c"] = change
-		n.takeHolders(from, report)
+		n.trackedChanges["c"] = change
+		n.handleHolders(from, report)
 		_, missing := change.acceptance.State(now)
 		return len(missing)
 	}
-	older, newest := on("e2", api.Role_ROLE_ENTRY, true), on("e2", api.Role_ROLE_ENTRY, true)
+	older, newest := newPeer("e2", api.Role_ROLE_ENTRY, true), newPeer("e2", api.Role_ROLE_ENTRY, true)
 	n.byVM["e2"] = newest
 	if missing(older) != 1 || missing(newest) != 0 {
 		t.Error("the report of an older link was taken, or that of the newest was not")
 	}
-	for _, p := range []*peer{on("e2", api.Role_ROLE_ENTRY, false), on("e2", api.Role_ROLE_AGENT, true)} {
+	for _, p := range []*peer{newPeer("e2", api.Role_ROLE_ENTRY, false), newPeer("e2", api.Role_ROLE_AGENT, true)} {
 		if n.byVM["e2"] = p; missing(p) != 1 {
-			t.Errorf("a report of a %v, heard %v, was taken", p.shown.Hello.GetRole(), p.heard)
+			t.Errorf("a report of a %v, heard %v, was taken", p.published.Hello.GetRole(), p.hasReported)
 		}
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -30,23 +30,23 @@
 	Self     *api.Hello
 	Platform *platform.Client
 	Links    *api.Links
-	// Poll is the time between looks at the log, VMsPoll that between looks at the
+	// LogPollInterval is the time between looks at the log, VMsPollInterval that between looks at the
 	// list of VMs, which is large and changes little.
-	Poll, VMsPoll time.Duration
+	LogPollInterval, VMsPollInterval time.Duration
 	// LogReaders is how many entries of each failure domain look at the log all the
 	// time; 0 for all processes.
 	LogReaders int
-	// SnapshotEvery is the number of records, and SnapshotAge the time, after which
+	// SnapshotRecords is the number of records, and SnapshotAge the time, after which
 	// the fold is appended again; 0 for a member that leaves that to others.
-	SnapshotEvery int64
-	SnapshotAge   time.Duration
-	Logger        log.Logger
+	SnapshotRecords int64
+	SnapshotMaxAge  time.Duration
+	Logger          log.Logger
 	// Registry takes the member's metrics; nil for none.
 	Registry metrics.Registry
-	// Dials says whether this process opens the link to a VM; the other side of
+	// ShouldDial says whether this process opens the link to a VM; the other side of
 	// the pair must say the opposite.
-	Dials func(vm platform.VM) bool
-	Hooks Hooks
+	ShouldDial func(vm platform.VM) bool
+	Hooks      Hooks
 }
 
 // Hooks are called by the member. All but Stream and Reporters run on the control goroutine and
@@ -54,23 +54,23 @@
 type Hooks struct {
 	// Tick runs once each heartbeat interval.
 	Tick func(now time.Duration)
-	// Complete says that nothing more is to be waited for from the peers linked so
+	// IsSynced says that nothing more is to be waited for from the peers linked so
 	// far before this process is told to others; nil for nothing.
-	Complete func() bool
-	// Peers runs when links or peers' states changed.
-	Peers func(state *State)
-	// Message takes the control messages that the member does not serve itself.
-	Message func(peer *Peer, m *api.Control)
-	// Changed runs when the configuration changed.
-	Changed func(view *config.View)
-	// Reporters gives the entry that reports for each agent, both by VM, from a list of
+	IsSynced func() bool
+	// PeersChanged runs when links or peers' states changed.
+	PeersChanged func(state *State)
+	// HandleMessage takes the control messages that the member does not serve itself.
+	HandleMessage func(peer *Peer, m *api.Control)
+	// ConfigChanged runs when the configuration changed.
+	ConfigChanged func(view *config.View)
+	// SelectReporters gives the entry that reports for each agent, both by VM, from a list of
 	// VMs alone. It is called on a goroutine of its own, since it may take long, and is
 	// nil, or returns nil, where entries link to all agents.
-	Reporters func(vms []platform.VM) map[string]string
-	// Reach asks for a link to an agent for a while, though Options.Dials may not want one.
-	Reach func(vm string)
-	// Stream takes a stream opened by a peer, on a goroutine of its own.
-	Stream func(s *link.Session, open *api.Open, stream *link.Stream)
+	SelectReporters func(vms []platform.VM) map[string]string
+	// RequestLink asks for a link to an agent for a while, though Options.Dials may not want one.
+	RequestLink func(vm string)
+	// HandleStream takes a stream opened by a peer, on a goroutine of its own.
+	HandleStream func(s *link.Session, open *api.Open, stream *link.Stream)
 }
 
 // Peer is another process with a link to this one. It is immutable.
@@ -102,16 +102,16 @@
 	// Linked says that every VM that this process dials was linked or could not be
 	// reached once: before that its ignorance of others says nothing.
 	Linked bool
-	// Out says that operators have taken this VM or its failure domain out, or that
+	// OutOfService says that operators have taken this VM or its failure domain out, or that
 	// the platform's list has it leaving.
-	Out bool
+	OutOfService bool
 }
 
-// Refusing returns why a process in this state takes no new work; OK if it does.
+// RefusalCode returns why a process in this state takes no new work; OK if it does.
 //
 // The time is compared here, at the moment of use: a process that was frozen finds
 // its evidence old when it wakes, before its control goroutine has run at all.
-func (s *State) Refusing(now time.Duration) api.ResultCode {
+func (s *State) RefusalCode(now time.Duration) api.ResultCode {
 	switch {
 	case s.Mode == fresh.Starting:
 		return api.ResultCode_STARTING
@@ -123,11 +123,11 @@
 	return api.ResultCode_OK
 }
 
-// Unready returns why a process in this state is not one to send new work to; OK if it
+// UnreadyCode returns why a process in this state is not one to send new work to; OK if it
 // is. One whose first links do not stand yet knows no backend server and would refuse for
 // lack of any what another entry can place.
-func (s *State) Unready(now time.Duration) api.ResultCode {
-	if code := s.Refusing(now); code != api.ResultCode_OK {
+func (s *State) UnreadyCode(now time.Duration) api.ResultCode {
+	if code := s.RefusalCode(now); code != api.ResultCode_OK {
 		return code
 	}
 	if !s.Linked {
@@ -144,31 +144,31 @@
 	state   atomic.Pointer[State]
 	calls   chan func()
 	done    chan struct{}
-	// strangerAt is when a line was last logged on one that came without the link key.
-	strangerAt atomic.Int64
+	// lastWrongKeyLog is when a line was last logged on one that came without the link key.
+	lastWrongKeyLog atomic.Int64
 
 	// Owned by the control goroutine.
-	fold      *config.Fold
-	fresh     *fresh.Tracker
-	reader    *config.Reader
-	peers     map[*link.Session]*peer
-	byVM      map[string]*peer
-	vms       []platform.VM
-	dialling  map[string]time.Duration
-	failed    map[string]bool // VMs that could not be reached before all were tried
-	unproved  map[string]bool // VMs that do not hold the link key
-	draining  bool
-	fetchedAt time.Duration
-	snapshot  snapshotDuty
-	followed  map[string]*followed // by change id
-	reporters *config.Reporters    // nil where entries link to all agents
-	gone      map[string]bool      // VMs that left the list
-	leaving   map[string]bool      // VMs that the list has leaving
-	linked    bool
-	// logFailing is since when the log does not answer; 0 while it does.
-	logFailing time.Duration
-	countsSent time.Duration
-	reading    bool // the log, all the time
+	fold           *config.Fold
+	fresh          *fresh.Tracker
+	reader         *config.Reader
+	peers          map[*link.Session]*peer
+	byVM           map[string]*peer
+	vms            []platform.VM
+	nextDial       map[string]time.Duration
+	failedDials    map[string]bool // VMs that could not be reached before all were tried
+	wrongKey       map[string]bool // VMs that do not hold the link key
+	draining       bool
+	lastFetch      time.Duration
+	snapshots      snapshotState
+	trackedChanges map[string]*trackedChange // by change id
+	reporters      *config.Reporters         // nil where entries link to all agents
+	removedVMs     map[string]bool           // VMs that left the list
+	leavingVMs     map[string]bool           // VMs that the list has leaving
+	linked         bool
+	// logFailingSince is since when the log does not answer; 0 while it does.
+	logFailingSince time.Duration
+	lastCountsSent  time.Duration
+	readsLog        bool // the log, all the time
 }
 
 // New returns a member that does nothing yet.
@@ -184,28 +184,28 @@
 			HeartbeatInterval: millis(o.Links.GetHeartbeatMs()),
 			SuspectAfter:      millis(o.Links.GetSuspectMs()),
 			DeadAfter:         millis(o.Links.GetDeadMs()),
-			IdleInterval:      idleHeartbeat(o.Links),
+			IdleInterval:      idleHeartbeatInterval(o.Links),
 			HeartbeatSender:   link.NewHeartbeatSender(),
 		},
-		calls:    make(chan func(), 1024),
-		done:     make(chan struct{}),
-		fold:     config.NewFold(),
-		fresh:    fresh.New(o.Self.GetVm(), freshness),
-		peers:    make(map[*link.Session]*peer),
-		byVM:     make(map[string]*peer),
-		dialling: make(map[string]time.Duration),
-		failed:   make(map[string]bool),
-		followed: make(map[string]*followed),
-		reading:  o.LogReaders == 0,
-		gone:     make(map[string]bool),
-		unproved: make(map[string]bool),
+		calls:          make(chan func(), 1024),
+		done:           make(chan struct{}),
+		fold:           config.NewFold(),
+		fresh:          fresh.New(o.Self.GetVm(), freshness),
+		peers:          make(map[*link.Session]*peer),
+		byVM:           make(map[string]*peer),
+		nextDial:       make(map[string]time.Duration),
+		failedDials:    make(map[string]bool),
+		trackedChanges: make(map[string]*trackedChange),
+		readsLog:       o.LogReaders == 0,
+		removedVMs:     make(map[string]bool),
+		wrongKey:       make(map[string]bool),
 	}
-	n.link.OnWrongKey = n.noteStranger
+	n.link.OnWrongKey = n.logWrongKeyConn
 	if o.Registry != nil {
 		n.link = n.link.WithCounters(o.Registry)
 	}
 	n.reader = config.NewReader(n.fold)
-	n.snapshot.last = -1
+	n.snapshots.lastOffset = -1
 	n.publish()
 	return n
 }
@@ -280,7 +280,7 @@
 func (n *Node) tick() {
 	now := clock.Now()
 	n.dialMissing(now)
-	n.noteLinked()
+	n.updateLinked()
 	n.sendCounts(now)
 	n.publish()
 	n.snapshotIfDue(now)
@@ -296,30 +296,30 @@
 	view := n.fold.View()
 	self := n.options.Self
 	state := &State{
-		View:       view,
-		Mode:       n.fresh.State(now),
-		ServeUntil: n.fresh.ServesUntil(now),
-		Peers:      n.snapshotPeers(old),
-		VMs:        n.vms,
-		Draining:   n.draining,
-		Linked:     n.linked,
-		Out:        view.VMOutOfService(self.GetVm(), self.GetFailureDomain()) || n.leaving[self.GetVm()],
+		View:         view,
+		Mode:         n.fresh.State(now),
+		ServeUntil:   n.fresh.ServesUntil(now),
+		Peers:        n.publishedPeers(old),
+		VMs:          n.vms,
+		Draining:     n.draining,
+		Linked:       n.linked,
+		OutOfService: view.VMOutOfService(self.GetVm(), self.GetFailureDomain()) || n.leavingVMs[self.GetVm()],
 	}
 	n.state.Store(state)
 	n.logMode(old, state)
 	// In an outage of the log evidence comes from peers alone, over several links for who
 	// hears few of them. With the long interval each would add its own age, and the sum is
 	// past the freshness limit.
-	if n.fresh.NeedsCounts(now) || old != nil && state.tells(old) {
+	if n.fresh.NeedsCounts(now) || old != nil && state.changesHeartbeats(old) {
 		n.link.HeartbeatSender.SendAllAtNextTick()
 	}
-	if n.options.Hooks.Changed != nil && (old == nil || old.View != view) {
-		n.options.Hooks.Changed(view)
+	if n.options.Hooks.ConfigChanged != nil && (old == nil || old.View != view) {
+		n.options.Hooks.ConfigChanged(view)
 	}
 }
 
 func (n *Node) logMode(old, state *State) {
 	if old != nil && old.Mode != state.Mode {
-		_ = n.logger.Log("msg", "The mode has changed.", "result", result.Label(state.Refusing(clock.Now())), "mode", state.Mode, "applied", state.View.Applied())
+		_ = n.logger.Log("msg", "The mode has changed.", "result", result.Label(state.RefusalCode(clock.Now())), "mode", state.Mode, "applied", state.View.Applied())
 	}
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -12,22 +12,22 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// redialAfter is how long a VM that could not be dialled is left alone. It is well
+// redialInterval is how long a VM that could not be dialled is left alone. It is well
 // under the time in which a link counts as dead, so that a restarted process is
 // found again within about a second.
-const redialAfter = 300 * time.Millisecond
+const redialInterval = 300 * time.Millisecond
 
 // peer is the control goroutine's view of one link.
 type peer struct {
-	shown   *Peer
-	applied int64
-	said    time.Duration // a time before which it cannot have said so
-	heard   bool
-	// held is the offset up to which the peer has been sent the log, or has sent it.
+	published   *Peer
+	applied     int64
+	notBefore   time.Duration // a time before which it cannot have said so
+	hasReported bool
+	// exchangedOffset is the offset up to which the peer has been sent the log, or has sent it.
 	// It has applied that once it has read it: links lose nothing before they break.
-	held     int64
-	ready    bool
-	draining bool
+	exchangedOffset int64
+	ready           bool
+	draining        bool
 }
 
 // handler receives what links bring and hands it to the control goroutine.
@@ -44,14 +44,14 @@
 }
 
 // Control implements link.Handler.
-func (h handler) Control(s *link.Session, m *api.Control, said time.Duration) {
-	h.node.post(func() { h.node.message(s, m, said) })
+func (h handler) Control(s *link.Session, m *api.Control, notBefore time.Duration) {
+	h.node.post(func() { h.node.handleMessage(s, m, notBefore) })
 }
 
 // Stream implements link.Handler.
 func (h handler) Stream(s *link.Session, open *api.Open, stream *link.Stream) {
-	if h.node.options.Hooks.Stream != nil {
-		h.node.options.Hooks.Stream(s, open, stream)
+	if h.node.options.Hooks.HandleStream != nil {
+		h.node.options.Hooks.HandleStream(s, open, stream)
 	}
 }
 
@@ -59,23 +59,23 @@
 // was written down earlier would be taken by the receiver for newer than it is.
 func (h handler) Heartbeat() *api.Heartbeat {
 	n := h.node
-	beat := &api.Heartbeat{}
+	heartbeat := &api.Heartbeat{}
 	n.Do(func() {
-		beat.Knowledge = n.fresh.Knowledge(clock.Now(), n.fold.Applied())
-		beat.Knowledge.Ready = beat.Knowledge.GetReady() && n.linked
-		beat.Draining = n.draining
+		heartbeat.Knowledge = n.fresh.Knowledge(clock.Now(), n.fold.Applied())
+		heartbeat.Knowledge.Ready = heartbeat.Knowledge.GetReady() && n.linked
+		heartbeat.Draining = n.draining
 	})
-	return beat
+	return heartbeat
 }
 
 func (n *Node) peerUp(s *link.Session) {
 	vm := s.Peer.GetVm()
-	p := &peer{shown: &Peer{Hello: s.Peer, Session: s}, applied: -1, held: -1}
+	p := &peer{published: &Peer{Hello: s.Peer, Session: s}, applied: -1, exchangedOffset: -1}
 	old := n.byVM[vm]
 	n.peers[s] = p
 	n.byVM[vm] = p
-	delete(n.dialling, vm)
-	delete(n.unproved, vm)
+	delete(n.nextDial, vm)
+	delete(n.wrongKey, vm)
 	_ = n.logger.Log("msg", "A link stands.", "vm", vm, "role", s.Peer.GetRole(), "incarnation", s.Peer.GetIncarnation())
 	// An older link to the same VM is not closed: it may carry answers to their
 	// end. If it is silent its own heartbeats close it.
@@ -101,24 +101,24 @@
 
 func (n *Node) peersChanged() {
 	n.publish()
-	if n.options.Hooks.Peers != nil {
-		n.options.Hooks.Peers(n.state.Load())
+	if n.options.Hooks.PeersChanged != nil {
+		n.options.Hooks.PeersChanged(n.state.Load())
 	}
 }
 
-// snapshotPeers returns the peers by VM for traffic, the same map as before when
+// publishedPeers returns the peers by VM for traffic, the same map as before when
 // nothing changed.
-func (n *Node) snapshotPeers(old *State) map[string]*Peer {
+func (n *Node) publishedPeers(old *State) map[string]*Peer {
 	changed := old == nil || len(old.Peers) != len(n.byVM)
 	for vm, p := range n.byVM {
-		draining := p.draining || n.leaving[vm]
-		if p.shown.Draining != draining || p.shown.Ready != p.ready {
-			shown := *p.shown
-			shown.Draining = draining
-			shown.Ready = p.ready
-			p.shown = &shown
+		draining := p.draining || n.leavingVMs[vm]
+		if p.published.Draining != draining || p.published.Ready != p.ready {
+			published := *p.published
+			published.Draining = draining
+			published.Ready = p.ready
+			p.published = &published
 		}
-		if !changed && old.Peers[vm] != p.shown {
+		if !changed && old.Peers[vm] != p.published {
 			changed = true
 		}
 	}
@@ -127,43 +127,43 @@
 	}
 	peers := make(map[string]*Peer, len(n.byVM))
 	for vm, p := range n.byVM {
-		peers[vm] = p.shown
+		peers[vm] = p.published
 	}
 	return peers
 }
 
-// noteLinked finds out whether this process has had its first look at all VMs that it
+// updateLinked finds out whether this process has had its first look at all VMs that it
 // dials. Once it has, it stays so.
-func (n *Node) noteLinked() {
+func (n *Node) updateLinked() {
 	if n.linked || n.vms == nil {
 		return
 	}
 	for _, vm := range n.vms {
-		if vm.ID == n.options.Self.GetVm() || vm.Link == "" || !n.options.Dials(vm) {
+		if vm.ID == n.options.Self.GetVm() || vm.Link == "" || !n.options.ShouldDial(vm) {
 			continue
 		}
-		if p := n.byVM[vm.ID]; (p == nil || !p.heard) && !n.failed[vm.ID] {
+		if p := n.byVM[vm.ID]; (p == nil || !p.hasReported) && !n.failedDials[vm.ID] {
 			return
 		}
 	}
-	n.linked = n.options.Hooks.Complete == nil || n.options.Hooks.Complete()
+	n.linked = n.options.Hooks.IsSynced == nil || n.options.Hooks.IsSynced()
 }
 
 // dialMissing dials the VMs of the list that this process should have links to.
 func (n *Node) dialMissing(now time.Duration) {
 	for _, vm := range n.vms {
-		if vm.ID == n.options.Self.GetVm() || vm.Link == "" || !n.options.Dials(vm) {
+		if vm.ID == n.options.Self.GetVm() || vm.Link == "" || !n.options.ShouldDial(vm) {
 			continue
 		}
 		// A silent link gets a successor before it is given up: a connection may be
 		// dead for good while new ones work.
-		if p, linked := n.byVM[vm.ID]; linked && !p.shown.Session.Suspect() {
+		if p, linked := n.byVM[vm.ID]; linked && !p.published.Session.Suspect() {
 			continue
 		}
-		if until, waiting := n.dialling[vm.ID]; waiting && now < until {
+		if next, scheduled := n.nextDial[vm.ID]; scheduled && now < next {
 			continue
 		}
-		n.dialling[vm.ID] = now + n.link.DeadAfter + redialAfter
+		n.nextDial[vm.ID] = now + n.link.DeadAfter + redialInterval
 		go n.dial(vm)
 	}
 }
@@ -174,68 +174,68 @@
 		return
 	}
 	n.post(func() {
-		n.dialFailed(vm.ID)
+		n.recordDialFailure(vm.ID)
 		if errors.Is(err, link.ErrWrongKey) {
-			n.noteUnproved(vm.ID)
+			n.logWrongKey(vm.ID)
 			return
 		}
 		_ = n.logger.Log("level", "debug", "msg", "A VM could not be reached.", "result", unreachable, "vm", vm.ID, "err", err)
 	})
 }
 
-// noteUnproved tells once of a VM that was dialled and does not hold the link key: status
+// logWrongKey tells once of a VM that was dialled and does not hold the link key: status
 // says no more than that its link is down, and it is dialled again all the time.
-func (n *Node) noteUnproved(vm string) {
-	if n.unproved[vm] {
+func (n *Node) logWrongKey(vm string) {
+	if n.wrongKey[vm] {
 		return
 	}
-	n.unproved[vm] = true
+	n.wrongKey[vm] = true
 	_ = n.logger.Log("level", "warn", "msg", "A VM does not hold the link key.", "result", unreachable, "vm", vm)
 }
 
-// strangerEvery bounds the lines on connections without the link key. A VM with another
+// wrongKeyLogInterval bounds the lines on connections without the link key. A VM with another
 // key comes several times a second, and so may anybody who finds the address.
-const strangerEvery = time.Minute
+const wrongKeyLogInterval = time.Minute
 
-// noteStranger tells of a connection whose other side did not prove the link key. It is
+// logWrongKeyConn tells of a connection whose other side did not prove the link key. It is
 // called by the goroutines of links.
-func (n *Node) noteStranger(address string) {
-	now, last := int64(clock.Now()), n.strangerAt.Load()
-	if last != 0 && now-last < int64(strangerEvery) || !n.strangerAt.CompareAndSwap(last, now) {
+func (n *Node) logWrongKeyConn(address string) {
+	now, last := int64(clock.Now()), n.lastWrongKeyLog.Load()
+	if last != 0 && now-last < int64(wrongKeyLogInterval) || !n.lastWrongKeyLog.CompareAndSwap(last, now) {
 		return
 	}
 	_ = n.logger.Log("level", "warn", "msg", "A VM does not hold the link key.", "result", unreachable, "address", address)
 }
 
-func (n *Node) dialFailed(vm string) {
+func (n *Node) recordDialFailure(vm string) {
 	if !slices.ContainsFunc(n.vms, func(listed platform.VM) bool { return listed.ID == vm }) {
 		return // It left the list meanwhile, and nobody would forget it any more.
 	}
-	n.dialling[vm] = clock.Now() + redialAfter
+	n.nextDial[vm] = clock.Now() + redialInterval
 	if !n.linked {
-		n.failed[vm] = true
+		n.failedDials[vm] = true
 	}
 }
 
-// forgetDials lets go of what is remembered of dialling VMs that have left the list.
-func (n *Node) forgetDials(members []string) {
-	listed := make(map[string]bool, len(members))
-	for _, vm := range members {
+// pruneDialState lets go of what is remembered of dialling VMs that have left the list.
+func (n *Node) pruneDialState(vms []string) {
+	listed := make(map[string]bool, len(vms))
+	for _, vm := range vms {
 		listed[vm] = true
 	}
-	for vm := range n.dialling {
+	for vm := range n.nextDial {
 		if !listed[vm] {
-			delete(n.dialling, vm)
+			delete(n.nextDial, vm)
 		}
 	}
-	for vm := range n.failed {
+	for vm := range n.failedDials {
 		if !listed[vm] {
-			delete(n.failed, vm)
+			delete(n.failedDials, vm)
 		}
 	}
-	for vm := range n.unproved {
+	for vm := range n.wrongKey {
 		if !listed[vm] {
-			delete(n.unproved, vm)
+			delete(n.wrongKey, vm)
 		}
 	}
 }
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -15,8 +15,8 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// three starts three entries that know each other.
-func three(t *testing.T, f *fakePlatform) [3]*testNode {
+// startThreeEntries starts startThreeEntries entries that know each other.
+func startThreeEntries(t *testing.T, f *fakePlatform) [3]*testNode {
 	t.Helper()
 	var nodes [3]*testNode
 	for i := range nodes {
@@ -48,16 +48,16 @@
 
 // One entry reads the log; the others cannot. A change must reach them by its push, and
 // a member that joins later by its own fetch.
-func TestPeersPassOnWhatTheLogSays(t *testing.T) {
+func TestPeersPassOnLogRecords(t *testing.T) {
 	f := newFakePlatform(t)
-	lame := f.withoutLog(t)
+	withoutLog := f.withoutLog(t)
 	reader := f.start(t, "e1", platform.RoleEntry, nil)
-	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Platform = lame })
+	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Platform = withoutLog })
 	eventually(t, "a link", func() bool { return other.peer("e1") != nil && reader.peer("e2") != nil })
 	f.mark(t, "first", -1)
 	allApplied(t, 0, reader, other)
-	late := f.start(t, "e3", platform.RoleEntry, func(o *Options) { o.Platform = lame })
-	allApplied(t, 0, reader, other, late)
+	joining := f.start(t, "e3", platform.RoleEntry, func(o *Options) { o.Platform = withoutLog })
+	allApplied(t, 0, reader, other, joining)
 	if other.State().Mode != fresh.Fresh {
 		t.Errorf("the evidence of a peer that reads the log does not count: %v", other.State().Mode)
 	}
@@ -65,20 +65,20 @@
 
 // A contractor starts a VM with a mistyped link key. Nobody links to it, and status says no
 // more than "link down": the logs of both sides must tell why, once and not with each try.
-func TestAWrongLinkKeyIsNamed(t *testing.T) {
+func TestWrongLinkKeyIsLoggedOnce(t *testing.T) {
 	f := newFakePlatform(t)
-	var dialling, accepting lines
-	mistyped := proto.CloneOf(quick)
+	var dialling, accepting logBuffer
+	mistyped := proto.CloneOf(fastLinks)
 	mistyped.Key = "kye"
 	f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.Logger = log.NewLogfmtLogger(&dialling) })
 	f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Logger = mistyped, log.NewLogfmtLogger(&accepting) })
-	const refused = `msg="A VM does not hold the link key." result="505 UNREACHABLE"`
+	const wrongKeyLine = `msg="A VM does not hold the link key." result="505 UNREACHABLE"`
 	eventually(t, "both sides say so", func() bool {
-		return dialling.count(refused+" vm=e2") == 1 && accepting.count(refused+" address=127.0.0.1:") == 1
+		return dialling.count(wrongKeyLine+" vm=e2") == 1 && accepting.count(wrongKeyLine+" address=127.0.0.1:") == 1
 	})
-	time.Sleep(3 * redialAfter)
-	if again := dialling.count(refused) + accepting.count(refused); again != 2 {
-		t.Errorf("%d lines", again)
+	time.Sleep(3 * redialInterval)
+	if logged := dialling.count(wrongKeyLine) + accepting.count(wrongKeyLine); logged != 2 {
+		t.Errorf("%d lines", logged)
 	}
 }
 
@@ -88,22 +88,22 @@
 func TestOutageAndIsolation(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
-	nodes := three(t, f)
+	nodes := startThreeEntries(t, f)
 	f.set(func() { f.down = true })
 	eventually(t, "an outage", func() bool { return nodes[0].State().Mode == fresh.Outage && nodes[2].State().Mode == fresh.Outage })
-	if code := nodes[0].State().Refusing(clock.Now()); code != api.ResultCode_OK {
+	if code := nodes[0].State().RefusalCode(clock.Now()); code != api.ResultCode_OK {
 		t.Errorf("refuses in an outage: %v", code)
 	}
 	// The island of one: nobody is dialled, and the links that stand are closed.
 	island := nodes[2]
 	for i := range nodes {
-		nodes[i].Do(func() { nodes[i].options.Dials = func(vm platform.VM) bool { return i == 0 && vm.ID == "e2" } })
+		nodes[i].Do(func() { nodes[i].options.ShouldDial = func(vm platform.VM) bool { return i == 0 && vm.ID == "e2" } })
 	}
 	nodes[0].closeLink("e3")
 	nodes[1].closeLink("e3")
-	eventually(t, "isolation", func() bool { return island.State().Refusing(clock.Now()) == api.ResultCode_ISOLATED })
+	eventually(t, "isolation", func() bool { return island.State().RefusalCode(clock.Now()) == api.ResultCode_ISOLATED })
 	for _, n := range nodes[:2] {
-		if code := n.State().Refusing(clock.Now()); code != api.ResultCode_OK {
+		if code := n.State().RefusalCode(clock.Now()); code != api.ResultCode_OK {
 			t.Errorf("the majority refuses: %v", code)
 		}
 	}
@@ -111,22 +111,22 @@
 
 // A process is frozen past all limits. The state that traffic reads was published before
 // that and says that all is well; the time of use must say otherwise.
-func TestAfterAPauseNothingIsServed(t *testing.T) {
+func TestNothingIsServedAfterAPause(t *testing.T) {
 	f := newFakePlatform(t)
 	n := f.start(t, "e1", platform.RoleEntry, nil)
-	eventually(t, "service", func() bool { return n.State().Refusing(clock.Now()) == api.ResultCode_OK })
+	eventually(t, "service", func() bool { return n.State().RefusalCode(clock.Now()) == api.ResultCode_OK })
 	state := n.State()
-	limit := time.Duration(quick.GetFreshnessMs()) * time.Millisecond
-	if code := state.Refusing(clock.Now() + limit + time.Millisecond); code != api.ResultCode_ISOLATED {
+	limit := time.Duration(fastLinks.GetFreshnessMs()) * time.Millisecond
+	if code := state.RefusalCode(clock.Now() + limit + time.Millisecond); code != api.ResultCode_ISOLATED {
 		t.Errorf("after the pause: %v", code)
 	}
 }
 
 // A VM is replaced under its name: a new incarnation must take the place of the old one
 // at its peers, which then hold one peer of that name; a planned stop must be seen too.
-func TestAReplacedProcess(t *testing.T) {
+func TestReplacedProcessTakesOverItsName(t *testing.T) {
 	f := newFakePlatform(t)
-	nodes := three(t, f)
+	nodes := startThreeEntries(t, f)
 	old := nodes[0].peer("e2").Hello.GetIncarnation()
 	nodes[1].stop()
 	fresh := f.start(t, "e2", platform.RoleEntry, nil)
@@ -137,12 +137,12 @@
 	fresh.SetDraining()
 	eventually(t, "draining", func() bool { return !nodes[0].peer("e2").Usable() && !nodes[2].peer("e2").Usable() })
 	f.set(func() { f.vms[2].State = platform.StateLeaving })
-	eventually(t, "leaving", func() bool { return !nodes[0].peer("e3").Usable() && nodes[2].State().Out })
+	eventually(t, "leaving", func() bool { return !nodes[0].peer("e3").Usable() && nodes[2].State().OutOfService })
 }
 
 // The network forgets a connection while new ones work. The member must dial anew before
 // the old link is dead, and use the new one.
-func TestASilentLinkIsDialledAnew(t *testing.T) {
+func TestSuspectLinkIsRedialled(t *testing.T) {
 	f := newFakePlatform(t)
 	far := f.start(t, "e2", platform.RoleEntry, nil)
 	between := forward(t, far.options.Self.GetIncarnation())
@@ -150,7 +150,7 @@
 	near := f.start(t, "e1", platform.RoleEntry, nil)
 	eventually(t, "a link", func() bool { return near.peer("e2") != nil })
 	before := near.peer("e2").Session
-	between.lose()
+	between.dropAll()
 	eventually(t, "another link", func() bool {
 		p := near.peer("e2")
 		return p != nil && p.Session != before && !p.Session.Suspect()
@@ -164,16 +164,16 @@
 
 // Many changes follow each other faster than heartbeats. Each must be pushed to a peer
 // once: sent again with every further change, a burst would cost its square.
-func TestAChangeIsPushedOnce(t *testing.T) {
+func TestChangeIsPushedOnceToEachPeer(t *testing.T) {
 	f := newFakePlatform(t)
-	lame := f.withoutLog(t)
+	withoutLog := f.withoutLog(t)
 	slow := &api.Links{Key: "key", HeartbeatMs: 300, SuspectMs: 3000, DeadMs: 6000, FreshnessMs: 9000}
 	registry := metrics.NewRegistry()
 	reader := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.Links, o.Registry = slow, registry })
-	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, lame })
+	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, withoutLog })
 	eventually(t, "a first word", func() bool {
 		heard := false
-		reader.Do(func() { p := reader.byVM["e2"]; heard = p != nil && p.heard })
+		reader.Do(func() { p := reader.byVM["e2"]; heard = p != nil && p.hasReported })
 		return heard
 	})
 	out := metrics.GetOrRegisterCounter("link.bytes.out", registry)
@@ -190,21 +190,21 @@
 }
 
 // VMs come and go for months. What is remembered of those that are gone must not grow.
-func TestGoneVMsAreForgotten(t *testing.T) {
+func TestDialStateOfRemovedVMsIsDropped(t *testing.T) {
 	f := newFakePlatform(t)
 	n := f.start(t, "a1", platform.RoleEntry, nil)
 	eventually(t, "the list", func() bool { return len(n.State().VMs) == 1 })
 	for i := range 50 {
 		name := "z" + strconv.Itoa(i)
 		n.Do(func() {
-			n.takeVMs([]platform.VM{{ID: "a1", Role: platform.RoleEntry}, {ID: name, Role: platform.RoleEntry, Link: "127.0.0.1:1"}})
+			n.setVMs([]platform.VM{{ID: "a1", Role: platform.RoleEntry}, {ID: name, Role: platform.RoleEntry, Link: "127.0.0.1:1"}})
 		})
 	}
 	eventually(t, "that the dials have failed", func() bool {
 		left := 0
 		n.Do(func() {
-			n.takeVMs([]platform.VM{{ID: "a1", Role: platform.RoleEntry}})
-			left = len(n.dialling) + len(n.failed)
+			n.setVMs([]platform.VM{{ID: "a1", Role: platform.RoleEntry}})
+			left = len(n.nextDial) + len(n.failedDials)
 		})
 		return left == 0
 	})
--- a/internal/member/platform_test.go
+++ b/internal/member/platform_test.go
@@ -12,11 +12,11 @@
 // The log takes no appends while a snapshot is due. Each entry would send the whole
 // configuration with every heartbeat, 5 times a second, and the log, once it is back,
 // would have to take them all.
-func TestSnapshotsAreNotAppendedInAFlood(t *testing.T) {
+func TestSnapshotAppendsBackOff(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
 	f.full = true
-	n := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.SnapshotEvery = 1 })
+	n := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.SnapshotRecords = 1 })
 	eventually(t, "a first attempt", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.appends > 0 })
 	time.Sleep(300 * time.Millisecond) // 30 heartbeats.
 	f.set(func() {
@@ -24,29 +24,29 @@
 			t.Errorf("%d appends in a third of a second", f.appends)
 		}
 	})
-	waits := []time.Duration{}
+	backoffs := []time.Duration{}
 	for range 6 {
 		n.Do(func() {
-			now := n.snapshot.next
-			n.snapshot.attempted(now)
-			waits = append(waits, n.snapshot.next-now)
+			now := n.snapshots.nextAttempt
+			n.snapshots.recordAttempt(now)
+			backoffs = append(backoffs, n.snapshots.nextAttempt-now)
 		})
 	}
-	if waits[0] < 2*snapshotRetry || waits[5] != maxSnapshotRetry {
-		t.Errorf("waits %v", waits)
+	if backoffs[0] < 2*minSnapshotBackoff || backoffs[5] != maxSnapshotBackoff {
+		t.Errorf("waits %v", backoffs)
 	}
 }
 
 // The platform's list comes back empty for a moment. An operator who waits for a change
 // would be told that it is in force at all of no members, and links would be let go of.
-func TestAnEmptyListIsAFault(t *testing.T) {
+func TestEmptyVMListIsIgnored(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
 	n := f.start(t, "e1", platform.RoleEntry, nil)
 	f.set(func() { f.vms = append(f.vms, platform.VM{ID: "e2", Role: platform.RoleEntry}) })
 	eventually(t, "both VMs", func() bool { return len(n.State().VMs) == 2 && n.applied() == 0 })
 	f.set(func() { f.vms = nil })
-	n.Do(func() { n.takeVMs(nil) })
+	n.Do(func() { n.setVMs(nil) })
 	if len(n.State().VMs) != 2 {
 		t.Error("the members are forgotten")
 	}
@@ -57,29 +57,29 @@
 
 // The log holds records so large that an answer with as many as usual breaks off. The
 // same read would be made for ever, and the process would never have the tail.
-func TestFewerRecordsAreAskedForAfterAFailure(t *testing.T) {
+func TestReadSizeShrinksAfterAFailure(t *testing.T) {
 	f := newFakePlatform(t)
 	for i := range 40 {
 		f.mark(t, "c"+string(rune('a'+i%26))+string(rune('a'+i/26)), int64(i-1))
 	}
-	f.most = 4
+	f.maxRecords = 4
 	n := f.start(t, "e1", platform.RoleEntry, nil)
 	eventually(t, "the tail", func() bool { return n.applied() == 39 })
 }
 
 // The log's records before an offset are gone and no snapshot is there, nor any peer.
 // The search for one must not take the log's whole power.
-func TestASearchForASnapshotIsPaced(t *testing.T) {
+func TestSnapshotSearchIsRateLimited(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
 	f.mark(t, "second", 0)
-	f.first = 1
+	f.oldest = 1
 	n := f.start(t, "e1", platform.RoleEntry, nil)
-	began := clock.Now()
+	start := clock.Now()
 	time.Sleep(300 * time.Millisecond)
 	f.set(func() {
-		if most := int((clock.Now()-began)/n.options.Poll)*2 + 6; f.reads > most {
-			t.Errorf("%d reads, want at most %d", f.reads, most)
+		if limit := int((clock.Now()-start)/n.options.LogPollInterval)*2 + 6; f.reads > limit {
+			t.Errorf("%d reads, want at most %d", f.reads, limit)
 		}
 	})
 	if n.State().Mode.Serves() {
--- a/internal/member/readers_test.go
+++ b/internal/member/readers_test.go
@@ -9,20 +9,20 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-func twoRead(o *Options) { o.LogReaders = 2 }
+func withTwoReaders(o *Options) { o.LogReaders = 2 }
 
 // Six entries of one failure domain have the log. Two read it all the time, and the
 // others live on what those pass on: the platform would be read by every process, and
 // more with each that comes. Then the readers are gone at once. The others must
 // read before their evidence is too old: nobody refuses, and a change arrives.
-func TestFewReadTheLogAndTheirLossCostsNothing(t *testing.T) {
+func TestLossOfLogReadersCausesNoRefusal(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
 	var nodes []*testNode
 	for i := range 6 {
-		nodes = append(nodes, f.start(t, "e"+strconv.Itoa(i+1), platform.RoleEntry, twoRead))
+		nodes = append(nodes, f.start(t, "e"+strconv.Itoa(i+1), platform.RoleEntry, withTwoReaders))
 	}
-	eventually(t, "service", inMode(nodes, fresh.Fresh))
+	eventually(t, "service", allInMode(nodes, fresh.Fresh))
 	eventually(t, "all links", func() bool {
 		for _, n := range nodes {
 			if len(n.State().Peers) != 5 {
@@ -31,19 +31,19 @@
 		}
 		return true
 	})
-	time.Sleep(millis(quick.GetFreshnessMs()))
+	time.Sleep(millis(fastLinks.GetFreshnessMs()))
 	before, begin := 0, time.Now()
 	f.set(func() { before = f.reads })
-	goOn(t, "while all live", nodes)
+	expectNoRefusal(t, "while all live", nodes)
 	var reads int
 	f.set(func() { reads = f.reads - before })
 	// One read each 20 ms is a reader's pace.
-	if most := 3 * int(time.Since(begin)/(20*time.Millisecond)); reads > most {
-		t.Errorf("the log was read %d times in %v, want at most %d", reads, time.Since(begin), most)
+	if limit := 3 * int(time.Since(begin)/(20*time.Millisecond)); reads > limit {
+		t.Errorf("the log was read %d times in %v, want at most %d", reads, time.Since(begin), limit)
 	}
 	nodes[0].stop()
 	nodes[1].stop()
-	goOn(t, "without readers", nodes[2:])
+	expectNoRefusal(t, "without readers", nodes[2:])
 	f.mark(t, "second", -1)
 	allApplied(t, 1, nodes[2:]...)
 }
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -26,22 +26,22 @@
 			Applied:       overview.Knowledge.GetApplied(),
 			Freshness:     state.Mode.String(),
 			EvidenceAgeMs: overview.Knowledge.GetEvidenceAgeMs(),
-			Ready:         state.Refusing(clock.Now()) == api.ResultCode_OK,
+			Ready:         state.RefusalCode(clock.Now()) == api.ResultCode_OK,
 			Draining:      state.Draining,
 		},
 		Log: adminapi.LogStatus{
-			Reachable: overview.LogAnswered,
-			DownMs:    overview.LogDown.Milliseconds(),
+			Reachable: overview.LogReachable,
+			DownMs:    overview.LogDownFor.Milliseconds(),
 		},
 	}
 	for _, list := range []api.ListName{api.ListName_LIST_PLANS, api.ListName_LIST_USES} {
-		offset, sections, made := n.List(list)
+		offset, sections, verdict := n.List(list)
 		status.Lists = append(status.Lists, adminapi.ListStatus{
 			Name:     adminapi.NameOfList(list),
 			Offset:   offset,
 			Sections: len(sections),
-			Author:   made.GetAuthor(),
-			ChangeID: made.GetChangeId(),
+			Author:   verdict.GetAuthor(),
+			ChangeID: verdict.GetChangeId(),
 		})
 	}
 	for _, mark := range state.View.Marks() {
