--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the time since the process started.
+// Package clock returns the time since the process started.
 package clock
 
 import (
@@ -7,19 +7,19 @@
 	"unsafe"
 )
 
-// clockBoottime is CLOCK_BOOTTIME of Linux.
+// clockBoottime is the id of Linux's CLOCK_BOOTTIME.
 const clockBoottime = 7
 
-// bootStart is when the process started, on the same clock.
+// bootStart is the CLOCK_BOOTTIME reading at process start.
 var bootStart, _ = boottime()
 
-// fallbackStart serves where CLOCK_BOOTTIME is missing.
+// fallbackStart is the process start for systems without CLOCK_BOOTTIME.
 var fallbackStart = time.Now()
 
-// Now returns the time since the process started. It never goes back, and it
-// counts on while the process is stopped or its VM suspended: a process that was
-// frozen must find its evidence old when it wakes, and CLOCK_MONOTONIC, which
-// Go's time package reads, stands still while a VM is suspended.
+// Now returns the time since the process started. It is monotonic and includes the time during
+// which the process is stopped or its VM is suspended, so that a resumed process sees that its data
+// is stale. Go's time package reads CLOCK_MONOTONIC, which does not advance while a VM is
+// suspended.
 func Now() time.Duration {
 	now, ok := boottime()
 	if !ok {
@@ -30,7 +30,7 @@
 
 func boottime() (time.Duration, bool) {
 	var ts syscall.Timespec
-	// The call never waits, so that the scheduler need not hear of it.
+	// The call never blocks, so the scheduler does not need to be notified.
 	_, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&ts)), 0)
 	return time.Duration(ts.Nano()), errno == 0
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal remembers the newest requests of an entry or agent and what was decided
-// on them, so that a dump can answer why one was refused, or where it was placed.
+// Package journal keeps the newest requests of an entry or agent and the decisions made on them, so
+// that a dump shows why a request was refused or where it was placed.
 package journal
 
 import (
@@ -11,43 +11,43 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// maxAttempts bounds the attempts that a record keeps.
+// maxAttempts is the number of attempts that a record keeps.
 const maxAttempts = 8
 
-// maxTextBytes bounds the text that a record keeps of an error.
+// maxTextBytes is the length at which the error text of a record is truncated.
 const maxTextBytes = 200
 
-// unknownCustomerRecords is how many requests of no known customer are kept.
+// unknownCustomerRecords is the number of records kept of requests without a known customer.
 const unknownCustomerRecords = 50
 
-// Record is one request. Only the goroutine that serves the request writes it.
+// Record describes one request. Only the goroutine that serves the request writes it.
 type Record struct {
-	// Request is the id that the caller was told, in the header of the answer.
+	// Request is the request id, which the caller gets in a header of the answer.
 	Request  string `json:"request,omitempty"`
 	Customer string `json:"customer,omitempty"`
-	// Offer is the model or service asked for.
+	// Offer is the requested model or service.
 	Offer string `json:"offer,omitempty"`
-	// AtMostOnce says that the request runs at most once.
+	// AtMostOnce is set for a request that must run at most once.
 	AtMostOnce bool `json:"once,omitempty"`
-	// HasTicket says that the caller brought a ticket, which fixes the agent.
+	// HasTicket is set if the caller sent a ticket, which determines the agent.
 	HasTicket bool      `json:"ticket,omitempty"`
 	Attempts  []Attempt `json:"attempts,omitempty"`
-	// Result is the number and name of the result code; Ran and Text go with it.
+	// Result is the number and name of the result code. Ran and Text belong to it.
 	Result string `json:"result"`
 	Ran    string `json:"ran,omitempty"`
 	Text   string `json:"text,omitempty"`
-	// RetryAfterMs is when the caller was told to come back.
+	// RetryAfterMs is the delay after which the caller was told to retry.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
-	// WaitMs is the time in admission, TookMs that from arrival to the end.
+	// WaitMs is the time spent in admission, TookMs the time from arrival to the end.
 	WaitMs int64 `json:"wait_ms"`
 	TookMs int64 `json:"took_ms"`
-	// AgoMs is the time since the end, as of the dump.
+	// AgoMs is the time between the end of the request and the dump.
 	AgoMs int64 `json:"ago_ms"`
 
 	startedAt, endedAt time.Duration
 }
 
-// Attempt is one try at one agent.
+// Attempt is one attempt at one agent.
 type Attempt struct {
 	VM     string `json:"vm"`
 	Result string `json:"result"`
@@ -55,7 +55,7 @@
 	TookMs int64  `json:"took_ms"`
 }
 
-// AddAttempt notes an attempt that has ended; err is nil for a whole answer.
+// AddAttempt records an attempt that has ended; err is nil if it returned a complete answer.
 func (r *Record) AddAttempt(vm string, took time.Duration, err *result.Error) {
 	if len(r.Attempts) >= maxAttempts {
 		return
@@ -67,19 +67,18 @@
 	r.Attempts = append(r.Attempts, attempt)
 }
 
-// Journal keeps the newest records. Refused requests have a ring of their own, so
-// that the many that succeed do not push out the few that did not; and a flood of
-// refusals does not push out what was served.
+// Journal keeps the newest records. Refused and served requests have separate rings, so that
+// neither a large number of served requests nor a flood of refusals evicts the other kind.
 type Journal struct {
 	mu      sync.Mutex
 	served  ring
 	refused ring
-	// unknownCustomer are requests of no known customer: whoever can reach the entry
-	// can make any number of them, and they must not push out customers' ones.
+	// unknownCustomer holds requests without a known customer. Anyone who can reach the entry can
+	// send any number of them, and they must not evict the requests of customers.
 	unknownCustomer ring
 }
 
-// New makes a journal of at most capacity served and capacity refused requests.
+// New returns a journal of at most capacity served and capacity refused requests.
 func New(capacity int) *Journal {
 	return &Journal{
 		served:          ring{capacity: capacity},
@@ -90,15 +89,15 @@
 
 type contextKey struct{}
 
-// Begin starts the record of a request, which From finds in the context. now is the
-// time since the process started.
+// Begin starts the record of a request and stores it in the context, from which From returns it.
+// now is the time since the process started.
 func Begin(ctx context.Context, now time.Duration) (context.Context, *Record) {
 	r := &Record{startedAt: now}
 	return context.WithValue(ctx, contextKey{}, r), r
 }
 
-// From returns the record of the request that the context belongs to, or one that
-// nobody reads.
+// From returns the record of the request that the context belongs to. Without one, it returns a
+// record that is never read.
 func From(ctx context.Context) *Record {
 	if r, ok := ctx.Value(contextKey{}).(*Record); ok {
 		return r
@@ -106,7 +105,7 @@
 	return &Record{}
 }
 
-// End closes a record and keeps it; err is nil for a whole answer.
+// End completes a record and adds it to the journal; err is nil for a complete answer.
 func (j *Journal) End(r *Record, now time.Duration, err error) {
 	r.endedAt = now
 	r.TookMs = (now - r.startedAt).Milliseconds()
@@ -128,26 +127,26 @@
 	}
 }
 
-// Dump is the journal's content, newest first.
+// Dump is the content of a journal, newest records first.
 type Dump struct {
 	Refused []Record `json:"refused"`
 	Served  []Record `json:"served"`
-	// UnknownCustomer are requests of no known customer, addresses asked for among them.
+	// UnknownCustomer holds requests without a known customer, including requests for addresses.
 	UnknownCustomer []Record `json:"strangers"`
 }
 
-// Dump copies the records.
+// Dump returns a copy of the records.
 func (j *Journal) Dump(now time.Duration) Dump {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return Dump{Refused: j.refused.newestFirst(now), Served: j.served.newestFirst(now), UnknownCustomer: j.unknownCustomer.newestFirst(now)}
 }
 
-// ring keeps the newest records.
+// ring keeps the newest records up to its capacity.
 type ring struct {
 	capacity int
 	records  []*Record
-	// next is where the next record goes once the ring is full.
+	// next is the index of the record that is overwritten next once the ring is full.
 	next int
 }
 
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -31,10 +31,10 @@
 	if len(got.Attempts) != 2 || got.Attempts[0] != want[0] || got.Attempts[1] != want[1] {
 		t.Errorf("got %+v", got.Attempts)
 	}
-	From(context.Background()).AddAttempt("vm-1", 0, nil) // A context without a record is no fault.
+	From(context.Background()).AddAttempt("vm-1", 0, nil) // A context without a record must not panic.
 }
 
-// A flood of refusals must neither take the memory nor push out what was served.
+// Guards against a flood of refusals that exhausts the memory or evicts the served requests.
 func TestBounded(t *testing.T) {
 	j := New(3)
 	_, served := Begin(context.Background(), 0)
--- a/internal/link/heartbeat.go
+++ b/internal/link/heartbeat.go
@@ -15,12 +15,12 @@
 
 // beginWork and end count a piece of work on the link.
 func (s *Session) beginWork() {
-	if s.heartbeat.beginWork(clock.Now()) {
+	if s.heartbeatState.beginWork(clock.Now()) {
 		s.cfg.HeartbeatSender.wake()
 	}
 }
 
-func (s *Session) endWork() { s.heartbeat.endWork(clock.Now()) }
+func (s *Session) endWork() { s.heartbeatState.endWork(clock.Now()) }
 
 // Probe says whether the link was heard, in both directions, within the time after which
 // a link with work is suspect. An idle link that was not is asked first. Without that,
@@ -32,7 +32,7 @@
 	deadline := clock.Now() + s.cfg.SuspectAfter
 	for {
 		now := clock.Now()
-		if s.heartbeat.sinceConfirmed(now) <= s.cfg.SuspectAfter {
+		if s.heartbeatState.sinceConfirmed(now) <= s.cfg.SuspectAfter {
 			return true
 		}
 		if now > deadline {
@@ -57,7 +57,7 @@
 
 // receiveHeartbeat returns a time before which the heartbeat cannot have been made.
 func (s *Session) receiveHeartbeat(heartbeat *api.Heartbeat, now time.Duration) time.Duration {
-	notBefore, urgent := s.heartbeat.heartbeatReceived(heartbeat, now)
+	notBefore, urgent := s.heartbeatState.heartbeatReceived(heartbeat, now)
 	if urgent {
 		s.cfg.HeartbeatSender.wake()
 	}
@@ -67,7 +67,7 @@
 // queueHeartbeat has a heartbeat sent. One that still waits means that the link takes nothing; its
 // number is not echoed, and the link falls silent by that.
 func (s *Session) queueHeartbeat(heartbeat *api.Heartbeat) {
-	s.heartbeat.complete(heartbeat, clock.Now())
+	s.heartbeatState.complete(heartbeat, clock.Now())
 	if s.cfg.HeartbeatsOut != nil {
 		s.cfg.HeartbeatsOut.Inc(1)
 	}
@@ -110,8 +110,8 @@
 	for {
 		var err error
 		if m.GetHeartbeat() != nil {
-			if withHeartbeat := s.withHeartbeat.Swap(nil); withHeartbeat != nil {
-				if buf, err = appendMessage(buf, withHeartbeat); err != nil {
+			if message := s.withHeartbeat.Swap(nil); message != nil {
+				if buf, err = appendMessage(buf, message); err != nil {
 					return nil, err
 				}
 			}
--- a/internal/link/heartbeat_sender.go
+++ b/internal/link/heartbeat_sender.go
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sessions {
-		s.heartbeat.sendAtNextTick()
+		s.heartbeatState.sendAtNextTick()
 	}
 }
 
@@ -99,12 +99,12 @@
 			delete(p.sessions, s)
 			continue
 		}
-		if silence := s.heartbeat.silence(now); silence > s.cfg.DeadAfter {
+		if silence := s.heartbeatState.silence(now); silence > s.cfg.DeadAfter {
 			// Closing hands its news to the control state, which is not waited for.
 			go s.Close(errors.Errorf("silent for %v", silence.Round(time.Millisecond)))
 			continue
 		}
-		if s.heartbeat.takeDue(now, onTick) {
+		if s.heartbeatState.takeDue(now, onTick) {
 			p.due = append(p.due, s)
 		}
 	}
--- a/internal/link/rhythm_test.go
+++ b/internal/link/rhythm_test.go
@@ -110,7 +110,7 @@
 			f.dropping[broken].Store(true)
 		}
 		// Not heard within the limit; what was on its way when the link broke has come.
-		for s.heartbeat.sinceConfirmed(clock.Now()) < 1200*ms {
+		for s.heartbeatState.sinceConfirmed(clock.Now()) < 1200*ms {
 			time.Sleep(10 * ms)
 		}
 		start := clock.Now()
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -85,7 +85,7 @@
 	// overflowOnce closes the link once.
 	overflowOnce sync.Once
 
-	heartbeat *heartbeatState
+	heartbeatState *heartbeatState
 	// heartbeats holds the newest heartbeat that is to be sent, reports the newest message
 	// that goes with one.
 	heartbeats    chan *api.Control
@@ -198,7 +198,7 @@
 		handler:    h,
 		outgoing:   make(chan *api.Control, maxQueuedMessages),
 		closed:     make(chan struct{}),
-		heartbeat:  newHeartbeatState(cfg, clock.Now()),
+		heartbeatState:  newHeartbeatState(cfg, clock.Now()),
 		heartbeats: make(chan *api.Control, 1),
 	}
 	if cfg.HeartbeatSender == nil {
@@ -268,7 +268,7 @@
 // Suspect says that the link has been silent, in either direction, for longer
 // than it should: it gets no new work.
 func (s *Session) Suspect() bool {
-	return s.heartbeat.silence(clock.Now()) > s.cfg.SuspectAfter
+	return s.heartbeatState.silence(clock.Now()) > s.cfg.SuspectAfter
 }
 
 func (s *Session) readControl() {
@@ -279,7 +279,7 @@
 			return
 		}
 		now := clock.Now()
-		s.heartbeat.messageReceived(now)
+		s.heartbeatState.messageReceived(now)
 		notBefore := time.Duration(-1)
 		if heartbeat := m.GetHeartbeat(); heartbeat != nil {
 			notBefore = s.receiveHeartbeat(heartbeat, now)
--- a/internal/member/beat_test.go
+++ b/internal/member/beat_test.go
@@ -21,14 +21,14 @@
 // startIdleEntries starts three entries without work; only the first can read the log.
 func startIdleEntries(t *testing.T, f *fakePlatform, links *api.Links) [3]*testNode {
 	t.Helper()
-	withoutLog := f.withoutLog(t)
+	noLogClient := f.withoutLog(t)
 	var nodes [3]*testNode
 	for i, vm := range []string{"e1", "e2", "e3"} {
 		nodes[i] = f.start(t, vm, platform.RoleEntry, func(o *Options) {
 			o.Links = links
 			o.LogPollInterval = 166 * time.Millisecond
 			if i > 0 {
-				o.Platform = withoutLog
+				o.Platform = noLogClient
 			}
 		})
 	}
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -50,13 +50,13 @@
 // a member that joins later by its own fetch.
 func TestPeersPassOnLogRecords(t *testing.T) {
 	f := newFakePlatform(t)
-	withoutLog := f.withoutLog(t)
+	noLogClient := f.withoutLog(t)
 	reader := f.start(t, "e1", platform.RoleEntry, nil)
-	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Platform = withoutLog })
+	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Platform = noLogClient })
 	eventually(t, "a link", func() bool { return other.peer("e1") != nil && reader.peer("e2") != nil })
 	f.mark(t, "first", -1)
 	allApplied(t, 0, reader, other)
-	joining := f.start(t, "e3", platform.RoleEntry, func(o *Options) { o.Platform = withoutLog })
+	joining := f.start(t, "e3", platform.RoleEntry, func(o *Options) { o.Platform = noLogClient })
 	allApplied(t, 0, reader, other, joining)
 	if other.State().Mode != fresh.Fresh {
 		t.Errorf("the evidence of a peer that reads the log does not count: %v", other.State().Mode)
@@ -166,11 +166,11 @@
 // once: sent again with every further change, a burst would cost its square.
 func TestChangeIsPushedOnceToEachPeer(t *testing.T) {
 	f := newFakePlatform(t)
-	withoutLog := f.withoutLog(t)
+	noLogClient := f.withoutLog(t)
 	slow := &api.Links{Key: "key", HeartbeatMs: 300, SuspectMs: 3000, DeadMs: 6000, FreshnessMs: 9000}
 	registry := metrics.NewRegistry()
 	reader := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.Links, o.Registry = slow, registry })
-	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, withoutLog })
+	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, noLogClient })
 	eventually(t, "a first word", func() bool {
 		heard := false
 		reader.Do(func() { p := reader.byVM["e2"]; heard = p != nil && p.hasReported })
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform talks to the platform's append-only log and its list of VMs.
+// Package platform is the client of the platform's append-only log and of its list of VMs.
 package platform
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxResponseBytes bounds what is read of one answer, bytes.
+// maxResponseBytes limits the size of one response.
 const maxResponseBytes = 64 << 20
 
-// ErrResponseTooLarge says that an answer has more bytes than are taken. A read that asks for
-// fewer records may pass.
+// ErrResponseTooLarge means that a response exceeds the size limit. A read that asks for fewer
+// records may succeed.
 var ErrResponseTooLarge = errors.New("the platform's answer is too large")
 
-// ExpiredError says that the log no longer keeps the offset asked for.
+// ExpiredError means that the log no longer keeps the requested offset.
 type ExpiredError struct {
 	// Oldest is the oldest offset kept, NextOffset the offset of the next append.
 	Oldest, NextOffset int64
@@ -34,20 +34,20 @@
 	return fmt.Sprintf("the log keeps offsets from %d on", e.Oldest)
 }
 
-// Client is a client of the platform. It is safe for use by many goroutines.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
 	baseURL string
-	// recordsPath is the path of the log's recordsPath: those of the configuration, or of a
-	// stream beside it.
+	// recordsPath is the path of the log records: those of the configuration, or those of another
+	// stream.
 	recordsPath string
 	http        *http.Client
 	timeout     time.Duration
-	// maxResponseBytes is the constant, but for tests.
+	// maxResponseBytes is the constant of the same name except in tests.
 	maxResponseBytes int64
 }
 
-// New returns a client of the platform at a base URL. Each request may take as
-// long as timeout, beyond the time it asks the platform to wait.
+// New returns a client of the platform at a base URL. Each request may take up to timeout, in
+// addition to the time that it asks the platform to wait.
 func New(baseURL string, timeout time.Duration) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 4,
@@ -62,9 +62,9 @@
 	}
 }
 
-// Stream returns a client whose Append and Read use a stream of its own in the log, with
-// its own offsets. It has connections of its own too: reads that wait on a busy stream
-// must not take those of the configuration.
+// Stream returns a client whose Append and Read use a separate stream of the log, with offsets of
+// its own. It has separate connections, so that reads that wait on a busy stream do not use up
+// those for the configuration.
 func (c *Client) Stream(name string) *Client {
 	stream := New(c.baseURL, c.timeout)
 	stream.recordsPath = "/log/streams/" + url.PathEscape(name) + "/records"
@@ -72,8 +72,8 @@
 	return stream
 }
 
-// Append appends one record and returns its offset. An error does not say that
-// the record was not appended: the answer may be what was lost.
+// Append appends one record and returns its offset. After an error the record may still have been
+// appended, as the response may have been lost.
 func (c *Client) Append(ctx context.Context, record []byte) (int64, error) {
 	var response struct {
 		Offset int64 `json:"offset"`
@@ -85,9 +85,9 @@
 	return response.Offset, nil
 }
 
-// Batch is the answer to a read of the log.
+// Batch is the response to a read of the log.
 type Batch struct {
-	// Oldest is the oldest offset kept, Next the offset of the next append.
+	// Oldest is the oldest offset kept, NextOffset the offset of the next append.
 	Oldest     int64 `json:"first"`
 	NextOffset int64 `json:"next"`
 	Records    []struct {
@@ -96,8 +96,7 @@
 	} `json:"records"`
 }
 
-// LogRecords returns the records in the form in which they travel between
-// processes.
+// LogRecords returns the records in the form in which processes exchange them.
 func (b *Batch) LogRecords() []*api.LogRecord {
 	records := make([]*api.LogRecord, 0, len(b.Records))
 	for _, r := range b.Records {
@@ -106,8 +105,8 @@
 	return records
 }
 
-// Read returns up to limit records from an offset on, waiting for the first as
-// long as wait. It returns an *ExpiredError for an offset no longer kept.
+// Read returns up to limit records starting at an offset, and waits up to wait for the first one.
+// It returns an *ExpiredError for an offset that is no longer kept.
 func (c *Client) Read(ctx context.Context, from int64, limit int, wait time.Duration) (*Batch, error) {
 	path := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.recordsPath, from, limit, wait.Milliseconds())
 	var batch Batch
@@ -126,19 +125,19 @@
 	return decodeResponse(resp.status, resp.body, response)
 }
 
-// response is an answer of the platform.
+// response is a response of the platform.
 type response struct {
 	status int
 	body   []byte
-	etag   string // of the contents, if the platform gives one
+	etag   string // of the content, empty if the platform sends none
 }
 
-// do makes one request. With a tag it asks only for contents that have another.
+// do sends one request. With an etag, it asks for the content only if it has changed.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration, etag string) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
-	// A body that is not a *bytes.Reader gives the request no GetBody, so that
-	// net/http cannot send an append a second time by itself.
+	// With a body that is not a *bytes.Reader the request has no GetBody, so net/http cannot resend
+	// an append on its own.
 	var reader io.Reader
 	if body != nil {
 		reader = struct{ io.Reader }{bytes.NewReader(body)}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,7 +18,8 @@
 	return New(server.URL+"/", 200*time.Millisecond)
 }
 
-// What the platform answers, and what becomes of it.
+// Guards against responses of the log that are misread: an expired offset, a truncated or malformed
+// body, an error status.
 func TestReadResponses(t *testing.T) {
 	ctx := context.Background()
 	for name, c := range map[string]struct {
@@ -50,8 +51,8 @@
 	}
 }
 
-// An answer may not take the process's memory, and one that is cut off there must not
-// be taken for one that a smaller read could not mend.
+// Guards against a response that exhausts the process's memory. The error must be
+// ErrResponseTooLarge, because a smaller read may succeed.
 func TestResponseOverTheSizeLimit(t *testing.T) {
 	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 101)) })
 	client.maxResponseBytes = 100
@@ -60,8 +61,8 @@
 	}
 }
 
-// The platform takes an append and closes the connection without an answer. The record
-// may stand in the log: an append sent again by the library would stand there twice.
+// The platform accepts an append and closes the connection without a response. The record may be in
+// the log, so a retry by the HTTP library would append it twice.
 func TestAppendIsNeverRetried(t *testing.T) {
 	var appends atomic.Int32
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +73,7 @@
 		appends.Add(1)
 		panic(http.ErrAbortHandler)
 	})
-	_, _ = client.ListVMs(context.Background(), nil) // Now there is a connection to use again.
+	_, _ = client.ListVMs(context.Background(), nil) // Leaves an idle connection for reuse.
 	if _, err := client.Append(context.Background(), []byte("x")); err == nil {
 		t.Error("an append without an answer counts as done")
 	}
@@ -81,7 +82,8 @@
 	}
 }
 
-// A platform that takes connections and says nothing must not hold a reader for ever.
+// Guards against a platform that accepts connections and never responds: a reader must not block
+// forever.
 func TestUnresponsivePlatformTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	client := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
@@ -92,8 +94,8 @@
 	}
 }
 
-// A stream beside the configuration's has a path of its own: its offsets must never be
-// taken for those of operators' changes.
+// Guards against a separate stream that uses the path of the configuration's stream, which would
+// confuse its offsets with those of operators' changes.
 func TestStreamHasItsOwnPath(t *testing.T) {
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/log/streams/keys/records" {
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// VM is one line of the platform's list. The list lags.
+// VM is an entry of the platform's list of VMs. The list may be out of date.
 type VM struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -17,30 +17,30 @@
 	Public        string `json:"public"`
 	Group         string `json:"group"`
 	State         string `json:"state"`
-	// Region is where the VM stands; empty where the platform has one only.
+	// Region is the region of the VM; empty where the platform has only one.
 	Region string `json:"region,omitempty"`
-	// Offer is what a backend server serves, "model:NAME" or "service:NAME"; empty if
-	// the list does not say.
+	// Offer is what a backend server serves, "model:NAME" or "service:NAME"; empty if the list does
+	// not contain it.
 	Offer string `json:"offer,omitempty"`
 }
 
-// Roles and states of the platform's list.
+// Roles and states in the platform's list.
 const (
 	RoleEntry    = "entry"
 	RoleBackend  = "backend"
 	StateLeaving = "leaving"
 )
 
-// VMList is the platform's list as it was read once.
+// VMList is the platform's list of VMs as of one read.
 type VMList struct {
 	VMs  []VM
 	etag string
 }
 
-// ListVMs returns the platform's list of live and leaving ListVMs; last itself when it has not
-// changed since that was read, nil for none. The list is large and changes little: a
-// platform that tags its answers (ETag) is asked only for another one, and one that does
-// not sends it whole.
+// ListVMs returns the platform's list of live and leaving VMs. It returns last itself if the list
+// has not changed since; last may be nil. The list is large and changes rarely, so a platform that
+// sends an ETag is asked for it conditionally. A platform that sends none returns the whole list
+// each time.
 func (c *Client) ListVMs(ctx context.Context, last *VMList) (*VMList, error) {
 	etag := ""
 	if last != nil {
--- a/internal/platform/vms_test.go
+++ b/internal/platform/vms_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A platform tags its list, changes it, brings the old one back as a lagging list does,
-// and stops tagging. A process must see each change once and never keep a list that the
-// platform does not show any more.
+// The platform tags its list, changes it, returns the earlier list (as a list that lags may), and
+// stops tagging. Guards against missed changes and against keeping a list that the platform no
+// longer returns.
 func TestListIsReadOnceForEachChange(t *testing.T) {
 	const one, two = `{"vms":[{"id":"a"}]}`, `{"vms":[{"id":"a"},{"id":"b"}]}`
 	body, etag, fullResponses := "", "", 0
