--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -5,34 +5,35 @@
 	"net"
 )
 
-// yamux writes the header of a frame and its body by two calls, each a system call and a
-// packet of its own, and a frame to open a stream before the first that carries anything.
-// Tokens of a stream are small and many.
+// yamux writes the header and the body of a frame with two calls, each of which causes a system
+// call and a packet. It also sends a separate frame to open a stream. This is expensive for
+// streamed tokens, which are small and many.
 const (
 	muxHeaderBytes = 12
 	muxTypeData    = 0
 	muxTypeWindow  = 1
-	// muxOpenFlags are the flags of a frame that opens a stream, or takes one, and muxEnds
-	// those of one that closes it.
+	// muxOpenFlags are the flags of a frame that opens or accepts a stream, muxCloseFlags those of
+	// a frame that closes it.
 	muxOpenFlags  = 1 | 2
 	muxCloseFlags = 4 | 8
-	// maxCoalescedBytes bounds a body that is copied behind its header, bytes; a larger one is
-	// worth a call of its own.
+	// maxCoalescedBytes limits the body that is copied behind its header. A larger body gets a
+	// write of its own.
 	maxCoalescedBytes = 16 << 10
 )
 
-// coalescingConn is a connection that writes header and body of a yamux frame together, and what
-// opens a stream with the next frame. Only one goroutine writes to it, as yamux does.
+// coalescingConn is a connection that writes the header and the body of a yamux frame together, and
+// a frame that opens a stream together with the next frame. Only one goroutine may write to it, as
+// yamux does.
 type coalescingConn struct {
 	net.Conn
-	buffered   []byte // what waits for the next call
-	expectBody bool   // the next call brings the body of the header held last
+	buffered   []byte // data held back for the next call
+	expectBody bool   // the next call writes the body of the last buffered header
 }
 
-// Write implements net.Conn. Bytes are held back only if others are bound to follow soon;
-// their error then comes with that call's. A body follows in the next call; whoever opens
-// a stream sends its first message, and whoever takes one its answer, or closes it. Should
-// that be late, the heartbeats of the link, which now has work, carry it.
+// Write implements net.Conn. Data is held back only if more is certain to follow soon; its write
+// error is then returned by that later call. The body of a frame follows with the next call. A side
+// that opens a stream sends its first message, and a side that accepts one answers or closes it. If
+// that takes long, the heartbeats of the link, which now has work, flush the data.
 func (c *coalescingConn) Write(p []byte) (int, error) {
 	switch {
 	case c.expectBody:
@@ -62,7 +63,7 @@
 	return max(n-before, 0), err
 }
 
-// isHeaderWithBody says that a write is the header of a data frame that has a body.
+// isHeaderWithBody reports whether p is the header of a data frame with a body.
 func isHeaderWithBody(p []byte) bool {
 	if len(p) != muxHeaderBytes || p[0] != 0 || p[1] != muxTypeData {
 		return false
@@ -70,7 +71,7 @@
 	return binary.BigEndian.Uint32(p[8:]) > 0
 }
 
-// opensStream says that a write is a frame without a body by which a stream begins.
+// opensStream reports whether p is a frame without a body that opens or accepts a stream.
 func opensStream(p []byte) bool {
 	if len(p) != muxHeaderBytes || p[0] != 0 || p[1] != muxTypeWindow {
 		return false
--- a/internal/link/coalesce_test.go
+++ b/internal/link/coalesce_test.go
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// drainingHandler reads what a stream brings.
+// drainingHandler reads and discards the messages of its streams.
 type drainingHandler struct{ *countingHandler }
 
 func (drainingHandler) Stream(_ *Session, _ *api.Open, stream *Stream) {
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkSmallMessages sends what tokens of a stream are: many small messages.
+// BenchmarkSmallMessages sends many small messages, like the tokens of a stream.
 func BenchmarkSmallMessages(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordingConn keeps the writes that reach a connection.
+// recordingConn records the size of each write.
 type recordingConn struct {
 	net.Conn
 	writes []int
@@ -54,10 +54,9 @@
 	return len(p), nil
 }
 
-// A header goes out with its body; a frame without one, such as a window update, must not
-// be held back, or the other side would wait for room for ever.
-//
-// What opens a stream goes out with the frame after it, and what ends one at once.
+// The header of a frame must be written with its body. A frame without a body, such as a window
+// update, must not be held back: the peer would wait for window space forever. A frame that opens a
+// stream is written with the next frame, and one that closes a stream at once.
 func TestFrameHeaderIsWrittenWithItsBody(t *testing.T) {
 	header := func(kind byte, length byte) []byte {
 		return []byte{0, kind, 0, 0, 0, 0, 0, 1, 0, 0, 0, length}
@@ -79,8 +78,8 @@
 	}
 }
 
-// Messages that came together are sent on together; one that has come in part must not
-// hold back what came before it, or a token would wait for the next.
+// Messages that arrived together are forwarded together. A message that has arrived in part must
+// not hold back the ones before it, or a token would wait for the next one.
 func TestHasBuffered(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -90,7 +89,7 @@
 	go func() { _, _ = far.Write(slices.Concat(frame, frame, frame[:100])) }()
 	for i, waiting := range []bool{true, false} {
 		if err := stream.Receive(&api.WorkEvent{}); err != nil || stream.HasBuffered() != waiting {
-			t.Errorf("after message %d: waiting %v, %v", i, stream.HasBuffered(), err)
+			t.Errorf("after message %d: buffered %v, %v", i, stream.HasBuffered(), err)
 		}
 	}
 }
--- a/internal/link/count.go
+++ b/internal/link/count.go
@@ -6,7 +6,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// WithCounters returns the configuration with counters of a registry.
+// WithCounters returns the configuration with counters from a registry.
 func (cfg Config) WithCounters(registry metrics.Registry) Config {
 	cfg.BytesIn = metrics.GetOrRegisterCounter("link.bytes.in", registry)
 	cfg.BytesOut = metrics.GetOrRegisterCounter("link.bytes.out", registry)
@@ -14,7 +14,7 @@
 	return cfg
 }
 
-// countBytes returns the connection with its bytes counted, if they are wanted.
+// countBytes returns a connection that counts its bytes, or conn itself without counters.
 func (cfg Config) countBytes(conn net.Conn) net.Conn {
 	if cfg.BytesIn == nil || cfg.BytesOut == nil {
 		return conn
@@ -22,7 +22,7 @@
 	return &countingConn{Conn: conn, in: cfg.BytesIn, out: cfg.BytesOut}
 }
 
-// countingConn is a connection whose bytes are countingConn.
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	in, out metrics.Counter
--- a/internal/link/count_test.go
+++ b/internal/link/count_test.go
@@ -7,7 +7,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// The bytes of the handshake are counted too, in both directions.
+// Guards against byte counters that miss the handshake in either direction.
 func TestHandshakeBytesAreCounted(t *testing.T) {
 	address, _ := listen(t)
 	cfg := config("right").WithCounters(metrics.NewRegistry())
@@ -17,6 +17,6 @@
 	}
 	defer s.Close(io.EOF)
 	if cfg.BytesIn.Count() == 0 || cfg.BytesOut.Count() == 0 {
-		t.Errorf("in %d, out %d", cfg.BytesIn.Count(), cfg.BytesOut.Count())
+		t.Errorf("bytes in %d, out %d, want both counted", cfg.BytesIn.Count(), cfg.BytesOut.Count())
 	}
 }
--- a/internal/link/handshake.go
+++ b/internal/link/handshake.go
@@ -10,8 +10,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Sides of a handshake. The side is part of what is signed, so that an answer
-// cannot be sent back to its maker as its own.
+// Sides of a handshake. The side is part of the signed data, so that a proof cannot be reflected to
+// its sender.
 const (
 	dialer   = "dialer"
 	listener = "listener"
@@ -19,11 +19,11 @@
 
 const nonceSize = 32
 
-// ErrWrongKey says that the other side does not hold the shared key.
-var ErrWrongKey = errors.New("the other side does not hold the link key")
+// ErrWrongKey means that the peer does not hold the shared link key.
+var ErrWrongKey = errors.New("the peer does not hold the link key")
 
-// handshake proves to each side that the other holds the key, then exchanges
-// hellos. Nothing is said of this process before the proof.
+// handshake proves to each side that the other holds the key, then exchanges hellos. Nothing about
+// this process is revealed before the proof.
 func handshake(control *Stream, cfg Config, side string) (*api.Hello, error) {
 	own := make([]byte, nonceSize)
 	if _, err := rand.Read(own); err != nil {
@@ -50,7 +50,7 @@
 	}
 	theirs := m.GetChallenge().GetNonce()
 	if len(theirs) != nonceSize {
-		return nil, errors.New("the other side did not begin with a challenge")
+		return nil, errors.New("the peer did not send a valid challenge")
 	}
 	return theirs, nil
 }
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// verifyProof says that a proof was made with one of the keys that are taken. No other key
-// set means none: a proof with the empty key, which anybody can make, verifyProof nothing.
+// verifyProof reports whether a proof was made with one of the accepted keys. An empty OtherKey is
+// not accepted: anyone can make a proof with the empty key.
 func verifyProof(mac []byte, cfg Config, side string, first, second []byte) bool {
 	if hmac.Equal(mac, proofMAC(cfg.Key, side, first, second)) {
 		return true
@@ -93,7 +93,7 @@
 	}
 	peer := m.GetHello()
 	if peer.GetVm() == "" || peer.GetIncarnation() == "" {
-		return nil, errors.New("the other side did not say who it is")
+		return nil, errors.New("the hello of the peer lacks its VM or incarnation")
 	}
 	return peer, nil
 }
--- a/internal/link/handshake_test.go
+++ b/internal/link/handshake_test.go
@@ -14,7 +14,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// countingHandler is a handler that counts the links that stand.
+// countingHandler is a handler that counts established links.
 type countingHandler struct{ up atomic.Int32 }
 
 func (c *countingHandler) Up(*Session)                                       { c.up.Add(1) }
@@ -30,7 +30,7 @@
 	}
 }
 
-// listen serves links with the key "right".
+// listen accepts links with the key "right".
 func listen(t *testing.T) (string, *countingHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,10 +46,10 @@
 func TestWrongKeyIsRejected(t *testing.T) {
 	address, h := listen(t)
 	if _, err := Dial(address, config("wrong"), &countingHandler{}); err == nil {
-		t.Error("a link stands without the key")
+		t.Error("a link was established with the wrong key")
 	}
 	if h.up.Load() != 0 {
-		t.Error("the listener took a link without the key")
+		t.Error("the listener accepted a link with the wrong key")
 	}
 	s, err := Dial(address, config("right"), &countingHandler{})
 	if err != nil {
@@ -58,9 +58,9 @@
 	s.Close(io.EOF)
 }
 
-// The link key is changed VM by VM, with links that must stand all the while. Each step is
-// a process with one pair of keys that meets one of the step before or after it, in both
-// directions; a key that is on neither side's list never opens a link.
+// The link key is rotated VM by VM while links must stay possible. Each step is a process with a
+// pair of keys, which must link in both directions to processes of the same and of adjacent steps.
+// A key that neither side accepts must never open a link.
 func TestKeyRotationKeepsLinks(t *testing.T) {
 	keys := func(key, other string) Config {
 		c := config(key)
@@ -87,7 +87,7 @@
 		}
 		for _, stranger := range []Config{keys("wrong", ""), keys("wrong", "old"), keys("", "")} {
 			if s, err := Dial(ln.Addr().String(), stranger, &countingHandler{}); err == nil {
-				t.Errorf("step %d takes a link with the key %q", i, stranger.Key)
+				t.Errorf("step %d accepts a link with the key %q", i, stranger.Key)
 				s.Close(io.EOF)
 			}
 		}
@@ -106,8 +106,8 @@
 	return conn
 }
 
-// A stranger connects, learns the challenge, and sends back the proof that it was
-// sent, as its own. The proof names its side, so this must not pass.
+// Guards against a reflection attack: a client without the key returns the listener's own nonce and
+// proof. The proof covers the side, so it must be rejected.
 func TestReflectedProofIsRejected(t *testing.T) {
 	address, h := listen(t)
 	stream := newStream(dialWithoutKey(t, address))
@@ -115,22 +115,22 @@
 	if err := stream.Receive(m); err != nil {
 		t.Fatal(err)
 	}
-	_ = stream.Send(m) // Its own nonce.
+	_ = stream.Send(m) // The listener's own nonce.
 	if err := stream.Receive(m); err != nil || m.GetProof() == nil {
 		t.Fatalf("no proof: %v", err)
 	}
-	_ = stream.Send(m) // Its own proof.
+	_ = stream.Send(m) // The listener's own proof.
 	if err := stream.Receive(m); err == nil {
-		t.Errorf("the listener went on: %v", m)
+		t.Errorf("the listener continued the handshake: %v", m)
 	}
 	if h.up.Load() != 0 {
-		t.Error("a link stands")
+		t.Error("a link was established")
 	}
 }
 
-// A stranger announces a message of 64 MB and sends none of it, on many connections
-// at once. Work may send such messages; before the proof each would take 64 MB of a
-// process's memory until its time is over. It must be cut off at once.
+// A client without the key announces a message of 64 MB and sends none of it. Authenticated work
+// may be that large, but before the proof each such connection would hold 64 MB of memory until it
+// times out. The connection must be closed at once.
 func TestHugeMessageBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
 	raw := dialWithoutKey(t, address)
@@ -138,26 +138,25 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	// The end of what the listener says is the end of the link.
+	// The connection has been closed once the listener's data ends.
 	if _, err := io.Copy(io.Discard, raw); err != nil {
-		t.Errorf("not cut off: %v", err)
+		t.Errorf("the connection was not closed: %v", err)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("cut off after %v", took)
+		t.Errorf("the connection was closed after %v", took)
 	}
 }
 
-// A stranger opens many streams at once and fills the window of each, 256 KB. The
-// streams would lie in memory until somebody took them. Before the proof there must
-// be no streams at all.
+// A client without the key opens many streams and fills the window of each, 256 KB, which would
+// stay in memory until the streams are accepted. There must be no streams before the proof.
 func TestStreamsBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
 	mux, err := yamux.Client(dialWithoutKey(t, address), muxConfig(config("")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := mux.Open(); err != nil { // The control stream stays silent.
-		return // Cut off before anything could be sent.
+	if _, err := mux.Open(); err != nil { // Nothing is sent on the control stream.
+		return // Closed before anything could be sent.
 	}
 	sent, window := 0, make([]byte, 256<<10)
 	for range 64 {
@@ -173,11 +172,11 @@
 		}
 	}
 	if sent > 4<<20 {
-		t.Errorf("%d bytes were taken from a stranger", sent)
+		t.Errorf("%d bytes were accepted from an unauthenticated client", sent)
 	}
 }
 
-// FuzzReceive looks for bytes on a link that crash the reader.
+// FuzzReceive searches for input that crashes the reader of a link.
 func FuzzReceive(f *testing.F) {
 	for _, m := range []proto.Message{
 		&api.Control{Body: &api.Control_Heartbeat{Heartbeat: &api.Heartbeat{Seq: 1}}},
--- a/internal/link/heartbeat.go
+++ b/internal/link/heartbeat.go
@@ -10,10 +10,10 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// probePollInterval is the time between looks for the answer to a probe.
+// probePollInterval is the interval at which a probe checks for its answer.
 const probePollInterval = time.Millisecond
 
-// beginWork and end count a piece of work on the link.
+// beginWork and endWork count a request on the link.
 func (s *Session) beginWork() {
 	if s.heartbeatState.beginWork(clock.Now()) {
 		s.cfg.HeartbeatSender.wake()
@@ -22,10 +22,10 @@
 
 func (s *Session) endWork() { s.heartbeatState.endWork(clock.Now()) }
 
-// Probe says whether the link was heard, in both directions, within the time after which
-// a link with work is suspect. An idle link that was not is asked first. Without that,
-// work that must not repeat would be sent to a process that has been gone for as long as
-// the long interval, and end as "unknown", more often than over a brisk link.
+// Probe reports whether the link was confirmed in both directions within SuspectAfter, the time
+// after which a link with work is suspect. An idle link that was not is probed first. Without the
+// probe, work that must not be repeated could be sent to a process that has been gone for up to the
+// idle interval, and would end with an unknown outcome more often than over an active link.
 func (s *Session) Probe(ctx context.Context) bool {
 	s.beginWork()
 	defer s.endWork()
@@ -51,11 +51,12 @@
 	}
 }
 
-// PostWithHeartbeat has a message go out with the next heartbeat, in the place of one that has not
-// gone yet.
+// PostWithHeartbeat sends a message with the next heartbeat. It replaces a message that still waits
+// for one.
 func (s *Session) PostWithHeartbeat(m *api.Control) { s.withHeartbeat.Store(m) }
 
-// receiveHeartbeat returns a time before which the heartbeat cannot have been made.
+// receiveHeartbeat handles a heartbeat and returns a time before which the peer cannot have sent
+// it.
 func (s *Session) receiveHeartbeat(heartbeat *api.Heartbeat, now time.Duration) time.Duration {
 	notBefore, urgent := s.heartbeatState.heartbeatReceived(heartbeat, now)
 	if urgent {
@@ -64,8 +65,8 @@
 	return notBefore
 }
 
-// queueHeartbeat has a heartbeat sent. One that still waits means that the link takes nothing; its
-// number is not echoed, and the link falls silent by that.
+// queueHeartbeat queues a heartbeat. If another one is still queued, the connection accepts no data
+// and the new one is dropped. Its number is then never echoed, so the link counts as silent.
 func (s *Session) queueHeartbeat(heartbeat *api.Heartbeat) {
 	s.heartbeatState.complete(heartbeat, clock.Now())
 	if s.cfg.HeartbeatsOut != nil {
@@ -77,18 +78,18 @@
 	}
 }
 
-// writeControl sends control messages, and all that wait by one write.
+// writeControl sends control messages, all queued ones with one write.
 func (s *Session) writeControl() {
 	var buf []byte
 	for {
 		var err error
 		buf, err = s.collectMessages(buf[:0])
 		if err != nil || len(buf) == 0 {
-			s.Close(errors.Wrap(err, "a message cannot be sent"))
+			s.Close(errors.Wrap(err, "encode a control message"))
 			return
 		}
 		if err := s.control.write(buf); err != nil {
-			s.Close(errors.Wrap(err, "the link takes no more"))
+			s.Close(errors.Wrap(err, "write control messages"))
 			return
 		}
 		if cap(buf) > maxKeptBuffer {
@@ -97,7 +98,7 @@
 	}
 }
 
-// collectMessages waits for a message and appends it and those that wait behind it. It returns
+// collectMessages waits for a message and appends it and all messages queued behind it. It returns
 // nothing once the link is closed.
 func (s *Session) collectMessages(buf []byte) ([]byte, error) {
 	var m *api.Control
--- a/internal/link/heartbeat_sender.go
+++ b/internal/link/heartbeat_sender.go
@@ -10,24 +10,26 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// HeartbeatSender sends the heartbeats of all links of a process, by one timer: with a timer and
-// a question to the control state for each link, an entry spent most of its processor
-// time without work on waking up.
+// HeartbeatSender sends the heartbeats of all links of a process with a single timer. With a timer
+// and a query of the control state for each link, an idle entry spends most of its CPU time on
+// wakeups.
 type HeartbeatSender struct {
 	wakeup chan struct{}
 
 	mu       sync.Mutex
 	sessions map[*Session]struct{}
 	running  bool
-	due      []*Session // of the round under way
+	due      []*Session // links whose heartbeats are being sent
 }
 
-// NewHeartbeatSender returns a pacer. All links that share it must have one handler.
+// NewHeartbeatSender returns a sender without links. All links that share it must have the same
+// handler.
 func NewHeartbeatSender() *HeartbeatSender {
 	return &HeartbeatSender{wakeup: make(chan struct{}, 1), sessions: make(map[*Session]struct{})}
 }
 
-// SendAllAtNextTick has all links beat with the next tick: there is news that is told by heartbeats.
+// SendAllAtNextTick makes heartbeats due on all links at the next tick. It is called for updates
+// that heartbeats carry.
 func (p *HeartbeatSender) SendAllAtNextTick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +38,7 @@
 	}
 }
 
-// wake has the links beat at once that must.
+// wake triggers the heartbeats that are due immediately.
 func (p *HeartbeatSender) wake() {
 	select {
 	case p.wakeup <- struct{}{}:
@@ -56,7 +58,7 @@
 	go p.run(s.cfg.HeartbeatInterval)
 }
 
-// run sends heartbeats for as long as there are links.
+// run sends heartbeats as long as there are links.
 func (p *HeartbeatSender) run(interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -70,9 +72,9 @@
 	}
 }
 
-// sendDue sends the heartbeats that are due, and returns false when there are no links.
-// What they say is asked for once, after their echoes were read: the receiver takes the
-// knowledge for newer than the heartbeat that is echoed.
+// sendDue sends the heartbeats that are due, and returns false when there are no links. The handler
+// is called once for all of them, after their echoes were read: the receiver assumes that the
+// knowledge is newer than the heartbeat that is echoed.
 func (p *HeartbeatSender) sendDue(onTick bool) bool {
 	if !p.collectDue(onTick) {
 		return false
@@ -87,8 +89,8 @@
 	return true
 }
 
-// collectDue finds the links whose heartbeats are due, and closes those that have been
-// silent for too long.
+// collectDue collects the links whose heartbeats are due, and closes those that have been silent
+// for too long.
 func (p *HeartbeatSender) collectDue(onTick bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,8 +102,9 @@
 			continue
 		}
 		if silence := s.heartbeatState.silence(now); silence > s.cfg.DeadAfter {
-			// Closing hands its news to the control state, which is not waited for.
-			go s.Close(errors.Errorf("silent for %v", silence.Round(time.Millisecond)))
+			// Close calls Handler.Down, which may wait for the control goroutine. That must not
+			// block the sender.
+			go s.Close(errors.Errorf("the link was silent for %v", silence.Round(time.Millisecond)))
 			continue
 		}
 		if s.heartbeatState.takeDue(now, onTick) {
--- a/internal/link/rhythm.go
+++ b/internal/link/rhythm.go
@@ -7,49 +7,51 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// activeAfterWork is how long a link stays brisk after its last work: requests that follow each
-// other would otherwise begin with two more heartbeats each.
+// activeAfterWork is how long a link stays active after its last request. Otherwise each of several
+// consecutive requests would start with two additional heartbeats.
 const activeAfterWork = time.Second
 
-// heartbeatState knows when a link's heartbeats are due and how long the link has been silent.
+// heartbeatState determines when the heartbeats of a link are due and how long the link has been
+// silent.
 //
-// A link with work beats at the short interval, since its callers wait for what is
-// lost; one without beats at the long interval, which is most of what control costs a
-// node. The side that has work says so, and both are brisk until it says otherwise, so
-// that neither expects what the other does not send.
+// A link with work is active and sends heartbeats at the short interval, because callers wait for
+// what is lost on it. A link without work sends them at the idle interval, since the heartbeats of
+// idle links are most of the cost of control traffic. The side that has work announces it, and both
+// sides stay active until it withdraws that, so that neither expects heartbeats that the other does
+// not send.
 type heartbeatState struct {
 	cfg Config
 
 	mu               sync.Mutex
-	inFlight         int           // pieces of work on the link
+	inFlight         int           // requests on the link
 	workEndedAt      time.Duration // when the last one ended
-	peerHasWork      bool          // the other side has work
-	peerIdleInterval time.Duration // the long interval that the other side reckons with
-	activeSince      time.Duration // when the link last became brisk
-
-	lastHeard     time.Duration   // when the newest message came
-	receivedSeq   uint64          // the newest heartbeat received
-	receivedAt    time.Duration   // when it came
-	sentSeq       uint64          // the newest heartbeat sent
-	echoedSeq     uint64          // the newest one echoed
-	sentTimes     []time.Duration // when those from acked on were sent
-	lastSent      time.Duration   // when the newest was sent
-	announcedWork bool            // it said that this side has work
-	dueNow        bool            // one is due at once
-	dueAtNextTick bool            // one is due with the next tick
-	// What the heartbeat that is due echoes, read before the knowledge that it carries.
+	peerHasWork      bool          // the peer has announced work
+	peerIdleInterval time.Duration // idle interval announced by the peer
+	activeSince      time.Duration // when the link last became active
+
+	lastHeard     time.Duration   // when the newest message was received
+	receivedSeq   uint64          // number of the newest heartbeat received
+	receivedAt    time.Duration   // when it was received
+	sentSeq       uint64          // number of the newest heartbeat sent
+	echoedSeq     uint64          // number of the newest one echoed by the peer
+	sentTimes     []time.Duration // send times of the heartbeats from echoedSeq on
+	lastSent      time.Duration   // when the newest heartbeat was sent
+	announcedWork bool            // whether the newest heartbeat announced work
+	dueNow        bool            // a heartbeat is due immediately
+	dueAtNextTick bool            // a heartbeat is due at the next tick
+	// The echo of the heartbeat that is due, read before the knowledge that it carries.
 	nextEcho     uint64
 	nextEchoHeld time.Duration
 }
 
 func newHeartbeatState(cfg Config, now time.Duration) *heartbeatState {
 	cfg.IdleInterval = max(cfg.IdleInterval, cfg.HeartbeatInterval)
-	// A new link is brisk for a while: the first echoes are waited for.
+	// A new link starts active, to get the first echoes early.
 	return &heartbeatState{cfg: cfg, lastHeard: now, workEndedAt: now, activeSince: now, dueNow: true, sentTimes: []time.Duration{now}}
 }
 
-// idleInterval is the long interval: the shorter one of both sides, so that one which knows
-// another or none, as in a rolling update, takes nothing for silence.
+// idleInterval returns the shorter of the idle intervals of both sides. A process that uses a
+// shorter one or none, as during a rolling update, would otherwise mistake it for silence.
 func (r *heartbeatState) idleInterval() time.Duration {
 	return max(r.cfg.HeartbeatInterval, min(r.cfg.IdleInterval, r.peerIdleInterval))
 }
@@ -62,7 +64,7 @@
 	return r.peerHasWork || r.hasRecentWork(now)
 }
 
-// beginWork counts a piece of work on the link, and says whether a heartbeat is due at once.
+// beginWork counts a request on the link, and reports whether a heartbeat is due immediately.
 func (r *heartbeatState) beginWork(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,9 +75,10 @@
 	return r.dueNow
 }
 
-// activate makes an idle link brisk. From now on its silence counts, and not from the last
-// heartbeat, which came at the long interval. A link that is suspect already stays so
-// until it is heard: a process that wakes from a pause would believe in it again.
+// activate makes an idle link active. Its silence is measured from now on instead of from the last
+// heartbeat, which was sent at the idle interval. A link that is already suspect stays suspect
+// until something is received; otherwise a process that resumes after a pause would trust the link
+// again.
 func (r *heartbeatState) activate(now time.Duration) {
 	r.dueNow = true
 	if r.silenceLocked(now) <= r.cfg.SuspectAfter {
@@ -83,7 +86,7 @@
 	}
 }
 
-// endWork takes back the count of begin.
+// endWork removes a request counted by beginWork.
 func (r *heartbeatState) endWork(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,15 +94,16 @@
 	r.workEndedAt = now
 }
 
-// sendAtNextTick makes a heartbeat due with the next tick.
+// sendAtNextTick makes a heartbeat due at the next tick.
 func (r *heartbeatState) sendAtNextTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dueAtNextTick = true
 }
 
-// takeDue says whether a heartbeat is takeDue at a tick, or at once between two ticks. After one
-// that told of work the next comes at the short interval: the other side expects it.
+// takeDue reports whether a heartbeat is due, at a tick or, if tick is false, immediately, and
+// marks it as taken. After a heartbeat that announced work the next one is sent at the short
+// interval, because the peer expects it then.
 func (r *heartbeatState) takeDue(now time.Duration, tick bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +116,8 @@
 	return true
 }
 
-// complete completes the heartbeat that is due.
+// complete numbers a heartbeat, records when it is sent and fills in the fields that belong to
+// the link.
 func (r *heartbeatState) complete(heartbeat *api.Heartbeat, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,20 +132,19 @@
 	heartbeat.IdleMs = r.cfg.IdleInterval.Milliseconds()
 }
 
-// messageReceived notes that a message came.
+// messageReceived records that a message was received.
 func (r *heartbeatState) messageReceived(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastHeard = now
 }
 
-// heartbeatReceived takes in a heartbeat. It returns a time before which the other side cannot have
-// made it, negative when unknown, and whether an answer is due at once.
+// heartbeatReceived handles a heartbeat. It returns a time before which the peer cannot have sent
+// it, negative if unknown, and whether an answer is due immediately.
 //
-// That time is when the heartbeat that is echoed was sent from here, and as much later as
-// the other side held it: it was received after it was sent, and what the other side knew
-// was looked up after it was held. Late reading on either side only makes the time
-// earlier than it was.
+// That time is when the echoed heartbeat was sent from here, plus the time for which the peer held
+// it: the peer received it after it was sent, and read its own state after holding it. Reading late
+// on either side only makes the returned time earlier.
 func (r *heartbeatState) heartbeatReceived(heartbeat *api.Heartbeat, now time.Duration) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,8 +166,8 @@
 	return min(r.sentTimes[0]+held, now), r.dueNow
 }
 
-// silence is how much longer the link has been silent, in either direction, than it may
-// be at its interval: a link may lose messages in one direction only.
+// silence returns for how much longer the link has been silent, in either direction, than its
+// interval allows. It covers both directions because a link may lose messages in only one.
 func (r *heartbeatState) silence(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +181,8 @@
 	return now - r.lastConfirmed() - (r.idleInterval() - r.cfg.HeartbeatInterval)
 }
 
-// lastConfirmed is the newest time at which the link worked in both directions.
+// lastConfirmed returns the latest time at which the link is known to have worked in both
+// directions.
 func (r *heartbeatState) lastConfirmed() time.Duration {
 	if len(r.sentTimes) > 1 {
 		return min(r.lastHeard, r.sentTimes[1])
@@ -185,7 +190,8 @@
 	return r.lastHeard
 }
 
-// sinceConfirmed is the time since the link was proven, whatever its interval.
+// sinceConfirmed returns the time since the link last worked in both directions, regardless of its
+// interval.
 func (r *heartbeatState) sinceConfirmed(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/link/rhythm_test.go
+++ b/internal/link/rhythm_test.go
@@ -12,11 +12,12 @@
 
 const ms = time.Millisecond
 
-// linkEnds are two linkEnds of a link without work, at the usual settings, with a delay of 2 ms.
+// linkEnds simulates both ends of a link without work, at the default settings and with a delay of
+// 2 ms.
 type linkEnds struct {
 	a, b      *heartbeatState
 	now       time.Duration
-	lost      bool // from b to a
+	lost      bool // messages from b to a are lost
 	notBefore time.Duration
 	sent      int
 }
@@ -26,7 +27,7 @@
 	return &linkEnds{a: newHeartbeatState(cfg, 0), b: newHeartbeatState(cfg, 0)}
 }
 
-// run advances to a time; a ticks at multiples of 200 ms, b 70 ms later.
+// run advances the time. a ticks at multiples of 200 ms, b 70 ms later.
 func (e *linkEnds) run(until time.Duration) {
 	for ; e.now < until; e.now += ms {
 		e.sendIfDue(e.a, e.b, e.now%(200*ms) == 0, false)
@@ -50,8 +51,8 @@
 	}
 }
 
-// A link without work beats three times slower. What the other side says must stay as
-// exactly dated as before, or processes would fence themselves; and neither side may
+// A link without work sends heartbeats three times less often. The age of what the peer reported
+// must still be known as precisely, or processes would fence themselves, and neither side may
 // suspect the other.
 func TestIdleLinkKeepsReportsFresh(t *testing.T) {
 	e := newLinkEnds()
@@ -60,10 +61,10 @@
 	for until := e.now + 6*time.Second; e.now < until; {
 		e.run(e.now + 10*ms)
 		if age := e.now - e.notBefore; age > 630*ms {
-			t.Fatalf("what is known is %v old", age)
+			t.Fatalf("the knowledge of the peer is %v old", age)
 		}
 		if e.a.silence(e.now) > 600*ms || e.b.silence(e.now) > 600*ms {
-			t.Fatal("suspect while all is well")
+			t.Fatal("a healthy link is suspect")
 		}
 	}
 	if e.sent < 18 || e.sent > 22 {
@@ -71,9 +72,9 @@
 	}
 }
 
-// The agent behind an idle link goes silent, and work is sent just before the link would
-// be suspect. From then on its caller must wait no longer than over a link that had work:
-// suspect after 600 ms, dead after 1,500. A link that is suspect already stays so.
+// The agent behind an idle link becomes unresponsive, and work is sent just before the link would
+// be suspect. The caller must not wait longer than over a link that had work: the link must be
+// suspect after 600 ms and dead after 1,500 ms. A link that is already suspect must stay so.
 func TestWorkOnADeadIdleLink(t *testing.T) {
 	e := newLinkEnds()
 	e.run(3 * time.Second)
@@ -83,7 +84,7 @@
 	}
 	workBegan := e.now
 	if !e.a.beginWork(workBegan) {
-		t.Error("no heartbeat at once")
+		t.Error("no heartbeat is due immediately")
 	}
 	for after, maxSilence := range map[time.Duration]time.Duration{590 * ms: 600 * ms, 1490 * ms: 1500 * ms} {
 		if e.a.silence(workBegan+after) > maxSilence || e.a.silence(workBegan+after+20*ms) <= maxSilence {
@@ -92,15 +93,15 @@
 	}
 	e = newLinkEnds()
 	e.run(3 * time.Second)
-	e.now += 10 * time.Second // a pause of this process
+	e.now += 10 * time.Second // The process is paused.
 	if e.a.beginWork(e.now); e.a.silence(e.now) <= 600*ms {
-		t.Error("a link is believed in again that was not heard")
+		t.Error("a silent link is trusted after a pause")
 	}
 }
 
-// Work that must not repeat is about to go over an idle link. When the link works the
-// probe must be answered at once, long before the next heartbeat; when it is silent in
-// one direction the work must not be sent.
+// Work that must not be repeated is about to be sent over an idle link. If the link works, the
+// probe must be answered immediately, long before the next heartbeat. If the link is silent in one
+// direction, the work must not be sent.
 func TestProbeIdleLink(t *testing.T) {
 	for name, broken := range map[string]int{"works": -1, "from the dialer": 0, "to the dialer": 1} {
 		near, far := newRecordingHandler(), newRecordingHandler()
@@ -109,24 +110,25 @@
 		if broken >= 0 {
 			f.dropping[broken].Store(true)
 		}
-		// Not heard within the limit; what was on its way when the link broke has come.
+		// The link was not confirmed within the limit, and data in transit when it broke has
+		// arrived.
 		for s.heartbeatState.sinceConfirmed(clock.Now()) < 1200*ms {
 			time.Sleep(10 * ms)
 		}
 		start := clock.Now()
 		confirmed := s.Probe(context.Background())
 		if took := clock.Now() - start; confirmed != (broken < 0) || confirmed && took > time.Second {
-			t.Errorf("%s: proved %v after %v", name, confirmed, took)
+			t.Errorf("%s: confirmed %v after %v", name, confirmed, took)
 		}
 		s.Close(io.EOF)
 	}
 }
 
-// A rolling update: one side is a process of the version before, which knows of the short
-// interval only and would take the long one for silence. It must be sent what it expects.
+// During a rolling update, one side is a process that knows only the short interval and would
+// mistake the idle one for silence. It must get heartbeats at the short interval.
 func TestIdleLinkToAProcessWithoutIdleInterval(t *testing.T) {
 	e := newLinkEnds()
-	e.b.cfg.IdleInterval = 0 // As one that says nothing of it.
+	e.b.cfg.IdleInterval = 0 // As in a process that does not announce one.
 	e.b.peerIdleInterval = 0
 	for until := 5 * time.Second; e.now < until; {
 		e.run(e.now + 10*ms)
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -16,62 +16,61 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// Config is what every link of a process shares.
+// Config holds the settings that all links of a process share.
 type Config struct {
 	// Self is the hello of this process.
 	Self *api.Hello
 	// Key is the secret that all processes of the system share.
 	Key []byte
-	// OtherKey is taken from the other side as well, while the key is changed VM by
-	// VM; empty for none.
+	// OtherKey is also accepted from peers, while the key is changed VM by VM; empty for none.
 	OtherKey []byte
-	// HeartbeatInterval is the time between heartbeats; SuspectAfter the silence after which
-	// a link gets no new work; DeadAfter the silence after which it is closed.
+	// HeartbeatInterval is the time between heartbeats. A link that is silent for SuspectAfter gets
+	// no new work, and one that is silent for DeadAfter is closed.
 	HeartbeatInterval, SuspectAfter, DeadAfter time.Duration
-	// IdleInterval is the time between heartbeats on a link without work, whose silence may be
-	// longer by the difference; none less than Heartbeat.
+	// IdleInterval is the time between heartbeats on a link without work, which may be silent for
+	// longer by the difference. It is never less than HeartbeatInterval.
 	IdleInterval time.Duration
-	// HeartbeatSender sends the heartbeats of all links that share it; nil for one of its own.
+	// HeartbeatSender sends the heartbeats of all links that share it; nil for a separate one for
+	// each link.
 	HeartbeatSender *HeartbeatSender
-	// BytesIn and BytesOut count the bytes of all links in each direction, without those of
-	// TCP and IP.
+	// BytesIn and BytesOut count the bytes of all links in each direction, without the TCP and IP
+	// overhead.
 	BytesIn, BytesOut metrics.Counter
-	// HeartbeatsOut counts the heartbeats sent on all links; nil for not counting.
+	// HeartbeatsOut counts the heartbeats sent on all links; nil for no count.
 	HeartbeatsOut metrics.Counter
-	// OnWrongKey is told the address of each connection whose other side did not prove the
-	// key; nil for nobody. It must not wait.
+	// OnWrongKey is called with the address of each connection whose peer did not prove the key;
+	// may be nil. It must not block.
 	OnWrongKey func(address string)
 }
 
-// Handler takes what links bring. Its methods are called from many goroutines and
-// must not wait.
+// Handler handles the events of links. Its methods are called from many goroutines and must not
+// block unless stated otherwise.
 type Handler interface {
-	// Up tells that a link stands, before its first message.
+	// Up is called when a link is established, before its first message.
 	Up(s *Session)
-	// Down tells that a link is gone.
+	// Down is called when a link is closed.
 	Down(s *Session, cause error)
-	// Control takes a message of the control stream. For a heartbeat, said is a time
-	// before which the other side cannot have sent it: when the newest heartbeat
-	// that it echoes was sent from here; negative when it echoes none. The time of
-	// arrival would not do: after a pause of this process, what lay in its sockets
-	// would look new.
+	// Control handles a message of the control stream. For a heartbeat, notBefore is a time before
+	// which the peer cannot have sent it: the time at which the newest heartbeat that it echoes was
+	// sent from here; negative if it echoes none. The time of arrival is not usable: after a pause
+	// of this process, data that waited in its sockets would appear new.
 	Control(s *Session, m *api.Control, notBefore time.Duration)
-	// Stream takes a stream that the other side opened. It runs on a goroutine of
-	// its own and may wait; the stream is closed when it returns.
+	// Stream handles a stream opened by the peer. It runs on its own goroutine and may block; the
+	// stream is closed when it returns.
 	Stream(s *Session, open *api.Open, stream *Stream)
-	// Heartbeat returns what the next heartbeat says, as of the call. It may wait
-	// for the process's control state. The counters are filled in by the link.
+	// Heartbeat returns the content of the next heartbeat, as of the call. It may wait for the
+	// control state of the process. The link fills in the counters.
 	Heartbeat() *api.Heartbeat
 }
 
-// maxQueuedMessages is how many control messages may wait for a slow link. Past it the
-// link is closed: the other side cannot be told what it must know, and a new link
-// begins with the whole state.
+// maxQueuedMessages limits the control messages queued for a slow link. Beyond it the link is
+// closed, because the peer misses messages that it must have. A new link starts with the complete
+// state.
 const maxQueuedMessages = 1024
 
-// Session is one link to another process.
+// Session is a link to another process.
 type Session struct {
-	// Peer is what the other side said of itself.
+	// Peer is the peer's hello.
 	Peer *api.Hello
 
 	mux       *yamux.Session
@@ -82,12 +81,12 @@
 	closed    chan struct{}
 	closeOnce sync.Once
 	cause     error
-	// overflowOnce closes the link once.
+	// overflowOnce ensures that an overflow closes the link only once.
 	overflowOnce sync.Once
 
 	heartbeatState *heartbeatState
-	// heartbeats holds the newest heartbeat that is to be sent, reports the newest message
-	// that goes with one.
+	// heartbeats holds the newest heartbeat to send, withHeartbeat the newest message to send
+	// together with one.
 	heartbeats    chan *api.Control
 	withHeartbeat atomic.Pointer[api.Control]
 }
@@ -96,7 +95,8 @@
 	c := yamux.DefaultConfig()
 	c.EnableKeepAlive = false
 	c.ConnectionWriteTimeout = cfg.DeadAfter
-	// A goroutine and a timer for each stream, which the heartbeats of the link make needless.
+	// Disabled: it costs a goroutine and a timer for each stream, and the link's heartbeats make it
+	// unnecessary.
 	c.StreamOpenTimeout = 0
 	c.StreamCloseTimeout = 10 * time.Second
 	c.AcceptBacklog = 4096
@@ -154,7 +154,7 @@
 		_ = conn.Close()
 		return
 	}
-	// A dialer that opens no control stream must not be waited for.
+	// Limits the wait for a dialer that never opens the control stream.
 	timer := time.AfterFunc(cfg.DeadAfter, func() { _ = conn.Close() })
 	controlConn, err := mux.Accept()
 	timer.Stop()
@@ -165,9 +165,9 @@
 	start(mux, newStream(controlConn), peer, cfg, h)
 }
 
-// authenticate proves both sides to each other and exchanges hellos, on the plain
-// connection. There are no streams before the proof: a stranger could open thousands
-// and fill the window of each, which would lie in this process's memory.
+// authenticate proves both sides to each other and exchanges hellos, on the plain connection. There
+// are no streams before the proof: an unauthenticated client could open thousands and fill the
+// window of each, which would stay in the memory of this process.
 func authenticate(conn net.Conn, cfg Config, side string) (*api.Hello, net.Conn, error) {
 	stream := newStream(conn)
 	_ = conn.SetDeadline(time.Now().Add(cfg.DeadAfter))
@@ -179,7 +179,7 @@
 	return peer, &bufferedConn{Conn: conn, reader: stream.reader}, nil
 }
 
-// bufferedConn is a connection of which some bytes have been read already.
+// bufferedConn is a connection that reads through a buffer which may already hold data.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -188,18 +188,18 @@
 // Read implements net.Conn.
 func (r *bufferedConn) Read(p []byte) (int, error) { return r.reader.Read(p) }
 
-// start serves a link that stands.
+// start serves an established link.
 func start(mux *yamux.Session, control *Stream, peer *api.Hello, cfg Config, h Handler) *Session {
 	s := &Session{
-		Peer:       peer,
-		mux:        mux,
-		control:    control,
-		cfg:        cfg,
-		handler:    h,
-		outgoing:   make(chan *api.Control, maxQueuedMessages),
-		closed:     make(chan struct{}),
-		heartbeatState:  newHeartbeatState(cfg, clock.Now()),
-		heartbeats: make(chan *api.Control, 1),
+		Peer:           peer,
+		mux:            mux,
+		control:        control,
+		cfg:            cfg,
+		handler:        h,
+		outgoing:       make(chan *api.Control, maxQueuedMessages),
+		closed:         make(chan struct{}),
+		heartbeatState: newHeartbeatState(cfg, clock.Now()),
+		heartbeats:     make(chan *api.Control, 1),
 	}
 	if cfg.HeartbeatSender == nil {
 		s.cfg.HeartbeatSender = NewHeartbeatSender()
@@ -212,12 +212,12 @@
 	return s
 }
 
-// errControlQueueFull says that the other side does not take what it must know.
-var errControlQueueFull = errors.New("the other side takes control messages too slowly")
+// errControlQueueFull means that the peer receives control messages too slowly.
+var errControlQueueFull = errors.New("the peer reads control messages too slowly")
 
-// Post queues a control message. It never waits: a link that is too slow is closed on a
-// goroutine of its own. Whoever posts may be the one that Down hands its news to, and
-// would wait for itself: the process would answer nobody any more.
+// Post queues a control message. It never blocks: a link that is too slow is closed on a separate
+// goroutine. The caller may be the goroutine that Down waits for; closing the link here could then
+// deadlock the process.
 func (s *Session) Post(m *api.Control) {
 	select {
 	case s.outgoing <- m:
@@ -227,7 +227,7 @@
 	}
 }
 
-// Open opens a stream with its first message.
+// Open opens a stream and sends its first message.
 func (s *Session) Open(open *api.Open) (*Stream, error) {
 	raw, err := s.mux.Open()
 	if err != nil {
@@ -243,7 +243,7 @@
 	return stream, nil
 }
 
-// Close ends the link and every stream on it.
+// Close closes the link and all its streams.
 func (s *Session) Close(cause error) {
 	s.closeOnce.Do(func() {
 		s.cause = cause
@@ -253,7 +253,7 @@
 	})
 }
 
-// Closed is closed with the link.
+// Closed returns a channel that is closed together with the link.
 func (s *Session) Closed() <-chan struct{} { return s.closed }
 
 func (s *Session) isClosed() bool {
@@ -265,8 +265,8 @@
 	}
 }
 
-// Suspect says that the link has been silent, in either direction, for longer
-// than it should: it gets no new work.
+// Suspect reports whether the link has been silent, in either direction, for longer than
+// SuspectAfter. A suspect link gets no new work.
 func (s *Session) Suspect() bool {
 	return s.heartbeatState.silence(clock.Now()) > s.cfg.SuspectAfter
 }
@@ -275,7 +275,7 @@
 	for {
 		m := &api.Control{}
 		if err := s.control.Receive(m); err != nil {
-			s.Close(errors.Wrap(err, "the link was closed"))
+			s.Close(errors.Wrap(err, "receive a control message"))
 			return
 		}
 		now := clock.Now()
@@ -292,7 +292,7 @@
 	for {
 		raw, err := s.mux.Accept()
 		if err != nil {
-			s.Close(errors.Wrap(err, "the link was closed"))
+			s.Close(errors.Wrap(err, "accept a stream"))
 			return
 		}
 		go s.serveStream(newStream(raw))
--- a/internal/link/session_test.go
+++ b/internal/link/session_test.go
@@ -11,12 +11,12 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// forwarder stands between two processes. It can lose track of a direction: bytes go
-// nowhere and both connections stay open.
+// forwarder forwards connections between two processes. It can drop one direction: the bytes are
+// discarded and both connections stay open.
 type forwarder struct {
 	address string
 	to      string
-	// dropping is one flag for each direction, from the dialer and to it.
+	// dropping has a flag for each direction, from the dialer and to it.
 	dropping [2]atomic.Bool
 }
 
@@ -60,14 +60,14 @@
 	}
 }
 
-// recordingHandler is a handler that keeps what it is told.
+// recordingHandler is a handler that records its calls.
 type recordingHandler struct {
 	mu        sync.Mutex
 	session   *Session
 	down      chan error
 	stream    func(stream *Stream)
 	control   func(m *api.Control)
-	blockDown chan struct{} // Down waits for it, if set
+	blockDown chan struct{} // if set, Down blocks until it is closed
 }
 
 func newRecordingHandler() *recordingHandler { return &recordingHandler{down: make(chan error, 8)} }
@@ -129,22 +129,22 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// Something between two processes loses track of their connection, in one direction or
-// in both. Each side must stop giving work to it while it is suspect, and close it when
-// it is dead, although its own direction may still work.
+// A connection is lost between two processes, in one direction or in both. Each side must stop
+// sending work over the link while it is suspect, and close it when it is dead, even if its own
+// direction still works.
 func TestSilentLinkIsSuspectThenClosed(t *testing.T) {
 	for name, dropping := range map[string][2]bool{"from the dialer": {true, false}, "to the dialer": {false, true}, "both": {true, true}} {
 		near, far := newRecordingHandler(), newRecordingHandler()
 		s, f := pair(t, near, far)
 		time.Sleep(50 * time.Millisecond)
 		if s.Suspect() {
-			t.Errorf("%s: suspect while all is well", name)
+			t.Errorf("%s: a healthy link is suspect", name)
 		}
 		f.dropping[0].Store(dropping[0])
 		f.dropping[1].Store(dropping[1])
@@ -158,18 +158,18 @@
 			select {
 			case <-r.down:
 			case <-time.After(2 * time.Second):
-				t.Fatalf("%s: a dead link stands", name)
+				t.Fatalf("%s: a dead link was not closed", name)
 			}
 		}
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("%s: dead only after %v", name, took)
+			t.Errorf("%s: closed only after %v", name, took)
 		}
 	}
 }
 
-// A peer takes no control messages while this process has many for it. Post never waits;
-// past the bound that link is closed and no other; and it does not wait for Down either:
-// the goroutine that posts is the one that Down hands its news to.
+// A peer does not read control messages while many are sent to it. Post must not block. When the
+// queue is full, that link must be closed and no other. Post must not wait for Down either, since
+// the goroutine that posts may be the one that Down waits for.
 func TestFullControlQueueClosesOnlyItsLink(t *testing.T) {
 	release := make(chan struct{})
 	near, far := newRecordingHandler(), newRecordingHandler()
@@ -189,13 +189,13 @@
 	select {
 	case <-posted:
 	case <-time.After(3 * time.Second):
-		t.Error("Post waits")
+		t.Error("Post blocks")
 	}
 	close(near.blockDown)
 	select {
 	case <-near.down:
 	case <-time.After(2 * time.Second):
-		t.Error("the link stands")
+		t.Error("the link was not closed")
 	}
 	select {
 	case <-other.Closed():
@@ -204,8 +204,8 @@
 	}
 }
 
-// A caller does not read its answer, and the window of that stream is full. Heartbeats
-// and the other streams of the link must go on.
+// A caller does not read its answer, and the window of that stream is full. Heartbeats and the
+// other streams of the link must continue.
 func TestFullWindowBlocksOnlyItsStream(t *testing.T) {
 	far := newRecordingHandler()
 	release := make(chan struct{})
@@ -247,11 +247,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if s.Suspect() {
-		t.Error("the heartbeats are held up")
+		t.Error("the heartbeats are blocked")
 	}
 	select {
 	case err := <-full:
-		t.Errorf("the window took 4 MB: %v", err)
+		t.Errorf("the window accepted 4 MB: %v", err)
 	default:
 	}
 }
