--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -6,23 +6,24 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// idleFraction is the part of the freshness limit that may pass between two heartbeats of a
-// link without work. Evidence of another process is then at most a third of the limit old
-// before the next comes; its own may have been half old, by a read of the log that waited
-// and the next one. Half of the limit, or one heartbeat a second at the usual settings,
-// would let a process that cannot read the log fence itself by a delay of nothing.
+// idleFraction is the fraction of the freshness limit, as a divisor, that may pass between two
+// heartbeats of a link without work. Evidence from another process is then at most a third of the
+// limit old when the next heartbeat arrives, on top of its age at the sender, which may be half of
+// the limit: a read of the log that waited, and the next one. With half of the limit, or with one
+// heartbeat a second at the default settings, a process that cannot read the log would fence itself
+// after the slightest delay.
 const idleFraction = 3
 
 // idleHeartbeatInterval returns the time between heartbeats on a link without work, a multiple of
-// that on one with work.
+// the interval on a link with work.
 func idleHeartbeatInterval(o *api.Links) time.Duration {
 	interval := millis(o.GetHeartbeatMs())
 	return max(1, millis(o.GetFreshnessMs())/idleFraction/interval) * interval
 }
 
-// changesHeartbeats says whether heartbeats say something else than they did in an older state. Peers
-// then hear of it with the next tick, as if the links had work: a change is in force only
-// once all have shown that they hold it, and a process that stops gets no new work.
+// changesHeartbeats reports whether heartbeats carry something else than in an older state. Peers
+// are then told at the next tick, as on links with work: a change is in force only once all members
+// have shown that they hold it, and a process that stops must get no new work.
 func (s *State) changesHeartbeats(old *State) bool {
 	return s.View.Applied() != old.View.Applied() || s.Mode != old.Mode || s.Draining != old.Draining || s.Linked != old.Linked
 }
--- a/internal/member/beat_bench_test.go
+++ b/internal/member/beat_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// BenchmarkHeartbeat takes in one heartbeat at a process with so many links.
+// BenchmarkHeartbeat handles one heartbeat in a process with the given number of links.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, links := range []int{22, 370, 3700} {
 		b.Run(fmt.Sprint(links), func(b *testing.B) {
--- a/internal/member/beat_test.go
+++ b/internal/member/beat_test.go
@@ -10,15 +10,15 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// twoThirdsLinks has the proportions of the settings at two thirds of their times: at a third, a
-// busy machine's pauses of 200 ms make a link suspect.
+// twoThirdsLinks has all times of the default settings scaled to two thirds. With a third, pauses
+// of 200 ms on a busy machine make links suspect.
 var twoThirdsLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 400, DeadMs: 1000, FreshnessMs: 1332}
 
-// longIdleLinks has idle links that beat once in ten seconds: what does not wait for that is told
-// from what does on the busiest machine.
+// longIdleLinks has a heartbeat every ten seconds on idle links, so that what waits for one is told
+// from what does not, even on a busy machine.
 var longIdleLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 4000, DeadMs: 10_000, FreshnessMs: 30_000}
 
-// startIdleEntries starts three entries without work; only the first can read the log.
+// startIdleEntries starts three entries without work. Only the first can read the log.
 func startIdleEntries(t *testing.T, f *fakePlatform, links *api.Links) [3]*testNode {
 	t.Helper()
 	noLogClient := f.withoutLog(t)
@@ -43,12 +43,12 @@
 	return nodes
 }
 
-// Nobody has work, and the links beat slowly. One entry reads the log, then none does.
-// The two that go by heartbeats alone must not refuse as isolated for a moment, nor may
-// any link be suspect.
+// No entry has work, so heartbeats are sent at the idle interval. At first one entry reads the log,
+// then none can. The two that rely on heartbeats must never refuse requests as isolated, and no
+// link may become suspect.
 func TestIdleLinksKeepEvidenceFresh(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a pause of 400 ms by the machine looks like a silent link: make race")
+		t.Skip("a pause of the machine of 400 ms makes a link suspect: use make race")
 	}
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -70,11 +70,11 @@
 			}
 		}
 	}
-	t.Logf("evidence was good for at least %v more", shortest)
+	t.Logf("evidence stayed valid for at least %v more", shortest)
 }
 
-// Links beat slowly, and a process stops, or a change comes. The others must know, and
-// must be known to know, as soon as over links with work.
+// On links with idle heartbeats, a process stops or a change arrives. The others must learn of it,
+// and must be known to have learned of it, as soon as on links with work.
 func TestUpdatesDoNotWaitForIdleHeartbeats(t *testing.T) {
 	f := newFakePlatform(t)
 	nodes := startIdleEntries(t, f, longIdleLinks)
@@ -84,7 +84,7 @@
 		f.mark(t, id, int64(i-1))
 		allApplied(t, int64(i), nodes[:]...)
 		start := clock.Now()
-		eventually(t, "all are known to hold it", func() bool {
+		eventually(t, "all are known to have applied it", func() bool {
 			known := true
 			for _, n := range nodes {
 				n.Do(func() {
@@ -101,8 +101,8 @@
 	nodes[1].SetDraining()
 	eventually(t, "the stop", func() bool { return !nodes[0].peer("e2").Usable() && !nodes[2].peer("e2").Usable() })
 	stop := clock.Now() - start
-	t.Logf("known after %v, a stop after %v", took, stop)
+	t.Logf("a change is known after %v, a stop after %v", took, stop)
 	if limit := idleHeartbeatInterval(longIdleLinks) / 3; took > limit || stop > limit {
-		t.Errorf("known after %v, a stop after %v: they waited for a heartbeat of an idle link", took, stop)
+		t.Errorf("a change is known after %v, a stop after %v: they waited for an idle heartbeat", took, stop)
 	}
 }
--- a/internal/member/changes.go
+++ b/internal/member/changes.go
@@ -9,26 +9,27 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// maxTrackedChanges bounds the changes whose way to all members is followed at once.
+// maxTrackedChanges limits the number of changes whose distribution to all members is tracked at
+// the same time.
 const maxTrackedChanges = 256
 
-// trackedChange is a change whose way to all members is trackedChange.
+// trackedChange is a change whose distribution to all members is tracked.
 type trackedChange struct {
 	acceptance *config.Acceptance
-	// lastAsked is when reporters were last lastAsked about it.
+	// lastAsked is when reporters were last asked about the change.
 	lastAsked time.Duration
 }
 
-// ChangeProgress is how far a change has come.
+// ChangeProgress is the state of a change on its way to all members.
 type ChangeProgress struct {
-	// Verdict is nil while no applied record carries the change.
+	// Verdict is nil until an applied record contains the change.
 	Verdict *api.Verdict
 	State   config.AcceptanceState
-	// Missing names the live members that have not shown that they hold it.
+	// Missing lists the live members that have not shown that they hold the change.
 	Missing []string
 }
 
-// Change tells how far a change has come, and follows it from the first question on.
+// Change returns the progress of a change, and tracks the change from the first call on.
 func (n *Node) Change(changeID string) ChangeProgress {
 	var progress ChangeProgress
 	n.Do(func() { progress = n.changeProgress(changeID) })
@@ -70,9 +71,9 @@
 	n.trackedChanges[changeID] = tracked
 }
 
-// updateAcceptance tells an acceptance what every member has shown. A process that is linked and not
-// on the list counts only while it lacks the change: package fresh takes its majorities
-// from the list, and one that was reached by others would not meet them.
+// updateAcceptance passes to an acceptance what each member has shown. A process that is linked but
+// not on the list of VMs counts only while it lacks the change. Package fresh determines majorities
+// from the list, so a majority that includes an unlisted process need not overlap with those.
 func (n *Node) updateAcceptance(acceptance *config.Acceptance, now time.Duration) {
 	listed := make(map[string]bool, len(n.vms))
 	for _, vm := range n.vms {
@@ -96,7 +97,7 @@
 	}
 }
 
-// recordRemovedVMs remembers the VMs that have left the platform's list, until they return.
+// recordRemovedVMs records the VMs that have left the platform's list, until they return.
 func (n *Node) recordRemovedVMs(vms []platform.VM) {
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -113,8 +114,8 @@
 	}
 }
 
-// maxRemovedVMs bounds the VMs remembered as gone: a few days' worth at the size designed
-// for.
+// maxRemovedVMs limits the number of removed VMs that are kept: a few days of them in the largest
+// supported system.
 const maxRemovedVMs = 8192
 
 func roleOf(vm platform.VM) api.Role {
@@ -124,7 +125,7 @@
 	return api.Role_ROLE_AGENT
 }
 
-// MemberStatus is one process of the system as this one last heard of it.
+// MemberStatus is the state of a process of the system as last reported to this one.
 type MemberStatus struct {
 	VM            string
 	Role          api.Role
@@ -132,21 +133,21 @@
 	Incarnation   string
 	Version       string
 	Applied       int64
-	Link          string // "up", "suspect", "down", or empty where none is meant to be
+	Link          string // "up", "suspect", "down", or empty where there should be none
 	Ready         bool
 	Draining      bool
 	Leaving       bool
 }
 
-// Overview is what a member knows of itself and of the others.
+// Overview is what a member knows about itself and about the other members.
 type Overview struct {
 	Knowledge    *api.Knowledge
-	LogDownFor   time.Duration // since the log last answered; 0 while it does
+	LogDownFor   time.Duration // since the first read of the log that failed; 0 while the log answers
 	Members      []MemberStatus
 	LogReachable bool
 }
 
-// Overview returns what operators are shown.
+// Overview returns the overview that is shown to operators.
 func (n *Node) Overview() Overview {
 	var o Overview
 	n.Do(func() {
@@ -192,7 +193,7 @@
 	return statuses
 }
 
-// absentLinkState is what operators are shown of a VM without a link.
+// absentLinkState returns the link state that is shown to operators for a VM without a link.
 func (n *Node) absentLinkState(vm platform.VM) string {
 	if n.isUnlinkedByDesign(vm) {
 		return ""
@@ -215,8 +216,8 @@
 	}
 }
 
-// List returns a list in force with the verdict of the change that made it, while
-// that is remembered.
+// List returns a list in force, and the verdict of the change that created it as long as the
+// verdict is kept.
 func (n *Node) List(list api.ListName) (int64, []*api.Section, *api.Verdict) {
 	view := n.State().View
 	offset := view.ListOffset(list)
--- a/internal/member/counts.go
+++ b/internal/member/counts.go
@@ -8,17 +8,17 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// countsFraction is the part of the freshness limit after which counts are sent again.
-// From an agent to an entry that it does not know they pass its entry, one that hears
-// most of its failure domain, and one of another domain: with half of the limit gone
-// before counts are sent at all, four times this must fit into the other half.
+// countsFraction is the fraction of the freshness limit, as a divisor, after which counts are sent
+// again. On the way from an agent to an entry that it has no link to, counts pass through its
+// entry, one that hears most of its failure domain, and one in another domain. Half of the limit
+// has passed before counts are sent at all, so four intervals must fit into the other half.
 const countsFraction = 10
 
-// sendCounts tells the entries that are linked what this one knows of all members,
-// while its evidence grows old. A process that hears only some of the members goes on
-// with that in an outage of the log; while the log answers, nothing is sent.
+// sendCounts tells the linked entries what this one knows about all members, when its evidence
+// becomes old. This lets processes that hear only some of the members continue in an outage of the
+// log. While the log answers, nothing is sent.
 //
-// Agents get none: they live on the evidence of their entries.
+// Agents get no counts: they rely on the evidence of their entries.
 func (n *Node) sendCounts(now time.Duration) {
 	if n.options.Self.GetRole() != api.Role_ROLE_ENTRY || !n.fresh.NeedsCounts(now) {
 		return
@@ -40,11 +40,11 @@
 	}
 }
 
-// handleCounts takes what another entry counts. A link keeps the order of messages, so
-// that the counts were made after the last heartbeat on it was said.
+// handleCounts handles the counts of another entry. A link keeps the order of messages, so the
+// counts are newer than the last heartbeat on it.
 func (n *Node) handleCounts(p *peer, counts *api.Counts) {
 	if !p.hasReported {
-		return // Nothing says yet how old they may be.
+		return // The age of the counts is unknown.
 	}
 	before := n.fresh.State(clock.Now())
 	n.fresh.HandleCounts(p.published.Hello.GetVm(), p.notBefore, counts, n.fold.Applied())
@@ -53,7 +53,7 @@
 	}
 }
 
-// domainsOf returns the failure domain of each entry of the list.
+// domainsOf returns the failure domain of each entry on the list.
 func domainsOf(vms []platform.VM) map[string]string {
 	domains := make(map[string]string)
 	for _, vm := range vms {
--- a/internal/member/counts_test.go
+++ b/internal/member/counts_test.go
@@ -10,15 +10,15 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// relaxedLinks leaves room for a busy machine: with a limit of 600 ms, and all other tests
-// beside it, a count was now and then too old after four links. Its heartbeats are half as
-// frequent in parts of the limit.
+// relaxedLinks allows for a busy machine. With a freshness limit of 600 ms and other tests running,
+// counts were sometimes too old after four links. Heartbeats are half as frequent in relation to
+// the limit.
 var relaxedLinks = &api.Links{Key: "key", HeartbeatMs: 50, SuspectMs: 300, DeadMs: 800, FreshnessMs: 1500}
 
-// startSparselyLinked starts nine entries and two agents in three failure domains. Each entry hears
-// those of its own domain; one pair joins the first domain to the second, another the
-// second to the third, and each agent has one entry. So nobody hears a majority of the
-// entries, or of all.
+// startSparselyLinked starts nine entries and two agents in three failure domains. Each entry is
+// linked to those of its own domain. One pair of entries links the first domain to the second,
+// another the second to the third, and each agent has one entry. So no process hears a majority of
+// the entries, or of all members.
 func startSparselyLinked(t *testing.T, f *fakePlatform) []*testNode {
 	t.Helper()
 	start := func(vm, role, domain string, dials ...string) *testNode {
@@ -50,11 +50,10 @@
 	}
 }
 
-// The log goes out, and no process hears a majority of the entries. All go on with what
-// others have counted: without counts each would find itself isolated, and a caller
-// would be refused everywhere. Then the first domain is cut off. It must refuse within
-// the freshness limit, though what the others said before the cut was a majority; the
-// others, still one, must not.
+// The log fails, and no process hears a majority of the entries. All must continue with what others
+// have counted; without counts each would consider itself isolated and refuse every request. Then
+// the first domain is cut off. It must refuse within the freshness limit, although the counts from
+// before the cut show a majority. The others, who are still a majority, must not refuse.
 func TestCountsKeepServiceInALogOutage(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -70,7 +69,7 @@
 	expectNoRefusal(t, "beside an island", others)
 }
 
-// expectNoRefusal fails when a member refuses within four freshness limits.
+// expectNoRefusal fails the test if a member refuses within four freshness limits.
 func expectNoRefusal(t *testing.T, when string, nodes []*testNode) {
 	t.Helper()
 	refused := make(map[string]int)
--- a/internal/member/demand.go
+++ b/internal/member/demand.go
@@ -8,23 +8,23 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// errLinkNotNeeded ends a link that this process has no use for any more.
-var errLinkNotNeeded = errors.New("the link is not needed any more")
+// errLinkNotNeeded closes a link that this process no longer needs.
+var errLinkNotNeeded = errors.New("the link is no longer needed")
 
-// DialMissing dials what Options.Dials now asks for, without a wait for the next tick. A
-// VM that is being dialled, or could not be dialled a moment ago, is left alone, so that
-// it may be called for each request that misses a link.
+// DialMissing dials the VMs that Options.ShouldDial selects and that are not linked, without
+// waiting for the next tick. It skips a VM that is being dialed or could not be dialed a moment
+// ago, so it may be called for each request that lacks a link.
 func (n *Node) DialMissing() {
 	n.post(n.Redial)
 }
 
-// Redial is DialMissing on the control goroutine, as hooks run: posting to itself, that
-// one could wait for itself.
+// Redial is DialMissing for callers on the control goroutine, such as hooks. DialMissing would
+// block there when the queue of that goroutine is full.
 func (n *Node) Redial() { n.dialMissing(clock.Now()) }
 
-// DropLinks closes the links to a VM. It runs on the control goroutine, as hooks do. The peer
-// is out of the state that traffic reads when it returns, so that nobody begins anything
-// on a link that is about to close; what is under way on it is the caller's to wait for.
+// DropLinks closes the links to a VM. It must be called on the control goroutine, as hooks are.
+// When it returns, the peer is no longer in the published State, so that no new request starts on a
+// link that is about to close. The caller must wait for the requests in flight on it beforehand.
 func (n *Node) DropLinks(vm string) {
 	delete(n.byVM, vm)
 	for s := range n.peers {
@@ -36,13 +36,13 @@
 	n.peersChanged()
 }
 
-// isUnlinkedByDesign says that no link to a VM is meant to be: between two agents, and between an
-// entry and an agent outside its subset. Calling it down would raise an alarm on every
-// process.
+// isUnlinkedByDesign reports whether there should be no link to a VM: between two agents, and
+// between an entry and an agent outside its subset. Reporting such a link as down would raise an
+// alarm on every process.
 func (n *Node) isUnlinkedByDesign(vm platform.VM) bool {
 	self, other := n.options.Self.GetRole(), roleOf(vm)
 	if self == api.Role_ROLE_AGENT {
-		// Which entries have this agent in their subset is not known here.
+		// An agent does not know which entries have it in their subsets.
 		return other == api.Role_ROLE_AGENT || n.options.Links.GetAgentsPerOffer() > 0
 	}
 	return other == api.Role_ROLE_AGENT && !n.options.ShouldDial(vm)
--- a/internal/member/fake_test.go
+++ b/internal/member/fake_test.go
@@ -22,7 +22,7 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// fakePlatform is a log and a list of VMs in memory.
+// fakePlatform serves a log and a list of VMs from memory.
 type fakePlatform struct {
 	mu         sync.Mutex
 	client     *platform.Client
@@ -31,7 +31,7 @@
 	vms        []platform.VM
 	down       bool
 	full       bool // appends fail
-	maxRecords int  // an answer of more records is cut short; 0 for no bound
+	maxRecords int  // a response with more records is truncated; 0 for no limit
 	appends    int
 	reads      int
 }
@@ -48,7 +48,7 @@
 	return f
 }
 
-// withoutLog returns another way to the platform, by which the log does not answer.
+// withoutLog returns a client of the same platform for which the log does not answer.
 func (f *fakePlatform) withoutLog(t *testing.T) *platform.Client {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/vms" {
@@ -108,14 +108,14 @@
 	_ = json.NewEncoder(w).Encode(response)
 }
 
-// set changes the platform's state.
+// set changes the platform's state under its lock.
 func (f *fakePlatform) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// mark appends a mark of a VM that nobody knows.
+// mark appends a mark of a VM that does not exist.
 func (f *fakePlatform) mark(t *testing.T, id string, base int64) {
 	t.Helper()
 	body := &api.Mark{Target: api.MarkTarget_TARGET_VM, Name: "elsewhere", Out: true, Base: base}
@@ -126,16 +126,16 @@
 	f.set(func() { f.records = append(f.records, data) })
 }
 
-// testNode is a member on loopback.
+// testNode is a member that listens on the loopback interface.
 type testNode struct {
 	*Node
 	stop func()
 }
 
-// fastLinks makes faults show within a fraction of a second.
+// fastLinks has short times, so that faults are detected within a fraction of a second.
 var fastLinks = &api.Links{Key: "key", HeartbeatMs: 10, SuspectMs: 150, DeadMs: 400, FreshnessMs: 600}
 
-// start runs a member and puts its VM on the platform's list.
+// start runs a member and adds its VM to the platform's list.
 func (f *fakePlatform) start(t *testing.T, vm, role string, change func(*Options)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -175,7 +175,7 @@
 	return n
 }
 
-// logBuffer is a log that a test reads.
+// logBuffer collects log lines for a test.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -194,13 +194,13 @@
 	return strings.Count(l.text.String(), part)
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(8 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -210,14 +210,14 @@
 
 func (n *testNode) peer(vm string) *Peer { return n.State().Peers[vm] }
 
-// closeLink ends the link to a VM.
+// closeLink closes the link to a VM.
 func (n *testNode) closeLink(vm string) {
 	if p := n.peer(vm); p != nil {
 		p.Session.Close(link.ErrWrongKey)
 	}
 }
 
-// forwarder stands between two members and can lose track of the connections it has.
+// forwarder forwards connections between two members and can drop the traffic of those that exist.
 type forwarder struct {
 	address  string
 	mu       sync.Mutex
@@ -268,7 +268,7 @@
 	}
 }
 
-// dropAll makes the bytes of all connections so far go nowhere.
+// dropAll discards all further bytes of the existing connections.
 func (f *forwarder) dropAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// maxReadRecords is how many records one read of the log asks for.
+	// maxReadRecords is the number of records that one read of the log requests.
 	maxReadRecords = 256
-	// refetchInterval is how long an answer to a fetch from a peer is waited for
-	// before another fetch is sent.
+	// refetchInterval is how long to wait for the answer to a fetch from a peer before sending
+	// another one.
 	refetchInterval = 100 * time.Millisecond
 )
 
-// The results that log lines of failures carry.
+// Result labels for the log lines of failures.
 var (
 	logUnavailable = result.Label(api.ResultCode_LOG_UNAVAILABLE)
 	unreachable    = result.Label(api.ResultCode_UNREACHABLE)
 )
 
-// handleMessage takes one control handleMessage of a link.
+// handleMessage handles a control message of a link.
 func (n *Node) handleMessage(s *link.Session, m *api.Control, notBefore time.Duration) {
 	p, ok := n.peers[s]
 	if !ok {
@@ -57,7 +57,7 @@
 func (n *Node) handleHeartbeat(p *peer, heartbeat *api.Heartbeat, notBefore time.Duration) {
 	knowledge := heartbeat.GetKnowledge()
 	if knowledge == nil {
-		// A process that is ending has no state to speak of any more.
+		// A process that is shutting down no longer has a state to report.
 		return
 	}
 	changed := p.draining != heartbeat.GetDraining()
@@ -71,14 +71,15 @@
 	}
 	n.fetchFrom(p, knowledge.GetApplied())
 	p.draining = heartbeat.GetDraining()
-	// What else a heartbeat changes, the age of the evidence, is made visible once a
-	// tick: doing it here would look over all links for each heartbeat of each link.
+	// The other change that a heartbeat makes, to the age of the evidence, is published once a
+	// tick. Publishing iterates over all links, so doing it for each heartbeat would cost the
+	// square of the number of links.
 	if changed {
 		n.peersChanged()
 	}
 }
 
-// fetchFrom asks a peer that has applied more for what this process lacks.
+// fetchFrom requests the records that this process lacks from a peer that has applied more.
 func (n *Node) fetchFrom(p *peer, applied int64) {
 	now := clock.Now()
 	if applied <= n.fold.Applied() || now-n.lastFetch < refetchInterval {
@@ -89,7 +90,7 @@
 	p.published.Session.Post(&api.Control{Body: &api.Control_Fetch{Fetch: fetch}})
 }
 
-// sendRecords answers a peer's fetch, or pushes what the peer lacks.
+// sendRecords answers a peer's fetch, or pushes the records that the peer lacks.
 func (n *Node) sendRecords(p *peer, after int64) {
 	records := n.reader.RecordsAfter(after)
 	if len(records.GetRecords()) == 0 && records.GetSnapshot() == nil {
@@ -108,14 +109,14 @@
 	}
 	progress, err := n.reader.HandlePeer(records)
 	if err != nil {
-		_ = n.logger.Log("msg", "A peer sent what cannot be folded.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
+		_ = n.logger.Log("msg", "Records from a peer could not be applied.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
 	}
 	n.lastFetch = 0
 	n.publishAdvance(progress.Advanced)
 }
 
-// publishAdvance makes new records known here and passes them on, so that a change is
-// everywhere in a few milliseconds and reaches those that cannot read the log.
+// publishAdvance publishes newly applied records and pushes them to the peers, so that a change
+// reaches all members within a few milliseconds, including those that cannot read the log.
 func (n *Node) publishAdvance(advanced bool) {
 	if !advanced {
 		return
@@ -129,16 +130,16 @@
 	}
 }
 
-// logFollower is the goroutine that reads the log.
+// logFollower reads the log on its own goroutine.
 type logFollower struct {
 	node *Node
-	// maxRecords is how many records the next read asks for. An answer that is too large
-	// to be taken would fail again for ever, so that each failure halves it.
+	// maxRecords is the number of records that the next read requests. Each failure halves it,
+	// because the read of a response that is too large would otherwise fail forever.
 	maxRecords int
 	failing    bool
 }
 
-// followLog reads the log and hands what it finds to the control goroutine.
+// followLog reads the log and passes the records to the control goroutine.
 func (n *Node) followLog(ctx context.Context) error {
 	follower := logFollower{node: n, maxRecords: maxReadRecords}
 	for ctx.Err() == nil {
@@ -163,10 +164,10 @@
 	return ctx.Err()
 }
 
-// read makes one read.
+// read reads the log once.
 func (f *logFollower) read(ctx context.Context, fetch config.Fetch, maxWait time.Duration) {
 	n := f.node
-	// The answer proves what the tail was at some time after this moment.
+	// The response shows the tail of the log as of some time after this moment.
 	sent := clock.Now()
 	batch, err := n.options.Platform.Read(ctx, fetch.From, f.maxRecords, maxWait)
 	var expired *platform.ExpiredError
@@ -200,8 +201,9 @@
 	sleep(ctx, n.options.LogPollInterval)
 }
 
-// waitUnlessAdvanced waits when a read has brought nothing: a log that does not hold its answer
-// back, or that has no snapshot for a gap, would otherwise be asked without a pause.
+// waitUnlessAdvanced waits for the poll interval after a read without progress. Otherwise a log
+// that does not hold back its response, or that has no snapshot for a gap, would be read in a busy
+// loop.
 func (f *logFollower) waitUnlessAdvanced(ctx context.Context, fetch config.Fetch, sent time.Duration) {
 	var next config.Fetch
 	f.node.Do(func() { next = f.node.reader.NextFetch() })
@@ -222,8 +224,8 @@
 	n.publish()
 }
 
-// fetchFromPeers fetches from the peer that has applied most, when the log cannot give what
-// this process needs, and gives it a little time to answer.
+// fetchFromPeers fetches from the peer that has applied most, when the log cannot provide what this
+// process needs, and waits a short time for its answer.
 func (n *Node) fetchFromPeers(ctx context.Context) {
 	asked := false
 	n.Do(func() {
@@ -252,7 +254,7 @@
 	})
 }
 
-// followVMs reads the platform's list of VMs.
+// followVMs polls the platform's list of VMs.
 func (n *Node) followVMs(ctx context.Context) error {
 	var last *platform.VMList
 	for ctx.Err() == nil {
@@ -267,19 +269,19 @@
 			})
 			last = list
 		} else if err != nil && ctx.Err() == nil {
-			_ = n.logger.Log("msg", "The platform's list of VMs cannot be read. The last one is kept.", "result", unreachable, "err", err)
+			_ = n.logger.Log("msg", "The platform's list of VMs could not be read. The previous list is kept.", "result", unreachable, "err", err)
 		}
 		sleep(ctx, n.options.VMsPollInterval)
 	}
 	return ctx.Err()
 }
 
-// setVMs takes the list of VMs. An empty one is a fault of the platform: this VM is
-// alive, and would be on it. Taken at its word, it would empty the acceptance of every
-// change and end the dialling of links.
+// setVMs applies a list of VMs. An empty list is a fault of the platform, because this VM is live
+// and should be on it. Applying it would remove all members from the acceptance of each change and
+// stop the dialing of links.
 func (n *Node) setVMs(vms []platform.VM) {
 	if len(vms) == 0 {
-		_ = n.logger.Log("msg", "The platform's list of VMs is empty. The last one is kept.", "result", unreachable)
+		_ = n.logger.Log("msg", "The platform's list of VMs is empty. The previous list is kept.", "result", unreachable)
 		return
 	}
 	n.recordRemovedVMs(vms)
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -9,8 +9,8 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// selectReporters chooses the reporters; nil where entries link to all agents, and for a list
-// without VMs, which is a fault of the platform.
+// selectReporters returns the reporters for a list of VMs; nil where entries link to all agents,
+// and for a list without VMs, which is a fault of the platform.
 func (n *Node) selectReporters(vms []platform.VM) *config.Reporters {
 	if n.options.Hooks.SelectReporters == nil {
 		return nil
@@ -22,9 +22,9 @@
 	return config.NewReporters(byAgent)
 }
 
-// requestHolders asks the entries that report for the missing agents. An operator who waits
-// looks every few milliseconds; what agents say changes with their heartbeats, so that
-// entries are asked no more often.
+// requestHolders asks the entries that report for the missing agents. An operator's client polls
+// every few milliseconds, but the reports of agents change with their heartbeats, so entries are
+// asked at most once per heartbeat interval.
 func (n *Node) requestHolders(change *trackedChange, missing []string, now time.Duration) {
 	if n.reporters == nil || now-change.lastAsked < n.link.HeartbeatInterval {
 		return
@@ -48,15 +48,15 @@
 	}
 }
 
-// requestAgentLinks sees to it that the agents that this entry reports for are linked while
-// somebody asks: where there are more agents than links, some have no entry at all.
+// requestAgentLinks requests links to the agents that this entry reports for while another process
+// asks about them. Where there are more agents than links, some agents have no entry otherwise.
 func (n *Node) requestAgentLinks() {
 	for _, agent := range n.reporters.AgentsOf(n.options.Self.GetVm()) {
 		n.options.Hooks.RequestLink(agent)
 	}
 }
 
-// reportHolders answers another entry that follows a change.
+// reportHolders answers an entry that tracks a change.
 func (n *Node) reportHolders(p *peer, offset int64) {
 	if n.reporters == nil || n.options.Self.GetRole() != api.Role_ROLE_ENTRY {
 		return
@@ -67,8 +67,8 @@
 	p.published.Session.Post(&api.Control{Body: &api.Control_Holders{Holders: holders}})
 }
 
-// appliedReport is what the process on a VM last said of itself over the newest link to it. A new
-// process has a new link, on which nothing was said yet.
+// appliedReport returns what the process on a VM last reported over the newest link to it. A new
+// process has a new link, on which nothing has been reported yet.
 func (n *Node) appliedReport(vm string) (config.AppliedReport, bool) {
 	p := n.byVM[vm]
 	if p == nil || !p.hasReported {
@@ -77,9 +77,9 @@
 	return config.AppliedReport{Applied: p.applied, NotBefore: p.notBefore}, true
 }
 
-// handleHolders takes what another entry reports. A link keeps the order of messages, so
-// that the report was made after the last heartbeat on it was said. On an older link there
-// may be an older report, which must not take the place of a later one.
+// handleHolders handles the report of another entry. A link keeps the order of messages, so the
+// report is newer than the last heartbeat on it. Reports over an older link to that entry are
+// ignored, as they may be older and must not replace a newer one.
 func (n *Node) handleHolders(p *peer, holders *api.Holders) {
 	entry := p.published.Hello.GetVm()
 	if !p.hasReported || p.published.Hello.GetRole() != api.Role_ROLE_ENTRY || n.byVM[entry] != p {
@@ -90,7 +90,7 @@
 	}
 }
 
-// isHeard says that a VM is linked and not silent.
+// isHeard reports whether a VM is linked and its link is not suspect.
 func (n *Node) isHeard(vm string) bool {
 	p := n.byVM[vm]
 	return p != nil && p.hasReported && !p.published.Session.Suspect()
--- a/internal/member/holders_test.go
+++ b/internal/member/holders_test.go
@@ -11,11 +11,11 @@
 	"github.com/apricothub/apricothub/internal/link"
 )
 
-// An agent is replaced. Its new process has a link, and has said nothing on it yet: its
-// reporter must not give its predecessor's word. A report that comes over an older link of
-// the reporter, from an agent, or before any heartbeat must not be taken: its time is
-// not known, or it is older than what was taken. Each would let an operator be told that
-// a change is in force which the new process lacks.
+// An agent is replaced, and its new process has reported nothing yet on its link: its reporter must
+// not return the report of the previous process. A report over an older link of the reporter, from
+// an agent, or before any heartbeat must be ignored, because its time is unknown or it is older
+// than the current report. Otherwise an operator would be told that a change is in force which the
+// new process lacks.
 func TestReportsOfOlderLinksAreIgnored(t *testing.T) {
 	now := time.Hour
 	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: fastLinks, Logger: log.NewNopLogger()})
@@ -25,11 +25,11 @@
 	}
 	n.byVM["a1"] = newPeer("a1", api.Role_ROLE_AGENT, true)
 	if w, ok := n.appliedReport("a1"); !ok || w != (config.AppliedReport{Applied: 5, NotBefore: now}) {
-		t.Errorf("of a1: %v, %v", w, ok)
+		t.Errorf("report of a1: %v, %v", w, ok)
 	}
 	n.byVM["a1"] = newPeer("a1", api.Role_ROLE_AGENT, false)
 	if _, ok := n.appliedReport("a1"); ok {
-		t.Error("a new process has the word of its predecessor")
+		t.Error("a new process has the report of its predecessor")
 	}
 	delete(n.byVM, "a1")
 	report := n.reporters.BuildHolders("e2", 5, time.Second, now, func(string) (config.AppliedReport, bool) {
@@ -46,11 +46,11 @@
 	older, newest := newPeer("e2", api.Role_ROLE_ENTRY, true), newPeer("e2", api.Role_ROLE_ENTRY, true)
 	n.byVM["e2"] = newest
 	if missing(older) != 1 || missing(newest) != 0 {
-		t.Error("the report of an older link was taken, or that of the newest was not")
+		t.Error("the report of an older link was applied, or that of the newest was not")
 	}
 	for _, p := range []*peer{newPeer("e2", api.Role_ROLE_ENTRY, false), newPeer("e2", api.Role_ROLE_AGENT, true)} {
 		if n.byVM["e2"] = p; missing(p) != 1 {
-			t.Errorf("a report of a %v, heard %v, was taken", p.published.Hello.GetRole(), p.hasReported)
+			t.Errorf("a report from a %v, with a heartbeat received: %v, was applied", p.published.Hello.GetRole(), p.hasReported)
 		}
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,9 +1,9 @@
-// Package member makes a process a member of the system: it follows the log, links
-// the process to others, passes on what it learns and judges whether the process
-// may still trust what it holds.
+// Package member makes a process a member of the system: it follows the log, links the process to
+// others, passes on what it learns, and determines whether the process may still trust the
+// configuration that it holds.
 //
-// One goroutine owns all control state; everything reaches it as a function on one
-// channel. Traffic reads an immutable State that this goroutine publishes.
+// One goroutine owns all control state; other goroutines send it functions over a channel. Requests
+// read an immutable State that this goroutine publishes.
 package member
 
 import (
@@ -25,92 +25,93 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// Options says what kind of member the process is.
+// Options configures a member.
 type Options struct {
 	Self     *api.Hello
 	Platform *platform.Client
 	Links    *api.Links
-	// LogPollInterval is the time between looks at the log, VMsPollInterval that between looks at the
-	// list of VMs, which is large and changes little.
+	// LogPollInterval is the time between reads of the log, VMsPollInterval the time between reads
+	// of the list of VMs, which is large and changes rarely.
 	LogPollInterval, VMsPollInterval time.Duration
-	// LogReaders is how many entries of each failure domain look at the log all the
-	// time; 0 for all processes.
+	// LogReaders is the number of entries in each failure domain that read the log continuously; 0
+	// for all processes.
 	LogReaders int
-	// SnapshotRecords is the number of records, and SnapshotAge the time, after which
-	// the fold is appended again; 0 for a member that leaves that to others.
+	// SnapshotRecords is the number of records, and SnapshotMaxAge the time, after which a snapshot
+	// of the fold is appended to the log; 0 for a member that leaves this to others.
 	SnapshotRecords int64
 	SnapshotMaxAge  time.Duration
 	Logger          log.Logger
-	// Registry takes the member's metrics; nil for none.
+	// Registry receives the metrics of the member; nil for none.
 	Registry metrics.Registry
-	// ShouldDial says whether this process opens the link to a VM; the other side of
-	// the pair must say the opposite.
+	// ShouldDial reports whether this process opens the link to a VM. The other side of the pair
+	// must return the opposite.
 	ShouldDial func(vm platform.VM) bool
 	Hooks      Hooks
 }
 
-// Hooks are called by the member. All but Stream and Reporters run on the control goroutine and
-// must not wait.
+// Hooks are called by the member. All but HandleStream and SelectReporters run on the control
+// goroutine and must not block.
 type Hooks struct {
-	// Tick runs once each heartbeat interval.
+	// Tick is called once each heartbeat interval.
 	Tick func(now time.Duration)
-	// IsSynced says that nothing more is to be waited for from the peers linked so
-	// far before this process is told to others; nil for nothing.
+	// IsSynced reports whether everything needed from the peers linked so far has arrived, so that
+	// this process can be announced to others; nil for always.
 	IsSynced func() bool
-	// PeersChanged runs when links or peers' states changed.
+	// PeersChanged is called when links or the states of peers have changed.
 	PeersChanged func(state *State)
-	// HandleMessage takes the control messages that the member does not serve itself.
+	// HandleMessage handles the control messages that the member does not handle itself.
 	HandleMessage func(peer *Peer, m *api.Control)
-	// ConfigChanged runs when the configuration changed.
+	// ConfigChanged is called when the configuration has changed.
 	ConfigChanged func(view *config.View)
-	// SelectReporters gives the entry that reports for each agent, both by VM, from a list of
-	// VMs alone. It is called on a goroutine of its own, since it may take long, and is
-	// nil, or returns nil, where entries link to all agents.
+	// SelectReporters returns the entry that reports for each agent, both by VM, from a list of VMs
+	// alone. It may take long and is called on a goroutine of its own. It is nil, or returns nil,
+	// where entries link to all agents.
 	SelectReporters func(vms []platform.VM) map[string]string
-	// RequestLink asks for a link to an agent for a while, though Options.Dials may not want one.
+	// RequestLink requests a link to an agent for a limited time, even if Options.ShouldDial does
+	// not select it.
 	RequestLink func(vm string)
-	// HandleStream takes a stream opened by a peer, on a goroutine of its own.
+	// HandleStream handles a stream opened by a peer, on a goroutine of its own.
 	HandleStream func(s *link.Session, open *api.Open, stream *link.Stream)
 }
 
-// Peer is another process with a link to this one. It is immutable.
+// Peer is another process that is linked to this one. It is immutable.
 type Peer struct {
 	Hello   *api.Hello
 	Session *link.Session
-	// Draining says that the peer stops or that its VM leaves: no new work.
+	// Draining is set if the peer is stopping or its VM is leaving; it gets no new work.
 	Draining bool
-	// Ready says that the peer serves, as of its last heartbeat.
+	// Ready is set if the peer serves requests, as of its last heartbeat.
 	Ready bool
 }
 
-// Usable says that the peer may get new work.
+// Usable reports whether the peer may get new work.
 func (p *Peer) Usable() bool { return !p.Draining && !p.Session.Suspect() }
 
-// State is what traffic reads. It is immutable.
+// State is the state that requests read. It is immutable.
 type State struct {
 	View *config.View
-	// Mode is how far the configuration may be trusted, until ServeUntil on the
+	// Mode is how far the configuration may be trusted. It is valid until ServeUntil on the
 	// process's clock.
 	Mode       fresh.State
 	ServeUntil time.Duration
-	// Peers by VM.
+	// Peers holds the linked peers by VM.
 	Peers map[string]*Peer
-	// VMs is the platform's list as last read; it lags.
+	// VMs is the platform's list as last read. It may be out of date.
 	VMs []platform.VM
-	// Draining says that this process is stopping.
+	// Draining is set if this process is stopping.
 	Draining bool
-	// Linked says that every VM that this process dials was linked or could not be
-	// reached once: before that its ignorance of others says nothing.
+	// Linked is set once every VM that this process dials has been linked or could not be reached.
+	// Before that, a VM without a link may still be live.
 	Linked bool
-	// OutOfService says that operators have taken this VM or its failure domain out, or that
-	// the platform's list has it leaving.
+	// OutOfService is set if operators have taken this VM or its failure domain out of service, or
+	// if it is leaving according to the platform's list.
 	OutOfService bool
 }
 
-// RefusalCode returns why a process in this state takes no new work; OK if it does.
+// RefusalCode returns why a process in this state accepts no new work; OK if it does.
 //
-// The time is compared here, at the moment of use: a process that was frozen finds
-// its evidence old when it wakes, before its control goroutine has run at all.
+// The time is compared when the state is used: a process that was paused finds its evidence stale
+// when it resumes, before its control goroutine has run.
 func (s *State) RefusalCode(now time.Duration) api.ResultCode {
 	switch {
 	case s.Mode == fresh.Starting:
@@ -123,9 +124,9 @@
 	return api.ResultCode_OK
 }
 
-// UnreadyCode returns why a process in this state is not one to send new work to; OK if it
-// is. One whose first links do not stand yet knows no backend server and would refuse for
-// lack of any what another entry can place.
+// UnreadyCode returns why no new work should be sent to a process in this state; OK if it is ready.
+// A process whose first links are not established yet knows no backend servers, and would refuse
+// requests that another entry can place.
 func (s *State) UnreadyCode(now time.Duration) api.ResultCode {
 	if code := s.RefusalCode(now); code != api.ResultCode_OK {
 		return code
@@ -144,10 +145,10 @@
 	state   atomic.Pointer[State]
 	calls   chan func()
 	done    chan struct{}
-	// lastWrongKeyLog is when a line was last logged on one that came without the link key.
+	// lastWrongKeyLog is when a connection without the link key was last logged.
 	lastWrongKeyLog atomic.Int64
 
-	// Owned by the control goroutine.
+	// The following fields are owned by the control goroutine.
 	fold           *config.Fold
 	fresh          *fresh.Tracker
 	reader         *config.Reader
@@ -155,7 +156,7 @@
 	byVM           map[string]*peer
 	vms            []platform.VM
 	nextDial       map[string]time.Duration
-	failedDials    map[string]bool // VMs that could not be reached before all were tried
+	failedDials    map[string]bool // VMs that could not be reached while linked is unset
 	wrongKey       map[string]bool // VMs that do not hold the link key
 	draining       bool
 	lastFetch      time.Duration
@@ -163,15 +164,15 @@
 	trackedChanges map[string]*trackedChange // by change id
 	reporters      *config.Reporters         // nil where entries link to all agents
 	removedVMs     map[string]bool           // VMs that left the list
-	leavingVMs     map[string]bool           // VMs that the list has leaving
+	leavingVMs     map[string]bool           // VMs that are leaving according to the list
 	linked         bool
-	// logFailingSince is since when the log does not answer; 0 while it does.
+	// logFailingSince is when the log stopped answering; 0 while it answers.
 	logFailingSince time.Duration
 	lastCountsSent  time.Duration
-	readsLog        bool // the log, all the time
+	readsLog        bool // this process reads the log continuously
 }
 
-// New returns a member that does nothing yet.
+// New returns a member that is not running yet.
 func New(o Options) *Node {
 	freshness := millis(o.Links.GetFreshnessMs())
 	n := &Node{
@@ -212,7 +213,7 @@
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Run serves the member's links on a listener until the context ends.
+// Run serves the links of the member on a listener until the context ends.
 func (n *Node) Run(ctx context.Context, ln net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -224,11 +225,11 @@
 	return group.Run()
 }
 
-// State returns what traffic may go by.
+// State returns the newest published state.
 func (n *Node) State() *State { return n.state.Load() }
 
-// Do runs a function on the control goroutine and waits for it. It returns false
-// when the member has stopped.
+// Do runs a function on the control goroutine and waits for it. It returns false if the member has
+// stopped.
 func (n *Node) Do(f func()) bool {
 	ran := make(chan struct{})
 	if !n.post(func() { f(); close(ran) }) {
@@ -242,7 +243,7 @@
 	}
 }
 
-// post queues a function for the control goroutine.
+// post queues a function for the control goroutine. It returns false if the member has stopped.
 func (n *Node) post(f func()) bool {
 	select {
 	case n.calls <- f:
@@ -289,7 +290,7 @@
 	}
 }
 
-// publish makes the control state visible to traffic.
+// publish updates the State that requests read.
 func (n *Node) publish() {
 	now := clock.Now()
 	old := n.state.Load()
@@ -307,9 +308,9 @@
 	}
 	n.state.Store(state)
 	n.logMode(old, state)
-	// In an outage of the log evidence comes from peers alone, over several links for who
-	// hears few of them. With the long interval each would add its own age, and the sum is
-	// past the freshness limit.
+	// In an outage of the log, evidence comes from peers alone, over several links for processes
+	// that hear few others. With the idle interval the delay of each link would add up to more than
+	// the freshness limit.
 	if n.fresh.NeedsCounts(now) || old != nil && state.changesHeartbeats(old) {
 		n.link.HeartbeatSender.SendAllAtNextTick()
 	}
@@ -320,6 +321,6 @@
 
 func (n *Node) logMode(old, state *State) {
 	if old != nil && old.Mode != state.Mode {
-		_ = n.logger.Log("msg", "The mode has changed.", "result", result.Label(state.RefusalCode(clock.Now())), "mode", state.Mode, "applied", state.View.Applied())
+		_ = n.logger.Log("msg", "The freshness mode has changed.", "result", result.Label(state.RefusalCode(clock.Now())), "mode", state.Mode, "applied", state.View.Applied())
 	}
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -12,25 +12,25 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// redialInterval is how long a VM that could not be dialled is left alone. It is well
-// under the time in which a link counts as dead, so that a restarted process is
-// found again within about a second.
+// redialInterval is the time between attempts to dial a VM. It is well below the time after which a
+// link is dead, so that a restarted process is linked again within about a second.
 const redialInterval = 300 * time.Millisecond
 
-// peer is the control goroutine's view of one link.
+// peer is the state of one link, owned by the control goroutine.
 type peer struct {
 	published   *Peer
 	applied     int64
-	notBefore   time.Duration // a time before which it cannot have said so
+	notBefore   time.Duration // the peer cannot have reported applied before this time
 	hasReported bool
-	// exchangedOffset is the offset up to which the peer has been sent the log, or has sent it.
-	// It has applied that once it has read it: links lose nothing before they break.
+	// exchangedOffset is the offset up to which log records were sent to the peer, or received from
+	// it. The peer will have applied them once it has read them, because a link loses nothing until
+	// it breaks.
 	exchangedOffset int64
 	ready           bool
 	draining        bool
 }
 
-// handler receives what links bring and hands it to the control goroutine.
+// handler passes the events of links to the control goroutine.
 type handler struct{ node *Node }
 
 // Up implements link.Handler.
@@ -55,8 +55,8 @@
 	}
 }
 
-// Heartbeat implements link.Handler. It asks the control goroutine: knowledge that
-// was written down earlier would be taken by the receiver for newer than it is.
+// Heartbeat implements link.Handler. It queries the control goroutine, because the receiver would
+// assume stored knowledge to be newer than it is.
 func (h handler) Heartbeat() *api.Heartbeat {
 	n := h.node
 	heartbeat := &api.Heartbeat{}
@@ -76,11 +76,11 @@
 	n.byVM[vm] = p
 	delete(n.nextDial, vm)
 	delete(n.wrongKey, vm)
-	_ = n.logger.Log("msg", "A link stands.", "vm", vm, "role", s.Peer.GetRole(), "incarnation", s.Peer.GetIncarnation())
-	// An older link to the same VM is not closed: it may carry answers to their
-	// end. If it is silent its own heartbeats close it.
+	_ = n.logger.Log("msg", "A link is established.", "vm", vm, "role", s.Peer.GetRole(), "incarnation", s.Peer.GetIncarnation())
+	// An older link to the same VM is not closed, because it may still carry answers. If it is
+	// silent, its own heartbeats close it.
 	if old != nil {
-		_ = n.logger.Log("msg", "A newer link takes the place of an older one.", "vm", vm)
+		_ = n.logger.Log("msg", "A newer link replaces an older one.", "vm", vm)
 	}
 	n.peersChanged()
 }
@@ -106,8 +106,8 @@
 	}
 }
 
-// publishedPeers returns the peers by VM for traffic, the same map as before when
-// nothing changed.
+// publishedPeers returns the peers by VM for the published State; the same map as before if nothing
+// has changed.
 func (n *Node) publishedPeers(old *State) map[string]*Peer {
 	changed := old == nil || len(old.Peers) != len(n.byVM)
 	for vm, p := range n.byVM {
@@ -132,8 +132,8 @@
 	return peers
 }
 
-// updateLinked finds out whether this process has had its first look at all VMs that it
-// dials. Once it has, it stays so.
+// updateLinked checks whether all VMs that this process dials have been linked or tried once. Once
+// set, linked stays set.
 func (n *Node) updateLinked() {
 	if n.linked || n.vms == nil {
 		return
@@ -149,14 +149,14 @@
 	n.linked = n.options.Hooks.IsSynced == nil || n.options.Hooks.IsSynced()
 }
 
-// dialMissing dials the VMs of the list that this process should have links to.
+// dialMissing dials the VMs of the list to which this process should have a link and has none.
 func (n *Node) dialMissing(now time.Duration) {
 	for _, vm := range n.vms {
 		if vm.ID == n.options.Self.GetVm() || vm.Link == "" || !n.options.ShouldDial(vm) {
 			continue
 		}
-		// A silent link gets a successor before it is given up: a connection may be
-		// dead for good while new ones work.
+		// A suspect link gets a replacement before it is closed: its connection may be broken for
+		// good while new ones work.
 		if p, linked := n.byVM[vm.ID]; linked && !p.published.Session.Suspect() {
 			continue
 		}
@@ -183,8 +183,8 @@
 	})
 }
 
-// logWrongKey tells once of a VM that was dialled and does not hold the link key: status
-// says no more than that its link is down, and it is dialled again all the time.
+// logWrongKey logs, once for each VM, that a dialed VM does not hold the link key. The status shows
+// only that its link is down, and it is redialed continuously.
 func (n *Node) logWrongKey(vm string) {
 	if n.wrongKey[vm] {
 		return
@@ -193,12 +193,12 @@
 	_ = n.logger.Log("level", "warn", "msg", "A VM does not hold the link key.", "result", unreachable, "vm", vm)
 }
 
-// wrongKeyLogInterval bounds the lines on connections without the link key. A VM with another
-// key comes several times a second, and so may anybody who finds the address.
+// wrongKeyLogInterval limits the log lines about connections without the link key. A VM with
+// another key connects several times a second, and so can anyone who knows the address.
 const wrongKeyLogInterval = time.Minute
 
-// logWrongKeyConn tells of a connection whose other side did not prove the link key. It is
-// called by the goroutines of links.
+// logWrongKeyConn logs a connection whose peer did not prove the link key. It is called on the
+// goroutines of links.
 func (n *Node) logWrongKeyConn(address string) {
 	now, last := int64(clock.Now()), n.lastWrongKeyLog.Load()
 	if last != 0 && now-last < int64(wrongKeyLogInterval) || !n.lastWrongKeyLog.CompareAndSwap(last, now) {
@@ -209,7 +209,7 @@
 
 func (n *Node) recordDialFailure(vm string) {
 	if !slices.ContainsFunc(n.vms, func(listed platform.VM) bool { return listed.ID == vm }) {
-		return // It left the list meanwhile, and nobody would forget it any more.
+		return // The VM has left the list, and its entry would never be removed.
 	}
 	n.nextDial[vm] = clock.Now() + redialInterval
 	if !n.linked {
@@ -217,7 +217,7 @@
 	}
 }
 
-// pruneDialState lets go of what is remembered of dialling VMs that have left the list.
+// pruneDialState removes the dial state of VMs that have left the list.
 func (n *Node) pruneDialState(vms []string) {
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -15,7 +15,7 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// startThreeEntries starts startThreeEntries entries that know each other.
+// startThreeEntries starts three entries and waits until they are linked and serve.
 func startThreeEntries(t *testing.T, f *fakePlatform) [3]*testNode {
 	t.Helper()
 	var nodes [3]*testNode
@@ -33,7 +33,7 @@
 	return nodes
 }
 
-// allApplied waits until all members hold an offset.
+// allApplied waits until all members have applied an offset.
 func allApplied(t *testing.T, offset int64, nodes ...*testNode) {
 	t.Helper()
 	eventually(t, "offset "+strconv.FormatInt(offset, 10)+" everywhere", func() bool {
@@ -46,8 +46,8 @@
 	})
 }
 
-// One entry reads the log; the others cannot. A change must reach them by its push, and
-// a member that joins later by its own fetch.
+// One entry reads the log; the others cannot. A change must reach them by a push from that entry,
+// and a member that joins later by its own fetch.
 func TestPeersPassOnLogRecords(t *testing.T) {
 	f := newFakePlatform(t)
 	noLogClient := f.withoutLog(t)
@@ -59,12 +59,12 @@
 	joining := f.start(t, "e3", platform.RoleEntry, func(o *Options) { o.Platform = noLogClient })
 	allApplied(t, 0, reader, other, joining)
 	if other.State().Mode != fresh.Fresh {
-		t.Errorf("the evidence of a peer that reads the log does not count: %v", other.State().Mode)
+		t.Errorf("evidence from a peer that reads the log is not used: mode %v", other.State().Mode)
 	}
 }
 
-// A contractor starts a VM with a mistyped link key. Nobody links to it, and status says no
-// more than "link down": the logs of both sides must tell why, once and not with each try.
+// A VM is started with a mistyped link key. It gets no links, and the status shows only that its
+// link is down. The logs of both sides must show the reason, once and not for each attempt.
 func TestWrongLinkKeyIsLoggedOnce(t *testing.T) {
 	f := newFakePlatform(t)
 	var dialling, accepting logBuffer
@@ -78,13 +78,13 @@
 	})
 	time.Sleep(3 * redialInterval)
 	if logged := dialling.count(wrongKeyLine) + accepting.count(wrongKeyLine); logged != 2 {
-		t.Errorf("%d lines", logged)
+		t.Errorf("%d lines about the wrong key, want 2", logged)
 	}
 }
 
-// The log goes out: a majority that hears each other serves on. One entry loses both log
-// and peers: it must refuse as isolated within the freshness limit, and the two others,
-// still a majority, must not.
+// The log fails: a majority whose members hear each other must continue. Then one entry also loses
+// its peers. It must refuse as isolated within the freshness limit, and the two others, still a
+// majority, must not.
 func TestOutageAndIsolation(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -92,9 +92,9 @@
 	f.set(func() { f.down = true })
 	eventually(t, "an outage", func() bool { return nodes[0].State().Mode == fresh.Outage && nodes[2].State().Mode == fresh.Outage })
 	if code := nodes[0].State().RefusalCode(clock.Now()); code != api.ResultCode_OK {
-		t.Errorf("refuses in an outage: %v", code)
+		t.Errorf("requests are refused in an outage of the log: %v", code)
 	}
-	// The island of one: nobody is dialled, and the links that stand are closed.
+	// Isolates one entry: nobody dials it, and its links are closed.
 	island := nodes[2]
 	for i := range nodes {
 		nodes[i].Do(func() { nodes[i].options.ShouldDial = func(vm platform.VM) bool { return i == 0 && vm.ID == "e2" } })
@@ -104,13 +104,13 @@
 	eventually(t, "isolation", func() bool { return island.State().RefusalCode(clock.Now()) == api.ResultCode_ISOLATED })
 	for _, n := range nodes[:2] {
 		if code := n.State().RefusalCode(clock.Now()); code != api.ResultCode_OK {
-			t.Errorf("the majority refuses: %v", code)
+			t.Errorf("the majority refuses requests: %v", code)
 		}
 	}
 }
 
-// A process is frozen past all limits. The state that traffic reads was published before
-// that and says that all is well; the time of use must say otherwise.
+// A process is paused for longer than all limits. The published state is from before the pause and
+// permits requests. RefusalCode must refuse them by the time of use.
 func TestNothingIsServedAfterAPause(t *testing.T) {
 	f := newFakePlatform(t)
 	n := f.start(t, "e1", platform.RoleEntry, nil)
@@ -118,12 +118,13 @@
 	state := n.State()
 	limit := time.Duration(fastLinks.GetFreshnessMs()) * time.Millisecond
 	if code := state.RefusalCode(clock.Now() + limit + time.Millisecond); code != api.ResultCode_ISOLATED {
-		t.Errorf("after the pause: %v", code)
+		t.Errorf("refusal code after the pause: %v", code)
 	}
 }
 
-// A VM is replaced under its name: a new incarnation must take the place of the old one
-// at its peers, which then hold one peer of that name; a planned stop must be seen too.
+// A VM is replaced under its name. Its peers must replace the old incarnation by the new one and
+// hold a single peer of that name. They must also learn of a graceful shutdown and of a VM that
+// leaves.
 func TestReplacedProcessTakesOverItsName(t *testing.T) {
 	f := newFakePlatform(t)
 	nodes := startThreeEntries(t, f)
@@ -140,8 +141,8 @@
 	eventually(t, "leaving", func() bool { return !nodes[0].peer("e3").Usable() && nodes[2].State().OutOfService })
 }
 
-// The network forgets a connection while new ones work. The member must dial anew before
-// the old link is dead, and use the new one.
+// A connection is lost in the network while new ones work. The member must dial a new link before
+// the old one is dead, and use the new one.
 func TestSuspectLinkIsRedialled(t *testing.T) {
 	f := newFakePlatform(t)
 	far := f.start(t, "e2", platform.RoleEntry, nil)
@@ -157,13 +158,13 @@
 	})
 	select {
 	case <-before.Closed():
-		t.Error("the old link was closed, which may still carry answers")
+		t.Error("the old link was closed, although it may still carry answers")
 	default:
 	}
 }
 
-// Many changes follow each other faster than heartbeats. Each must be pushed to a peer
-// once: sent again with every further change, a burst would cost its square.
+// Many changes follow each other faster than heartbeats. Each must be pushed to a peer once: if
+// each push repeated the earlier ones, the cost of a burst would be quadratic.
 func TestChangeIsPushedOnceToEachPeer(t *testing.T) {
 	f := newFakePlatform(t)
 	noLogClient := f.withoutLog(t)
@@ -171,7 +172,7 @@
 	registry := metrics.NewRegistry()
 	reader := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.Links, o.Registry = slow, registry })
 	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, noLogClient })
-	eventually(t, "a first word", func() bool {
+	eventually(t, "a first heartbeat", func() bool {
 		heard := false
 		reader.Do(func() { p := reader.byVM["e2"]; heard = p != nil && p.hasReported })
 		return heard
@@ -183,13 +184,13 @@
 		f.set(func() { bytes += len(f.records[i]) })
 		allApplied(t, int64(i), reader, other)
 	}
-	// Some overhead for each, and heartbeats.
+	// Allows for the overhead of each message, and for heartbeats.
 	if sent := out.Count() - before; sent > int64(3*bytes) {
 		t.Errorf("%d bytes were sent for changes of %d bytes", sent, bytes)
 	}
 }
 
-// VMs come and go for months. What is remembered of those that are gone must not grow.
+// VMs are added and removed for months. The dial state of removed VMs must not accumulate.
 func TestDialStateOfRemovedVMsIsDropped(t *testing.T) {
 	f := newFakePlatform(t)
 	n := f.start(t, "a1", platform.RoleEntry, nil)
--- a/internal/member/platform_test.go
+++ b/internal/member/platform_test.go
@@ -9,9 +9,9 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// The log takes no appends while a snapshot is due. Each entry would send the whole
-// configuration with every heartbeat, 5 times a second, and the log, once it is back,
-// would have to take them all.
+// The log rejects appends while a snapshot is due. Without a backoff each entry would send the
+// whole configuration with every heartbeat, 5 times a second, and the log would have to take all of
+// them once it recovers.
 func TestSnapshotAppendsBackOff(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -21,7 +21,7 @@
 	time.Sleep(300 * time.Millisecond) // 30 heartbeats.
 	f.set(func() {
 		if f.appends > 1 {
-			t.Errorf("%d appends in a third of a second", f.appends)
+			t.Errorf("%d appends in a third of a second, want at most 1", f.appends)
 		}
 	})
 	backoffs := []time.Duration{}
@@ -33,12 +33,13 @@
 		})
 	}
 	if backoffs[0] < 2*minSnapshotBackoff || backoffs[5] != maxSnapshotBackoff {
-		t.Errorf("waits %v", backoffs)
+		t.Errorf("backoffs %v", backoffs)
 	}
 }
 
-// The platform's list comes back empty for a moment. An operator who waits for a change
-// would be told that it is in force at all of no members, and links would be let go of.
+// The platform's list of VMs is empty for a moment. If it were applied, an operator who waits for a
+// change would be told that it is in force at all members, of which there are none, and links would
+// be dropped.
 func TestEmptyVMListIsIgnored(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -48,15 +49,16 @@
 	f.set(func() { f.vms = nil })
 	n.Do(func() { n.setVMs(nil) })
 	if len(n.State().VMs) != 2 {
-		t.Error("the members are forgotten")
+		t.Error("an empty list of VMs was applied")
 	}
 	if p := n.Change("first"); p.State != config.Pending || len(p.Missing) != 1 {
-		t.Errorf("%v, missing %v", p.State, p.Missing)
+		t.Errorf("state %v, missing %v", p.State, p.Missing)
 	}
 }
 
-// The log holds records so large that an answer with as many as usual breaks off. The
-// same read would be made for ever, and the process would never have the tail.
+// The records of the log are so large that a response with the usual number of them is truncated.
+// Unless the next read asks for fewer, the same read is repeated forever and the process never
+// reaches the tail.
 func TestReadSizeShrinksAfterAFailure(t *testing.T) {
 	f := newFakePlatform(t)
 	for i := range 40 {
@@ -67,8 +69,8 @@
 	eventually(t, "the tail", func() bool { return n.applied() == 39 })
 }
 
-// The log's records before an offset are gone and no snapshot is there, nor any peer.
-// The search for one must not take the log's whole power.
+// The log no longer keeps the records before an offset, and there is neither a snapshot nor a peer.
+// The search for a snapshot must not overload the log.
 func TestSnapshotSearchIsRateLimited(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -83,6 +85,6 @@
 		}
 	})
 	if n.State().Mode.Serves() {
-		t.Error("it serves without a configuration")
+		t.Error("the member serves without a configuration")
 	}
 }
--- a/internal/member/readers.go
+++ b/internal/member/readers.go
@@ -9,15 +9,16 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// earlyReadFraction: others read when their evidence has this part of the freshness limit left.
-// It must cover an answer of the log, and is more than the readers' evidence ever lacks
-// while they are heard: two polls and a heartbeat.
+// earlyReadFraction is the fraction of the freshness limit, as a divisor, that is left to the
+// evidence of a process when it reads the log although it is not a reader. It must allow for a
+// response of the log. While readers are heard, evidence does not get that old: its age is at most
+// two polls and a heartbeat.
 const earlyReadFraction = 4
 
-// isReader tells whether this process reads the log all the time: the first live entries
-// of each failure domain, by name. Nobody has to agree on it. While lists differ, more or
-// fewer read, and who misses them reads by itself. Two of a domain are enough: with one,
-// each replacement of it would make the others wait.
+// isReader reports whether this process reads the log continuously: the first live entries of each
+// failure domain, by name. No agreement is needed. While lists of VMs differ, more or fewer
+// processes read, and a process that gets no evidence from readers reads by itself. Two readers in
+// each domain are enough. With one, each replacement of it would make the others wait.
 func (n *Node) isReader() bool {
 	if n.options.LogReaders == 0 {
 		return true
@@ -33,12 +34,12 @@
 	return slices.Contains(entries[:min(len(entries), n.options.LogReaders)], self.GetVm())
 }
 
-// readDelay returns how long the log need not be read, 0 for not at all.
+// readDelay returns how long this process can wait until it reads the log; 0 if it must read now.
 //
-// Each process that polls costs the platform two reads a second, thousands in all at the
-// size designed for, where a few dozen say as much: their evidence goes with heartbeats,
-// and what they find with pushes. A process reads by itself while it is behind, and when
-// the evidence of others grows old: the loss of all readers costs nobody the service.
+// Each process that polls costs the platform two reads a second, thousands in all in the largest
+// supported system, while a few dozen readers provide the same evidence: it is passed on with
+// heartbeats, and records are pushed. A process reads by itself while it is behind, and when the
+// evidence from others becomes old, so that the loss of all readers does not interrupt service.
 func (n *Node) readDelay(fetch config.Fetch, now time.Duration) time.Duration {
 	applied := n.fold.Applied()
 	if n.readsLog || n.logFailingSince != 0 || fetch.From != applied+1 || n.isBehind(applied) {
@@ -52,7 +53,7 @@
 	return min(max(limit-limit/earlyReadFraction-millis(age), 0), n.options.LogPollInterval)
 }
 
-// isBehind tells whether a peer has said that it has applied more.
+// isBehind reports whether a peer has applied more, according to its heartbeats.
 func (n *Node) isBehind(applied int64) bool {
 	for _, p := range n.byVM {
 		if p.hasReported && p.applied > applied {
@@ -62,8 +63,9 @@
 	return false
 }
 
-// maxReadWait is how long the log may hold its answer back. A reader is told of a change at
-// once by that. For the others the answer must be in time for evidence that is old.
+// maxReadWait returns how long the log may hold back its response. This way readers learn of a
+// change at once. Other processes need the response before their evidence is stale, so they do not
+// wait.
 func (n *Node) maxReadWait() time.Duration {
 	if n.readsLog {
 		return n.options.LogPollInterval
--- a/internal/member/readers_test.go
+++ b/internal/member/readers_test.go
@@ -11,10 +11,10 @@
 
 func withTwoReaders(o *Options) { o.LogReaders = 2 }
 
-// Six entries of one failure domain have the log. Two read it all the time, and the
-// others live on what those pass on: the platform would be read by every process, and
-// more with each that comes. Then the readers are gone at once. The others must
-// read before their evidence is too old: nobody refuses, and a change arrives.
+// Six entries of one failure domain can read the log. Two read it continuously, and the others rely
+// on what these pass on; otherwise the load on the platform would grow with each process. Then both
+// readers stop at once. The others must read before their evidence is stale: no entry may refuse,
+// and a change must arrive.
 func TestLossOfLogReadersCausesNoRefusal(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -37,7 +37,7 @@
 	expectNoRefusal(t, "while all live", nodes)
 	var reads int
 	f.set(func() { reads = f.reads - before })
-	// One read each 20 ms is a reader's pace.
+	// One reader makes one read each 20 ms.
 	if limit := 3 * int(time.Since(begin)/(20*time.Millisecond)); reads > limit {
 		t.Errorf("the log was read %d times in %v, want at most %d", reads, time.Since(begin), limit)
 	}
--- a/internal/member/snapshot.go
+++ b/internal/member/snapshot.go
@@ -12,39 +12,39 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// While the log fails, or until an append is read back, a snapshot stays due. Each
-// attempt sends the whole configuration, so that one with every heartbeat of each entry
-// would keep the log from coming back: the time between attempts doubles.
+// A snapshot stays due until an append is read back, and while the log fails. Each attempt sends
+// the whole configuration. An attempt with every heartbeat of each entry would keep the log from
+// recovering, so the time between attempts doubles.
 const (
 	minSnapshotBackoff = 5 * time.Second
 	maxSnapshotBackoff = time.Minute
 )
 
-// snapshotState is what an entry knows of the snapshots in the log.
+// snapshotState is what an entry knows about the snapshots in the log.
 type snapshotState struct {
-	lastOffset int64 // offset of the newest seen
+	lastOffset int64 // offset of the newest snapshot seen
 	lastSeen   time.Duration
-	appending  bool // an append is under way
-	// nextAttempt is when an append may be tried, backoff the time after the last one.
+	appending  bool // an append is in flight
+	// nextAttempt is when the next append may be attempted, backoff the delay after the last one.
 	nextAttempt, backoff time.Duration
 }
 
-// recordAttempt notes an append.
+// recordAttempt records an append and sets the backoff.
 func (d *snapshotState) recordAttempt(now time.Duration) {
 	d.backoff = min(max(minSnapshotBackoff, 2*d.backoff), maxSnapshotBackoff)
 	d.nextAttempt = now + d.backoff
 }
 
-// recordSnapshot notes a snapshot in the log.
+// recordSnapshot records a snapshot in the log and resets the backoff.
 func (d *snapshotState) recordSnapshot(offset int64, now time.Duration) {
 	d.lastOffset = offset
 	d.lastSeen = now
 	d.nextAttempt, d.backoff = 0, 0
 }
 
-// snapshotIfDue appends the fold to the log again, well before the records it was
-// made from expire. Without it a process that starts after that could not know the
-// configuration, once every VM had been replaced.
+// snapshotIfDue appends a snapshot of the fold to the log well before the records that it was made
+// from expire. Otherwise a process that starts later could not learn the configuration once every
+// VM has been replaced.
 func (n *Node) snapshotIfDue(now time.Duration) {
 	if n.options.SnapshotRecords == 0 || n.snapshots.appending || n.fold.Applied() < 0 || !n.state.Load().Mode.Serves() {
 		return
@@ -64,7 +64,7 @@
 	n.appendSnapshot(now)
 }
 
-// position is this entry's place among the live entries by name.
+// position returns this entry's index among the entries of the list, by name.
 func (n *Node) position() int {
 	position := 0
 	for _, vm := range n.vms {
@@ -83,7 +83,7 @@
 	}
 	data, err := proto.Marshal(record)
 	if err != nil {
-		_ = n.logger.Log("msg", "A snapshot could not be written.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
+		_ = n.logger.Log("msg", "A snapshot could not be encoded.", "result", result.Label(api.ResultCode_INTERNAL), "err", err)
 		return
 	}
 	n.snapshots.appending = true
@@ -91,7 +91,7 @@
 		_, err := n.options.Platform.Append(context.Background(), data)
 		n.post(func() { n.snapshots.appending = false })
 		if err != nil {
-			_ = n.logger.Log("msg", "A snapshot could not be appended.", "result", logUnavailable, "err", err)
+			_ = n.logger.Log("msg", "A snapshot could not be appended to the log.", "result", logUnavailable, "err", err)
 		}
 	}()
 }
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -9,8 +9,8 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// AdminStatus returns what this member knows of the system, in the form operators
-// are shown. Backend servers and groups are left to the caller.
+// AdminStatus returns what this member knows about the system, in the form shown to operators. The
+// caller adds backend servers and groups.
 func (n *Node) AdminStatus() *adminapi.Status {
 	state := n.State()
 	overview := n.Overview()
