--- a/internal/link/rhythm.go
+++ b/internal/link/rhythm.go
@@ -51,7 +51,8 @@
 }
 
 // idleInterval returns the shorter of the idle intervals of both sides. A process that uses a
-// shorter one or none, as during a rolling update, would otherwise mistake it for silence.
+// shorter one or none, as during a rolling update, would otherwise mistake the longer one for
+// silence.
 func (r *heartbeatState) idleInterval() time.Duration {
 	return max(r.cfg.HeartbeatInterval, min(r.cfg.IdleInterval, r.peerIdleInterval))
 }
