--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -111,7 +111,7 @@
 	r.TookMs = (now - r.startedAt).Milliseconds()
 	r.Result = result.Label(api.ResultCode_OK)
 	if err != nil {
-		e := result.From(err)
+		e := result.FromError(err)
 		r.Result, r.Ran, r.Text = result.Label(e.Code), result.RanName(e.Ran), truncate(e.Text)
 		r.RetryAfterMs = e.RetryAfter.Milliseconds()
 	}
