--- a/internal/member/counts.go
+++ b/internal/member/counts.go
@@ -8,11 +8,11 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// countsFraction is the fraction of the freshness limit, as a divisor, after which counts are sent
+// countsIntervalDivisor divides the freshness limit to get the time after which counts are sent
 // again. On the way from an agent to an entry that it has no link to, counts pass through its
 // entry, one that hears most of its failure domain, and one in another domain. Half of the limit
 // has passed before counts are sent at all, so four intervals must fit into the other half.
-const countsFraction = 10
+const countsIntervalDivisor = 10
 
 // sendCounts tells the linked entries what this one knows about all members, when its evidence
 // becomes old. This lets processes that hear only some of the members continue in an outage of the
@@ -23,7 +23,7 @@
 	if n.options.Self.GetRole() != api.Role_ROLE_ENTRY || !n.fresh.NeedsCounts(now) {
 		return
 	}
-	interval := millis(n.options.Links.GetFreshnessMs()) / countsFraction
+	interval := millis(n.options.Links.GetFreshnessMs()) / countsIntervalDivisor
 	if now-n.lastCountsSent < interval {
 		return
 	}
--- a/internal/member/beat.go
+++ b/internal/member/heartbeat.go
@@ -6,19 +6,19 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// idleFraction is the fraction of the freshness limit, as a divisor, that may pass between two
+// idleIntervalDivisor divides the freshness limit to get the time that may pass between two
 // heartbeats of a link without work. Evidence from another process is then at most a third of the
 // limit old when the next heartbeat arrives, on top of its age at the sender, which may be half of
 // the limit: a read of the log that waited, and the next one. With half of the limit, or with one
 // heartbeat a second at the default settings, a process that cannot read the log would fence itself
 // after the slightest delay.
-const idleFraction = 3
+const idleIntervalDivisor = 3
 
 // idleHeartbeatInterval returns the time between heartbeats on a link without work, a multiple of
 // the interval on a link with work.
 func idleHeartbeatInterval(o *api.Links) time.Duration {
 	interval := millis(o.GetHeartbeatMs())
-	return max(1, millis(o.GetFreshnessMs())/idleFraction/interval) * interval
+	return max(1, millis(o.GetFreshnessMs())/idleIntervalDivisor/interval) * interval
 }
 
 // changesHeartbeats reports whether heartbeats carry something else than in an older state. Peers
--- a/internal/member/readers.go
+++ b/internal/member/readers.go
@@ -9,11 +9,11 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// earlyReadFraction is the fraction of the freshness limit, as a divisor, that is left to the
-// evidence of a process when it reads the log although it is not a reader. It must allow for a
-// response of the log. While readers are heard, evidence does not get that old: its age is at most
-// two polls and a heartbeat.
-const earlyReadFraction = 4
+// earlyReadDivisor divides the freshness limit to get the time that is left to the evidence of a
+// process when it reads the log although it is not a reader. It must allow for a response of the
+// log. While readers are heard, evidence does not get that old: its age is at most two polls and a
+// heartbeat.
+const earlyReadDivisor = 4
 
 // isReader reports whether this process reads the log continuously: the first live entries of each
 // failure domain, by name. No agreement is needed. While lists of VMs differ, more or fewer
@@ -50,7 +50,7 @@
 	if age < 0 {
 		return 0
 	}
-	return min(max(limit-limit/earlyReadFraction-millis(age), 0), n.options.LogPollInterval)
+	return min(max(limit-limit/earlyReadDivisor-millis(age), 0), n.options.LogPollInterval)
 }
 
 // isBehind reports whether a peer has applied more, according to its heartbeats.
