--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -122,20 +122,20 @@
 	p := settings.GetPlatform()
 	timeout := time.Duration(p.GetRequestTimeoutMs()) * time.Millisecond
 	a.node = member.New(member.Options{
-		Self:       self,
-		Platform:   platform.New(p.GetUrl(), timeout),
-		Links:      settings.GetLink(),
-		Poll:       time.Duration(p.GetPollMs()) * time.Millisecond,
-		VMsPoll:    time.Duration(p.GetVmsPollMs()) * time.Millisecond,
-		LogReaders: int(p.GetLogReaders()),
-		Logger:     logger,
-		Registry:   registry,
-		Dials:      func(vm platform.VM) bool { return a.group != nil && a.group.shouldDial(vm) },
+		Self:            self,
+		Platform:        platform.New(p.GetUrl(), timeout),
+		Links:           settings.GetLink(),
+		LogPollInterval: time.Duration(p.GetPollMs()) * time.Millisecond,
+		VMsPollInterval: time.Duration(p.GetVmsPollMs()) * time.Millisecond,
+		LogReaders:      int(p.GetLogReaders()),
+		Logger:          logger,
+		Registry:        registry,
+		ShouldDial:      func(vm platform.VM) bool { return a.group != nil && a.group.shouldDial(vm) },
 		Hooks: member.Hooks{
-			Tick:    a.tick,
-			Peers:   a.peersChanged,
-			Message: a.handleMessage,
-			Stream:  a.executor.serveStream,
+			Tick:          a.tick,
+			PeersChanged:  a.peersChanged,
+			HandleMessage: a.handleMessage,
+			HandleStream:  a.executor.serveStream,
 		},
 	})
 	a.executor.refuseByState(a.node)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -30,9 +30,9 @@
 // sendReport sends a report at once, or with the next heartbeat.
 func sendReport(s *link.Session, m *api.Control, urgent bool) {
 	if urgent {
-		s.Report(nil) // Otherwise an older one would be sent after this one.
+		s.PostWithHeartbeat(nil) // Otherwise an older one would be sent after this one.
 		s.Post(m)
 		return
 	}
-	s.Report(m)
+	s.PostWithHeartbeat(m)
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -148,7 +148,7 @@
 			ended = true
 			return f.finishStream(ctx, stream)
 		}
-		if stream.Waiting() {
+		if stream.HasBuffered() {
 			continue
 		}
 		if err := f.out.flush(); err != nil {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -161,7 +161,7 @@
 // draining still serves, because callers keep its address for a while.
 func (e *entry) servingState() (*member.State, error) {
 	state := e.node.State()
-	switch code := state.Refusing(clock.Now()); code {
+	switch code := state.RefusalCode(clock.Now()); code {
 	case api.ResultCode_OK, api.ResultCode_DRAINING:
 		return state, nil
 	default:
@@ -193,8 +193,8 @@
 // listAddresses lists the entries that accept requests according to a state.
 func (e *entry) listAddresses(state *member.State) (addressList, error) {
 	answer := addressList{KeepMs: e.settings.GetPolicy().GetAddressKeepMs()}
-	unready := state.Unready(clock.Now())
-	if unready == api.ResultCode_OK && !state.Out {
+	unready := state.UnreadyCode(clock.Now())
+	if unready == api.ResultCode_OK && !state.OutOfService {
 		answer.Addresses = append(answer.Addresses, address{Address: e.self.GetPublicAddress(), Weight: 1})
 	}
 	for vm, peer := range state.Peers {
--- a/internal/entry/linkcheck.go
+++ b/internal/entry/linkcheck.go
@@ -15,7 +15,7 @@
 // A request with the caller's ticket is not checked: the ticket may have been used before, and "not
 // run" could not be said of it.
 func (e *entry) checkLink(ctx context.Context, a *attempt) *result.Error {
-	if !a.req.once || a.req.callerTicket != nil || a.peer.Session.Prove(ctx) {
+	if !a.req.once || a.req.callerTicket != nil || a.peer.Session.Probe(ctx) {
 		return nil
 	}
 	if ctx.Err() != nil {
--- a/internal/entry/linkuse.go
+++ b/internal/entry/linkuse.go
@@ -26,7 +26,7 @@
 	for _, vm := range e.updateLinks(now, state) {
 		if e.directory.removeIfIdle(vm) {
 			_ = e.logger.Log("msg", "A link to an agent outside the subset is dropped.", "vm", vm)
-			e.node.Drop(vm)
+			e.node.DropLinks(vm)
 		}
 	}
 }
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -57,7 +57,7 @@
 
 // isRolloutCoordinator says whether this entry has the lowest name of the entries in service.
 func (e *entry) isRolloutCoordinator(now time.Duration, state *member.State) bool {
-	if state.Unready(now) != api.ResultCode_OK || state.Out {
+	if state.UnreadyCode(now) != api.ResultCode_OK || state.OutOfService {
 		return false
 	}
 	for vm, peer := range state.Peers {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -142,7 +142,7 @@
 // admitAndDispatch admits the request and dispatches it.
 func (e *entry) admitAndDispatch(w http.ResponseWriter, r *http.Request, req *request) error {
 	record := journal.From(r.Context())
-	record.Offer, record.Once, record.Ticket = req.offer, req.once, req.callerTicket != nil
+	record.Offer, record.AtMostOnce, record.HasTicket = req.offer, req.once, req.callerTicket != nil
 	ctx, cancel := context.WithTimeout(r.Context(), req.deadline-clock.Now())
 	defer cancel()
 	out := newOutput(w, req.deadline-clock.Now())
--- a/internal/link/beat.go
+++ b/internal/link/beat.go
@@ -10,35 +10,35 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// probeStep is the time between looks for the answer to a probe.
-const probeStep = time.Millisecond
+// probePollInterval is the interval at which a probe checks for its answer.
+const probePollInterval = time.Millisecond
 
-// begin and end count a piece of work on the link.
-func (s *Session) begin() {
-	if s.rhythm.begin(clock.Now()) {
-		s.cfg.Pacer.wake()
+// beginWork and endWork count a request on the link.
+func (s *Session) beginWork() {
+	if s.heartbeatState.beginWork(clock.Now()) {
+		s.cfg.HeartbeatSender.wake()
 	}
 }
 
-func (s *Session) end() { s.rhythm.end(clock.Now()) }
+func (s *Session) endWork() { s.heartbeatState.endWork(clock.Now()) }
 
-// Prove says whether the link was heard, in both directions, within the time after which
-// a link with work is suspect. An idle link that was not is asked first. Without that,
-// work that must not repeat would be sent to a process that has been gone for as long as
-// the long interval, and end as "unknown", more often than over a brisk link.
-func (s *Session) Prove(ctx context.Context) bool {
-	s.begin()
-	defer s.end()
-	limit := clock.Now() + s.cfg.Suspect
+// Probe reports whether the link was confirmed in both directions within SuspectAfter, the time
+// after which a link with work is suspect. An idle link that was not is probed first. Without the
+// probe, work that must not be repeated could be sent to a process that has been gone for up to the
+// idle interval, and would end with an unknown outcome more often than over an active link.
+func (s *Session) Probe(ctx context.Context) bool {
+	s.beginWork()
+	defer s.endWork()
+	deadline := clock.Now() + s.cfg.SuspectAfter
 	for {
 		now := clock.Now()
-		if s.rhythm.quiet(now) <= s.cfg.Suspect {
+		if s.heartbeatState.sinceConfirmed(now) <= s.cfg.SuspectAfter {
 			return true
 		}
-		if now > limit {
+		if now > deadline {
 			return false
 		}
-		timer := time.NewTimer(probeStep)
+		timer := time.NewTimer(probePollInterval)
 		select {
 		case <-timer.C:
 		case <-s.closed:
@@ -51,77 +51,78 @@
 	}
 }
 
-// Report has a message go out with the next heartbeat, in the place of one that has not
-// gone yet.
-func (s *Session) Report(m *api.Control) { s.reports.Store(m) }
+// PostWithHeartbeat sends a message with the next heartbeat. It replaces a message that still waits
+// for one.
+func (s *Session) PostWithHeartbeat(m *api.Control) { s.withHeartbeat.Store(m) }
 
-// noteHeartbeat returns a time before which the heartbeat cannot have been made.
-func (s *Session) noteHeartbeat(beat *api.Heartbeat, now time.Duration) time.Duration {
-	said, urgent := s.rhythm.noted(beat, now)
+// receiveHeartbeat handles a heartbeat and returns a time before which the peer cannot have sent
+// it.
+func (s *Session) receiveHeartbeat(heartbeat *api.Heartbeat, now time.Duration) time.Duration {
+	notBefore, urgent := s.heartbeatState.heartbeatReceived(heartbeat, now)
 	if urgent {
-		s.cfg.Pacer.wake()
+		s.cfg.HeartbeatSender.wake()
 	}
-	return said
+	return notBefore
 }
 
-// beat has a heartbeat sent. One that still waits means that the link takes nothing; its
-// number is not echoed, and the link falls silent by that.
-func (s *Session) beat(beat *api.Heartbeat) {
-	s.rhythm.stamp(beat, clock.Now())
-	if s.cfg.Beats != nil {
-		s.cfg.Beats.Inc(1)
+// queueHeartbeat queues a heartbeat. If another one is still queued, the connection accepts no data
+// and the new one is dropped. Its number is then never echoed, so the link counts as silent.
+func (s *Session) queueHeartbeat(heartbeat *api.Heartbeat) {
+	s.heartbeatState.complete(heartbeat, clock.Now())
+	if s.cfg.HeartbeatsOut != nil {
+		s.cfg.HeartbeatsOut.Inc(1)
 	}
 	select {
-	case s.beats <- &api.Control{Body: &api.Control_Heartbeat{Heartbeat: beat}}:
+	case s.heartbeats <- &api.Control{Body: &api.Control_Heartbeat{Heartbeat: heartbeat}}:
 	default:
 	}
 }
 
-// writeControl sends control messages, and all that wait by one write.
+// writeControl sends control messages, all queued ones with one write.
 func (s *Session) writeControl() {
 	var buf []byte
 	for {
 		var err error
-		buf, err = s.gather(buf[:0])
+		buf, err = s.collectMessages(buf[:0])
 		if err != nil || len(buf) == 0 {
-			s.Close(errors.Wrap(err, "a message cannot be sent"))
+			s.Close(errors.Wrap(err, "encode a control message"))
 			return
 		}
 		if err := s.control.write(buf); err != nil {
-			s.Close(errors.Wrap(err, "the link takes no more"))
+			s.Close(errors.Wrap(err, "write control messages"))
 			return
 		}
-		if cap(buf) > keepBuffer {
+		if cap(buf) > maxKeptBuffer {
 			buf = nil
 		}
 	}
 }
 
-// gather waits for a message and appends it and those that wait behind it. It returns
+// collectMessages waits for a message and appends it and all messages queued behind it. It returns
 // nothing once the link is closed.
-func (s *Session) gather(buf []byte) ([]byte, error) {
+func (s *Session) collectMessages(buf []byte) ([]byte, error) {
 	var m *api.Control
 	select {
-	case m = <-s.send:
-	case m = <-s.beats:
+	case m = <-s.outgoing:
+	case m = <-s.heartbeats:
 	case <-s.closed:
 		return nil, nil
 	}
 	for {
 		var err error
 		if m.GetHeartbeat() != nil {
-			if report := s.reports.Swap(nil); report != nil {
-				if buf, err = appendMessage(buf, report); err != nil {
+			if message := s.withHeartbeat.Swap(nil); message != nil {
+				if buf, err = appendMessage(buf, message); err != nil {
 					return nil, err
 				}
 			}
 		}
-		if buf, err = appendMessage(buf, m); err != nil || len(buf) > joinLimit {
+		if buf, err = appendMessage(buf, m); err != nil || len(buf) > maxCoalescedBytes {
 			return buf, err
 		}
 		select {
-		case m = <-s.send:
-		case m = <-s.beats:
+		case m = <-s.outgoing:
+		case m = <-s.heartbeats:
 		default:
 			return buf, nil
 		}
--- a/internal/link/count_test.go
+++ b/internal/link/count_test.go
@@ -7,16 +7,16 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// The bytes of the handshake are counted too, in both directions.
-func TestBytesAreCounted(t *testing.T) {
+// Guards against byte counters that miss the handshake in either direction.
+func TestHandshakeBytesAreCounted(t *testing.T) {
 	address, _ := listen(t)
-	cfg := config("right").Counters(metrics.NewRegistry())
-	s, err := Dial(address, cfg, &counting{})
+	cfg := config("right").WithCounters(metrics.NewRegistry())
+	s, err := Dial(address, cfg, &countingHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close(io.EOF)
-	if cfg.In.Count() == 0 || cfg.Out.Count() == 0 {
-		t.Errorf("in %d, out %d", cfg.In.Count(), cfg.Out.Count())
+	if cfg.BytesIn.Count() == 0 || cfg.BytesOut.Count() == 0 {
+		t.Errorf("bytes in %d, out %d, want both counted", cfg.BytesIn.Count(), cfg.BytesOut.Count())
 	}
 }
--- a/internal/link/handshake_test.go
+++ b/internal/link/handshake_test.go
@@ -14,54 +14,54 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// counting is a handler that counts the links that stand.
-type counting struct{ up atomic.Int32 }
+// countingHandler is a handler that counts established links.
+type countingHandler struct{ up atomic.Int32 }
 
-func (c *counting) Up(*Session)                                       { c.up.Add(1) }
-func (c *counting) Down(*Session, error)                              {}
-func (c *counting) Control(*Session, *api.Control, time.Duration)     {}
-func (c *counting) Stream(s *Session, open *api.Open, stream *Stream) {}
-func (c *counting) Heartbeat() *api.Heartbeat                         { return &api.Heartbeat{} }
+func (c *countingHandler) Up(*Session)                                       { c.up.Add(1) }
+func (c *countingHandler) Down(*Session, error)                              {}
+func (c *countingHandler) Control(*Session, *api.Control, time.Duration)     {}
+func (c *countingHandler) Stream(s *Session, open *api.Open, stream *Stream) {}
+func (c *countingHandler) Heartbeat() *api.Heartbeat                         { return &api.Heartbeat{} }
 
 func config(key string) Config {
 	return Config{
 		Self: &api.Hello{Vm: "vm", Incarnation: "1"}, Key: []byte(key),
-		Heartbeat: 20 * time.Millisecond, Suspect: 200 * time.Millisecond, Dead: 5 * time.Second,
+		HeartbeatInterval: 20 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: 5 * time.Second,
 	}
 }
 
-// listen serves links with the key "right".
-func listen(t *testing.T) (string, *counting) {
+// listen accepts links with the key "right".
+func listen(t *testing.T) (string, *countingHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	h := &counting{}
+	h := &countingHandler{}
 	go func() { _ = Serve(ln, config("right"), h) }()
 	return ln.Addr().String(), h
 }
 
-func TestOnlyTheKeyOpensALink(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	address, h := listen(t)
-	if _, err := Dial(address, config("wrong"), &counting{}); err == nil {
-		t.Error("a link stands without the key")
+	if _, err := Dial(address, config("wrong"), &countingHandler{}); err == nil {
+		t.Error("a link was established with the wrong key")
 	}
 	if h.up.Load() != 0 {
-		t.Error("the listener took a link without the key")
+		t.Error("the listener accepted a link with the wrong key")
 	}
-	s, err := Dial(address, config("right"), &counting{})
+	s, err := Dial(address, config("right"), &countingHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Close(io.EOF)
 }
 
-// The link key is changed VM by VM, with links that must stand all the while. Each step is
-// a process with one pair of keys that meets one of the step before or after it, in both
-// directions; a key that is on neither side's list never opens a link.
-func TestKeysChangeVMByVM(t *testing.T) {
+// The link key is rotated VM by VM while links must stay possible. Each step is a process with a
+// pair of keys, which must link in both directions to processes of the same and of adjacent steps.
+// A key that neither side accepts must never open a link.
+func TestKeyRotationKeepsLinks(t *testing.T) {
 	keys := func(key, other string) Config {
 		c := config(key)
 		c.OtherKey = []byte(other)
@@ -74,11 +74,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = ln.Close() })
-		go func() { _ = Serve(ln, listener, &counting{}) }()
+		go func() { _ = Serve(ln, listener, &countingHandler{}) }()
 		for j, dialler := range steps {
-			near := i-j <= 1 && j-i <= 1
-			s, err := Dial(ln.Addr().String(), dialler, &counting{})
-			if near && err != nil {
+			compatible := i-j <= 1 && j-i <= 1
+			s, err := Dial(ln.Addr().String(), dialler, &countingHandler{})
+			if compatible && err != nil {
 				t.Errorf("step %d cannot dial step %d: %v", j, i, err)
 			}
 			if err == nil {
@@ -86,16 +86,16 @@
 			}
 		}
 		for _, stranger := range []Config{keys("wrong", ""), keys("wrong", "old"), keys("", "")} {
-			if s, err := Dial(ln.Addr().String(), stranger, &counting{}); err == nil {
-				t.Errorf("step %d takes a link with the key %q", i, stranger.Key)
+			if s, err := Dial(ln.Addr().String(), stranger, &countingHandler{}); err == nil {
+				t.Errorf("step %d accepts a link with the key %q", i, stranger.Key)
 				s.Close(io.EOF)
 			}
 		}
 	}
 }
 
-// stranger connects without holding the key.
-func stranger(t *testing.T, address string) net.Conn {
+// dialWithoutKey connects without holding the key.
+func dialWithoutKey(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -106,60 +106,59 @@
 	return conn
 }
 
-// A stranger connects, learns the challenge, and sends back the proof that it was
-// sent, as its own. The proof names its side, so this must not pass.
-func TestReflectedProof(t *testing.T) {
+// Guards against a reflection attack: a client without the key returns the listener's own nonce and
+// proof. The proof covers the side, so it must be rejected.
+func TestReflectedProofIsRejected(t *testing.T) {
 	address, h := listen(t)
-	stream := newStream(stranger(t, address))
+	stream := newStream(dialWithoutKey(t, address))
 	m := &api.Control{}
 	if err := stream.Receive(m); err != nil {
 		t.Fatal(err)
 	}
-	_ = stream.Send(m) // Its own nonce.
+	_ = stream.Send(m) // The listener's own nonce.
 	if err := stream.Receive(m); err != nil || m.GetProof() == nil {
 		t.Fatalf("no proof: %v", err)
 	}
-	_ = stream.Send(m) // Its own proof.
+	_ = stream.Send(m) // The listener's own proof.
 	if err := stream.Receive(m); err == nil {
-		t.Errorf("the listener went on: %v", m)
+		t.Errorf("the listener continued the handshake: %v", m)
 	}
 	if h.up.Load() != 0 {
-		t.Error("a link stands")
+		t.Error("a link was established")
 	}
 }
 
-// A stranger announces a message of 64 MB and sends none of it, on many connections
-// at once. Work may send such messages; before the proof each would take 64 MB of a
-// process's memory until its time is over. It must be cut off at once.
-func TestHugeMessageBeforeTheProof(t *testing.T) {
+// A client without the key announces a message of 64 MB and sends none of it. Authenticated work
+// may be that large, but before the proof each such connection would hold 64 MB of memory until it
+// times out. The connection must be closed at once.
+func TestHugeMessageBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
-	raw := stranger(t, address)
+	raw := dialWithoutKey(t, address)
 	if _, err := raw.Write(binary.AppendUvarint(nil, 64<<20)); err != nil {
 		t.Fatal(err)
 	}
-	from := time.Now()
-	// The end of what the listener says is the end of the link.
+	start := time.Now()
+	// The connection has been closed once the listener's data ends.
 	if _, err := io.Copy(io.Discard, raw); err != nil {
-		t.Errorf("not cut off: %v", err)
+		t.Errorf("the connection was not closed: %v", err)
 	}
-	if took := time.Since(from); took > 2*time.Second {
-		t.Errorf("cut off after %v", took)
+	if took := time.Since(start); took > 2*time.Second {
+		t.Errorf("the connection was closed after %v", took)
 	}
 }
 
-// A stranger opens many streams at once and fills the window of each, 256 KB. The
-// streams would lie in memory until somebody took them. Before the proof there must
-// be no streams at all.
-func TestStreamsBeforeTheProof(t *testing.T) {
+// A client without the key opens many streams and fills the window of each, 256 KB, which would
+// stay in memory until the streams are accepted. There must be no streams before the proof.
+func TestStreamsBeforeAuthentication(t *testing.T) {
 	address, _ := listen(t)
-	mux, err := yamux.Client(stranger(t, address), muxConfig(config("")))
+	mux, err := yamux.Client(dialWithoutKey(t, address), muxConfig(config("")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := mux.Open(); err != nil { // The control stream stays silent.
-		return // Cut off before anything could be sent.
+	if _, err := mux.Open(); err != nil { // Nothing is sent on the control stream.
+		return // Closed before anything could be sent.
 	}
-	taken, window := 0, make([]byte, 256<<10)
+	sent, window := 0, make([]byte, 256<<10)
 	for range 64 {
 		raw, err := mux.Open()
 		if err != nil {
@@ -167,17 +166,17 @@
 		}
 		_ = raw.SetDeadline(time.Now().Add(time.Second))
 		n, err := raw.Write(window)
-		taken += n
+		sent += n
 		if err != nil {
 			break
 		}
 	}
-	if taken > 4<<20 {
-		t.Errorf("%d bytes were taken from a stranger", taken)
+	if sent > 4<<20 {
+		t.Errorf("%d bytes were accepted from an unauthenticated client", sent)
 	}
 }
 
-// FuzzReceive looks for bytes on a link that crash the reader.
+// FuzzReceive searches for input that crashes the reader of a link.
 func FuzzReceive(f *testing.F) {
 	for _, m := range []proto.Message{
 		&api.Control{Body: &api.Control_Heartbeat{Heartbeat: &api.Heartbeat{Seq: 1}}},
@@ -192,14 +191,14 @@
 	}
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, into := range []proto.Message{&api.Control{}, &api.Open{}, &api.WorkEvent{}, &api.WorkSignal{}} {
+		for _, message := range []proto.Message{&api.Control{}, &api.Open{}, &api.WorkEvent{}, &api.WorkSignal{}} {
 			near, far := net.Pipe()
 			go func() {
 				_, _ = far.Write(data)
 				_ = far.Close()
 			}()
 			stream := newStream(near)
-			for stream.receive(into, maxHandshake) == nil {
+			for stream.receive(message, maxHandshakeBytes) == nil {
 			}
 			_ = near.Close()
 		}
--- a/internal/link/join.go
+++ b/internal/link/join.go
@@ -5,76 +5,77 @@
 	"net"
 )
 
-// yamux writes the header of a frame and its body by two calls, each a system call and a
-// packet of its own, and a frame to open a stream before the first that carries anything.
-// Tokens of a stream are small and many.
+// yamux writes the header and the body of a frame with two calls, each of which causes a system
+// call and a packet. It also sends a separate frame to open a stream. This is expensive for
+// streamed tokens, which are small and many.
 const (
-	muxHeader     = 12
-	muxTypeData   = 0
-	muxTypeWindow = 1
-	// muxOpens are the flags of a frame that opens a stream, or takes one, and muxEnds
-	// those of one that closes it.
-	muxOpens = 1 | 2
-	muxEnds  = 4 | 8
-	// joinLimit bounds a body that is copied behind its header, bytes; a larger one is
-	// worth a call of its own.
-	joinLimit = 16 << 10
+	muxHeaderBytes = 12
+	muxTypeData    = 0
+	muxTypeWindow  = 1
+	// muxOpenFlags are the flags of a frame that opens or accepts a stream, muxCloseFlags those of
+	// a frame that closes it.
+	muxOpenFlags  = 1 | 2
+	muxCloseFlags = 4 | 8
+	// maxCoalescedBytes limits the body that is copied behind its header. A larger body gets a
+	// write of its own.
+	maxCoalescedBytes = 16 << 10
 )
 
-// joined is a connection that writes header and body of a yamux frame together, and what
-// opens a stream with the next frame. Only one goroutine writes to it, as yamux does.
-type joined struct {
+// coalescingConn is a connection that writes the header and the body of a yamux frame together, and
+// a frame that opens a stream together with the next frame. Only one goroutine may write to it, as
+// yamux does.
+type coalescingConn struct {
 	net.Conn
-	held []byte // what waits for the next call
-	body bool   // the next call brings the body of the header held last
+	buffered   []byte // data held back for the next call
+	expectBody bool   // the next call writes the body of the last buffered header
 }
 
-// Write implements net.Conn. Bytes are held back only if others are bound to follow soon;
-// their error then comes with that call's. A body follows in the next call; whoever opens
-// a stream sends its first message, and whoever takes one its answer, or closes it. Should
-// that be late, the heartbeats of the link, which now has work, carry it.
-func (c *joined) Write(p []byte) (int, error) {
+// Write implements net.Conn. Data is held back only if more is certain to follow soon; its write
+// error is then returned by that later call. The body of a frame follows with the next call. A side
+// that opens a stream sends its first message, and a side that accepts one answers or closes it. If
+// that takes long, the heartbeats of the link, which now has work, flush the data.
+func (c *coalescingConn) Write(p []byte) (int, error) {
 	switch {
-	case c.body:
-		c.body = false
-	case announcesBody(p):
-		c.body = true
-		c.held = append(c.held, p...)
+	case c.expectBody:
+		c.expectBody = false
+	case isHeaderWithBody(p):
+		c.expectBody = true
+		c.buffered = append(c.buffered, p...)
 		return len(p), nil
 	case opensStream(p):
-		c.held = append(c.held, p...)
+		c.buffered = append(c.buffered, p...)
 		return len(p), nil
 	}
-	if len(c.held) == 0 {
+	if len(c.buffered) == 0 {
 		return c.Conn.Write(p)
 	}
-	if len(p) > joinLimit {
-		if _, err := c.Conn.Write(c.held); err != nil {
+	if len(p) > maxCoalescedBytes {
+		if _, err := c.Conn.Write(c.buffered); err != nil {
 			return 0, err
 		}
-		c.held = c.held[:0]
+		c.buffered = c.buffered[:0]
 		return c.Conn.Write(p)
 	}
-	before := len(c.held)
-	c.held = append(c.held, p...)
-	n, err := c.Conn.Write(c.held)
-	c.held = c.held[:0]
+	before := len(c.buffered)
+	c.buffered = append(c.buffered, p...)
+	n, err := c.Conn.Write(c.buffered)
+	c.buffered = c.buffered[:0]
 	return max(n-before, 0), err
 }
 
-// announcesBody says that a write is the header of a data frame that has a body.
-func announcesBody(p []byte) bool {
-	if len(p) != muxHeader || p[0] != 0 || p[1] != muxTypeData {
+// isHeaderWithBody reports whether p is the header of a data frame with a body.
+func isHeaderWithBody(p []byte) bool {
+	if len(p) != muxHeaderBytes || p[0] != 0 || p[1] != muxTypeData {
 		return false
 	}
 	return binary.BigEndian.Uint32(p[8:]) > 0
 }
 
-// opensStream says that a write is a frame without a body by which a stream begins.
+// opensStream reports whether p is a frame without a body that opens or accepts a stream.
 func opensStream(p []byte) bool {
-	if len(p) != muxHeader || p[0] != 0 || p[1] != muxTypeWindow {
+	if len(p) != muxHeaderBytes || p[0] != 0 || p[1] != muxTypeWindow {
 		return false
 	}
 	flags := binary.BigEndian.Uint16(p[2:])
-	return flags&muxOpens != 0 && flags&muxEnds == 0
+	return flags&muxOpenFlags != 0 && flags&muxCloseFlags == 0
 }
--- a/internal/link/pacer.go
+++ b/internal/link/pacer.go
@@ -10,41 +10,43 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// Pacer sends the heartbeats of all links of a process, by one timer: with a timer and
-// a question to the control state for each link, an entry spent most of its processor
-// time without work on waking up.
-type Pacer struct {
-	kick chan struct{}
+// HeartbeatSender sends the heartbeats of all links of a process with a single timer. With a timer
+// and a query of the control state for each link, an idle entry spends most of its CPU time on
+// wakeups.
+type HeartbeatSender struct {
+	wakeup chan struct{}
 
 	mu       sync.Mutex
 	sessions map[*Session]struct{}
 	running  bool
-	due      []*Session // of the round under way
+	due      []*Session // links whose heartbeats are being sent
 }
 
-// NewPacer returns a pacer. All links that share it must have one handler.
-func NewPacer() *Pacer {
-	return &Pacer{kick: make(chan struct{}, 1), sessions: make(map[*Session]struct{})}
+// NewHeartbeatSender returns a sender without links. All links that share it must have the same
+// handler.
+func NewHeartbeatSender() *HeartbeatSender {
+	return &HeartbeatSender{wakeup: make(chan struct{}, 1), sessions: make(map[*Session]struct{})}
 }
 
-// Hurry has all links beat with the next tick: there is news that is told by heartbeats.
-func (p *Pacer) Hurry() {
+// SendAllAtNextTick makes heartbeats due on all links at the next tick. It is called for updates
+// that heartbeats carry.
+func (p *HeartbeatSender) SendAllAtNextTick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sessions {
-		s.rhythm.hurry()
+		s.heartbeatState.sendAtNextTick()
 	}
 }
 
-// wake has the links beat at once that must.
-func (p *Pacer) wake() {
+// wake triggers the heartbeats that are due immediately.
+func (p *HeartbeatSender) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Pacer) add(s *Session) {
+func (p *HeartbeatSender) add(s *Session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sessions[s] = struct{}{}
@@ -53,43 +55,43 @@
 		return
 	}
 	p.running = true
-	go p.run(s.cfg.Heartbeat)
+	go p.run(s.cfg.HeartbeatInterval)
 }
 
-// run sends heartbeats for as long as there are links.
-func (p *Pacer) run(every time.Duration) {
-	ticker := time.NewTicker(every)
+// run sends heartbeats as long as there are links.
+func (p *HeartbeatSender) run(interval time.Duration) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for timed := false; p.round(timed); {
+	for onTick := false; p.sendDue(onTick); {
 		select {
 		case <-ticker.C:
-			timed = true
-		case <-p.kick:
-			timed = false
+			onTick = true
+		case <-p.wakeup:
+			onTick = false
 		}
 	}
 }
 
-// round sends the heartbeats that are due, and returns false when there are no links.
-// What they say is asked for once, after their echoes were read: the receiver takes the
-// knowledge for newer than the heartbeat that is echoed.
-func (p *Pacer) round(timed bool) bool {
-	if !p.collect(timed) {
+// sendDue sends the heartbeats that are due, and returns false when there are no links. The handler
+// is called once for all of them, after their echoes were read: the receiver assumes that the
+// knowledge is newer than the heartbeat that is echoed.
+func (p *HeartbeatSender) sendDue(onTick bool) bool {
+	if !p.collectDue(onTick) {
 		return false
 	}
 	if len(p.due) == 0 {
 		return true
 	}
-	common := p.due[0].handler.Heartbeat()
+	template := p.due[0].handler.Heartbeat()
 	for _, s := range p.due {
-		s.beat(proto.CloneOf(common))
+		s.queueHeartbeat(proto.CloneOf(template))
 	}
 	return true
 }
 
-// collect finds the links whose heartbeats are due, and closes those that have been
-// silent for too long.
-func (p *Pacer) collect(timed bool) bool {
+// collectDue collects the links whose heartbeats are due, and closes those that have been silent
+// for too long.
+func (p *HeartbeatSender) collectDue(onTick bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.due = p.due[:0]
@@ -99,12 +101,13 @@
 			delete(p.sessions, s)
 			continue
 		}
-		if silence := s.rhythm.silence(now); silence > s.cfg.Dead {
-			// Closing hands its news to the control state, which is not waited for.
-			go s.Close(errors.Errorf("silent for %v", silence.Round(time.Millisecond)))
+		if silence := s.heartbeatState.silence(now); silence > s.cfg.DeadAfter {
+			// Close calls Handler.Down, which may wait for the control goroutine. That must not
+			// block the sender.
+			go s.Close(errors.Errorf("the link was silent for %v", silence.Round(time.Millisecond)))
 			continue
 		}
-		if s.rhythm.due(now, timed) {
+		if s.heartbeatState.takeDue(now, onTick) {
 			p.due = append(p.due, s)
 		}
 	}
--- a/internal/link/rhythm.go
+++ b/internal/link/rhythm.go
@@ -7,183 +7,194 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// linger is how long a link stays brisk after its last work: requests that follow each
-// other would otherwise begin with two more heartbeats each.
-const linger = time.Second
+// activeAfterWork is how long a link stays active after its last request. Otherwise each of several
+// consecutive requests would start with two additional heartbeats.
+const activeAfterWork = time.Second
 
-// rhythm knows when a link's heartbeats are due and how long the link has been silent.
+// heartbeatState determines when the heartbeats of a link are due and how long the link has been
+// silent.
 //
-// A link with work beats at the short interval, since its callers wait for what is
-// lost; one without beats at the long interval, which is most of what control costs a
-// node. The side that has work says so, and both are brisk until it says otherwise, so
-// that neither expects what the other does not send.
-type rhythm struct {
+// A link with work is active and sends heartbeats at the short interval, because callers wait for
+// what is lost on it. A link without work sends them at the idle interval, since the heartbeats of
+// idle links are most of the cost of control traffic. The side that has work announces it, and both
+// sides stay active until it withdraws that, so that neither expects heartbeats that the other does
+// not send.
+type heartbeatState struct {
 	cfg Config
 
-	mu      sync.Mutex
-	flights int           // pieces of work on the link
-	ended   time.Duration // when the last one ended
-	asked   bool          // the other side has work
-	theirs  time.Duration // the long interval that the other side reckons with
-	since   time.Duration // when the link last became brisk
-
-	heard   time.Duration   // when the newest message came
-	echo    uint64          // the newest heartbeat received
-	echoAt  time.Duration   // when it came
-	sent    uint64          // the newest heartbeat sent
-	acked   uint64          // the newest one echoed
-	times   []time.Duration // when those from acked on were sent
-	beatAt  time.Duration   // when the newest was sent
-	told    bool            // it said that this side has work
-	urgent  bool            // one is due at once
-	hurried bool            // one is due with the next tick
-	// What the heartbeat that is due echoes, read before the knowledge that it carries.
-	nextEcho uint64
-	nextHeld time.Duration
+	mu               sync.Mutex
+	inFlight         int           // requests on the link
+	workEndedAt      time.Duration // when the last one ended
+	peerHasWork      bool          // the peer has announced work
+	peerIdleInterval time.Duration // idle interval announced by the peer
+	activeSince      time.Duration // when the link last became active
+
+	lastHeard     time.Duration   // when the newest message was received
+	receivedSeq   uint64          // number of the newest heartbeat received
+	receivedAt    time.Duration   // when it was received
+	sentSeq       uint64          // number of the newest heartbeat sent
+	echoedSeq     uint64          // number of the newest one echoed by the peer
+	sentTimes     []time.Duration // send times of the heartbeats from echoedSeq on
+	lastSent      time.Duration   // when the newest heartbeat was sent
+	announcedWork bool            // whether the newest heartbeat announced work
+	dueNow        bool            // a heartbeat is due immediately
+	dueAtNextTick bool            // a heartbeat is due at the next tick
+	// The echo of the heartbeat that is due, read before the knowledge that it carries.
+	nextEcho     uint64
+	nextEchoHeld time.Duration
 }
 
-func newRhythm(cfg Config, now time.Duration) *rhythm {
-	cfg.Idle = max(cfg.Idle, cfg.Heartbeat)
-	// A new link is brisk for a while: the first echoes are waited for.
-	return &rhythm{cfg: cfg, heard: now, ended: now, since: now, urgent: true, times: []time.Duration{now}}
+func newHeartbeatState(cfg Config, now time.Duration) *heartbeatState {
+	cfg.IdleInterval = max(cfg.IdleInterval, cfg.HeartbeatInterval)
+	// A new link starts active, to get the first echoes early.
+	return &heartbeatState{cfg: cfg, lastHeard: now, workEndedAt: now, activeSince: now, dueNow: true, sentTimes: []time.Duration{now}}
 }
 
-// idle is the long interval: the shorter one of both sides, so that one which knows
-// another or none, as in a rolling update, takes nothing for silence.
-func (r *rhythm) idle() time.Duration {
-	return max(r.cfg.Heartbeat, min(r.cfg.Idle, r.theirs))
+// idleInterval returns the shorter of the idle intervals of both sides. A process that uses a
+// shorter one or none, as during a rolling update, would otherwise mistake the longer one for
+// silence.
+func (r *heartbeatState) idleInterval() time.Duration {
+	return max(r.cfg.HeartbeatInterval, min(r.cfg.IdleInterval, r.peerIdleInterval))
 }
 
-func (r *rhythm) needed(now time.Duration) bool { return r.flights > 0 || now-r.ended < linger }
+func (r *heartbeatState) hasRecentWork(now time.Duration) bool {
+	return r.inFlight > 0 || now-r.workEndedAt < activeAfterWork
+}
 
-func (r *rhythm) brisk(now time.Duration) bool { return r.asked || r.needed(now) }
+func (r *heartbeatState) isActive(now time.Duration) bool {
+	return r.peerHasWork || r.hasRecentWork(now)
+}
 
-// begin counts a piece of work on the link, and says whether a heartbeat is due at once.
-func (r *rhythm) begin(now time.Duration) bool {
+// beginWork counts a request on the link, and reports whether a heartbeat is due immediately.
+func (r *heartbeatState) beginWork(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.brisk(now) {
-		r.quicken(now)
+	if !r.isActive(now) {
+		r.activate(now)
 	}
-	r.flights++
-	return r.urgent
+	r.inFlight++
+	return r.dueNow
 }
 
-// quicken makes an idle link brisk. From now on its silence counts, and not from the last
-// heartbeat, which came at the long interval. A link that is suspect already stays so
-// until it is heard: a process that wakes from a pause would believe in it again.
-func (r *rhythm) quicken(now time.Duration) {
-	r.urgent = true
-	if r.silent(now) <= r.cfg.Suspect {
-		r.since = now
+// activate makes an idle link active. Its silence is measured from now on instead of from the last
+// heartbeat, which was sent at the idle interval. A link that is already suspect stays suspect
+// until something is received; otherwise a process that resumes after a pause would trust the link
+// again.
+func (r *heartbeatState) activate(now time.Duration) {
+	r.dueNow = true
+	if r.silenceLocked(now) <= r.cfg.SuspectAfter {
+		r.activeSince = now
 	}
 }
 
-// end takes back the count of begin.
-func (r *rhythm) end(now time.Duration) {
+// endWork removes a request counted by beginWork.
+func (r *heartbeatState) endWork(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.flights--
-	r.ended = now
+	r.inFlight--
+	r.workEndedAt = now
 }
 
-// hurry makes a heartbeat due with the next tick.
-func (r *rhythm) hurry() {
+// sendAtNextTick makes a heartbeat due at the next tick.
+func (r *heartbeatState) sendAtNextTick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hurried = true
+	r.dueAtNextTick = true
 }
 
-// due says whether a heartbeat is due at a tick, or at once between two ticks. After one
-// that told of work the next comes at the short interval: the other side expects it.
-func (r *rhythm) due(now time.Duration, tick bool) bool {
+// takeDue reports whether a heartbeat is due, at a tick or, if tick is false, immediately, and
+// marks it as taken. After a heartbeat that announced work the next one is sent at the short
+// interval, because the peer expects it then.
+func (r *heartbeatState) takeDue(now time.Duration, tick bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slow := now-r.beatAt >= r.idle()-r.cfg.Heartbeat/2
-	if !r.urgent && !(tick && (r.hurried || r.told || slow || r.brisk(now))) {
+	idleDue := now-r.lastSent >= r.idleInterval()-r.cfg.HeartbeatInterval/2
+	if !r.dueNow && !(tick && (r.dueAtNextTick || r.announcedWork || idleDue || r.isActive(now))) {
 		return false
 	}
-	r.urgent, r.hurried = false, false
-	r.nextEcho, r.nextHeld = r.echo, now-r.echoAt
+	r.dueNow, r.dueAtNextTick = false, false
+	r.nextEcho, r.nextEchoHeld = r.receivedSeq, now-r.receivedAt
 	return true
 }
 
-// stamp completes the heartbeat that is due.
-func (r *rhythm) stamp(beat *api.Heartbeat, now time.Duration) {
+// complete numbers a heartbeat, records when it is sent and fills in the fields that belong to
+// the link.
+func (r *heartbeatState) complete(heartbeat *api.Heartbeat, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent++
-	r.times = append(r.times, now)
-	r.beatAt = now
-	r.told = r.needed(now)
-	beat.Seq = r.sent
-	beat.Echo = r.nextEcho
-	beat.HeldUs = r.nextHeld.Microseconds()
-	beat.Brisk = r.told
-	beat.IdleMs = r.cfg.Idle.Milliseconds()
-}
-
-// received notes that a message came.
-func (r *rhythm) received(now time.Duration) {
+	r.sentSeq++
+	r.sentTimes = append(r.sentTimes, now)
+	r.lastSent = now
+	r.announcedWork = r.hasRecentWork(now)
+	heartbeat.Seq = r.sentSeq
+	heartbeat.Echo = r.nextEcho
+	heartbeat.HeldUs = r.nextEchoHeld.Microseconds()
+	heartbeat.Brisk = r.announcedWork
+	heartbeat.IdleMs = r.cfg.IdleInterval.Milliseconds()
+}
+
+// messageReceived records that a message was received.
+func (r *heartbeatState) messageReceived(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = now
+	r.lastHeard = now
 }
 
-// noted takes in a heartbeat. It returns a time before which the other side cannot have
-// made it, negative when unknown, and whether an answer is due at once.
+// heartbeatReceived handles a heartbeat. It returns a time before which the peer cannot have sent
+// it, negative if unknown, and whether an answer is due immediately.
 //
-// That time is when the heartbeat that is echoed was sent from here, and as much later as
-// the other side held it: it was received after it was sent, and what the other side knew
-// was looked up after it was held. Late reading on either side only makes the time
-// earlier than it was.
-func (r *rhythm) noted(beat *api.Heartbeat, now time.Duration) (time.Duration, bool) {
+// That time is when the echoed heartbeat was sent from here, plus the time for which the peer held
+// it: the peer received it after it was sent, and read its own state after holding it. Reading late
+// on either side only makes the returned time earlier.
+func (r *heartbeatState) heartbeatReceived(heartbeat *api.Heartbeat, now time.Duration) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.echo, r.echoAt = beat.GetSeq(), now
-	if beat.GetBrisk() && !r.brisk(now) {
-		r.quicken(now)
+	r.receivedSeq, r.receivedAt = heartbeat.GetSeq(), now
+	if heartbeat.GetBrisk() && !r.isActive(now) {
+		r.activate(now)
 	}
-	r.asked = beat.GetBrisk()
-	r.theirs = time.Duration(beat.GetIdleMs()) * time.Millisecond
-	echoed := min(beat.GetEcho(), r.sent)
-	if echoed > r.acked {
-		r.times = r.times[:copy(r.times, r.times[echoed-r.acked:])]
-		r.acked = echoed
+	r.peerHasWork = heartbeat.GetBrisk()
+	r.peerIdleInterval = time.Duration(heartbeat.GetIdleMs()) * time.Millisecond
+	echoed := min(heartbeat.GetEcho(), r.sentSeq)
+	if echoed > r.echoedSeq {
+		r.sentTimes = r.sentTimes[:copy(r.sentTimes, r.sentTimes[echoed-r.echoedSeq:])]
+		r.echoedSeq = echoed
 	}
-	if echoed == 0 || echoed < r.acked {
-		return -1, r.urgent
+	if echoed == 0 || echoed < r.echoedSeq {
+		return -1, r.dueNow
 	}
-	held := max(0, time.Duration(beat.GetHeldUs())*time.Microsecond)
-	return min(r.times[0]+held, now), r.urgent
+	held := max(0, time.Duration(heartbeat.GetHeldUs())*time.Microsecond)
+	return min(r.sentTimes[0]+held, now), r.dueNow
 }
 
-// silence is how much longer the link has been silent, in either direction, than it may
-// be at its interval: a link may lose messages in one direction only.
-func (r *rhythm) silence(now time.Duration) time.Duration {
+// silence returns for how much longer the link has been silent, in either direction, than its
+// interval allows. It covers both directions because a link may lose messages in only one.
+func (r *heartbeatState) silence(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silent(now)
+	return r.silenceLocked(now)
 }
 
-func (r *rhythm) silent(now time.Duration) time.Duration {
-	if r.brisk(now) {
-		return now - max(r.proven(), r.since)
+func (r *heartbeatState) silenceLocked(now time.Duration) time.Duration {
+	if r.isActive(now) {
+		return now - max(r.lastConfirmed(), r.activeSince)
 	}
-	return now - r.proven() - (r.idle() - r.cfg.Heartbeat)
+	return now - r.lastConfirmed() - (r.idleInterval() - r.cfg.HeartbeatInterval)
 }
 
-// proven is the newest time at which the link worked in both directions.
-func (r *rhythm) proven() time.Duration {
-	if len(r.times) > 1 {
-		return min(r.heard, r.times[1])
+// lastConfirmed returns the latest time at which the link is known to have worked in both
+// directions.
+func (r *heartbeatState) lastConfirmed() time.Duration {
+	if len(r.sentTimes) > 1 {
+		return min(r.lastHeard, r.sentTimes[1])
 	}
-	return r.heard
+	return r.lastHeard
 }
 
-// quiet is the time since the link was proven, whatever its interval.
-func (r *rhythm) quiet(now time.Duration) time.Duration {
+// sinceConfirmed returns the time since the link last worked in both directions, regardless of its
+// interval.
+func (r *heartbeatState) sinceConfirmed(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now - r.proven()
+	return now - r.lastConfirmed()
 }
--- a/internal/member/fake_test.go
+++ b/internal/member/fake_test.go
@@ -22,18 +22,18 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// fakePlatform is a log and a list of VMs in memory.
+// fakePlatform serves a log and a list of VMs from memory.
 type fakePlatform struct {
-	mu      sync.Mutex
-	client  *platform.Client
-	records [][]byte
-	first   int64 // the oldest offset kept
-	vms     []platform.VM
-	down    bool
-	full    bool // appends fail
-	most    int  // an answer of more records is cut short; 0 for no bound
-	appends int
-	reads   int
+	mu         sync.Mutex
+	client     *platform.Client
+	records    [][]byte
+	oldest     int64 // the oldest offset kept
+	vms        []platform.VM
+	down       bool
+	full       bool // appends fail
+	maxRecords int  // a response with more records is truncated; 0 for no limit
+	appends    int
+	reads      int
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
@@ -48,7 +48,7 @@
 	return f
 }
 
-// withoutLog returns another way to the platform, by which the log does not answer.
+// withoutLog returns a client of the same platform for which the log does not answer.
 func (f *fakePlatform) withoutLog(t *testing.T) *platform.Client {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/vms" {
@@ -88,34 +88,34 @@
 	defer f.mu.Unlock()
 	f.reads++
 	next := int64(len(f.records))
-	answer := map[string]any{"first": f.first, "next": next}
+	response := map[string]any{"first": f.oldest, "next": next}
 	switch {
 	case f.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case from < f.first:
+	case from < f.oldest:
 		w.WriteHeader(http.StatusGone)
-	case f.most > 0 && min(next-from, int64(limit)) > int64(f.most):
+	case f.maxRecords > 0 && min(next-from, int64(limit)) > int64(f.maxRecords):
 		_, _ = w.Write([]byte(`{"first":0,"next":1,"records":[`))
 		return
 	default:
 		records := []map[string]any{}
-		for at := from; at < next && len(records) < limit; at++ {
-			records = append(records, map[string]any{"offset": at, "data": f.records[at]})
+		for offset := from; offset < next && len(records) < limit; offset++ {
+			records = append(records, map[string]any{"offset": offset, "data": f.records[offset]})
 		}
-		answer["records"] = records
+		response["records"] = records
 	}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-// set changes the platform's state.
+// set changes the platform's state under its lock.
 func (f *fakePlatform) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// mark appends a mark of a VM that nobody knows.
+// mark appends a mark of a VM that does not exist.
 func (f *fakePlatform) mark(t *testing.T, id string, base int64) {
 	t.Helper()
 	body := &api.Mark{Target: api.MarkTarget_TARGET_VM, Name: "elsewhere", Out: true, Base: base}
@@ -126,16 +126,16 @@
 	f.set(func() { f.records = append(f.records, data) })
 }
 
-// testNode is a member on loopback.
+// testNode is a member that listens on the loopback interface.
 type testNode struct {
 	*Node
 	stop func()
 }
 
-// quick makes faults show within a fraction of a second.
-var quick = &api.Links{Key: "key", HeartbeatMs: 10, SuspectMs: 150, DeadMs: 400, FreshnessMs: 600}
+// fastLinks has short times, so that faults are detected within a fraction of a second.
+var fastLinks = &api.Links{Key: "key", HeartbeatMs: 10, SuspectMs: 150, DeadMs: 400, FreshnessMs: 600}
 
-// start runs a member and puts its VM on the platform's list.
+// start runs a member and adds its VM to the platform's list.
 func (f *fakePlatform) start(t *testing.T, vm, role string, change func(*Options)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,8 +154,8 @@
 	})
 	o := Options{
 		Self:     &api.Hello{Vm: vm, Role: roleOf(listed), FailureDomain: "a", Incarnation: ln.Addr().String()},
-		Platform: f.client, Links: quick, Poll: 20 * time.Millisecond, VMsPoll: 20 * time.Millisecond, Logger: log.NewNopLogger(),
-		Dials: func(other platform.VM) bool { return other.ID > vm },
+		Platform: f.client, Links: fastLinks, LogPollInterval: 20 * time.Millisecond, VMsPollInterval: 20 * time.Millisecond, Logger: log.NewNopLogger(),
+		ShouldDial: func(other platform.VM) bool { return other.ID > vm },
 	}
 	if change != nil {
 		change(&o)
@@ -175,32 +175,32 @@
 	return n
 }
 
-// lines is a log that a test reads.
-type lines struct {
+// logBuffer collects log lines for a test.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), part)
 }
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	limit := time.Now().Add(8 * time.Second)
-	for !holds() {
-		if time.Now().After(limit) {
-			t.Fatalf("not seen: %s", what)
+	deadline := time.Now().Add(8 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -210,18 +210,18 @@
 
 func (n *testNode) peer(vm string) *Peer { return n.State().Peers[vm] }
 
-// closeLink ends the link to a VM.
+// closeLink closes the link to a VM.
 func (n *testNode) closeLink(vm string) {
 	if p := n.peer(vm); p != nil {
-		p.Session.Close(link.ErrProof)
+		p.Session.Close(link.ErrWrongKey)
 	}
 }
 
-// forwarder stands between two members and can lose track of the connections it has.
+// forwarder forwards connections between two members and can drop the traffic of those that exist.
 type forwarder struct {
-	address string
-	mu      sync.Mutex
-	lost    []*atomic.Bool
+	address  string
+	mu       sync.Mutex
+	dropping []*atomic.Bool
 }
 
 func forward(t *testing.T, to string) *forwarder {
@@ -245,16 +245,16 @@
 			}
 			lost := &atomic.Bool{}
 			f.mu.Lock()
-			f.lost = append(f.lost, lost)
+			f.dropping = append(f.dropping, lost)
 			f.mu.Unlock()
-			go pass(far, near, lost)
-			go pass(near, far, lost)
+			go copyUnlessLost(far, near, lost)
+			go copyUnlessLost(near, far, lost)
 		}
 	}()
 	return f
 }
 
-func pass(to, from net.Conn, lost *atomic.Bool) {
+func copyUnlessLost(to, from net.Conn, lost *atomic.Bool) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 32<<10)
 	for {
@@ -268,11 +268,11 @@
 	}
 }
 
-// lose makes the bytes of all connections so far go nowhere.
-func (f *forwarder) lose() {
+// dropAll discards all further bytes of the existing connections.
+func (f *forwarder) dropAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, lost := range f.lost {
+	for _, lost := range f.dropping {
 		lost.Store(true)
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform talks to the platform's append-only log and its list of VMs.
+// Package platform is the client of the platform's append-only log and of its list of VMs.
 package platform
 
 import (
@@ -17,87 +17,86 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxAnswer bounds what is read of one answer, bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of one response.
+const maxResponseBytes = 64 << 20
 
-// ErrTooLarge says that an answer has more bytes than are taken. A read that asks for
-// fewer records may pass.
-var ErrTooLarge = errors.New("the platform's answer is too large")
+// ErrResponseTooLarge means that a response exceeds the size limit. A read that asks for fewer
+// records may succeed.
+var ErrResponseTooLarge = errors.New("the platform's answer is too large")
 
-// ExpiredError says that the log no longer keeps the offset asked for.
+// ExpiredError means that the log no longer keeps the requested offset.
 type ExpiredError struct {
-	// First is the oldest offset kept, Next the offset of the next append.
-	First, Next int64
+	// Oldest is the oldest offset kept, NextOffset the offset of the next append.
+	Oldest, NextOffset int64
 }
 
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("the log keeps offsets from %d on", e.First)
+	return fmt.Sprintf("the log keeps offsets from %d on", e.Oldest)
 }
 
-// Client is a client of the platform. It is safe for use by many goroutines.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
-	base string
-	// records is the path of the log's records: those of the configuration, or of a
-	// stream beside it.
-	records string
-	http    *http.Client
-	timeout time.Duration
-	// maxAnswer is the constant, but for tests.
-	maxAnswer int64
+	baseURL string
+	// recordsPath is the path of the log records: those of the configuration, or those of another
+	// stream.
+	recordsPath string
+	http        *http.Client
+	timeout     time.Duration
+	// maxResponseBytes is the constant of the same name except in tests.
+	maxResponseBytes int64
 }
 
-// New returns a client of the platform at a base URL. Each request may take as
-// long as timeout, beyond the time it asks the platform to wait.
-func New(base string, timeout time.Duration) *Client {
+// New returns a client of the platform at a base URL. Each request may take up to timeout, in
+// addition to the time that it asks the platform to wait.
+func New(baseURL string, timeout time.Duration) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     30 * time.Second,
 	}
 	return &Client{
-		base:      strings.TrimSuffix(base, "/"),
-		records:   "/log/records",
-		http:      &http.Client{Transport: transport},
-		timeout:   timeout,
-		maxAnswer: maxAnswer,
+		baseURL:          strings.TrimSuffix(baseURL, "/"),
+		recordsPath:      "/log/records",
+		http:             &http.Client{Transport: transport},
+		timeout:          timeout,
+		maxResponseBytes: maxResponseBytes,
 	}
 }
 
-// Stream returns a client whose Append and Read use a stream of its own in the log, with
-// its own offsets. It has connections of its own too: reads that wait on a busy stream
-// must not take those of the configuration.
+// Stream returns a client whose Append and Read use a separate stream of the log, with offsets of
+// its own. It has separate connections, so that reads that wait on a busy stream do not use up
+// those for the configuration.
 func (c *Client) Stream(name string) *Client {
-	stream := New(c.base, c.timeout)
-	stream.records = "/log/streams/" + url.PathEscape(name) + "/records"
-	stream.maxAnswer = c.maxAnswer
+	stream := New(c.baseURL, c.timeout)
+	stream.recordsPath = "/log/streams/" + url.PathEscape(name) + "/records"
+	stream.maxResponseBytes = c.maxResponseBytes
 	return stream
 }
 
-// Append appends one record and returns its offset. An error does not say that
-// the record was not appended: the answer may be what was lost.
+// Append appends one record and returns its offset. After an error the record may still have been
+// appended, as the response may have been lost.
 func (c *Client) Append(ctx context.Context, record []byte) (int64, error) {
-	var answer struct {
+	var response struct {
 		Offset int64 `json:"offset"`
 	}
-	err := c.call(ctx, http.MethodPost, c.records, record, 0, &answer)
+	err := c.doJSON(ctx, http.MethodPost, c.recordsPath, record, 0, &response)
 	if err != nil {
 		return 0, errors.Wrap(err, "append to the log")
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
-// Batch is the answer to a read of the log.
+// Batch is the response to a read of the log.
 type Batch struct {
-	// First is the oldest offset kept, Next the offset of the next append.
-	First   int64 `json:"first"`
-	Next    int64 `json:"next"`
-	Records []struct {
+	// Oldest is the oldest offset kept, NextOffset the offset of the next append.
+	Oldest     int64 `json:"first"`
+	NextOffset int64 `json:"next"`
+	Records    []struct {
 		Offset int64  `json:"offset"`
 		Data   []byte `json:"data"`
 	} `json:"records"`
 }
 
-// LogRecords returns the records in the form in which they travel between
-// processes.
+// LogRecords returns the records in the form in which processes exchange them.
 func (b *Batch) LogRecords() []*api.LogRecord {
 	records := make([]*api.LogRecord, 0, len(b.Records))
 	for _, r := range b.Records {
@@ -106,80 +105,80 @@
 	return records
 }
 
-// Read returns up to limit records from an offset on, waiting for the first as
-// long as wait. It returns an *ExpiredError for an offset no longer kept.
+// Read returns up to limit records starting at an offset, and waits up to wait for the first one.
+// It returns an *ExpiredError for an offset that is no longer kept.
 func (c *Client) Read(ctx context.Context, from int64, limit int, wait time.Duration) (*Batch, error) {
-	path := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.records, from, limit, wait.Milliseconds())
+	path := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.recordsPath, from, limit, wait.Milliseconds())
 	var batch Batch
-	err := c.call(ctx, http.MethodGet, path, nil, wait, &batch)
+	err := c.doJSON(ctx, http.MethodGet, path, nil, wait, &batch)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the log")
 	}
 	return &batch, nil
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration, answer any) error {
-	got, err := c.do(ctx, method, path, body, wait, "")
+func (c *Client) doJSON(ctx context.Context, method, path string, body []byte, wait time.Duration, response any) error {
+	resp, err := c.do(ctx, method, path, body, wait, "")
 	if err != nil {
 		return err
 	}
-	return decode(got.status, got.data, answer)
+	return decodeResponse(resp.status, resp.body, response)
 }
 
-// answered is an answer of the platform.
-type answered struct {
+// response is a response of the platform.
+type response struct {
 	status int
-	data   []byte
-	tag    string // of the contents, if the platform gives one
+	body   []byte
+	etag   string // of the content, empty if the platform sends none
 }
 
-// do makes one request. With a tag it asks only for contents that have another.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration, tag string) (*answered, error) {
+// do sends one request. With an etag, it asks for the content only if it has changed.
+func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration, etag string) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
-	// A body that is not a *bytes.Reader gives the request no GetBody, so that
-	// net/http cannot send an append a second time by itself.
+	// With a body that is not a *bytes.Reader the request has no GetBody, so net/http cannot resend
+	// an append on its own.
 	var reader io.Reader
 	if body != nil {
 		reader = struct{ io.Reader }{bytes.NewReader(body)}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 	if err != nil {
 		return nil, err
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(data)) > c.maxAnswer {
-		return nil, ErrTooLarge
+	if int64(len(data)) > c.maxResponseBytes {
+		return nil, ErrResponseTooLarge
 	}
-	return &answered{status: resp.StatusCode, data: data, tag: resp.Header.Get("ETag")}, nil
+	return &response{status: resp.StatusCode, body: data, etag: resp.Header.Get("ETag")}, nil
 }
 
-func decode(status int, data []byte, answer any) error {
+func decodeResponse(status int, data []byte, into any) error {
 	if status == http.StatusGone {
-		var gone struct {
+		var expired struct {
 			First int64 `json:"first"`
 			Next  int64 `json:"next"`
 		}
-		if err := json.Unmarshal(data, &gone); err != nil {
+		if err := json.Unmarshal(data, &expired); err != nil {
 			return errors.Wrap(err, "the platform's answer cannot be read")
 		}
-		return &ExpiredError{First: gone.First, Next: gone.Next}
+		return &ExpiredError{Oldest: expired.First, NextOffset: expired.Next}
 	}
 	if status != http.StatusOK {
 		return errors.Errorf("the platform answered with status %d", status)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, into); err != nil {
 		return errors.Wrap(err, "the platform's answer cannot be read")
 	}
 	return nil
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// VM is one line of the platform's list. The list lags.
+// VM is an entry of the platform's list of VMs. The list may be out of date.
 type VM struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -17,50 +17,50 @@
 	Public        string `json:"public"`
 	Group         string `json:"group"`
 	State         string `json:"state"`
-	// Region is where the VM stands; empty where the platform has one only.
+	// Region is the region of the VM; empty where the platform has only one.
 	Region string `json:"region,omitempty"`
-	// Offer is what a backend server serves, "model:NAME" or "service:NAME"; empty if
-	// the list does not say.
+	// Offer is what a backend server serves, "model:NAME" or "service:NAME"; empty if the list does
+	// not contain it.
 	Offer string `json:"offer,omitempty"`
 }
 
-// Roles and states of the platform's list.
+// Roles and states in the platform's list.
 const (
 	RoleEntry    = "entry"
 	RoleBackend  = "backend"
 	StateLeaving = "leaving"
 )
 
-// VMList is the platform's list as it was read once.
+// VMList is the platform's list of VMs as of one read.
 type VMList struct {
-	VMs []VM
-	tag string
+	VMs  []VM
+	etag string
 }
 
-// VMs returns the platform's list of live and leaving VMs; last itself when it has not
-// changed since that was read, nil for none. The list is large and changes little: a
-// platform that tags its answers (ETag) is asked only for another one, and one that does
-// not sends it whole.
-func (c *Client) VMs(ctx context.Context, last *VMList) (*VMList, error) {
-	tag := ""
+// ListVMs returns the platform's list of live and leaving VMs. It returns last itself if the list
+// has not changed since; last may be nil. The list is large and changes rarely, so a platform that
+// sends an ETag is asked for it conditionally. A platform that sends none returns the whole list
+// each time.
+func (c *Client) ListVMs(ctx context.Context, last *VMList) (*VMList, error) {
+	etag := ""
 	if last != nil {
-		tag = last.tag
+		etag = last.etag
 	}
-	got, err := c.do(ctx, http.MethodGet, "/vms", nil, 0, tag)
+	resp, err := c.do(ctx, http.MethodGet, "/vms", nil, 0, etag)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the list of VMs")
 	}
-	if got.status == http.StatusNotModified && tag != "" {
+	if resp.status == http.StatusNotModified && etag != "" {
 		return last, nil
 	}
-	var answer struct {
+	var response struct {
 		VMs []VM `json:"vms"`
 	}
-	if err := decode(got.status, got.data, &answer); err != nil {
+	if err := decodeResponse(resp.status, resp.body, &response); err != nil {
 		return nil, errors.Wrap(err, "read the list of VMs")
 	}
-	if last != nil && last.tag == got.tag && slices.Equal(last.VMs, answer.VMs) {
+	if last != nil && last.etag == resp.etag && slices.Equal(last.VMs, response.VMs) {
 		return last, nil
 	}
-	return &VMList{VMs: answer.VMs, tag: got.tag}, nil
+	return &VMList{VMs: response.VMs, etag: resp.etag}, nil
 }
