--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -167,8 +167,8 @@
 		// Opaque keeps the path as it was received, including its escapes.
 		URL:  &url.URL{Opaque: t.uri},
 		Host: t.host,
-		Header: platform.OutgoingHeader(t.header, platform.Send{
-			Server: a.server.ID, Team: t.team, Left: timeLeft(t.deadline, clock.Now()),
+		Header: platform.OutgoingHeader(t.header, platform.BackendRequest{
+			Server: a.server.ID, Team: t.team, TimeLeft: timeLeft(t.deadline, clock.Now()),
 			Priority: t.priority, ResumeAfter: resumeAfter,
 		}),
 		ContentLength: int64(len(t.body)),
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -181,7 +181,7 @@
 		}
 		_ = level.Info(c.logger).Log("msg", "A failure domain was marked.", "failure_domain", key.FailureDomain,
 			"out", !change.Deleted(), "offset", change.Offset)
-	case key.Config && !change.Deleted():
+	case key.IsConfig && !change.Deleted():
 		cfg, err := platform.DecodeConfig(change.Value)
 		if err != nil {
 			_ = level.Error(c.logger).Log("msg", "The configuration cannot be read; the last one stays in force.",
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -10,7 +10,7 @@
 // coordinatorCandidates returns the other entries that may coordinate. Where engines compare
 // fences, a silent coordinator is replaced early: if it is still alive, its orders are refused.
 func (c *control) coordinatorCandidates(live []*api.PeerBeat, now time.Duration) []*api.PeerBeat {
-	if c.g.settings.Bounds.Fencing {
+	if c.g.settings.Bounds.RequireFencing {
 		return c.peers.OnTime(now)
 	}
 	return live
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -27,12 +27,12 @@
 		result.WriteHTTP(w, result.New(api.ResultCode_STARTING))
 		return
 	}
-	q := platform.ReadResolve(r.URL.Query())
+	q := platform.ReadResolveRequest(r.URL.Query())
 	ttl := addressTTL
 	if limit := g.settings.Bounds.AddressTTL; limit > 0 {
 		ttl = min(ttl, limit)
 	}
-	if err := platform.WriteResolve(w, addressesFor(v.addresses, r.RemoteAddr), ttl); err != nil {
+	if err := platform.WriteResolveResponse(w, addressesFor(v.addresses, r.RemoteAddr), ttl); err != nil {
 		_ = level.Debug(g.logger).Log("msg", "The list of addresses could not be sent to a caller.", "host", q.Host, "err", err,
 			"result", result.Label(api.ResultCode_ANSWER_BROKEN))
 	}
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -53,7 +53,7 @@
 // storeReader is the part of the store that a follower uses.
 type storeReader interface {
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) ([]keyed.Record, error)
-	Newest(ctx context.Context, topic string) (platform.Listing, error)
+	ListNewest(ctx context.Context, topic string) (platform.Listing, error)
 }
 
 // follower reads one topic and sends what it reads to the control goroutine.
@@ -132,7 +132,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, f.wait+storeTimeout)
 	defer cancel()
 	if *next < 0 {
-		listing, err := f.store.Newest(callCtx, f.topic)
+		listing, err := f.store.ListNewest(callCtx, f.topic)
 		u.at = clock.Now()
 		if err != nil {
 			return u, err
@@ -147,7 +147,7 @@
 		var expired *platform.ExpiredError
 		if errors.As(err, &expired) {
 			_ = level.Info(f.logger).Log("msg", "The log has truncated records; all keys are read again.",
-				"topic", f.topic, "from", *next, "first", expired.First)
+				"topic", f.topic, "from", *next, "first", expired.FirstOffset)
 			*next = -1
 			return f.read(ctx, next)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,8 +95,8 @@
 		settings: s, logger: logger, incarnation: rand.Uint64(),
 		store: platform.NewStore(s.Store.Address, countingTransport{transport, counters}),
 		fleet: newFleet(limits{
-			coldMaxRatio: s.Bounds.ColdOver, coldSlack: s.Bounds.ColdSlack,
-			retryRatio: s.Bounds.RetryRatio, retryReserve: s.Bounds.RetrySlack,
+			coldMaxRatio: s.Bounds.ColdMaxRatio, coldSlack: s.Bounds.ColdSlack,
+			retryRatio: s.Bounds.RetryRatio, retryReserve: s.Bounds.RetryReserve,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		pool:    upstream.NewPool(connectTimeout),
 		listen:  net.ListenConfig{Control: upstream.SilentLinks, KeepAliveConfig: upstream.KeepAlive()},
@@ -326,7 +326,7 @@
 // callers still arrive, and then drains the requests in flight.
 func (g *Gateway) stop(callers *http.Server) error {
 	began := clock.Now()
-	grace := g.settings.Bounds.Grace
+	grace := g.settings.Bounds.TerminationGrace
 	if grace <= 0 {
 		grace = defaultGrace
 	}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -67,8 +67,8 @@
 		w.Header().Set("Connection", "close")
 	}
 	t := &task{Request: platform.ReadRequest(r.Header), arrivedAt: clock.Now(), method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header}
-	if t.Left > 0 {
-		t.callerDeadline = t.arrivedAt + t.Left
+	if t.TimeLeft > 0 {
+		t.callerDeadline = t.arrivedAt + t.TimeLeft
 		t.deadline = t.callerDeadline
 	}
 	t.out = &output{w: w, rc: http.NewResponseController(w), eventGaps: g.metrics.eventGaps}
@@ -309,7 +309,7 @@
 	g.logEnd(t, "A request was refused.", err.Code)
 	h := t.out.w.Header()
 	err.SetHeader(h)
-	platform.OwnHeader(h, t.ID)
+	platform.SetRequestID(h, t.ID)
 	if h.Get("Retry-After") != "" {
 		// Callers accept fractions here, and have too little time left for whole seconds.
 		h.Set("Retry-After", strconv.FormatFloat(g.retryAfter(t, err).Seconds(), 'f', 2, 64))
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -76,7 +76,7 @@
 func (g *Gateway) readMembers(ctx context.Context) ([]peering.Member, bool) {
 	readCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	listing, err := g.store.Newest(readCtx, topicMembers)
+	listing, err := g.store.ListNewest(readCtx, topicMembers)
 	if err != nil {
 		_ = level.Warn(g.logger).Log("msg", "The list of entries could not be read from the store; the read will be retried.", "err", err,
 			"result", result.Label(api.ResultCode_LOG_UNAVAILABLE))
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -15,7 +15,7 @@
 // listedIP returns the IP of a VM in the store's list of entries; empty for none.
 func listedIP(t *testing.T, store *platform.Store, vm string) string {
 	t.Helper()
-	listing, err := store.Newest(context.Background(), topicMembers)
+	listing, err := store.ListNewest(context.Background(), topicMembers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/refusing.go
+++ b/internal/gateway/refusing.go
@@ -76,7 +76,7 @@
 // isGroupOpen reports whether an engine's group is open. It asks the rank agent beside the engine,
 // or the engine itself if the agent does not answer.
 func (g *Gateway) isGroupOpen(s registry.Server) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), platform.EngineTime)
+	ctx, cancel := context.WithTimeout(context.Background(), platform.EngineCallTimeout)
 	defer cancel()
 	rankAgent, err := ranks.Beside(s.Address, g.settings.PeerPort)
 	if err != nil {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -34,7 +34,7 @@
 		VM: "vm-" + ip, IP: ip, FailureDomain: "a", PeerPort: fakeplatform.PortPeers, Seeds: seeds,
 		Listen: platform.Listen{Callers: address(fakeplatform.PortCallers), Readiness: address(fakeplatform.PortReadiness), Directory: address(fakeplatform.PortDirectory), Admin: address(fakeplatform.PortAdmin)},
 		Store:  platform.StoreSettings{Address: store.Address()},
-		Bounds: platform.Bounds{Grace: 2 * time.Second, RetryRatio: 0.2, RetrySlack: 90, ColdOver: 1.5, ColdSlack: 5, AddressTTL: 5 * time.Second},
+		Bounds: platform.Bounds{TerminationGrace: 2 * time.Second, RetryRatio: 0.2, RetryReserve: 90, ColdMaxRatio: 1.5, ColdSlack: 5, AddressTTL: 5 * time.Second},
 	}
 }
 
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -126,7 +126,7 @@
 		result.WriteHTTP(w, result.New(api.ResultCode_BAD_REQUEST))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineTime)
+	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineCallTimeout)
 	defer cancel()
 	began := clock.Now()
 	reply := ranks.Ask(ctx, a.engine, req)
--- a/internal/ranks/ranks.go
+++ b/internal/ranks/ranks.go
@@ -72,7 +72,7 @@
 // Load: engines that leave orders unanswered. Harm prevented: the time for which the engine's
 // state could still be read is spent on the answer, and nothing at all is known of the rank.
 func Order(ctx context.Context, engine *platform.Engine, o *api.RankOrder) (api.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, platform.OrderTime)
+	ctx, cancel := context.WithTimeout(ctx, platform.OrderTimeout)
 	defer cancel()
 	made, err := engine.Order(ctx, fromWire(o))
 	return resultToWire[made], err
@@ -175,7 +175,7 @@
 
 func stateToWire(r *platform.EngineReport) *api.RankState {
 	s := &api.RankState{
-		Group: r.Group, Rank: int32(r.Rank), Size: int32(r.Size), Open: r.Open, Born: r.Born, Pace: r.Pace,
+		Group: r.Group, Rank: int32(r.Rank), Size: int32(r.Size), Open: r.IsOpen, Born: r.StartedAtUnixMs, Pace: r.Slowdown,
 		Epoch: r.Maps.Epoch, Step: r.Maps.Step, Map: r.Maps.Map, Prepared: r.Maps.Prepared,
 	}
 	if a := r.Maps.Armed; a != nil {
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -27,7 +27,7 @@
 	})
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), platform.EngineTime)
+	ctx, cancel := context.WithTimeout(t.Context(), platform.EngineCallTimeout)
 	defer cancel()
 	engine := platform.NewEngine(strings.TrimPrefix(server.URL, "http://"), http.DefaultClient)
 	reply := ranks.Ask(ctx, engine, &api.RankRequest{Order: &api.RankOrder{Kind: api.RankOrder_ARM, Version: 5, Step: 19, Epoch: 3}})
