--- a/internal/command/check/check.go
+++ b/internal/command/check/check.go
@@ -93,7 +93,7 @@
 		return faults
 	}
 	if a.plans != "" && a.uses != "" {
-		for _, warning := range settings.CheckTogether(plans, uses) {
+		for _, warning := range settings.CheckAcrossLists(plans, uses) {
 			fmt.Fprintln(notes, "warning:", warning)
 		}
 	}
--- a/internal/command/publish/publish.go
+++ b/internal/command/publish/publish.go
@@ -141,7 +141,7 @@
 	if list == api.ListName_LIST_USES {
 		plans, uses = sections, after
 	}
-	for _, warning := range settings.CheckTogether(plans, uses) {
+	for _, warning := range settings.CheckAcrossLists(plans, uses) {
 		fmt.Fprintln(notes, "warning:", warning)
 	}
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -27,8 +27,8 @@
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// fieldNamed finds the field of a key, or nil.
-func fieldNamed(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
+// fieldByKey finds the field of a key, or nil.
+func fieldByKey(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
 	if strings.Contains(key, "_") {
 		return nil
 	}
@@ -43,9 +43,9 @@
 func decode(from section, into protoreflect.Message, faults *faultList) {
 	seen := map[protoreflect.FieldNumber]int{}
 	for _, k := range from.keys {
-		field := fieldNamed(into.Descriptor(), k.name)
+		field := fieldByKey(into.Descriptor(), k.name)
 		if field == nil {
-			faults.add(k.line, from.name, k.name, "unknown key; the section has %s", keysOf(into.Descriptor()))
+			faults.add(k.line, from.name, k.name, "unknown key; the section has %s", keyNames(into.Descriptor()))
 			continue
 		}
 		if first, ok := seen[field.Number()]; ok {
@@ -60,11 +60,11 @@
 			faults.add(k.line, from.name, k.name, "%v", err)
 		}
 	}
-	complete(from, into, faults)
+	applyDefaults(from, into, faults)
 }
 
-// complete sets the defaults and reports the required keys that are missing.
-func complete(from section, into protoreflect.Message, faults *faultList) {
+// applyDefaults sets the defaults and reports the required keys that are missing.
+func applyDefaults(from section, into protoreflect.Message, faults *faultList) {
 	given := map[string]key{}
 	for _, k := range from.keys {
 		given[k.name] = k
@@ -109,7 +109,7 @@
 			return errors.New("an item between commas is empty")
 		}
 		if seen[item] {
-			return errors.Errorf("%q stands twice", clip(item))
+			return errors.Errorf("%q stands twice", truncate(item))
 		}
 		seen[item] = true
 		value, err := parseValue(field, item)
@@ -133,13 +133,13 @@
 	case protoreflect.Int64Kind:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return protoreflect.Value{}, errors.Errorf("%q is not a whole number%s", clip(text), ofUnit(setting))
+			return protoreflect.Value{}, errors.Errorf("%q is not a whole number%s", truncate(text), unitSuffix(setting))
 		}
 		return protoreflect.ValueOfInt64(n), checkRange(setting, float64(n), text)
 	case protoreflect.DoubleKind:
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return protoreflect.Value{}, errors.Errorf("%q is not a number%s", clip(text), ofUnit(setting))
+			return protoreflect.Value{}, errors.Errorf("%q is not a number%s", truncate(text), unitSuffix(setting))
 		}
 		return protoreflect.ValueOfFloat64(x), checkRange(setting, x, text)
 	}
@@ -147,22 +147,22 @@
 }
 
 func checkRange(setting *api.Setting, x float64, text string) error {
-	least, most := setting.GetMin(), setting.GetMax()
-	if least == 0 && most == 0 || x >= float64(least) && x <= float64(most) {
+	lower, upper := setting.GetMin(), setting.GetMax()
+	if lower == 0 && upper == 0 || x >= float64(lower) && x <= float64(upper) {
 		return nil
 	}
-	return errors.Errorf("%s is not between %d and %d%s", clip(text), least, most, ofUnit(setting))
+	return errors.Errorf("%s is not between %d and %d%s", truncate(text), lower, upper, unitSuffix(setting))
 }
 
-func ofUnit(setting *api.Setting) string {
+func unitSuffix(setting *api.Setting) string {
 	if setting.GetUnit() == "" {
 		return ""
 	}
 	return " " + setting.GetUnit()
 }
 
-// keysOf lists the keys of a section for an error message.
-func keysOf(message protoreflect.MessageDescriptor) string {
+// keyNames lists the keys of a section for an error message.
+func keyNames(message protoreflect.MessageDescriptor) string {
 	var keys []string
 	for i := range message.Fields().Len() {
 		if field := message.Fields().Get(i); settingOf(field) != nil {
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -25,7 +25,7 @@
 		if len(lists["plans"]) != 10 {
 			t.Errorf("%s: %d teams", deployment, len(lists["plans"]))
 		}
-		if warnings := CheckTogether(lists["plans"], lists["uses"]); len(warnings) > 0 {
+		if warnings := CheckAcrossLists(lists["plans"], lists["uses"]); len(warnings) > 0 {
 			t.Errorf("%s: %v", deployment, warnings)
 		}
 	}
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -63,7 +63,7 @@
 		return
 	}
 	l.faults = append(l.faults, Fault{
-		File: l.file, Line: line, Section: clip(section), Key: clip(key),
+		File: l.file, Line: line, Section: truncate(section), Key: truncate(key),
 		Reason: fmt.Sprintf(format, args...),
 	})
 }
@@ -79,10 +79,10 @@
 	return l.faults
 }
 
-// clip bounds text from the file that a message repeats.
-func clip(text string) string {
-	if len(text) <= maxShown {
+// truncate bounds text from the file that a message repeats.
+func truncate(text string) string {
+	if len(text) <= maxShownBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxShown], "") + "…"
+	return strings.ToValidUTF8(text[:maxShownBytes], "") + "…"
 }
--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -27,8 +27,8 @@
 )
 
 var (
-	nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
-	callForm = regexp.MustCompile(`^[A-Z]+ /[A-Za-z0-9._~!$&'()*+;=:@%/-]*$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+	callPattern = regexp.MustCompile(`^[A-Z]+ /[A-Za-z0-9._~!$&'()*+;=:@%/-]*$`)
 )
 
 // checkForm says what is wrong with a text value, or nil.
@@ -55,10 +55,10 @@
 func checkAddress(value string) error {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		return errors.Errorf("%q is not IP:port", clip(value))
+		return errors.Errorf("%q is not IP:port", truncate(value))
 	}
 	if address.Port() == 0 {
-		return errors.Errorf("%q names no port", clip(value))
+		return errors.Errorf("%q names no port", truncate(value))
 	}
 	return nil
 }
@@ -67,8 +67,8 @@
 	if len(value) > maxNameBytes {
 		return errors.Errorf("the name has %d characters; at most %d are allowed", len(value), maxNameBytes)
 	}
-	if !nameForm.MatchString(value) {
-		return errors.Errorf("%q is not a name: letters, digits, dot, dash and underscore, with a letter or digit first", clip(value))
+	if !namePattern.MatchString(value) {
+		return errors.Errorf("%q is not a name: letters, digits, dot, dash and underscore, with a letter or digit first", truncate(value))
 	}
 	return nil
 }
@@ -76,7 +76,7 @@
 func checkURL(value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return errors.Errorf("%q is not a URL with http:// or https://", clip(value))
+		return errors.Errorf("%q is not a URL with http:// or https://", truncate(value))
 	}
 	if u.User != nil || u.RawQuery != "" || u.Fragment != "" {
 		return errors.Errorf("the URL must not hold a password, a query or a fragment")
@@ -98,16 +98,16 @@
 // checkCall refuses what two servers may read as different paths: a call marked
 // as repeatable that reaches another handler could run twice.
 func checkCall(value string) error {
-	if !callForm.MatchString(value) {
-		return errors.Errorf("%q is not a call: METHOD /path", clip(value))
+	if !callPattern.MatchString(value) {
+		return errors.Errorf("%q is not a call: METHOD /path", truncate(value))
 	}
 	_, path, _ := strings.Cut(value, " ")
 	if strings.Contains(strings.TrimSuffix(path, "/*"), "*") {
-		return errors.Errorf("%q: a * may only stand alone at the end, as /*", clip(value))
+		return errors.Errorf("%q: a * may only stand alone at the end, as /*", truncate(value))
 	}
 	for _, part := range strings.Split(path, "/") {
 		if part == "." || part == ".." || strings.Contains(part, "%") {
-			return errors.Errorf("%q: the path must not hold . or .. or %%", clip(value))
+			return errors.Errorf("%q: the path must not hold . or .. or %%", truncate(value))
 		}
 	}
 	return nil
--- a/internal/settings/lists.go
+++ b/internal/settings/lists.go
@@ -33,7 +33,7 @@
 // ParsePlans reads the plans list: sections [customer NAME].
 func ParsePlans(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindCustomer)
-	l.checkKeys()
+	l.checkUniqueKeys()
 	return l.result()
 }
 
@@ -41,7 +41,7 @@
 // [model NAME].
 func ParseUses(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindPlan, kindService, kindModel)
-	l.checkNames()
+	l.checkReferences()
 	return l.result()
 }
 
@@ -49,12 +49,12 @@
 type list struct {
 	faults   *faultList
 	sections []*api.Section
-	// at holds the scanned section of each name, for its lines.
-	at map[string]section
+	// scanned holds the scanned section of each name, for its lines.
+	scanned map[string]section
 }
 
 func parseList(file string, text []byte, kinds ...string) *list {
-	l := &list{faults: &faultList{file: file}, at: map[string]section{}}
+	l := &list{faults: &faultList{file: file}, scanned: map[string]section{}}
 	for _, from := range scan(text, l.faults) {
 		kind, name, _ := strings.Cut(from.name, " ")
 		if !slices.Contains(kinds, kind) || name == "" {
@@ -65,10 +65,10 @@
 			l.faults.add(from.line, from.name, "", "%v", err)
 			continue
 		}
-		if _, twice := l.at[from.name]; twice {
+		if _, twice := l.scanned[from.name]; twice {
 			continue
 		}
-		l.at[from.name] = from
+		l.scanned[from.name] = from
 		into := &api.Section{Name: from.name}
 		message := into.ProtoReflect()
 		body := message.Descriptor().Fields().ByName(protoreflect.Name(kind))
@@ -85,10 +85,10 @@
 	return l.sections, nil
 }
 
-// fault reports a fault at a key of a section.
-func (l *list) fault(name, keyName, format string, args ...any) {
-	line := l.at[name].line
-	for _, k := range l.at[name].keys {
+// addFault reports a fault at a key of a section.
+func (l *list) addFault(name, keyName, format string, args ...any) {
+	line := l.scanned[name].line
+	for _, k := range l.scanned[name].keys {
 		if k.name == keyName {
 			line = k.line
 		}
@@ -96,65 +96,65 @@
 	l.faults.add(line, name, keyName, format, args...)
 }
 
-// checkKeys refuses one key for two customers: work would be charged to
+// checkUniqueKeys refuses one key for two customers: work would be charged to
 // whichever the entry happened to find.
-func (l *list) checkKeys() {
+func (l *list) checkUniqueKeys() {
 	owner := map[string]string{}
 	for _, s := range l.sections {
 		for _, hash := range s.GetCustomer().GetKeySha256() {
 			if other, ok := owner[hash]; ok {
-				l.fault(s.GetName(), "key-sha256", "the key %s… belongs to [%s] as well", hash[:8], other)
+				l.addFault(s.GetName(), "key-sha256", "the key %s… belongs to [%s] as well", hash[:8], other)
 			}
 			owner[hash] = s.GetName()
 		}
 	}
 }
 
-// checkNames refuses a plan that names a service, model or adapter that no
+// checkReferences refuses a plan that names a service, model or adapter that no
 // section of the list describes.
-func (l *list) checkNames() {
+func (l *list) checkReferences() {
 	known := map[string]bool{}
-	carries := map[string]map[string]bool{}
+	adaptersByModel := map[string]map[string]bool{}
 	for _, s := range l.sections {
 		known[s.GetName()] = true
 		if s.GetModel() != nil {
 			_, model, _ := strings.Cut(s.GetName(), " ")
-			carries[model] = set(s.GetModel().GetAdapters())
+			adaptersByModel[model] = setOf(s.GetModel().GetAdapters())
 		}
 	}
 	for _, s := range l.sections {
 		plan := s.GetPlan()
-		l.checkKnown(s.GetName(), "models", kindModel, plan.GetModels(), known)
-		l.checkKnown(s.GetName(), "services", kindService, plan.GetServices(), known)
+		l.checkSectionsExist(s.GetName(), "models", kindModel, plan.GetModels(), known)
+		l.checkSectionsExist(s.GetName(), "services", kindService, plan.GetServices(), known)
 		for _, adapter := range plan.GetAdapters() {
-			if !carriedByAny(adapter, plan.GetModels(), carries) {
-				l.fault(s.GetName(), "adapters", "none of the plan's models carries the adapter %q", adapter)
+			if !anyModelHasAdapter(adapter, plan.GetModels(), adaptersByModel) {
+				l.addFault(s.GetName(), "adapters", "none of the plan's models carries the adapter %q", adapter)
 			}
 		}
 	}
 }
 
-func (l *list) checkKnown(plan, key, kind string, names []string, known map[string]bool) {
+func (l *list) checkSectionsExist(plan, key, kind string, names []string, known map[string]bool) {
 	for _, name := range names {
 		if !known[kind+" "+name] {
-			l.fault(plan, key, "the list has no section [%s %s]", kind, name)
+			l.addFault(plan, key, "the list has no section [%s %s]", kind, name)
 		}
 	}
 }
 
-func carriedByAny(adapter string, models []string, carries map[string]map[string]bool) bool {
+func anyModelHasAdapter(adapter string, models []string, adaptersByModel map[string]map[string]bool) bool {
 	for _, model := range models {
-		if carries[model][adapter] {
+		if adaptersByModel[model][adapter] {
 			return true
 		}
 	}
 	return false
 }
 
-// CheckTogether reports the customers whose plan is in no section of the uses
+// CheckAcrossLists reports the customers whose plan is in no section of the uses
 // list: their requests would be refused. The lists are published one after the
 // other, so this is a warning to the operator and no reason to refuse.
-func CheckTogether(plans, uses []*api.Section) []string {
+func CheckAcrossLists(plans, uses []*api.Section) []string {
 	known := map[string]bool{}
 	for _, s := range uses {
 		known[s.GetName()] = true
@@ -169,7 +169,7 @@
 	return warnings
 }
 
-func set(items []string) map[string]bool {
+func setOf(items []string) map[string]bool {
 	in := make(map[string]bool, len(items))
 	for _, item := range items {
 		in[item] = true
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -36,22 +36,22 @@
 func ReadFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableFault(path, err)
 	}
 	defer file.Close()
 	// One byte more than allowed shows the parser that the file is too large.
 	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableFault(path, err)
 	}
 	return text, nil
 }
 
-// unreadable is the fault of a file that cannot be read; the name stands in it once.
-func unreadable(path string, err error) error {
-	var at *fs.PathError
-	if errors.As(err, &at) {
-		err = at.Err
+// unreadableFault is the fault of a file that cannot be read; the name stands in it once.
+func unreadableFault(path string, err error) error {
+	var pathErr *fs.PathError
+	if errors.As(err, &pathErr) {
+		err = pathErr.Err
 	}
 	return Faults{{File: path, Reason: "cannot be read: " + err.Error()}}
 }
@@ -60,8 +60,8 @@
 func ParseEntry(name string, text []byte) (*api.EntrySettings, error) {
 	faults := &faultList{file: name}
 	into := &api.EntrySettings{}
-	at := parseSettings(text, into, faults)
-	checkEntry(into, at, faults)
+	sectionLines := parseSettings(text, into, faults)
+	checkEntry(into, sectionLines, faults)
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 func ParseAgent(name string, text []byte) (*api.AgentSettings, error) {
 	faults := &faultList{file: name}
 	into := &api.AgentSettings{}
-	at := parseSettings(text, into, faults)
-	checkAgent(into, at, faults)
+	sectionLines := parseSettings(text, into, faults)
+	checkAgent(into, sectionLines, faults)
 	if into.GetGroup().GetName() == "" {
 		into.Group = nil
 	}
@@ -84,36 +84,36 @@
 	return into, nil
 }
 
-// lines gives the line of each section.
-type lines map[string]int
+// lineNumbers gives the line of each section.
+type lineNumbers map[string]int
 
 // parseSettings fills every section of a settings message.
-func parseSettings(text []byte, into proto.Message, faults *faultList) lines {
+func parseSettings(text []byte, into proto.Message, faults *faultList) lineNumbers {
 	message := into.ProtoReflect()
 	fields := message.Descriptor().Fields()
-	at := lines{}
+	sectionLines := lineNumbers{}
 	for _, from := range scan(text, faults) {
 		field := fields.ByName(protoreflect.Name(strings.ReplaceAll(from.name, "-", "_")))
 		if field == nil || strings.Contains(from.name, "_") {
-			faults.add(from.line, from.name, "", "unknown section; the file has %s", sectionsOf(message.Descriptor()))
+			faults.add(from.line, from.name, "", "unknown section; the file has %s", sectionNames(message.Descriptor()))
 			continue
 		}
-		if _, twice := at[from.name]; twice {
+		if _, twice := sectionLines[from.name]; twice {
 			continue
 		}
-		at[from.name] = from.line
+		sectionLines[from.name] = from.line
 		decode(from, message.Mutable(field).Message(), faults)
 	}
 	for i := range fields.Len() {
 		name := keyName(fields.Get(i))
-		if _, ok := at[name]; !ok {
-			complete(section{name: name}, message.Mutable(fields.Get(i)).Message(), faults)
+		if _, ok := sectionLines[name]; !ok {
+			applyDefaults(section{name: name}, message.Mutable(fields.Get(i)).Message(), faults)
 		}
 	}
-	return at
+	return sectionLines
 }
 
-func sectionsOf(message protoreflect.MessageDescriptor) string {
+func sectionNames(message protoreflect.MessageDescriptor) string {
 	var names []string
 	for i := range message.Fields().Len() {
 		names = append(names, "["+keyName(message.Fields().Get(i))+"]")
@@ -121,68 +121,68 @@
 	return strings.Join(names, ", ")
 }
 
-func checkEntry(s *api.EntrySettings, at lines, faults *faultList) {
+func checkEntry(s *api.EntrySettings, sectionLines lineNumbers, faults *faultList) {
 	listen := s.GetListen()
-	if unspecified(listen.GetPublic()) && listen.GetPublicName() == "" {
-		faults.add(at["listen"], "listen", "public-name",
+	if isUnspecified(listen.GetPublic()) && listen.GetPublicName() == "" {
+		faults.add(sectionLines["listen"], "listen", "public-name",
 			"the key is missing: callers cannot be told %s", listen.GetPublic())
 	}
-	if unspecified(listen.GetPublicName()) {
-		faults.add(at["listen"], "listen", "public-name", "callers cannot reach %s", listen.GetPublicName())
+	if isUnspecified(listen.GetPublicName()) {
+		faults.add(sectionLines["listen"], "listen", "public-name", "callers cannot reach %s", listen.GetPublicName())
 	}
-	checkLink(listen.GetLink(), at, faults)
-	checkLinks(s.GetLink(), at, faults)
-	checkLevel(s.GetLog(), at, faults)
+	checkLinkAddress(listen.GetLink(), sectionLines, faults)
+	checkLinkSettings(s.GetLink(), sectionLines, faults)
+	checkLogLevel(s.GetLog(), sectionLines, faults)
 	if limits := s.GetLimits(); limits.GetReadHeaderMs() > limits.GetReadBodyMs() {
-		faults.add(at["limits"], "limits", "read-header-ms", "must not be longer than read-body-ms")
+		faults.add(sectionLines["limits"], "limits", "read-header-ms", "must not be longer than read-body-ms")
 	}
 }
 
-func checkAgent(s *api.AgentSettings, at lines, faults *faultList) {
-	checkLink(s.GetListen().GetLink(), at, faults)
-	checkLinks(s.GetLink(), at, faults)
-	checkLevel(s.GetLog(), at, faults)
-	checkBackend(s.GetBackend(), at["backend"], faults)
-	checkGroup(s.GetGroup(), s.GetBackend(), at["group"], faults)
+func checkAgent(s *api.AgentSettings, sectionLines lineNumbers, faults *faultList) {
+	checkLinkAddress(s.GetListen().GetLink(), sectionLines, faults)
+	checkLinkSettings(s.GetLink(), sectionLines, faults)
+	checkLogLevel(s.GetLog(), sectionLines, faults)
+	checkBackend(s.GetBackend(), sectionLines["backend"], faults)
+	checkGroup(s.GetGroup(), s.GetBackend(), sectionLines["group"], faults)
 }
 
-func checkLink(link string, at lines, faults *faultList) {
-	if unspecified(link) {
-		faults.add(at["listen"], "listen", "link", "other processes cannot be told %s; name one address of this VM", link)
+func checkLinkAddress(link string, sectionLines lineNumbers, faults *faultList) {
+	if isUnspecified(link) {
+		faults.add(sectionLines["listen"], "listen", "link", "other processes cannot be told %s; name one address of this VM", link)
 	}
 }
 
-// checkLinks looks at times and keys.
-func checkLinks(l *api.Links, at lines, faults *faultList) {
-	checkTimes(l, at, faults)
-	checkKeys(l, at, faults)
+// checkLinkSettings looks at times and keys.
+func checkLinkSettings(l *api.Links, sectionLines lineNumbers, faults *faultList) {
+	checkLinkTimes(l, sectionLines, faults)
+	checkLinkKeys(l, sectionLines, faults)
 }
 
-// checkKeys refuses a second key that is the first: whoever changes the key would take
+// checkLinkKeys refuses a second key that is the first: whoever changes the key would take
 // the change for begun, and cut the links with its next step.
-func checkKeys(l *api.Links, at lines, faults *faultList) {
+func checkLinkKeys(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetOtherKey() != "" && l.GetOtherKey() == l.GetKey() {
-		faults.add(at["link"], "link", "other-key", "is the same as key; it must be the one before or the one to come")
+		faults.add(sectionLines["link"], "link", "other-key", "is the same as key; it must be the one before or the one to come")
 	}
 }
 
-// checkTimes keeps the order heartbeat < suspect < dead: out of order, a healthy
+// checkLinkTimes keeps the order heartbeat < suspect < dead: out of order, a healthy
 // link would be suspected between two heartbeats, or closed before it got no
 // new work.
-func checkTimes(l *api.Links, at lines, faults *faultList) {
+func checkLinkTimes(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetHeartbeatMs() >= l.GetSuspectMs() {
-		faults.add(at["link"], "link", "heartbeat-ms", "must be shorter than suspect-ms (%d)", l.GetSuspectMs())
+		faults.add(sectionLines["link"], "link", "heartbeat-ms", "must be shorter than suspect-ms (%d)", l.GetSuspectMs())
 	}
 	if l.GetSuspectMs() >= l.GetDeadMs() {
-		faults.add(at["link"], "link", "suspect-ms", "must be shorter than dead-ms (%d)", l.GetDeadMs())
+		faults.add(sectionLines["link"], "link", "suspect-ms", "must be shorter than dead-ms (%d)", l.GetDeadMs())
 	}
 }
 
-func checkLevel(l *api.Log, at lines, faults *faultList) {
+func checkLogLevel(l *api.Log, sectionLines lineNumbers, faults *faultList) {
 	switch l.GetLevel() {
 	case "debug", "info", "warn", "error":
 	default:
-		faults.add(at["log"], "log", "level", "%q is not debug, info, warn or error", clip(l.GetLevel()))
+		faults.add(sectionLines["log"], "log", "level", "%q is not debug, info, warn or error", truncate(l.GetLevel()))
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-func unspecified(address string) bool {
+func isUnspecified(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Addr().IsUnspecified()
 }
--- a/internal/settings/redact.go
+++ b/internal/settings/redact.go
@@ -5,11 +5,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Hidden stands in a dump or a log in place of a secret.
-const Hidden = "(hidden)"
+// RedactedValue stands in a dump or a log in place of a secret.
+const RedactedValue = "(hidden)"
 
 // Redacted returns a copy of the message in which every field that the schema
-// calls secret is replaced by [Hidden].
+// calls secret is replaced by [RedactedValue].
 func Redacted(m proto.Message) proto.Message {
 	copied := proto.Clone(m)
 	redact(copied.ProtoReflect())
@@ -20,7 +20,7 @@
 	m.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		switch {
 		case settingOf(field).GetSecret():
-			m.Set(field, protoreflect.ValueOfString(Hidden))
+			m.Set(field, protoreflect.ValueOfString(RedactedValue))
 		case field.Kind() != protoreflect.MessageKind || field.IsMap():
 		case field.IsList():
 			for i := range value.List().Len() {
@@ -47,16 +47,16 @@
 	var changes []Change
 	sections := before.ProtoReflect().Descriptor().Fields()
 	for i := range sections.Len() {
-		part := sections.Get(i)
-		was := before.ProtoReflect().Get(part).Message()
-		is := after.ProtoReflect().Get(part).Message()
-		for j := range part.Message().Fields().Len() {
-			field := part.Message().Fields().Get(j)
-			if was.Get(field).Equal(is.Get(field)) {
+		sectionField := sections.Get(i)
+		oldSection := before.ProtoReflect().Get(sectionField).Message()
+		newSection := after.ProtoReflect().Get(sectionField).Message()
+		for j := range sectionField.Message().Fields().Len() {
+			field := sectionField.Message().Fields().Get(j)
+			if oldSection.Get(field).Equal(newSection.Get(field)) {
 				continue
 			}
 			changes = append(changes, Change{
-				Section: keyName(part), Key: keyName(field), Reload: settingOf(field).GetReload(),
+				Section: keyName(sectionField), Key: keyName(field), Reload: settingOf(field).GetReload(),
 			})
 		}
 	}
--- a/internal/settings/scan.go
+++ b/internal/settings/scan.go
@@ -16,7 +16,7 @@
 	maxKeys       = 64 // in one section
 	maxValueBytes = 4 << 10
 	maxFaults     = 100
-	maxShown      = 80
+	maxShownBytes = 80
 )
 
 const byteOrderMark = "\ufeff"
@@ -51,12 +51,12 @@
 		faults.add(0, "", "", "the file has %d bytes; at most %d are read", len(text), maxFileBytes)
 		return nil
 	}
-	s := scanner{faults: faults, seen: map[string]int{}}
+	s := scanner{faults: faults, sectionLines: map[string]int{}}
 	body := strings.TrimPrefix(string(text), byteOrderMark)
 	for number := 1; body != ""; number++ {
 		var line string
 		line, body, _ = strings.Cut(body, "\n")
-		if !s.line(number, strings.TrimSpace(line)) {
+		if !s.scanLine(number, strings.TrimSpace(line)) {
 			break
 		}
 	}
@@ -66,32 +66,32 @@
 type scanner struct {
 	faults   *faultList
 	sections []section
-	// seen gives the line of each section met.
-	seen map[string]int
+	// sectionLines gives the line of each section met.
+	sectionLines map[string]int
 }
 
-// line takes one trimmed line; it returns false when no more should be read.
-func (s *scanner) line(number int, line string) bool {
+// scanLine takes one trimmed line; it returns false when no more should be read.
+func (s *scanner) scanLine(number int, line string) bool {
 	switch {
 	case line == "" || line[0] == '#' || line[0] == ';':
 		return true
-	case !printable(line):
-		s.faults.add(number, s.current(), "", "the line holds a byte that is not printable UTF-8")
+	case !isPrintable(line):
+		s.faults.add(number, s.currentSection(), "", "the line holds a byte that is not printable UTF-8")
 		return true
 	}
 	file, err := ini.LoadSources(lineOptions, []byte(line))
 	if err != nil {
-		s.faults.add(number, s.current(), "", "the line is neither a [section] nor key = value")
+		s.faults.add(number, s.currentSection(), "", "the line is neither a [section] nor key = value")
 		return true
 	}
 	if line[0] == '[' {
-		return s.header(number, line, file)
+		return s.scanHeader(number, line, file)
 	}
-	s.key(number, file)
+	s.scanKey(number, file)
 	return true
 }
 
-func (s *scanner) header(number int, line string, file *ini.File) bool {
+func (s *scanner) scanHeader(number int, line string, file *ini.File) bool {
 	if len(s.sections) >= maxSections {
 		s.faults.add(number, "", "", "the file has more than %d sections", maxSections)
 		return false
@@ -104,18 +104,18 @@
 	if rest != "" && rest[0] != '#' && rest[0] != ';' {
 		s.faults.add(number, name, "", "text after the section's name")
 	}
-	if first, ok := s.seen[name]; ok {
+	if first, ok := s.sectionLines[name]; ok {
 		s.faults.add(number, name, "", "the section stands already in line %d", first)
 	}
-	s.seen[name] = number
+	s.sectionLines[name] = number
 	s.sections = append(s.sections, section{name: name, line: number})
 	return true
 }
 
-func (s *scanner) key(number int, file *ini.File) {
+func (s *scanner) scanKey(number int, file *ini.File) {
 	keys := file.Section("").Keys()
 	if len(keys) != 1 {
-		s.faults.add(number, s.current(), "", "the line is neither a [section] nor key = value")
+		s.faults.add(number, s.currentSection(), "", "the line is neither a [section] nor key = value")
 		return
 	}
 	// Value, not String: String expands %(name)s.
@@ -124,27 +124,27 @@
 		s.faults.add(number, "", name, "the key stands before any section")
 		return
 	}
-	at := &s.sections[len(s.sections)-1]
-	if len(at.keys) >= maxKeys {
-		s.faults.add(number, at.name, name, "the section has more than %d keys", maxKeys)
+	parent := &s.sections[len(s.sections)-1]
+	if len(parent.keys) >= maxKeys {
+		s.faults.add(number, parent.name, name, "the section has more than %d keys", maxKeys)
 		return
 	}
 	if len(value) > maxValueBytes {
-		s.faults.add(number, at.name, name, "the value has %d bytes; at most %d are read", len(value), maxValueBytes)
+		s.faults.add(number, parent.name, name, "the value has %d bytes; at most %d are read", len(value), maxValueBytes)
 		return
 	}
-	at.keys = append(at.keys, key{name: name, value: value, line: number})
+	parent.keys = append(parent.keys, key{name: name, value: value, line: number})
 }
 
-// current names the section that a line stands in.
-func (s *scanner) current() string {
+// currentSection names the section that a line stands in.
+func (s *scanner) currentSection() string {
 	if len(s.sections) == 0 {
 		return ""
 	}
 	return s.sections[len(s.sections)-1].name
 }
 
-func printable(line string) bool {
+func isPrintable(line string) bool {
 	if !utf8.ValidString(line) || strings.Contains(line, byteOrderMark) {
 		return false
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// swap replaces one line of a text; the rest stays good.
-func swap(text, old, replacement string) string {
+// replaceOnce replaces one line of a text; the rest stays good.
+func replaceOnce(text, old, replacement string) string {
 	if !strings.Contains(text, old) {
 		panic("the text has no " + old)
 	}
@@ -105,19 +105,19 @@
 
 func TestFaults(t *testing.T) {
 	entry := func(old, replacement string) error {
-		_, err := ParseEntry("entry.ini", []byte(swap(entryText, old, replacement)))
+		_, err := ParseEntry("entry.ini", []byte(replaceOnce(entryText, old, replacement)))
 		return err
 	}
 	agent := func(old, replacement string) error {
-		_, err := ParseAgent("agent.ini", []byte(swap(agentText, old, replacement)))
+		_, err := ParseAgent("agent.ini", []byte(replaceOnce(agentText, old, replacement)))
 		return err
 	}
 	plans := func(old, replacement string) error {
-		_, err := ParsePlans("plans.ini", []byte(swap(plansText, old, replacement)))
+		_, err := ParsePlans("plans.ini", []byte(replaceOnce(plansText, old, replacement)))
 		return err
 	}
 	uses := func(old, replacement string) error {
-		_, err := ParseUses("uses.ini", []byte(swap(usesText, old, replacement)))
+		_, err := ParseUses("uses.ini", []byte(replaceOnce(usesText, old, replacement)))
 		return err
 	}
 	tests := []struct {
@@ -226,16 +226,16 @@
 func checkRoundTrip(t *testing.T, list api.ListName, sections []*api.Section) {
 	t.Helper()
 	text := Format(sections)
-	again, err := Parse(list, "again", text)
+	reparsed, err := Parse(list, "again", text)
 	if err != nil {
 		t.Fatalf("%v in:\n%s", err, text)
 	}
-	if len(again) != len(sections) {
-		t.Fatalf("%d sections, want %d:\n%s", len(again), len(sections), text)
+	if len(reparsed) != len(sections) {
+		t.Fatalf("%d sections, want %d:\n%s", len(reparsed), len(sections), text)
 	}
-	for i := range again {
-		if !proto.Equal(again[i], sections[i]) {
-			t.Fatalf("got %v, want %v", again[i], sections[i])
+	for i := range reparsed {
+		if !proto.Equal(reparsed[i], sections[i]) {
+			t.Fatalf("got %v, want %v", reparsed[i], sections[i])
 		}
 	}
 }
@@ -246,17 +246,17 @@
 		t.Fatal(err)
 	}
 	shown := Redacted(entry).(*api.EntrySettings)
-	if shown.GetListen().GetAdminToken() != Hidden || shown.GetLink().GetKey() != Hidden {
+	if shown.GetListen().GetAdminToken() != RedactedValue || shown.GetLink().GetKey() != RedactedValue {
 		t.Errorf("a secret is shown: %v", shown)
 	}
-	if entry.GetLink().GetKey() == Hidden || shown.GetSelf().GetVm() != "entry-1" {
+	if entry.GetLink().GetKey() == RedactedValue || shown.GetSelf().GetVm() != "entry-1" {
 		t.Error("only the copy's secrets may change")
 	}
 }
 
 func TestChanges(t *testing.T) {
 	before, _ := ParseEntry("entry.ini", []byte(entryText))
-	after, err := ParseEntry("entry.ini", []byte(swap(entryText, "[link]", "[log]\nlevel = debug\n[link]\ndead-ms = 2000")))
+	after, err := ParseEntry("entry.ini", []byte(replaceOnce(entryText, "[link]", "[log]\nlevel = debug\n[link]\ndead-ms = 2000")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,10 +270,10 @@
 func TestCheckTogether(t *testing.T) {
 	plans, _ := ParsePlans("p", []byte(plansText))
 	uses, _ := ParseUses("u", []byte(usesText))
-	if got := CheckTogether(plans, uses); len(got) != 0 {
+	if got := CheckAcrossLists(plans, uses); len(got) != 0 {
 		t.Errorf("got %v", got)
 	}
-	if got := CheckTogether(plans, nil); len(got) != 1 {
+	if got := CheckAcrossLists(plans, nil); len(got) != 1 {
 		t.Errorf("got %v", got)
 	}
 }
