--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,22 +12,21 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxItems bounds a comma-separated list.
+// maxItems is the maximum number of items in a comma-separated list.
 const maxItems = 256
 
-// settingOf returns the schema's description of a key, or nil when the field is
-// not a setting.
+// settingOf returns the schema's setting option of a field, or nil if the field is not a setting.
 func settingOf(field protoreflect.FieldDescriptor) *api.Setting {
 	setting, _ := proto.GetExtension(field.Options(), api.E_Setting).(*api.Setting)
 	return setting
 }
 
-// keyName turns a field's name into the key of the file.
+// keyName returns the key in the file for a field.
 func keyName(field protoreflect.FieldDescriptor) string {
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// fieldByKey finds the field of a key, or nil.
+// fieldByKey returns the field for a key, or nil.
 func fieldByKey(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
 	if strings.Contains(key, "_") {
 		return nil
@@ -39,7 +38,7 @@
 	return field
 }
 
-// decode fills a message from a section, defaults included.
+// decode fills a message from a section and applies the defaults.
 func decode(from section, into protoreflect.Message, faults *faultList) {
 	seen := map[protoreflect.FieldNumber]int{}
 	for _, k := range from.keys {
@@ -63,7 +62,7 @@
 	applyDefaults(from, into, faults)
 }
 
-// applyDefaults sets the defaults and reports the required keys that are missing.
+// applyDefaults sets the defaults of absent keys and reports missing required keys.
 func applyDefaults(from section, into protoreflect.Message, faults *faultList) {
 	given := map[string]key{}
 	for _, k := range from.keys {
@@ -161,7 +160,7 @@
 	return " " + setting.GetUnit()
 }
 
-// keyNames lists the keys of a section for an error message.
+// keyNames returns the keys of a section for an error message.
 func keyNames(message protoreflect.MessageDescriptor) string {
 	var keys []string
 	for i := range message.Fields().Len() {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,12 +1,12 @@
-// Package settings reads the INI files of apricothub: the settings of a process,
-// and the two lists that operators publish.
+// Package settings parses the INI files of apricothub: the settings of a process, and the two
+// lists that operators publish.
 //
-// The schema in api/ decides what a file may hold. A section is a message, a key
-// is a field of it with dashes for underscores, and the field's `setting` option
-// carries the default, the limits and the form. This package walks the generated
-// descriptors, so that a new setting needs no code here.
+// The schema in api/ defines what a file may contain. A section is a message, a key is one of its
+// fields with dashes instead of underscores, and the field's `setting` option holds the default,
+// the range and the form. This package walks the generated descriptors, so a new setting needs no
+// code here.
 //
-// A file with faults gives one error, of type [Faults], that lists all of them
-// with their lines. Whatever the schema does not name is refused: a misspelt key
-// that is silently ignored would leave a default in force that nobody chose.
+// A file with faults gives one error of type [Faults], which lists all of them with their lines.
+// Unknown sections and keys are rejected: if a misspelt key were ignored, its default would
+// silently stay in force.
 package settings
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -8,7 +8,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// TestExamples loads every file that the examples give to newcomers.
+// TestExamples loads every file of the example deployments.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"shelfwise", "lakeshore"} {
 		files, err := filepath.Glob("../../examples/" + deployment + "/*.ini")
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	// File is the name of the file, as the caller gave it.
+	// File is the name of the file, as given by the caller.
 	File string
-	// Line counts from 1; it is 0 where no line can be named.
+	// Line counts from 1; it is 0 if the fault belongs to no line.
 	Line int
-	// Section and Key name the place; either may be empty.
+	// Section and Key locate the fault; either may be empty.
 	Section string
 	Key     string
-	// Reason says what is wrong.
+	// Reason describes the fault.
 	Reason string
 }
 
-// String gives the fault in one line: `entry.ini:7: [listen] public: reason`.
+// String returns the fault on one line: `entry.ini:7: [listen] public: reason`.
 func (f Fault) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -37,10 +37,10 @@
 	return b.String()
 }
 
-// Faults is the error for a file with one or more faults, in the order of lines.
+// Faults is the error for a file with one or more faults, in line order.
 type Faults []Fault
 
-// Error gives one line for each fault.
+// Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -49,11 +49,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList gathers the faults of one file.
+// faultList collects the faults of one file.
 type faultList struct {
 	file   string
 	faults Faults
-	// dropped counts faults past maxFaults.
+	// dropped counts the faults beyond maxFaults.
 	dropped int
 }
 
@@ -68,7 +68,7 @@
 	})
 }
 
-// err returns nil when there are no faults.
+// err returns the faults as an error, or nil if there are none.
 func (l *faultList) err() error {
 	if len(l.faults) == 0 {
 		return nil
@@ -79,7 +79,7 @@
 	return l.faults
 }
 
-// truncate bounds text from the file that a message repeats.
+// truncate limits the length of text from the file that is quoted in a message.
 func truncate(text string) string {
 	if len(text) <= maxShownBytes {
 		return text
--- a/internal/settings/format.go
+++ b/internal/settings/format.go
@@ -11,9 +11,9 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Format writes the sections of a list as INI, in the order given. Keys that hold
-// their default are left out, so that what an operator reads is what was chosen.
-// Parsing the text gives the sections again.
+// Format formats the sections of a list as INI text, in the order given. Keys with their default
+// value are omitted, so that an operator sees only what was set explicitly. Parsing the text
+// gives the same sections.
 func Format(sections []*api.Section) []byte {
 	var b bytes.Buffer
 	for i, s := range sections {
@@ -46,7 +46,7 @@
 	}
 }
 
-// defaultText is the text of a field whose key is absent.
+// defaultText returns the text of a field whose key is absent.
 func defaultText(field protoreflect.FieldDescriptor, setting *api.Setting) string {
 	if setting.GetDefault() != "" || field.IsList() {
 		return setting.GetDefault()
--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Forms that a `setting` option may name.
+// Forms of values that a `setting` option may specify.
 const (
 	formAddress = "address"
 	formName    = "name"
@@ -22,7 +22,8 @@
 
 const (
 	maxNameBytes = 100
-	// A shared secret shorter than this can be guessed over the network.
+	// minSecretBytes is the minimum length of a shared secret. A shorter one can be guessed over
+	// the network.
 	minSecretBytes = 16
 )
 
@@ -31,7 +32,7 @@
 	callPattern = regexp.MustCompile(`^[A-Z]+ /[A-Za-z0-9._~!$&'()*+;=:@%/-]*$`)
 )
 
-// checkForm says what is wrong with a text value, or nil.
+// checkForm returns an error if a text value does not have the form.
 func checkForm(form, value string) error {
 	switch form {
 	case "":
@@ -86,7 +87,7 @@
 
 func checkSHA256(value string) error {
 	if raw, err := hex.DecodeString(value); err != nil || len(raw) != 32 {
-		// The value is not repeated: it may be a key given in place of its hash.
+		// The message does not quote the value: it may be a key given instead of its hash.
 		return errors.New("not a SHA-256 in hex (64 digits); apricothub check --hash-key prints it")
 	}
 	if value != strings.ToLower(value) {
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// checkCall refuses what two servers may read as different paths: a call marked
-// as repeatable that reaches another handler could run twice.
+// checkCall rejects paths that two servers may interpret differently: a call that is marked as
+// repeatable but reaches another handler could run twice.
 func checkCall(value string) error {
 	if !callPattern.MatchString(value) {
 		return errors.Errorf("%q is not a call: METHOD /path", truncate(value))
--- a/internal/settings/lists.go
+++ b/internal/settings/lists.go
@@ -10,8 +10,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Kinds of sections, the first word of a section's name and the name of the field
-// in [api.Section].
+// Kinds of sections: the first word of a section's name, and the name of the field in
+// [api.Section].
 const (
 	kindCustomer = "customer"
 	kindPlan     = "plan"
@@ -19,7 +19,7 @@
 	kindModel    = "model"
 )
 
-// Parse reads one of the two lists; name stands in error messages.
+// Parse parses one of the two lists; name is the file name in error messages.
 func Parse(list api.ListName, name string, text []byte) ([]*api.Section, error) {
 	switch list {
 	case api.ListName_LIST_PLANS:
@@ -30,26 +30,25 @@
 	return nil, errors.Errorf("no list %v", list)
 }
 
-// ParsePlans reads the plans list: sections [customer NAME].
+// ParsePlans parses the plans list: sections [customer NAME].
 func ParsePlans(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindCustomer)
 	l.checkUniqueKeys()
 	return l.result()
 }
 
-// ParseUses reads the uses list: sections [plan NAME], [service NAME] and
-// [model NAME].
+// ParseUses parses the uses list: sections [plan NAME], [service NAME] and [model NAME].
 func ParseUses(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindPlan, kindService, kindModel)
 	l.checkReferences()
 	return l.result()
 }
 
-// list is a list being read.
+// list is a list that is being parsed.
 type list struct {
 	faults   *faultList
 	sections []*api.Section
-	// scanned holds the scanned section of each name, for its lines.
+	// scanned holds the scanned section of each name, for line numbers.
 	scanned map[string]section
 }
 
@@ -85,7 +84,7 @@
 	return l.sections, nil
 }
 
-// addFault reports a fault at a key of a section.
+// addFault adds a fault at the line of a key, or of its section if the key is absent.
 func (l *list) addFault(name, keyName, format string, args ...any) {
 	line := l.scanned[name].line
 	for _, k := range l.scanned[name].keys {
@@ -96,8 +95,8 @@
 	l.faults.add(line, name, keyName, format, args...)
 }
 
-// checkUniqueKeys refuses one key for two customers: work would be charged to
-// whichever the entry happened to find.
+// checkUniqueKeys rejects a key that two customers share: requests with it would be charged to an
+// arbitrary one of them.
 func (l *list) checkUniqueKeys() {
 	owner := map[string]string{}
 	for _, s := range l.sections {
@@ -110,8 +109,8 @@
 	}
 }
 
-// checkReferences refuses a plan that names a service, model or adapter that no
-// section of the list describes.
+// checkReferences rejects a plan that names a service, model or adapter that no section of the
+// list defines.
 func (l *list) checkReferences() {
 	known := map[string]bool{}
 	adaptersByModel := map[string]map[string]bool{}
@@ -151,9 +150,9 @@
 	return false
 }
 
-// CheckAcrossLists reports the customers whose plan is in no section of the uses
-// list: their requests would be refused. The lists are published one after the
-// other, so this is a warning to the operator and no reason to refuse.
+// CheckAcrossLists returns a warning for each customer whose plan is not defined in the uses list:
+// the customer's requests would be refused. The lists are published one after the other, so this
+// is not an error.
 func CheckAcrossLists(plans, uses []*api.Section) []string {
 	known := map[string]bool{}
 	for _, s := range uses {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -32,14 +32,14 @@
 	return ParseAgent(path, text)
 }
 
-// ReadFile reads a settings file or a list, up to the size that the parser takes.
+// ReadFile reads a settings file or a list, up to just beyond the maximum size for the parser.
 func ReadFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, unreadableFault(path, err)
 	}
 	defer file.Close()
-	// One byte more than allowed shows the parser that the file is too large.
+	// One byte more than allowed lets the parser detect that the file is too large.
 	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, unreadableFault(path, err)
@@ -47,7 +47,8 @@
 	return text, nil
 }
 
-// unreadableFault is the fault of a file that cannot be read; the name stands in it once.
+// unreadableFault returns the fault for a file that cannot be read. It unwraps the path error, so
+// that the message has the file name only once.
 func unreadableFault(path string, err error) error {
 	var pathErr *fs.PathError
 	if errors.As(err, &pathErr) {
@@ -56,7 +57,7 @@
 	return Faults{{File: path, Reason: "cannot be read: " + err.Error()}}
 }
 
-// ParseEntry reads an entry's settings from text; name stands in error messages.
+// ParseEntry parses an entry's settings; name is the file name in error messages.
 func ParseEntry(name string, text []byte) (*api.EntrySettings, error) {
 	faults := &faultList{file: name}
 	into := &api.EntrySettings{}
@@ -68,8 +69,8 @@
 	return into, nil
 }
 
-// ParseAgent reads an agent's settings from text; name stands in error messages.
-// The group is nil when the file names none.
+// ParseAgent parses an agent's settings; name is the file name in error messages. The group is
+// nil if the file names none.
 func ParseAgent(name string, text []byte) (*api.AgentSettings, error) {
 	faults := &faultList{file: name}
 	into := &api.AgentSettings{}
@@ -84,10 +85,10 @@
 	return into, nil
 }
 
-// lineNumbers gives the line of each section.
+// lineNumbers maps the name of a section to its line.
 type lineNumbers map[string]int
 
-// parseSettings fills every section of a settings message.
+// parseSettings fills all sections of a settings message and returns their lines.
 func parseSettings(text []byte, into proto.Message, faults *faultList) lineNumbers {
 	message := into.ProtoReflect()
 	fields := message.Descriptor().Fields()
@@ -125,7 +126,7 @@
 	listen := s.GetListen()
 	if isUnspecified(listen.GetPublic()) && listen.GetPublicName() == "" {
 		faults.add(sectionLines["listen"], "listen", "public-name",
-			"the key is missing: callers cannot be told %s", listen.GetPublic())
+			"the key is missing: callers cannot connect to %s", listen.GetPublic())
 	}
 	if isUnspecified(listen.GetPublicName()) {
 		faults.add(sectionLines["listen"], "listen", "public-name", "callers cannot reach %s", listen.GetPublicName())
@@ -148,27 +149,26 @@
 
 func checkLinkAddress(link string, sectionLines lineNumbers, faults *faultList) {
 	if isUnspecified(link) {
-		faults.add(sectionLines["listen"], "listen", "link", "other processes cannot be told %s; name one address of this VM", link)
+		faults.add(sectionLines["listen"], "listen", "link", "other processes cannot connect to %s; set one address of this VM", link)
 	}
 }
 
-// checkLinkSettings looks at times and keys.
+// checkLinkSettings checks the times and keys of links.
 func checkLinkSettings(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	checkLinkTimes(l, sectionLines, faults)
 	checkLinkKeys(l, sectionLines, faults)
 }
 
-// checkLinkKeys refuses a second key that is the first: whoever changes the key would take
-// the change for begun, and cut the links with its next step.
+// checkLinkKeys rejects a second key that equals the first. An operator who changes the key would
+// believe that the change has begun, and the next step of the change would break all links.
 func checkLinkKeys(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetOtherKey() != "" && l.GetOtherKey() == l.GetKey() {
-		faults.add(sectionLines["link"], "link", "other-key", "is the same as key; it must be the one before or the one to come")
+		faults.add(sectionLines["link"], "link", "other-key", "is the same as key; it must be the previous or the next key")
 	}
 }
 
-// checkLinkTimes keeps the order heartbeat < suspect < dead: out of order, a healthy
-// link would be suspected between two heartbeats, or closed before it got no
-// new work.
+// checkLinkTimes requires heartbeat < suspect < dead. Otherwise, a healthy link would be suspected
+// between two heartbeats, or a link would be closed while it still got new work.
 func checkLinkTimes(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetHeartbeatMs() >= l.GetSuspectMs() {
 		faults.add(sectionLines["link"], "link", "heartbeat-ms", "must be shorter than suspect-ms (%d)", l.GetSuspectMs())
@@ -206,7 +206,7 @@
 		return
 	}
 	if b.GetModel() == "" {
-		faults.add(line, "group", "name", "only a model engine can stand in a group")
+		faults.add(line, "group", "name", "only a model engine can be in a group")
 	}
 	if g.GetRanks() == 0 {
 		faults.add(line, "group", "ranks", "a group needs at least one rank on this VM")
--- a/internal/settings/redact.go
+++ b/internal/settings/redact.go
@@ -5,11 +5,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// RedactedValue stands in a dump or a log in place of a secret.
+// RedactedValue replaces a secret in a dump or a log.
 const RedactedValue = "(hidden)"
 
-// Redacted returns a copy of the message in which every field that the schema
-// calls secret is replaced by [RedactedValue].
+// Redacted returns a copy of the message in which the value of every secret field of the schema is
+// replaced by [RedactedValue].
 func Redacted(m proto.Message) proto.Message {
 	copied := proto.Clone(m)
 	redact(copied.ProtoReflect())
@@ -37,12 +37,11 @@
 type Change struct {
 	Section string
 	Key     string
-	// Reload says that a running process takes the new value; otherwise it
-	// needs a restart.
+	// Reload is true if a running process applies the new value without a restart.
 	Reload bool
 }
 
-// Changes compares two settings messages of one type, key by key.
+// Changes returns the keys in which two settings messages of the same type differ.
 func Changes(before, after proto.Message) []Change {
 	var changes []Change
 	sections := before.ProtoReflect().Descriptor().Fields()
--- a/internal/settings/scan.go
+++ b/internal/settings/scan.go
@@ -8,8 +8,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Limits on a file. A list of 7,300 customers takes about 1 MB; the limits leave
-// four times that, and bound what a wrong or hostile file can cost.
+// Limits on a file, so that a faulty or hostile file cannot use much memory or time. A list of
+// 7,300 customers takes about 1 MB; the size limit is four times that.
 const (
 	maxFileBytes  = 4 << 20
 	maxSections   = 20_000
@@ -35,17 +35,17 @@
 	keys []key
 }
 
-// lineOptions makes the library read one line plainly. Comments need a space
-// before them: a token that holds a # would otherwise be cut short in silence.
-// Continuations are off, so that a line of the file is a line of the library.
+// lineOptions disables the special syntax of the library for a line. Inline comments need a space
+// before them; otherwise, a token that contains a # would be silently truncated. Continuations
+// are disabled, so that each line of the file is parsed on its own.
 var lineOptions = ini.LoadOptions{
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
 	KeyValueDelimiters:       "=",
 }
 
-// scan reads the sections and keys of a file. The library is given one line at a
-// time, because it names no lines in its errors and stops at the first.
+// scan reads the sections and keys of a file. It passes one line at a time to the library, because
+// the library's errors have no line numbers and it stops at the first error.
 func scan(text []byte, faults *faultList) []section {
 	if len(text) > maxFileBytes {
 		faults.add(0, "", "", "the file has %d bytes; at most %d are read", len(text), maxFileBytes)
@@ -66,11 +66,11 @@
 type scanner struct {
 	faults   *faultList
 	sections []section
-	// sectionLines gives the line of each section met.
+	// sectionLines holds the line of each section found so far.
 	sectionLines map[string]int
 }
 
-// scanLine takes one trimmed line; it returns false when no more should be read.
+// scanLine parses one trimmed line. It returns false if no further line should be read.
 func (s *scanner) scanLine(number int, line string) bool {
 	switch {
 	case line == "" || line[0] == '#' || line[0] == ';':
@@ -98,8 +98,8 @@
 	}
 	all := file.Sections()
 	name := strings.Join(strings.Fields(all[len(all)-1].Name()), " ")
-	// The library drops what stands after the bracket. A key there would be
-	// lost without a word, so it is refused.
+	// The library ignores text after the bracket. A key there would be silently lost, so it is
+	// rejected.
 	rest := strings.TrimSpace(line[strings.LastIndexByte(line, ']')+1:])
 	if rest != "" && rest[0] != '#' && rest[0] != ';' {
 		s.faults.add(number, name, "", "text after the section's name")
@@ -118,7 +118,7 @@
 		s.faults.add(number, s.currentSection(), "", "the line is neither a [section] nor key = value")
 		return
 	}
-	// Value, not String: String expands %(name)s.
+	// Value is used instead of String, because String expands %(name)s.
 	name, value := keys[0].Name(), strings.TrimSpace(keys[0].Value())
 	if len(s.sections) == 0 {
 		s.faults.add(number, "", name, "the key stands before any section")
@@ -136,7 +136,7 @@
 	parent.keys = append(parent.keys, key{name: name, value: value, line: number})
 }
 
-// currentSection names the section that a line stands in.
+// currentSection returns the name of the section that contains the current line.
 func (s *scanner) currentSection() string {
 	if len(s.sections) == 0 {
 		return ""
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// replaceOnce replaces one line of a text; the rest stays good.
+// replaceOnce replaces the first occurrence of old, which must be present.
 func replaceOnce(text, old, replacement string) string {
 	if !strings.Contains(text, old) {
 		panic("the text has no " + old)
@@ -130,7 +130,7 @@
 		{"host name", entry, "127.0.0.1:8081", "entry-1:8081", `entry.ini:8: [listen] link: "entry-1:8081" is not IP:port`},
 		{"port 0", entry, "127.0.0.1:8081", "127.0.0.1:0", `names no port`},
 		{"any address", entry, "public = 127.0.0.1", "public = 0.0.0.0", `entry.ini:6: [listen] public-name: the key is missing`},
-		{"link at any address", agent, "link = 127.0.0.1", "link = [::]", `agent.ini:4: [listen] link: other processes cannot be told`},
+		{"link at any address", agent, "link = 127.0.0.1", "link = [::]", `agent.ini:4: [listen] link: other processes cannot connect to [::]`},
 		{"unknown key", entry, "vm = entry-1", "vm = entry-1\nname = x", `entry.ini:4: [self] name: unknown key; the section has vm, failure-domain`},
 		{"field's name in place of the key", entry, "failure-domain", "failure_domain", `entry.ini:4: [self] failure_domain: unknown key`},
 		{"unknown section", entry, "[self]", "[selves]", `entry.ini:2: [selves] unknown section`},
@@ -159,7 +159,7 @@
 		{"cold above full", agent, "model = pricing", "model = pricing\ncold-limit = 40", `must not be larger than full-limit (32)`},
 		{"ranks without name", agent, "name = g\n", "", `agent.ini:16: [group] name: the key is missing: ranks need a group`},
 		{"ranks past size", agent, "ranks = 8", "ranks = 8\nfirst-rank = 250", `ranks 250 to 257 do not fit`},
-		{"group of a service", agent, "model = pricing\nadapters = hardware, grocer", "service = labels", `only a model engine can stand in a group`},
+		{"group of a service", agent, "model = pricing\nadapters = hardware, grocer", "service = labels", `only a model engine can be in a group`},
 		{"list twice", agent, "hardware, grocer", "grocer, grocer", `"grocer" stands twice`},
 		{"empty item", agent, "hardware, grocer", "hardware,,grocer", `an item between commas is empty`},
 		{"key in place of hash", plans, "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855", "my-secret-key", `plans.ini:2: [customer north] key-sha256: not a SHA-256`},
@@ -278,7 +278,7 @@
 	}
 }
 
-// FuzzSettings looks for a text that crashes the parser.
+// FuzzSettings searches for a text that crashes the parser.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(entryText))
 	f.Add([]byte(agentText))
@@ -289,7 +289,7 @@
 	})
 }
 
-// FuzzLists looks for a list that is accepted and does not survive Format.
+// FuzzLists searches for an accepted list that changes when it is formatted and parsed again.
 func FuzzLists(f *testing.F) {
 	f.Add([]byte(plansText))
 	f.Add([]byte(usesText))
@@ -303,7 +303,7 @@
 	})
 }
 
-// BenchmarkParsePlans reads the plans list of the two-year size.
+// BenchmarkParsePlans parses a plans list of the size expected in two years.
 func BenchmarkParsePlans(b *testing.B) {
 	var text strings.Builder
 	for i := range 7300 {
