--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -77,7 +77,7 @@
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          logging.Library(logger, "The server for operators met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.NewStdLogger(logger, "The server for operators met a fault.", result.Label(api.ResultCode_INTERNAL)),
 	}
 }
 
--- a/internal/command/daemon/gateway.go
+++ b/internal/command/daemon/gateway.go
@@ -46,7 +46,7 @@
 // onPlatform makes the command of a process whose settings come from the platform, and
 // whose log goes to standard output, as the platform collects it.
 func onPlatform(name, description string, serve func(context.Context, *platform.Settings, log.Logger) error) *cli.Command {
-	least, lines := "info", logging.DefaultLines
+	least, lines := "info", logging.DefaultLinesPerSecond
 	sub := cli.New(name, description, "apricothub "+name)
 	sub.AdditionalHelpAppend = platformSignals + sub.AdditionalHelpAppend
 	sub.String(&least, "l", "log-level", "Least level of the log: debug, info, warn, error or none.")
@@ -56,8 +56,8 @@
 		if err != nil {
 			return err
 		}
-		if lines < logging.LeastLines {
-			return cli.Usage("--log-lines %d is below %d.", lines, logging.LeastLines)
+		if lines < logging.MinLinesPerSecond {
+			return cli.Usage("--log-lines %d is below %d.", lines, logging.MinLinesPerSecond)
 		}
 		logger, err := logging.Open(out, name, loaded.VM, least, lines)
 		if err != nil {
--- a/internal/docgen/logs.go
+++ b/internal/docgen/logs.go
@@ -41,7 +41,7 @@
 
 func logsPage() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, logsIntro, logging.DefaultLines)
+	fmt.Fprintf(&b, logsIntro, logging.DefaultLinesPerSecond)
 	for _, section := range logging.Vocabulary {
 		fmt.Fprintf(&b, "\n### Of %s\n\n| Key | Value |\n|---|---|\n", section.About)
 		for _, k := range section.Keys {
--- a/internal/explain/leftout_test.go
+++ b/internal/explain/leftout_test.go
@@ -19,7 +19,7 @@
 // about is among those left out. The line that tells of them must be one like all others, with
 // its time and its VM, and the reader is told of each line that is missing.
 func TestWhatNobodyReadIsCounted(t *testing.T) {
-	const written = 3 * logging.MostWaiting
+	const written = 3 * logging.MaxQueuedLines
 	out, in := io.Pipe()
 	// Or a line that never comes would be waited for.
 	defer time.AfterFunc(generous, func() { _ = in.Close() }).Stop()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -279,7 +279,7 @@
 func (g *Gateway) newServer(e endpoint) *http.Server {
 	return &http.Server{
 		Handler: e.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: logging.Library(logging.Part(g.logger, e.name), "The library for HTTP reports an error.",
+		ErrorLog: logging.NewStdLogger(logging.Part(g.logger, e.name), "The library for HTTP reports an error.",
 			result.Label(api.ResultCode_INTERNAL)),
 	}
 }
--- a/internal/httpguard/httpguard.go
+++ b/internal/httpguard/httpguard.go
@@ -32,7 +32,7 @@
 		ReadTimeout:       time.Duration(limits.GetReadBodyMs()) * time.Millisecond,
 		IdleTimeout:       time.Duration(limits.GetIdleMs()) * time.Millisecond,
 		MaxHeaderBytes:    int(limits.GetHeaderBytes()) + headerSlack,
-		ErrorLog:          logging.Library(logger, "The server for callers met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.NewStdLogger(logger, "The server for callers met a fault.", result.Label(api.ResultCode_INTERNAL)),
 	})
 }
 
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// MostWaiting is the number of lines that wait to be written at most: some seconds of a busy
+	// MaxQueuedLines is the number of lines that wait to be written at most: some seconds of a busy
 	// process.
-	MostWaiting = 4096
-	// asyncBatch is the most bytes written at once.
-	asyncBatch = 64 << 10
+	MaxQueuedLines = 4096
+	// maxBatchBytes is the most bytes written at once.
+	maxBatchBytes = 64 << 10
 )
 
 // Async is a writer that never keeps its caller waiting: lines are written by a goroutine of
@@ -27,24 +27,24 @@
 // How many lines were left out is told in a line once there is room again.
 type Async struct {
 	w io.Writer
-	// self is the VM whose process writes; empty for one that does not say.
-	self    string
+	// vm is the VM whose process writes; empty for one that does not say.
+	vm      string
 	lines   chan []byte
 	dropped atomic.Int64
-	// unread counts the lines left out since the process started.
-	unread  metrics.Counter
-	closing chan struct{}
-	once    sync.Once
-	done    chan struct{}
+	// droppedCounter counts the lines left out since the process started.
+	droppedCounter metrics.Counter
+	closing        chan struct{}
+	closeOnce      sync.Once
+	done           chan struct{}
 }
 
 // NewAsync returns a writer that passes the lines of the process on a VM on to w.
-func NewAsync(w io.Writer, self string) *Async { return newAsync(w, self, MostWaiting) }
+func NewAsync(w io.Writer, vm string) *Async { return newAsync(w, vm, MaxQueuedLines) }
 
-func newAsync(w io.Writer, self string, lines int) *Async {
+func newAsync(w io.Writer, vm string, maxLines int) *Async {
 	a := &Async{
-		w: w, self: self, lines: make(chan []byte, lines), closing: make(chan struct{}), done: make(chan struct{}),
-		unread: metrics.GetOrRegisterCounter("log.dropped.unread", metrics.DefaultRegistry),
+		w: w, vm: vm, lines: make(chan []byte, maxLines), closing: make(chan struct{}), done: make(chan struct{}),
+		droppedCounter: metrics.GetOrRegisterCounter("log.dropped.unread", metrics.DefaultRegistry),
 	}
 	go a.run()
 	return a
@@ -57,7 +57,7 @@
 	case a.lines <- kept:
 	default:
 		a.dropped.Add(1)
-		a.unread.Inc(1)
+		a.droppedCounter.Inc(1)
 	}
 	return len(line), nil
 }
@@ -69,11 +69,11 @@
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
 // Close writes what waits, for as long as patience.
-func (a *Async) Close(patience time.Duration) {
-	a.once.Do(func() { close(a.closing) })
+func (a *Async) Close(timeout time.Duration) {
+	a.closeOnce.Do(func() { close(a.closing) })
 	select {
 	case <-a.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
@@ -96,12 +96,12 @@
 	}
 }
 
-// leftOut is the line that tells how many were left out. It goes past the bound and the ring,
+// droppedLine is the line that tells how many were left out. It goes past the bound and the ring,
 // which have no room for it when it matters.
-func (a *Async) leftOut(n int64) []byte {
+func (a *Async) droppedLine(n int64) []byte {
 	var line bytes.Buffer
 	// A buffer takes all that is written to it.
-	_ = level.Warn(newSink(&line)).Log(PartKey, "logging", SelfKey, a.self,
+	_ = level.Warn(newSink(&line)).Log(PartKey, "logging", SelfKey, a.vm,
 		MessageKey, "Lines were left out, since nobody read them.", UnreadKey, n)
 	return line.Bytes()
 }
@@ -109,9 +109,9 @@
 // write writes a line with those that wait behind it, at one go.
 func (a *Async) write(line []byte) {
 	if n := a.dropped.Swap(0); n > 0 {
-		line = append(line, a.leftOut(n)...)
+		line = append(line, a.droppedLine(n)...)
 	}
-	for len(line) < asyncBatch {
+	for len(line) < maxBatchBytes {
 		select {
 		case next := <-a.lines:
 			line = append(line, next...)
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// stuck is an output that nobody reads until it is let go.
-type stuck struct {
-	mu  sync.Mutex
-	buf bytes.Buffer
-	let chan struct{}
+// blockedWriter is an output that nobody reads until it is let go.
+type blockedWriter struct {
+	mu      sync.Mutex
+	buf     bytes.Buffer
+	unblock chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
@@ -27,11 +27,11 @@
 // Nobody reads the log. A request that logs goes on at once all the same; what could not be
 // kept is counted, and told of when the log is read again.
 func TestAsyncNeverWaits(t *testing.T) {
-	const lines, room = 1000, 8
+	const lines, capacity = 1000, 8
 	// A few lines fill a batch, so that most of them find no room.
-	line := []byte(strings.Repeat("x", asyncBatch/4-1) + "\n")
-	out := &stuck{let: make(chan struct{})}
-	a := newAsync(out, "", room)
+	line := []byte(strings.Repeat("x", maxBatchBytes/4-1) + "\n")
+	out := &blockedWriter{unblock: make(chan struct{})}
+	a := newAsync(out, "", capacity)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -47,25 +47,25 @@
 	if a.Dropped() == 0 {
 		t.Error("no line was left out: the test shows nothing")
 	}
-	close(out.let)
+	close(out.unblock)
 	a.Close(20 * time.Second)
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	text := out.buf.String()
-	told := int(a.Dropped())
+	reported := int(a.Dropped())
 	for _, match := range regexp.MustCompile(`unread=(\d+)`).FindAllStringSubmatch(text, -1) {
 		n, err := strconv.Atoi(match[1])
 		if err != nil {
 			t.Fatal(err)
 		}
-		told += n
+		reported += n
 	}
-	if written := strings.Count(text, "x\n"); written+told != lines {
-		t.Errorf("%d lines written, %d told of as left out, of %d", written, told, lines)
+	if written := strings.Count(text, "x\n"); written+reported != lines {
+		t.Errorf("%d lines written, %d told of as left out, of %d", written, reported, lines)
 	}
 }
 
-func TestAsyncCloseWritesWhatWaits(t *testing.T) {
+func TestAsyncCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	a := NewAsync(&out, "")
 	for range 100 {
@@ -78,9 +78,9 @@
 }
 
 // A process that ends does not wait for a log that nobody reads.
-func TestAsyncCloseGivesUp(t *testing.T) {
-	out := &stuck{let: make(chan struct{})}
-	defer close(out.let)
+func TestAsyncCloseTimesOut(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan struct{})}
+	defer close(out.unblock)
 	a := newAsync(out, "", 8)
 	_, _ = a.Write([]byte("line\n"))
 	a.Close(time.Millisecond)
--- a/internal/logging/bench_test.go
+++ b/internal/logging/bench_test.go
@@ -10,8 +10,8 @@
 
 // Most lines about requests that went well are left out at full load; this is what one of
 // them takes.
-func BenchmarkALineThatIsLeftOut(b *testing.B) {
-	p, err := Open(io.Discard, "gateway", "front-1", "info", LeastLines)
+func BenchmarkDroppedLine(b *testing.B) {
+	p, err := Open(io.Discard, "gateway", "front-1", "info", MinLinesPerSecond)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/logging/bound.go
+++ b/internal/logging/bound.go
@@ -21,29 +21,29 @@
 	Failed
 	// State lines tell of the process: what it believes, starts, stops and faults.
 	State
-	kinds
+	numKinds
 )
 
 // String names the kind, as lines and metrics show it.
 func (k Kind) String() string { return [...]string{"served", "failed", "state"}[k] }
 
 const (
-	// DefaultLines is the most lines a second that a process writes unless it is told
+	// DefaultLinesPerSecond is the most lines a second that a process writes unless it is told
 	// otherwise: of some hundred bytes each, about what one person's collector takes from
 	// hundreds of processes.
-	DefaultLines = 200
-	// LeastLines is the least that it can be told: below it a kind would have no room for
+	DefaultLinesPerSecond = 200
+	// MinLinesPerSecond is the least that it can be told: below it a kind would have no room for
 	// one burst of a few lines.
-	LeastLines = 40
-	// burstPart is the part of the lines of a second that may come at once. The rate is the
+	MinLinesPerSecond = 40
+	// burstFraction is the part of the lines of a second that may come at once. The rate is the
 	// other half, so that in no second there are more than both together.
-	burstPart = 0.5
-	// sentencePart is the part of its kind's room that one sentence may take: a fault that
+	burstFraction = 0.5
+	// sentenceFraction is the part of its kind's room that one sentence may take: a fault that
 	// strikes every request fills the log with one sentence, and other faults must still
 	// show.
-	sentencePart = 0.5
-	// tellEach is the least time between two lines on what was left out.
-	tellEach = 10 * time.Second
+	sentenceFraction = 0.5
+	// dropReportInterval is the least time between two lines on what was left out.
+	dropReportInterval = 10 * time.Second
 	// maxSentences bounds the sentences whose rate is followed; they are literals of the
 	// code, so that there are far fewer.
 	maxSentences = 512
@@ -52,112 +52,112 @@
 // droppedPrefix begins the names of the counters of lines left out.
 const droppedPrefix = "log.dropped."
 
-// parts divides the lines of a second among the kinds. What went well is a sample, and has
+// kindFractions divides the lines of a second among the kinds. What went well is a sample, and has
 // the least; no kind can take another's room, however many lines it has.
-var parts = [kinds]float64{Served: 0.2, Failed: 0.5, State: 0.3}
+var kindFractions = [numKinds]float64{Served: 0.2, Failed: 0.5, State: 0.3}
 
-// Bounded is a logger with a bound on the lines of a second.
+// RateLimited is a logger with a bound on the lines of a second.
 //
 // Load: each of thousands of requests a second brings a line or more, and in a fault all of
 // them the same. Harm prevented: the process spends its time on lines that no collector
 // takes; refusals crowd out the change of belief that explains them, or answers that went
 // well both. What is left out is counted, by kind in the metrics log.dropped.KIND and in a
 // line of its own, and by sentence in dropped_before of the next line of that sentence.
-type Bounded struct {
-	next   log.Logger
-	busy   func() bool
-	now    func() time.Time
-	lines  int
-	rates  *ratelimit.Keyed
-	counts [kinds]metrics.Counter
+type RateLimited struct {
+	next           log.Logger
+	isBusy         func() bool
+	now            func() time.Time
+	linesPerSecond int
+	limiter        *ratelimit.Keyed
+	counters       [numKinds]metrics.Counter
 
 	mu sync.Mutex
-	// dropped counts the lines left out since the last one of a sentence.
-	dropped map[string]int64
-	// untold counts those left out since the last line that told of them, by kind.
-	untold [kinds]int64
-	toldAt time.Time
+	// droppedBySentence counts the lines left out since the last one of a sentence.
+	droppedBySentence map[string]int64
+	// unreported counts those left out since the last line that told of them, by kind.
+	unreported [numKinds]int64
+	reportedAt time.Time
 }
 
-// Bound bounds the lines of a second. busy says that the writer behind falls back, and may
+// LimitRate bounds the lines of a second. busy says that the writer behind falls back, and may
 // be nil: what went well is left out then, so that the room behind is there for the rest.
-func Bound(logger log.Logger, linesPerSecond int, busy func() bool) *Bounded {
-	return newBounded(logger, linesPerSecond, busy, time.Now)
+func LimitRate(logger log.Logger, linesPerSecond int, isBusy func() bool) *RateLimited {
+	return newRateLimited(logger, linesPerSecond, isBusy, time.Now)
 }
 
-func newBounded(logger log.Logger, linesPerSecond int, busy func() bool, now func() time.Time) *Bounded {
-	b := &Bounded{
-		next: logger, busy: busy, now: now, lines: max(linesPerSecond, LeastLines),
-		rates: ratelimit.New(maxSentences), dropped: make(map[string]int64), toldAt: now(),
+func newRateLimited(logger log.Logger, linesPerSecond int, isBusy func() bool, now func() time.Time) *RateLimited {
+	r := &RateLimited{
+		next: logger, isBusy: isBusy, now: now, linesPerSecond: max(linesPerSecond, MinLinesPerSecond),
+		limiter: ratelimit.New(maxSentences), droppedBySentence: make(map[string]int64), reportedAt: now(),
 	}
-	for k := range kinds {
-		b.counts[k] = metrics.GetOrRegisterCounter(droppedPrefix+k.String(), metrics.DefaultRegistry)
+	for k := range numKinds {
+		r.counters[k] = metrics.GetOrRegisterCounter(droppedPrefix+k.String(), metrics.DefaultRegistry)
 	}
-	return b
+	return r
 }
 
 // Log implements log.Logger.
-func (b *Bounded) Log(keyvals ...any) error {
+func (r *RateLimited) Log(keyvals ...any) error {
 	kind, sentence := kindOf(keyvals)
-	now := b.now()
-	b.tell(now)
-	if !b.room(kind, sentence, now) {
-		b.leaveOut(kind, sentence)
+	now := r.now()
+	r.reportDropped(now)
+	if !r.allow(kind, sentence, now) {
+		r.drop(kind, sentence)
 		return nil
 	}
-	b.mu.Lock()
-	dropped := b.dropped[sentence]
-	delete(b.dropped, sentence)
-	b.mu.Unlock()
+	r.mu.Lock()
+	dropped := r.droppedBySentence[sentence]
+	delete(r.droppedBySentence, sentence)
+	r.mu.Unlock()
 	if dropped > 0 {
 		keyvals = append(keyvals[:len(keyvals):len(keyvals)], DroppedKey, dropped)
 	}
-	return b.next.Log(keyvals...)
+	return r.next.Log(keyvals...)
 }
 
-// room says whether there is room for a line.
-func (b *Bounded) room(kind Kind, sentence string, now time.Time) bool {
-	if kind == Served && b.busy != nil && b.busy() {
+// allow says whether there is room for a line.
+func (r *RateLimited) allow(kind Kind, sentence string, now time.Time) bool {
+	if kind == Served && r.isBusy != nil && r.isBusy() {
 		return false
 	}
 	// Of a kind with one sentence in the main, that one may take all.
-	if kind != Served && !b.take(sentence, sentencePart*parts[kind], now) {
+	if kind != Served && !r.allowFraction(sentence, sentenceFraction*kindFractions[kind], now) {
 		return false
 	}
-	return b.take(kind.String(), parts[kind], now)
+	return r.allowFraction(kind.String(), kindFractions[kind], now)
 }
 
-// take takes one line out of the room that a part of all lines has.
-func (b *Bounded) take(key string, part float64, now time.Time) bool {
-	each := part * float64(b.lines)
-	burst := int(burstPart * each)
-	ok, _ := b.rates.Allow(now, key, (1-burstPart)*each, burst)
+// allowFraction takes one line out of the room that a part of all lines has.
+func (r *RateLimited) allowFraction(key string, fraction float64, now time.Time) bool {
+	rate := fraction * float64(r.linesPerSecond)
+	burst := int(burstFraction * rate)
+	ok, _ := r.limiter.Allow(now, key, (1-burstFraction)*rate, burst)
 	return ok
 }
 
-func (b *Bounded) leaveOut(kind Kind, sentence string) {
-	b.counts[kind].Inc(1)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.untold[kind]++
-	if len(b.dropped) < maxSentences || b.dropped[sentence] > 0 {
-		b.dropped[sentence]++
+func (r *RateLimited) drop(kind Kind, sentence string) {
+	r.counters[kind].Inc(1)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unreported[kind]++
+	if len(r.droppedBySentence) < maxSentences || r.droppedBySentence[sentence] > 0 {
+		r.droppedBySentence[sentence]++
 	}
 }
 
-// tell writes how many lines were left out, when it is time.
-func (b *Bounded) tell(now time.Time) {
-	b.mu.Lock()
-	due := now.Sub(b.toldAt) >= tellEach && b.untold != [kinds]int64{}
-	untold := b.untold
-	if due = due && b.take(State.String(), parts[State], now); due {
-		b.untold = [kinds]int64{}
-		b.toldAt = now
+// reportDropped writes how many lines were left out, when it is time.
+func (r *RateLimited) reportDropped(now time.Time) {
+	r.mu.Lock()
+	due := now.Sub(r.reportedAt) >= dropReportInterval && r.unreported != [numKinds]int64{}
+	unreported := r.unreported
+	if due = due && r.allowFraction(State.String(), kindFractions[State], now); due {
+		r.unreported = [numKinds]int64{}
+		r.reportedAt = now
 	}
-	b.mu.Unlock()
+	r.mu.Unlock()
 	if due {
-		_ = level.Warn(b.next).Log(PartKey, "logging", MessageKey, "Lines were left out, to keep to the bound.",
-			Served.String(), untold[Served], Failed.String(), untold[Failed], State.String(), untold[State])
+		_ = level.Warn(r.next).Log(PartKey, "logging", MessageKey, "Lines were left out, to keep to the bound.",
+			Served.String(), unreported[Served], Failed.String(), unreported[Failed], State.String(), unreported[State])
 	}
 }
 
@@ -175,7 +175,7 @@
 			sentence = textOf(keyvals[i+1])
 		}
 	}
-	if kind == Served && (failed || rankOf(keyvals) >= rankWarn) {
+	if kind == Served && (failed || severityOf(keyvals) >= severityWarn) {
 		kind = Failed
 	}
 	return kind, sentence
--- a/internal/logging/bound_test.go
+++ b/internal/logging/bound_test.go
@@ -12,54 +12,60 @@
 	"github.com/go-kit/log/level"
 )
 
-// world is a bounded logger with a clock of its own, and the moments of its lines.
-type world struct {
-	*Bounded
-	now  time.Time
-	busy bool
-	out  bytes.Buffer
-	at   []time.Time
+// loggerWithClock is a bounded logger with a clock of its own, and the moments of its lines.
+type loggerWithClock struct {
+	*RateLimited
+	now       time.Time
+	busy      bool
+	out       bytes.Buffer
+	lineTimes []time.Time
 }
 
-func newWorld(lines int) *world {
-	w := &world{now: time.Unix(0, 0)}
+func newLoggerWithClock(lines int) *loggerWithClock {
+	w := &loggerWithClock{now: time.Unix(0, 0)}
 	sink := log.NewLogfmtLogger(&w.out)
 	counted := log.LoggerFunc(func(keyvals ...any) error {
-		w.at = append(w.at, w.now)
+		w.lineTimes = append(w.lineTimes, w.now)
 		return sink.Log(keyvals...)
 	})
-	w.Bounded = newBounded(counted, lines, func() bool { return w.busy }, func() time.Time { return w.now })
+	w.RateLimited = newRateLimited(counted, lines, func() bool { return w.busy }, func() time.Time { return w.now })
 	return w
 }
 
-func (w *world) served() { _ = level.Info(w).Log("msg", "A request was served.", "request", "a") }
-func (w *world) refused() {
+func (w *loggerWithClock) logServed() {
+	_ = level.Info(w).Log("msg", "A request was served.", "request", "a")
+}
+
+func (w *loggerWithClock) logRefused() {
 	_ = level.Warn(w).Log("msg", "A request was refused.", "request", "b", "result", "201 SATURATED")
 }
-func (w *world) marked(n int) { _ = level.Info(w).Log("msg", "A domain was marked.", "n", n) }
 
-func (w *world) count(text string) int { return strings.Count(w.out.String(), text) }
+func (w *loggerWithClock) logMarked(n int) {
+	_ = level.Info(w).Log("msg", "A domain was marked.", "n", n)
+}
+
+func (w *loggerWithClock) count(text string) int { return strings.Count(w.out.String(), text) }
 
 // Requests come at four times the full load, most are refused, and the collector has a
 // bound. In no second, wherever it begins, are there more lines than the setting says.
 func TestNoSecondHasMoreLinesThanTheSetting(t *testing.T) {
-	for _, setting := range []int{LeastLines, DefaultLines, 1000} {
-		w := newWorld(setting)
+	for _, setting := range []int{MinLinesPerSecond, DefaultLinesPerSecond, 1000} {
+		w := newLoggerWithClock(setting)
 		rng := rand.New(rand.NewPCG(1, uint64(setting)))
 		for range 60_000 {
 			w.now = w.now.Add(time.Duration(rng.ExpFloat64() * float64(100*time.Microsecond)))
 			switch n := rng.IntN(100); {
 			case n < 25:
-				w.served()
+				w.logServed()
 			case n < 98:
-				w.refused()
+				w.logRefused()
 			default:
 				_ = level.Warn(w).Log("msg", fmt.Sprintf("State %d.", n), "result", "1 X")
 			}
 		}
 		first, most := 0, 0
-		for i, at := range w.at {
-			for at.Sub(w.at[first]) >= time.Second {
+		for i, at := range w.lineTimes {
+			for at.Sub(w.lineTimes[first]) >= time.Second {
 				first++
 			}
 			most = max(most, i-first+1)
@@ -73,13 +79,13 @@
 // A failure domain is marked out while thousands of requests a second are refused and as
 // many served. The mark, which explains the refusals, and lines of each kind still show.
 func TestNoKindCrowdsOutAnother(t *testing.T) {
-	w := newWorld(LeastLines)
+	w := newLoggerWithClock(MinLinesPerSecond)
 	for i := range 20_000 {
 		w.now = w.now.Add(100 * time.Microsecond)
-		w.refused()
-		w.served()
+		w.logRefused()
+		w.logServed()
 		if i%5_000 == 2_500 {
-			w.marked(i)
+			w.logMarked(i)
 		}
 	}
 	if w.count("marked") != 4 || w.count("refused") < 5 || w.count("A request was served") < 4 {
@@ -90,10 +96,10 @@
 // All requests meet the same fault, and one in a thousand another. Both show, and each line
 // says how many of its sentence were left out before it; one comes each second at least.
 func TestNoSentenceCrowdsOutAnother(t *testing.T) {
-	w := newWorld(LeastLines)
+	w := newLoggerWithClock(MinLinesPerSecond)
 	for i := range 5_000 {
 		w.now = w.now.Add(time.Millisecond)
-		w.refused()
+		w.logRefused()
 		if i%1_000 == 500 {
 			_ = level.Warn(w).Log("msg", "An attempt came to nothing.", "request", "c", "result", "302 OUTCOME_UNKNOWN")
 		}
@@ -101,48 +107,48 @@
 	if w.count("came to nothing") != 5 {
 		t.Errorf("the rare fault shows %d times of 5", w.count("came to nothing"))
 	}
-	left := 0
+	dropped := 0
 	for line := range strings.Lines(w.out.String()) {
 		var n int
 		if _, after, ok := strings.Cut(line, "dropped_before="); ok && strings.Contains(line, "refused") {
 			if _, err := fmt.Sscan(after, &n); err != nil {
 				t.Fatal(err)
 			}
-			left += n
+			dropped += n
 		}
 	}
-	if kept := w.count("refused"); kept+left < 4_000 || kept+left > 5_000 {
-		t.Errorf("%d lines kept and %d told of as left out, of 5000", kept, left)
+	if kept := w.count("refused"); kept+dropped < 4_000 || kept+dropped > 5_000 {
+		t.Errorf("%d lines kept and %d told of as left out, of 5000", kept, dropped)
 	}
 }
 
 // The log was bounded for a while and is quiet now. The next line, of whatever kind, brings
 // one with what was left out, so that nobody takes the silence for calm.
-func TestWhatWasLeftOutIsTold(t *testing.T) {
-	w := newWorld(LeastLines)
+func TestDroppedLinesAreReported(t *testing.T) {
+	w := newLoggerWithClock(MinLinesPerSecond)
 	for range 1_000 {
-		w.refused()
+		w.logRefused()
 	}
 	kept := w.count("refused")
-	w.now = w.now.Add(tellEach)
-	w.marked(1)
+	w.now = w.now.Add(dropReportInterval)
+	w.logMarked(1)
 	if want := fmt.Sprintf("served=0 failed=%d state=0", 1_000-kept); w.count(want) != 1 {
 		t.Errorf("no line with %q in:\n%s", want, &w.out)
 	}
-	w.now = w.now.Add(tellEach)
-	w.marked(2)
+	w.now = w.now.Add(dropReportInterval)
+	w.logMarked(2)
 	if w.count("were left out") != 1 {
 		t.Errorf("told twice:\n%s", &w.out)
 	}
 }
 
 // The collector reads too slowly. What room is left goes to refusals and changes of belief.
-func TestASlowReaderCostsServedLinesFirst(t *testing.T) {
-	w := newWorld(LeastLines)
+func TestServedLinesAreDroppedFirstForASlowReader(t *testing.T) {
+	w := newLoggerWithClock(MinLinesPerSecond)
 	w.busy = true
-	w.served()
-	w.refused()
-	w.marked(1)
+	w.logServed()
+	w.logRefused()
+	w.logMarked(1)
 	if w.count("was served") != 0 || w.count("refused") != 1 || w.count("marked") != 1 {
 		t.Errorf("got:\n%s", &w.out)
 	}
--- a/internal/logging/keys_test.go
+++ b/internal/logging/keys_test.go
@@ -120,8 +120,8 @@
 	return ok && name.Name == "any"
 }
 
-// constants are the keys that the code has names for.
-var constants = map[string]string{
+// keyConstants are the keys that the code has names for.
+var keyConstants = map[string]string{
 	"RequestKey": RequestKey, "TimeKey": TimeKey, "DroppedKey": DroppedKey, "UnreadKey": UnreadKey, "PartKey": PartKey, "SelfKey": SelfKey, "ResultKey": ResultKey, "MessageKey": MessageKey,
 }
 
@@ -134,13 +134,13 @@
 			return text
 		}
 	case *ast.Ident:
-		return constants[e.Name]
+		return keyConstants[e.Name]
 	case *ast.SelectorExpr:
-		return constants[e.Sel.Name]
+		return keyConstants[e.Sel.Name]
 	case *ast.CallExpr:
 		// The kinds of lines name themselves.
 		if of, ok := e.Fun.(*ast.SelectorExpr); ok && of.Sel.Name == "String" {
-			for k := range kinds {
+			for k := range numKinds {
 				if name, ok := of.X.(*ast.Ident); ok && strings.EqualFold(name.Name, k.String()) {
 					return k.String()
 				}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,47 +16,47 @@
 
 // Level is the least level that is logged; it may be set at any time.
 type Level struct {
-	least atomic.Int32
+	min atomic.Int32
 }
 
-// ranks orders the names of the levels.
-var ranks = map[string]int32{"debug": 0, "info": 1, "warn": 2, "error": 3, "none": 4}
+// severities orders the names of the levels.
+var severities = map[string]int32{"debug": 0, "info": 1, "warn": 2, "error": 3, "none": 4}
 
 // Ranks of levels that the code compares with.
 const (
-	rankInfo = 1
-	rankWarn = 2
+	severityInfo = 1
+	severityWarn = 2
 )
 
 // Set changes the level; name is debug, info, warn, error, or none for no line at all.
 func (l *Level) Set(name string) error {
-	rank, ok := ranks[name]
+	severity, ok := severities[name]
 	if !ok {
 		return errors.Errorf("%q is not a level: debug, info, warn, error or none", name)
 	}
-	l.least.Store(rank)
+	l.min.Store(severity)
 	return nil
 }
 
 // New makes the logger of a process that writes to w, with the level's name and
 // the means to change it.
 func New(w io.Writer, levelName string) (log.Logger, *Level, error) {
-	return filtered(newSink(w), levelName)
+	return newFiltered(newSink(w), levelName)
 }
 
 // newSink makes the logger that writes lines.
 func newSink(w io.Writer) log.Logger {
-	return &arranged{next: log.NewLogfmtLogger(log.NewSyncWriter(w)), now: time.Now}
+	return &prefixed{next: log.NewLogfmtLogger(log.NewSyncWriter(w)), now: time.Now}
 }
 
-// filtered makes the logger before a sink. What is below the level never reaches the sink, and
+// newFiltered makes the logger before a sink. What is below the level never reaches the sink, and
 // takes no room of a bound there.
-func filtered(sink log.Logger, levelName string) (log.Logger, *Level, error) {
-	least := &Level{}
-	if err := least.Set(levelName); err != nil {
+func newFiltered(sink log.Logger, levelName string) (log.Logger, *Level, error) {
+	minLevel := &Level{}
+	if err := minLevel.Set(levelName); err != nil {
 		return nil, nil, err
 	}
-	return &filter{next: sink, least: least}, least, nil
+	return &filter{next: sink, minLevel: minLevel}, minLevel, nil
 }
 
 // Part returns the logger of one part; its lines begin with part=name.
@@ -76,33 +76,33 @@
 
 // filter drops lines below the level.
 type filter struct {
-	next  log.Logger
-	least *Level
+	next     log.Logger
+	minLevel *Level
 }
 
 func (f *filter) Log(keyvals ...any) error {
-	if rankOf(keyvals) < f.least.least.Load() {
+	if severityOf(keyvals) < f.minLevel.min.Load() {
 		return nil
 	}
 	return f.next.Log(keyvals...)
 }
 
-// arranged puts the prefix of the part first, and behind it the level and the time: the
+// prefixed puts the prefix of the part first, and behind it the level and the time: the
 // level's own functions put theirs before everything. Of a part within a part, the inner one
 // is named.
-type arranged struct {
+type prefixed struct {
 	next log.Logger
 	now  func() time.Time
 }
 
-func (a *arranged) Log(keyvals ...any) error {
+func (p *prefixed) Log(keyvals ...any) error {
 	line := make([]any, 0, len(keyvals)+2)
 	for _, key := range []string{PartKey, LevelKey} {
 		if value := valueOf(keyvals, key); value != nil {
 			line = append(line, key, value)
 		}
 	}
-	line = append(line, TimeKey, a.now().UTC().Format(time.RFC3339Nano))
+	line = append(line, TimeKey, p.now().UTC().Format(time.RFC3339Nano))
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		switch key := keyvals[i]; key {
 		case PartKey, LevelKey, level.Key():
@@ -114,7 +114,7 @@
 			line = append(line, key, keyvals[i+1])
 		}
 	}
-	return a.next.Log(line...)
+	return p.next.Log(line...)
 }
 
 // valueOf returns the last value of a key; nil for none.
@@ -127,17 +127,17 @@
 	return nil
 }
 
-// rankOf finds the level of a line, given by the level package or by name; a line
+// severityOf finds the level of a line, given by the level package or by name; a line
 // without one counts as info.
-func rankOf(keyvals []any) int32 {
+func severityOf(keyvals []any) int32 {
 	value := valueOf(keyvals, LevelKey)
 	if value == nil {
-		return rankInfo
+		return severityInfo
 	}
-	if rank, ok := ranks[textOf(value)]; ok {
-		return rank
+	if severity, ok := severities[textOf(value)]; ok {
+		return severity
 	}
-	return rankInfo
+	return severityInfo
 }
 
 func textOf(value any) string {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 
 func TestLevelAndPrefix(t *testing.T) {
 	var out bytes.Buffer
-	logger, least, err := New(&out, "warn")
+	logger, minLevel, err := New(&out, "warn")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	_ = level.Info(part).Log("msg", "Not shown.")
 	_ = part.Log("level", "debug", "msg", "Not shown either.")
 	_ = level.Error(part).Log("msg", "Link is dead.", "vm", "vm-1")
-	if err := least.Set("debug"); err != nil {
+	if err := minLevel.Set("debug"); err != nil {
 		t.Fatal(err)
 	}
 	_ = level.Debug(part).Log("msg", "Now shown.")
@@ -30,22 +30,22 @@
 	}
 	out.Reset()
 	_ = Part(part, "control").Log("msg", "Inner.")
-	_ = least.Set("info")
+	_ = minLevel.Set("info")
 	_ = Part(part, "control").Log("msg", "Inner.")
 	if got := out.String(); strings.Count(got, "part=") != 2 || !strings.HasPrefix(got, "part=control ") {
 		t.Errorf("a part within a part: %s", got)
 	}
-	if least.Set("loud") == nil {
+	if minLevel.Set("loud") == nil {
 		t.Error("an unknown level must be refused")
 	}
 }
 
 // A handler panics, and the HTTP library writes of it in its own way. The operator finds one
 // line like all others, with a result, and not the whole stack.
-func TestALibraryWritesLinesLikeOthers(t *testing.T) {
+func TestStdLoggerWritesOneLinePerText(t *testing.T) {
 	var out bytes.Buffer
-	library := Library(log.NewLogfmtLogger(&out), "The server met a fault.", "403 INTERNAL")
-	library.Printf("http: panic serving: x\n%s", strings.Repeat("goroutine 1 [running]\n", 1000))
+	stdLogger := NewStdLogger(log.NewLogfmtLogger(&out), "The server met a fault.", "403 INTERNAL")
+	stdLogger.Printf("http: panic serving: x\n%s", strings.Repeat("goroutine 1 [running]\n", 1000))
 	want := `level=warn msg="The server met a fault." result="403 INTERNAL" err="http: panic serving: x\ngoroutine`
 	if !strings.HasPrefix(out.String(), want) || strings.Count(out.String(), "\n") != 1 || out.Len() > 2*maxLibraryBytes {
 		t.Errorf("%d bytes: %.200s", out.Len(), &out)
--- a/internal/logging/process_test.go
+++ b/internal/logging/process_test.go
@@ -11,13 +11,13 @@
 
 // Thousands of lines below the level come, as on each request with debug lines. They take no
 // room of the bound from those that are logged.
-func TestLinesBelowTheLevelTakeNoRoom(t *testing.T) {
+func TestLinesBelowTheLevelUseNoneOfTheRateLimit(t *testing.T) {
 	var out bytes.Buffer
-	p, err := Open(&out, "gateway", "front-1", "info", LeastLines)
+	p, err := Open(&out, "gateway", "front-1", "info", MinLinesPerSecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range 10 * LeastLines {
+	for i := range 10 * MinLinesPerSecond {
 		_ = level.Debug(p).Log("msg", fmt.Sprint("Hidden ", i%10))
 	}
 	_ = level.Info(p).Log("msg", "Shown.")
@@ -30,7 +30,7 @@
 
 func TestNoneLogsNothing(t *testing.T) {
 	var out bytes.Buffer
-	p, err := Open(&out, "gateway", "front-1", "none", LeastLines)
+	p, err := Open(&out, "gateway", "front-1", "none", MinLinesPerSecond)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/measure/logs/logs.go
+++ b/internal/measure/logs/logs.go
@@ -244,7 +244,7 @@
 		most = max(most, i-first+1)
 	}
 	return fmt.Sprintf("\nWith %d callers, four times as many, half of them to an unknown address, for %s: %d requests answered, %d refused, %d lines, and at most %d of them in any second; the setting is %d.\n",
-		beyond, beyondFor, len(took), failed, len(at), most, logging.DefaultLines)
+		beyond, beyondFor, len(took), failed, len(at), most, logging.DefaultLinesPerSecond)
 }
 
 // moments returns when the lines of the gateway whose log is read were written, from a
--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -52,7 +52,7 @@
 	}
 	server := &http.Server{
 		Handler: a.handler(), ReadTimeout: readTime, IdleTimeout: idleTime,
-		ErrorLog: logging.Library(logger, "The library for HTTP reports an error.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog: logging.NewStdLogger(logger, "The library for HTTP reports an error.", result.Label(api.ResultCode_INTERNAL)),
 	}
 	_ = level.Info(logger).Log("msg", "The process starts.", "failure_domain", s.FailureDomain, "engine", s.Engine)
 	failed := make(chan error, 1)
