--- a/internal/explain/leftout_test.go
+++ b/internal/explain/leftout_test.go
@@ -40,7 +40,7 @@
 		switch {
 		case strings.Contains(line, "A request was refused."):
 			there++
-		case strings.Contains(line, "nobody read them"):
+		case strings.Contains(line, "standard output was not read"):
 			// There is room for this one again, and it comes behind all that waits.
 			_ = level.Info(log).Log("msg", "The end.")
 		case strings.Contains(line, "The end."):
@@ -62,7 +62,7 @@
 // The bound of the lines leaves out those of a sentence, of which no further one comes: what
 // tells of them is the bound's own line alone. Where both tell, no line is counted twice.
 func TestWhatTheBoundLeftOutIsCountedOnce(t *testing.T) {
-	own := "part=logging level=warn ts=" + at(5) + " self=front-1 msg=\"Lines were left out, to keep to the bound.\" served=10 failed=30 state=7\n"
+	own := "part=logging level=warn ts=" + at(5) + " self=front-1 msg=\"Log lines were dropped to keep to the rate limit.\" served=10 failed=30 state=7\n"
 	refused := line(1, "front-1", "Refused.", "request=r2 dropped_before=25")
 	for name, c := range map[string]struct {
 		log  string
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -12,33 +12,31 @@
 )
 
 const (
-	// MaxQueuedLines is the number of lines that wait to be written at most: some seconds of a busy
+	// MaxQueuedLines is the maximum number of lines queued for writing: some seconds of a busy
 	// process.
 	MaxQueuedLines = 4096
-	// maxBatchBytes is the most bytes written at once.
+	// maxBatchBytes is the size at which a batch of queued lines is written.
 	maxBatchBytes = 64 << 10
 )
 
-// Async is a writer that never keeps its caller waiting: lines are written by a goroutine of
-// their own, and left out when it falls behind.
-//
-// Load: a collector that reads slowly or not at all, while requests come at full rate. Harm
-// prevented: each request waits for its log line, and in the end all of them for nobody.
-// How many lines were left out is told in a line once there is room again.
+// Async is a writer that never blocks its caller: a separate goroutine writes the lines, and
+// lines are dropped when its queue is full. If writes blocked, a collector that reads slowly or
+// not at all would stall every request that logs. Once there is room in the queue again, a line
+// reports how many lines were dropped.
 type Async struct {
 	w io.Writer
-	// vm is the VM whose process writes; empty for one that does not say.
+	// vm is the VM of the process, empty if unknown.
 	vm      string
 	lines   chan []byte
 	dropped atomic.Int64
-	// droppedCounter counts the lines left out since the process started.
+	// droppedCounter counts the lines dropped since the process started.
 	droppedCounter metrics.Counter
 	closing        chan struct{}
 	closeOnce      sync.Once
 	done           chan struct{}
 }
 
-// NewAsync returns a writer that passes the lines of the process on a VM on to w.
+// NewAsync returns a writer that forwards the lines of the process on vm to w.
 func NewAsync(w io.Writer, vm string) *Async { return newAsync(w, vm, MaxQueuedLines) }
 
 func newAsync(w io.Writer, vm string, maxLines int) *Async {
@@ -50,7 +48,7 @@
 	return a
 }
 
-// Write takes one line. It never fails and never waits.
+// Write queues one line, or drops it if the queue is full. It never fails and never blocks.
 func (a *Async) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
@@ -62,13 +60,13 @@
 	return len(line), nil
 }
 
-// Busy says that more than half of the room for lines is taken: the reader falls back.
+// Busy returns true if more than half of the queue is used: the reader is falling behind.
 func (a *Async) Busy() bool { return len(a.lines) > cap(a.lines)/2 }
 
-// Dropped is the number of lines left out of which no line has told yet.
+// Dropped returns the number of dropped lines that have not been reported in a line yet.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits, for as long as patience.
+// Close writes the queued lines, for at most the timeout.
 func (a *Async) Close(timeout time.Duration) {
 	a.closeOnce.Do(func() { close(a.closing) })
 	select {
@@ -96,17 +94,17 @@
 	}
 }
 
-// droppedLine is the line that tells how many were left out. It goes past the bound and the ring,
-// which have no room for it when it matters.
+// droppedLine returns the line that reports n dropped lines. It bypasses the rate limit and the
+// queue, which have no room for it when lines are dropped.
 func (a *Async) droppedLine(n int64) []byte {
 	var line bytes.Buffer
-	// A buffer takes all that is written to it.
+	// Writing to a buffer cannot fail.
 	_ = level.Warn(newSink(&line)).Log(PartKey, "logging", SelfKey, a.vm,
-		MessageKey, "Lines were left out, since nobody read them.", UnreadKey, n)
+		MessageKey, "Log lines were dropped because standard output was not read.", UnreadKey, n)
 	return line.Bytes()
 }
 
-// write writes a line with those that wait behind it, at one go.
+// write writes a line together with the lines queued after it, in one batch.
 func (a *Async) write(line []byte) {
 	if n := a.dropped.Swap(0); n > 0 {
 		line = append(line, a.droppedLine(n)...)
@@ -120,6 +118,6 @@
 		}
 		break
 	}
-	// There is nobody to tell that the log cannot be written.
+	// There is nowhere to report that the log cannot be written.
 	_, _ = a.w.Write(line)
 }
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// blockedWriter is an output that nobody reads until it is let go.
+// blockedWriter is an output that nobody reads until unblock is closed.
 type blockedWriter struct {
 	mu      sync.Mutex
 	buf     bytes.Buffer
@@ -24,11 +24,11 @@
 	return s.buf.Write(p)
 }
 
-// Nobody reads the log. A request that logs goes on at once all the same; what could not be
-// kept is counted, and told of when the log is read again.
+// Guards against requests that block on their log line while nobody reads the log. Dropped lines
+// are counted, and reported when the log is read again.
 func TestAsyncNeverWaits(t *testing.T) {
 	const lines, capacity = 1000, 8
-	// A few lines fill a batch, so that most of them find no room.
+	// A few lines fill a batch, so that most lines are dropped.
 	line := []byte(strings.Repeat("x", maxBatchBytes/4-1) + "\n")
 	out := &blockedWriter{unblock: make(chan struct{})}
 	a := newAsync(out, "", capacity)
@@ -42,10 +42,10 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a writer waits for the reader")
+		t.Fatal("Write blocks until the log is read")
 	}
 	if a.Dropped() == 0 {
-		t.Error("no line was left out: the test shows nothing")
+		t.Error("no line was dropped: the test shows nothing")
 	}
 	close(out.unblock)
 	a.Close(20 * time.Second)
@@ -61,7 +61,7 @@
 		reported += n
 	}
 	if written := strings.Count(text, "x\n"); written+reported != lines {
-		t.Errorf("%d lines written, %d told of as left out, of %d", written, reported, lines)
+		t.Errorf("%d lines written, %d reported as dropped, of %d", written, reported, lines)
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// A process that ends does not wait for a log that nobody reads.
+// Guards against a process that cannot exit because nobody reads its log.
 func TestAsyncCloseTimesOut(t *testing.T) {
 	out := &blockedWriter{unblock: make(chan struct{})}
 	defer close(out.unblock)
--- a/internal/logging/bench_test.go
+++ b/internal/logging/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// Most lines about requests that went well are left out at full load; this is what one of
-// them takes.
+// At full load, most lines about served requests are dropped; this measures the cost of one such
+// line.
 func BenchmarkDroppedLine(b *testing.B) {
 	p, err := Open(io.Discard, "gateway", "front-1", "info", MinLinesPerSecond)
 	if err != nil {
--- a/internal/logging/bound.go
+++ b/internal/logging/bound.go
@@ -11,58 +11,59 @@
 	"github.com/apricothub/apricothub/internal/ratelimit"
 )
 
-// Kind is what a line is about, by which its room is kept.
+// Kind is the subject of a line. Each kind has its own share of the rate limit.
 type Kind uint8
 
 const (
-	// Served lines tell of a request that went as it should.
+	// Served lines are about a request that was served normally.
 	Served Kind = iota
-	// Failed lines tell of a request that was refused, failed, late, or tried once more.
+	// Failed lines are about a request that was refused, failed, late or retried.
 	Failed
-	// State lines tell of the process: what it believes, starts, stops and faults.
+	// State lines are about the process: changes of its knowledge, start, stop and faults.
 	State
 	numKinds
 )
 
-// String names the kind, as lines and metrics show it.
+// String returns the name of the kind in lines and metrics.
 func (k Kind) String() string { return [...]string{"served", "failed", "state"}[k] }
 
 const (
-	// DefaultLinesPerSecond is the most lines a second that a process writes unless it is told
-	// otherwise: of some hundred bytes each, about what one person's collector takes from
-	// hundreds of processes.
+	// DefaultLinesPerSecond is the default rate limit of a process. At some hundred bytes per
+	// line, this is about what a single collector accepts from hundreds of processes.
 	DefaultLinesPerSecond = 200
-	// MinLinesPerSecond is the least that it can be told: below it a kind would have no room for
-	// one burst of a few lines.
+	// MinLinesPerSecond is the lowest configurable rate limit. Below it, the share of a kind would
+	// not allow a burst of a few lines.
 	MinLinesPerSecond = 40
-	// burstFraction is the part of the lines of a second that may come at once. The rate is the
-	// other half, so that in no second there are more than both together.
+	// burstFraction is the fraction of the lines per second that may be written in one burst. The
+	// sustained rate is the other half, so that burst and rate together never exceed the limit
+	// in any second.
 	burstFraction = 0.5
-	// sentenceFraction is the part of its kind's room that one sentence may take: a fault that
-	// strikes every request fills the log with one sentence, and other faults must still
-	// show.
+	// sentenceFraction is the fraction of its kind's share that one sentence may use. A fault that
+	// affects every request fills the log with one sentence; other faults must still be logged.
 	sentenceFraction = 0.5
-	// dropReportInterval is the least time between two lines on what was left out.
+	// dropReportInterval is the minimum time between two lines that report dropped lines.
 	dropReportInterval = 10 * time.Second
-	// maxSentences bounds the sentences whose rate is followed; they are literals of the
-	// code, so that there are far fewer.
+	// maxSentences limits the number of sentences whose rate is tracked. Sentences are literals in
+	// the code, so there are far fewer.
 	maxSentences = 512
 )
 
-// droppedPrefix begins the names of the counters of lines left out.
+// droppedPrefix is the prefix of the names of the counters of dropped lines.
 const droppedPrefix = "log.dropped."
 
-// kindFractions divides the lines of a second among the kinds. What went well is a sample, and has
-// the least; no kind can take another's room, however many lines it has.
+// kindFractions divides the rate limit among the kinds. Served lines are only a sample and have the
+// smallest share. A kind cannot use the share of another, however many lines it has.
 var kindFractions = [numKinds]float64{Served: 0.2, Failed: 0.5, State: 0.3}
 
-// RateLimited is a logger with a bound on the lines of a second.
+// RateLimited is a logger that limits the lines per second.
 //
-// Load: each of thousands of requests a second brings a line or more, and in a fault all of
-// them the same. Harm prevented: the process spends its time on lines that no collector
-// takes; refusals crowd out the change of belief that explains them, or answers that went
-// well both. What is left out is counted, by kind in the metrics log.dropped.KIND and in a
-// line of its own, and by sentence in dropped_before of the next line of that sentence.
+// Each of thousands of requests per second logs at least one line; during a fault, all of them log
+// the same. Without the limit, the process would spend its time on lines that no collector
+// accepts. Without shares for the kinds, lines about refusals would crowd out the line that
+// explains them, or lines about served requests would crowd out both.
+//
+// Dropped lines are counted: by kind in the metrics log.dropped.KIND and in a separate line, and
+// by sentence in dropped_before of the next line with that sentence.
 type RateLimited struct {
 	next           log.Logger
 	isBusy         func() bool
@@ -72,15 +73,16 @@
 	counters       [numKinds]metrics.Counter
 
 	mu sync.Mutex
-	// droppedBySentence counts the lines left out since the last one of a sentence.
+	// droppedBySentence counts the lines dropped since the last written line with a sentence.
 	droppedBySentence map[string]int64
-	// unreported counts those left out since the last line that told of them, by kind.
+	// unreported counts the lines dropped since the last line that reported them, by kind.
 	unreported [numKinds]int64
 	reportedAt time.Time
 }
 
-// LimitRate bounds the lines of a second. busy says that the writer behind falls back, and may
-// be nil: what went well is left out then, so that the room behind is there for the rest.
+// LimitRate returns a logger that limits the lines per second. isBusy reports that the writer of
+// the lines is falling behind, and may be nil; Served lines are dropped then, to keep its queue
+// free for the other kinds.
 func LimitRate(logger log.Logger, linesPerSecond int, isBusy func() bool) *RateLimited {
 	return newRateLimited(logger, linesPerSecond, isBusy, time.Now)
 }
@@ -115,19 +117,19 @@
 	return r.next.Log(keyvals...)
 }
 
-// allow says whether there is room for a line.
+// allow returns true if the limits permit a line.
 func (r *RateLimited) allow(kind Kind, sentence string, now time.Time) bool {
 	if kind == Served && r.isBusy != nil && r.isBusy() {
 		return false
 	}
-	// Of a kind with one sentence in the main, that one may take all.
+	// Served lines mostly have the same sentence, which may use the whole share.
 	if kind != Served && !r.allowFraction(sentence, sentenceFraction*kindFractions[kind], now) {
 		return false
 	}
 	return r.allowFraction(kind.String(), kindFractions[kind], now)
 }
 
-// allowFraction takes one line out of the room that a part of all lines has.
+// allowFraction returns true if a line is within a fraction of the rate limit, and counts it.
 func (r *RateLimited) allowFraction(key string, fraction float64, now time.Time) bool {
 	rate := fraction * float64(r.linesPerSecond)
 	burst := int(burstFraction * rate)
@@ -145,7 +147,7 @@
 	}
 }
 
-// reportDropped writes how many lines were left out, when it is time.
+// reportDropped writes a line with the number of dropped lines, if one is due.
 func (r *RateLimited) reportDropped(now time.Time) {
 	r.mu.Lock()
 	due := now.Sub(r.reportedAt) >= dropReportInterval && r.unreported != [numKinds]int64{}
@@ -156,12 +158,12 @@
 	}
 	r.mu.Unlock()
 	if due {
-		_ = level.Warn(r.next).Log(PartKey, "logging", MessageKey, "Lines were left out, to keep to the bound.",
+		_ = level.Warn(r.next).Log(PartKey, "logging", MessageKey, "Log lines were dropped to keep to the rate limit.",
 			Served.String(), unreported[Served], Failed.String(), unreported[Failed], State.String(), unreported[State])
 	}
 }
 
-// kindOf finds the kind and the sentence of a line.
+// kindOf returns the kind and the sentence of a line.
 func kindOf(keyvals []any) (kind Kind, sentence string) {
 	kind = State
 	failed := false
--- a/internal/logging/bound_test.go
+++ b/internal/logging/bound_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// loggerWithClock is a bounded logger with a clock of its own, and the moments of its lines.
+// loggerWithClock is a rate-limited logger with a fake clock. It records the times of its lines.
 type loggerWithClock struct {
 	*RateLimited
 	now       time.Time
@@ -46,8 +46,8 @@
 
 func (w *loggerWithClock) count(text string) int { return strings.Count(w.out.String(), text) }
 
-// Requests come at four times the full load, most are refused, and the collector has a
-// bound. In no second, wherever it begins, are there more lines than the setting says.
+// Requests come at four times the full load, and most are refused. Guards against more lines than
+// the setting allows in any second, whenever it begins.
 func TestNoSecondHasMoreLinesThanTheSetting(t *testing.T) {
 	for _, setting := range []int{MinLinesPerSecond, DefaultLinesPerSecond, 1000} {
 		w := newLoggerWithClock(setting)
@@ -76,8 +76,9 @@
 	}
 }
 
-// A failure domain is marked out while thousands of requests a second are refused and as
-// many served. The mark, which explains the refusals, and lines of each kind still show.
+// A failure domain is marked out while thousands of requests per second are refused and as many
+// are served. Guards against a log without the line about the mark, which explains the refusals,
+// and without lines of one of the kinds.
 func TestNoKindCrowdsOutAnother(t *testing.T) {
 	w := newLoggerWithClock(MinLinesPerSecond)
 	for i := range 20_000 {
@@ -93,8 +94,9 @@
 	}
 }
 
-// All requests meet the same fault, and one in a thousand another. Both show, and each line
-// says how many of its sentence were left out before it; one comes each second at least.
+// All requests hit the same fault, and one in a thousand another. Both must be logged. Each line
+// says how many lines with its sentence were dropped before it, and there is at least one each
+// second.
 func TestNoSentenceCrowdsOutAnother(t *testing.T) {
 	w := newLoggerWithClock(MinLinesPerSecond)
 	for i := range 5_000 {
@@ -105,7 +107,7 @@
 		}
 	}
 	if w.count("came to nothing") != 5 {
-		t.Errorf("the rare fault shows %d times of 5", w.count("came to nothing"))
+		t.Errorf("the rare fault was logged %d times of 5", w.count("came to nothing"))
 	}
 	dropped := 0
 	for line := range strings.Lines(w.out.String()) {
@@ -118,12 +120,13 @@
 		}
 	}
 	if kept := w.count("refused"); kept+dropped < 4_000 || kept+dropped > 5_000 {
-		t.Errorf("%d lines kept and %d told of as left out, of 5000", kept, dropped)
+		t.Errorf("%d lines written and %d reported as dropped, of 5000", kept, dropped)
 	}
 }
 
-// The log was bounded for a while and is quiet now. The next line, of whatever kind, brings
-// one with what was left out, so that nobody takes the silence for calm.
+// Lines were dropped for a while, and now there are few. The next line of any kind must be
+// accompanied by a report of the dropped lines, or a reader would take the gap for normal
+// operation.
 func TestDroppedLinesAreReported(t *testing.T) {
 	w := newLoggerWithClock(MinLinesPerSecond)
 	for range 1_000 {
@@ -137,12 +140,13 @@
 	}
 	w.now = w.now.Add(dropReportInterval)
 	w.logMarked(2)
-	if w.count("were left out") != 1 {
-		t.Errorf("told twice:\n%s", &w.out)
+	if w.count("were dropped") != 1 {
+		t.Errorf("not reported exactly once:\n%s", &w.out)
 	}
 }
 
-// The collector reads too slowly. What room is left goes to refusals and changes of belief.
+// The collector reads too slowly. The space left in the queue must go to lines about refusals and
+// about the process.
 func TestServedLinesAreDroppedFirstForASlowReader(t *testing.T) {
 	w := newLoggerWithClock(MinLinesPerSecond)
 	w.busy = true
--- a/internal/logging/keys.go
+++ b/internal/logging/keys.go
@@ -1,6 +1,6 @@
 package logging
 
-// Keys that readers of logs go by.
+// Keys that commands and tests search for in log lines.
 const (
 	PartKey    = "part"
 	LevelKey   = "level"
@@ -10,27 +10,27 @@
 	ResultKey  = "result"
 	DroppedKey = "dropped_before"
 	UnreadKey  = "unread"
-	// RequestKey is the key of a request's id; lines without it are about the process.
+	// RequestKey is the key of a request's ID; lines without it are about the process.
 	RequestKey = "request"
 )
 
-// Key is one word of the vocabulary of log lines.
+// Key is one key of the vocabulary of log lines.
 type Key struct {
 	Name string
-	// Doc says what the value holds; names in _ms hold milliseconds.
+	// Doc describes the value. Values of keys that end in _ms are in milliseconds.
 	Doc string
 }
 
-// Section is the keys that tell of one thing.
+// Section is a group of keys about the same subject.
 type Section struct {
-	// Name is short, for the rows of an explained line.
+	// Name is a short name, shown by the explain command before the fields.
 	Name string
-	// About says what the keys tell of.
+	// About describes the subject.
 	About string
 	Keys  []Key
 }
 
-// Names of sections that commands tell apart.
+// Names of sections that commands treat specially.
 const (
 	SectionLine    = "line"
 	SectionBelief  = "believed"
@@ -38,8 +38,8 @@
 	SectionServer  = "server"
 )
 
-// Vocabulary holds each key that a process writes; one means the same in every line.
-// docs/LOGS.md shows it.
+// Vocabulary holds all keys that a process writes. A key has the same meaning in every line.
+// docs/LOGS.md is generated from it.
 var Vocabulary = []Section{{SectionLine, "every line", []Key{
 	{PartKey, "the part of the process that writes; first in the line"},
 	{LevelKey, "debug, info, warn or error; info where it is absent"},
--- a/internal/logging/keys_test.go
+++ b/internal/logging/keys_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// A collector's searches and alarms go by keys. Each one that stands in the code is in the
-// vocabulary, and each word of the vocabulary is still written by something.
+// Searches and alarms of a collector use the keys. Guards against a key in the code that is not in
+// the vocabulary, and a key of the vocabulary that the code no longer writes.
 func TestKeysAreTheVocabulary(t *testing.T) {
 	known := make(map[string]bool)
 	for _, section := range Vocabulary {
 		for _, k := range section.Keys {
 			if _, twice := known[k.Name]; twice || k.Doc == "" {
-				t.Errorf("%s stands twice, or without its meaning", k.Name)
+				t.Errorf("%s is a duplicate, or has no description", k.Name)
 			}
 			known[k.Name] = false
 		}
@@ -54,12 +54,12 @@
 	}
 	for key, used := range known {
 		if !used {
-			t.Errorf("%s is in the vocabulary, and nothing writes it", key)
+			t.Errorf("%s is in the vocabulary, but nothing writes it", key)
 		}
 	}
 }
 
-// keysIn returns the keys that a call to Log or With, or a list of fields, names.
+// keysIn returns the keys in a call to Log, With or append, or in a list of fields.
 func keysIn(n ast.Node) []string {
 	var pairs []ast.Expr
 	switch n := n.(type) {
@@ -79,7 +79,7 @@
 	}
 	var keys []string
 	if list, ok := n.(*ast.CompositeLit); ok && isListOfAny(list.Type) {
-		// The lists in a list of lists of fields do not say what they are.
+		// The inner lists in a list of lists of fields have no type in the source.
 		for _, inner := range list.Elts {
 			if inner, ok := inner.(*ast.CompositeLit); ok && inner.Type == nil {
 				keys = append(keys, keysIn(&ast.CompositeLit{Type: list.Type.(*ast.ArrayType).Elt, Elts: inner.Elts})...)
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// isListOfAny says that a type is [][]any.
+// isListOfAny returns true if a type is [][]any.
 func isListOfAny(e ast.Expr) bool {
 	outer, ok := e.(*ast.ArrayType)
 	if !ok {
@@ -120,12 +120,12 @@
 	return ok && name.Name == "any"
 }
 
-// keyConstants are the keys that the code has names for.
+// keyConstants maps the names of constants to the keys.
 var keyConstants = map[string]string{
 	"RequestKey": RequestKey, "TimeKey": TimeKey, "DroppedKey": DroppedKey, "UnreadKey": UnreadKey, "PartKey": PartKey, "SelfKey": SelfKey, "ResultKey": ResultKey, "MessageKey": MessageKey,
 }
 
-// keyOf returns the key that an expression stands for; empty for what is none.
+// keyOf returns the key that an expression represents, empty if it is none.
 func keyOf(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -138,7 +138,7 @@
 	case *ast.SelectorExpr:
 		return keyConstants[e.Sel.Name]
 	case *ast.CallExpr:
-		// The kinds of lines name themselves.
+		// The String method of a kind gives its key.
 		if of, ok := e.Fun.(*ast.SelectorExpr); ok && of.Sel.Name == "String" {
 			for k := range numKinds {
 				if name, ok := of.X.(*ast.Ident); ok && strings.EqualFold(name.Name, k.String()) {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging makes the logger of a process: logfmt lines with a fixed prefix
-// for each part, a level that may change while it runs, a bound on the rate, and the
-// vocabulary of its keys.
+// Package logging provides the logger of a process: logfmt lines with a fixed prefix for each part
+// of the process, a level that can change at run time, a rate limit, and the vocabulary of keys.
 package logging
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// Level is the least level that is logged; it may be set at any time.
+// Level is the minimum level that is logged. It can be set at any time.
 type Level struct {
 	min atomic.Int32
 }
@@ -22,13 +21,13 @@
 // severities orders the names of the levels.
 var severities = map[string]int32{"debug": 0, "info": 1, "warn": 2, "error": 3, "none": 4}
 
-// Ranks of levels that the code compares with.
+// Severities that the code compares with.
 const (
 	severityInfo = 1
 	severityWarn = 2
 )
 
-// Set changes the level; name is debug, info, warn, error, or none for no line at all.
+// Set changes the level; name is debug, info, warn, error, or none to log nothing.
 func (l *Level) Set(name string) error {
 	severity, ok := severities[name]
 	if !ok {
@@ -38,19 +37,18 @@
 	return nil
 }
 
-// New makes the logger of a process that writes to w, with the level's name and
-// the means to change it.
+// New returns a logger that writes to w, and its level, which can be changed.
 func New(w io.Writer, levelName string) (log.Logger, *Level, error) {
 	return newFiltered(newSink(w), levelName)
 }
 
-// newSink makes the logger that writes lines.
+// newSink returns the logger that formats and writes lines.
 func newSink(w io.Writer) log.Logger {
 	return &prefixed{next: log.NewLogfmtLogger(log.NewSyncWriter(w)), now: time.Now}
 }
 
-// newFiltered makes the logger before a sink. What is below the level never reaches the sink, and
-// takes no room of a bound there.
+// newFiltered returns a logger that passes lines of at least the level to sink. Lines below the
+// level never reach the sink, so they do not count towards a rate limit there.
 func newFiltered(sink log.Logger, levelName string) (log.Logger, *Level, error) {
 	minLevel := &Level{}
 	if err := minLevel.Set(levelName); err != nil {
@@ -59,19 +57,17 @@
 	return &filter{next: sink, minLevel: minLevel}, minLevel, nil
 }
 
-// Part returns the logger of one part; its lines begin with part=name.
+// Part returns the logger of one part of the process; its lines begin with part=name.
 func Part(logger log.Logger, name string) log.Logger {
 	return log.With(logger, PartKey, name)
 }
 
-// Fields are fields of a line that are put together only if the line is written. They stand in
-// a line as a pair with FieldsKey.
-//
-// Load: thousands of requests a second, each with a line that the bound leaves out. Harm
-// prevented: a twentieth of the processor goes into fields that nobody sees.
+// Fields returns fields of a line. It is called only if the line is written, and passed to Log as
+// the value of FieldsKey. At thousands of requests per second, the fields of lines that the rate
+// limit drops would otherwise use a twentieth of the CPU time.
 type Fields func() []any
 
-// FieldsKey is the key that Fields stand behind.
+// FieldsKey is the key of Fields in the arguments of Log.
 const FieldsKey = "fields"
 
 // filter drops lines below the level.
@@ -87,9 +83,9 @@
 	return f.next.Log(keyvals...)
 }
 
-// prefixed puts the prefix of the part first, and behind it the level and the time: the
-// level's own functions put theirs before everything. Of a part within a part, the inner one
-// is named.
+// prefixed puts the part first in a line, then the level and the time. Without it, the functions
+// of the level package would put the level first. Of a part within a part, the inner one is
+// written.
 type prefixed struct {
 	next log.Logger
 	now  func() time.Time
@@ -117,7 +113,7 @@
 	return p.next.Log(line...)
 }
 
-// valueOf returns the last value of a key; nil for none.
+// valueOf returns the last value of a key, or nil.
 func valueOf(keyvals []any, key string) any {
 	for i := len(keyvals) - 2; i >= 0; i -= 2 {
 		if keyvals[i] == key || key == LevelKey && keyvals[i] == level.Key() {
@@ -127,8 +123,8 @@
 	return nil
 }
 
-// severityOf finds the level of a line, given by the level package or by name; a line
-// without one counts as info.
+// severityOf returns the severity of a line, whose level is given by the level package or by name.
+// A line without a level counts as info.
 func severityOf(keyvals []any) int32 {
 	value := valueOf(keyvals, LevelKey)
 	if value == nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -33,15 +33,15 @@
 	_ = minLevel.Set("info")
 	_ = Part(part, "control").Log("msg", "Inner.")
 	if got := out.String(); strings.Count(got, "part=") != 2 || !strings.HasPrefix(got, "part=control ") {
-		t.Errorf("a part within a part: %s", got)
+		t.Errorf("part within a part: %s", got)
 	}
 	if minLevel.Set("loud") == nil {
 		t.Error("an unknown level must be refused")
 	}
 }
 
-// A handler panics, and the HTTP library writes of it in its own way. The operator finds one
-// line like all others, with a result, and not the whole stack.
+// A handler panics, and the HTTP library logs it in its own format. Guards against a stack of many
+// lines in the log: there must be one line in the usual format, with a result.
 func TestStdLoggerWritesOneLinePerText(t *testing.T) {
 	var out bytes.Buffer
 	stdLogger := NewStdLogger(log.NewLogfmtLogger(&out), "The server met a fault.", "403 INTERNAL")
--- a/internal/logging/process_test.go
+++ b/internal/logging/process_test.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// Thousands of lines below the level come, as on each request with debug lines. They take no
-// room of the bound from those that are logged.
+// Guards against lines below the level, such as thousands of debug lines about requests, that use
+// up the rate limit for the lines that are logged.
 func TestLinesBelowTheLevelUseNoneOfTheRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	p, err := Open(&out, "gateway", "front-1", "info", MinLinesPerSecond)
--- a/internal/logging/sentences_test.go
+++ b/internal/logging/sentences_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// events are the sentences that tell of no failure. All others carry a result.
+// events are the sentences of lines that are not about a failure. All other lines have a result.
 var events = map[string]bool{
 	"A service that refused work was watched.":                            true,
 	"The registration of a backend server has expired.":                   true,
@@ -63,9 +63,9 @@
 	"Took what another entry holds.":                                      true,
 }
 
-// Operators look a failure up by its code. Each line of the shipped processes is either one
-// of the events above, without an error, or has a result with its number and name; what the
-// HTTP library writes by itself goes through the same logger.
+// Operators look up a failure by its code. Guards against lines about a failure without one: each
+// line of the shipped processes is either one of the events above, without an error, or has a
+// result with number and name. Lines of the HTTP library must go through the same logger.
 func TestFailuresCarryAResult(t *testing.T) {
 	seen := 0
 	for _, root := range []string{"..", "../../cmd/apricothub"} {
@@ -113,7 +113,7 @@
 	case *ast.CallExpr:
 		fields := fieldsOf(n)
 		if name, ok := n.Fun.(*ast.Ident); ok && name.Name == "line" && len(n.Args) == 3 {
-			// The fields of lines about requests are put together by a function.
+			// A function named line builds the fields of lines about requests.
 			fields[`"msg"`] = n.Args[1]
 			ast.Inspect(n.Args[2], func(in ast.Node) bool {
 				if key, ok := in.(*ast.BasicLit); ok && key.Value == `"result"` {
@@ -129,7 +129,7 @@
 		event := literal != nil && events[strings.Trim(literal.Value, `"`)]
 		switch code, _ := fields[`"result"`].(*ast.SelectorExpr); {
 		case fields[`"result"`] == nil && (!event || fields[`"err"`] != nil):
-			return "a failure without a result; what is none belongs into the list of events"
+			return "a failure without a result; if it is none, add it to the list of events"
 		case code != nil && strings.HasPrefix(code.Sel.Name, "ResultCode_"):
 			return "a result without its number: use result.Label"
 		}
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// fieldsOf returns the values of a line by their keys, which are literals.
+// fieldsOf returns the values of a line whose keys are literals, by key.
 func fieldsOf(call *ast.CallExpr) map[string]ast.Expr {
 	fields := map[string]ast.Expr{}
 	for i := 0; i+1 < len(call.Args); i++ {
--- a/internal/logging/stdlog.go
+++ b/internal/logging/stdlog.go
@@ -7,11 +7,11 @@
 	"github.com/go-kit/log"
 )
 
-// maxLibraryBytes bounds a line of a library: a panic of a handler comes with its stack.
+// maxLibraryBytes limits the length of a line from a library: a handler's panic includes its stack.
 const maxLibraryBytes = 4 << 10
 
-// NewStdLogger makes the logger of a library that writes text by itself. Each text becomes a
-// line with the sentence and the result, bounded in rate like all others.
+// NewStdLogger returns a standard logger for a library that logs plain text. Each text becomes a
+// line with the sentence and the result, rate-limited like all other lines.
 func NewStdLogger(logger log.Logger, sentence, result string) *stdlog.Logger {
 	return stdlog.New(stdWriter{logger, sentence, result}, "", 0)
 }
@@ -21,7 +21,7 @@
 	sentence, result string
 }
 
-// Write implements io.Writer; it takes one text a call.
+// Write implements io.Writer. Each call logs one line.
 func (l stdWriter) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text[:min(len(text), maxLibraryBytes)]))
 	return len(text), l.logger.Log("level", "warn", "msg", l.sentence, "result", l.result, "err", line)
