--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -43,7 +43,7 @@
 			return err
 		}
 	}
-	story := r.Story()
+	story := r.Timeline()
 	if len(story.Lines) == 0 {
 		return notFound(story)
 	}
@@ -63,8 +63,8 @@
 }
 
 // notFound says why a request may not be in the logs.
-func notFound(s *explain.Story) error {
+func notFound(s *explain.Timeline) error {
 	return errors.Errorf("no line names the request %s, of %d that were read and %d that could not be. "+
 		"The logs say that %d lines were left out; of requests that went well only a sample is logged",
-		s.Request, s.Read, s.Unread, s.LeftOut)
+		s.Request, s.Parsed, s.Unparsable, s.Dropped)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// at is a moment of the test's night, ms after its begin.
-func at(ms int) string {
+// timestamp is a moment of the test's night, ms after its begin.
+func timestamp(ms int) string {
 	return time.Date(2026, 3, 1, 2, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 }
 
 func line(ms int, vm, msg, fields string) string {
-	return fmt.Sprintf("part=gateway level=info ts=%s self=%s msg=%q %s\n", at(ms), vm, msg, fields)
+	return fmt.Sprintf("part=gateway level=info ts=%s self=%s msg=%q %s\n", timestamp(ms), vm, msg, fields)
 }
 
-func read(t *testing.T, request string, logs ...string) *Story {
+func readLogs(t *testing.T, request string, logs ...string) *Timeline {
 	t.Helper()
 	r := NewReader(request)
 	for _, log := range logs {
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 	}
-	return r.Story()
+	return r.Timeline()
 }
 
 func messages(lines []Line) string {
@@ -38,9 +38,9 @@
 // A caller went from one entry to another. The lines of both come in the order of time,
 // whatever the order of the files, and those of one moment as they were written.
 func TestLinesOfSeveralProcessesComeInOrder(t *testing.T) {
-	one := line(300, "front-1", "C.", "request=r1") + line(300, "front-1", "D.", "request=r1")
-	two := line(100, "front-2", "A.", "request=r1") + line(200, "front-2", "B.", "request=r1") + line(150, "front-2", "X.", "request=r10")
-	if got := messages(read(t, "r1", one, two).Lines); got != "front-2: A. front-2: B. front-1: C. front-1: D." {
+	first := line(300, "front-1", "C.", "request=r1") + line(300, "front-1", "D.", "request=r1")
+	second := line(100, "front-2", "A.", "request=r1") + line(200, "front-2", "B.", "request=r1") + line(150, "front-2", "X.", "request=r10")
+	if got := messages(readLogs(t, "r1", first, second).Lines); got != "front-2: A. front-2: B. front-1: C. front-1: D." {
 		t.Errorf("got %s", got)
 	}
 }
@@ -48,7 +48,7 @@
 // What the processes came to believe shortly before is shown where it may be the cause: of
 // the request's service or server, or of none in particular; and only of processes that had
 // the request.
-func TestBeliefsAroundARequest(t *testing.T) {
+func TestContextOfARequest(t *testing.T) {
 	log := line(0, "front-1", "Too old.", "") +
 		line(11_000, "front-1", "Marked.", "failure_domain=b") +
 		line(11_100, "front-1", "Its server.", "server=i-1 service=app") +
@@ -59,46 +59,46 @@
 		line(13_000, "front-1", "After.", "") +
 		line(15_000, "front-1", "Too late.", "")
 	want := "front-1: Marked. front-1: Its server. front-1: Another server of its service. front-1: After."
-	if got := messages(read(t, "r1", log).Around); got != want {
+	if got := messages(readLogs(t, "r1", log).Context); got != want {
 		t.Errorf("got %s", got)
 	}
 }
 
 // A log of a whole night goes by before the request. What is kept of it stays small.
-func TestALongNightIsNotKept(t *testing.T) {
+func TestContextIsBounded(t *testing.T) {
 	var log strings.Builder
-	for i := range 20 * mostAround {
+	for i := range 20 * maxContextLines {
 		log.WriteString(line(i, "front-1", "State.", ""))
 	}
 	r := NewReader("r1")
 	if err := r.Read(strings.NewReader(log.String())); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(r.states["front-1"].lines); n > mostAround+1 {
+	if n := len(r.processes["front-1"].lines); n > maxContextLines+1 {
 		t.Errorf("%d lines are kept", n)
 	}
 }
 
 // The collector cut a line, put its own between ours, and joined two. What can be read is,
 // and the rest is counted.
-func TestWhatIsNoLineIsPassedOver(t *testing.T) {
-	log := "== front-1 ==\npart=gateway ts=20\n{\"json\":1}\n\n" + strings.Repeat("x", maxLine+10) + "\n" +
+func TestUnparsableLinesAreSkipped(t *testing.T) {
+	log := "== front-1 ==\npart=gateway ts=20\n{\"json\":1}\n\n" + strings.Repeat("x", maxLineBytes+10) + "\n" +
 		line(1, "front-1", "Refused.", `request="r 1" text="said \"no\""`)
-	s := read(t, "r 1", log)
+	s := readLogs(t, "r 1", log)
 	if got := messages(s.Lines); got != "front-1: Refused." {
 		t.Errorf("got %q", got)
 	}
-	if s.Unread < 4 {
-		t.Errorf("%d lines could not be read", s.Unread)
+	if s.Unparsable < 4 {
+		t.Errorf("%d lines could not be read", s.Unparsable)
 	}
 }
 
 // The request has no line. The reader of the logs is told how many were left out, by lines of
 // other requests too.
-func TestWhatWasLeftOutIsCounted(t *testing.T) {
-	s := read(t, "r1", line(1, "front-1", "Refused.", "request=r2 dropped_before=40")+line(2, "front-1", "Refused.", "request=r3 dropped_before=2"))
-	if len(s.Lines) != 0 || s.LeftOut != 42 {
-		t.Errorf("%d lines, %d left out", len(s.Lines), s.LeftOut)
+func TestDroppedLinesAreCounted(t *testing.T) {
+	s := readLogs(t, "r1", line(1, "front-1", "Refused.", "request=r2 dropped_before=40")+line(2, "front-1", "Refused.", "request=r3 dropped_before=2"))
+	if len(s.Lines) != 0 || s.Dropped != 42 {
+		t.Errorf("%d lines, %d left out", len(s.Lines), s.Dropped)
 	}
 }
 
@@ -106,7 +106,7 @@
 	log := line(0, "front-1", "A failure domain was marked.", "failure_domain=b out=true") +
 		line(500, "front-1", "A request was refused.", `request=r1 result="201 SATURATED" sent=0 free=0 server=i-1 new_key="a b"`)
 	var out strings.Builder
-	if err := Render(&out, read(t, "r1", log)); err != nil {
+	if err := Render(&out, readLogs(t, "r1", log)); err != nil {
 		t.Fatal(err)
 	}
 	want := `Request r1: 1 line in the logs of 1 process, on 2026-03-01.
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -18,7 +18,7 @@
 
 // Line is one line of a log.
 type Line struct {
-	At       time.Time
+	Time     time.Time
 	Part, VM string
 	Message  string
 	Request  string
@@ -30,31 +30,31 @@
 	order int
 }
 
-// errNotALine says that a text is no line of a process's log.
-var errNotALine = errors.New("no line of a log")
+// errNotLogLine says that a text is no line of a process's log.
+var errNotLogLine = errors.New("no line of a log")
 
 // parseLine reads a line in logfmt.
 func parseLine(text []byte) (Line, error) {
 	var l Line
-	d := logfmt.NewDecoder(bytes.NewReader(text))
-	if !d.ScanRecord() {
-		return l, errNotALine
+	decoder := logfmt.NewDecoder(bytes.NewReader(text))
+	if !decoder.ScanRecord() {
+		return l, errNotLogLine
 	}
-	for d.ScanKeyval() {
-		if err := l.take(string(d.Key()), string(d.Value())); err != nil {
+	for decoder.ScanKeyval() {
+		if err := l.setField(string(decoder.Key()), string(decoder.Value())); err != nil {
 			return l, err
 		}
 	}
-	if d.Err() != nil || l.At.IsZero() || l.Message == "" {
-		return l, errNotALine
+	if decoder.Err() != nil || l.Time.IsZero() || l.Message == "" {
+		return l, errNotLogLine
 	}
 	return l, nil
 }
 
-func (l *Line) take(key, value string) (err error) {
+func (l *Line) setField(key, value string) (err error) {
 	switch key {
 	case logging.TimeKey:
-		l.At, err = time.Parse(time.RFC3339Nano, value)
+		l.Time, err = time.Parse(time.RFC3339Nano, value)
 	case logging.PartKey:
 		l.Part = value
 	case logging.SelfKey:
--- a/internal/explain/render.go
+++ b/internal/explain/render.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	clockForm = "15:04:05.000"
-	// mostShown bounds the changes of belief that are shown: those next to the request's end.
-	mostShown = 24
+	clockLayout = "15:04:05.000"
+	// maxShownContext bounds the changes of belief that are shown: those next to the request's end.
+	maxShownContext = 24
 )
 
 // Render writes a story as text: the lines in order, each with its distance from the first
 // one of the request, and at the end what its result means.
-func Render(w io.Writer, s *Story) error {
-	r := &renderer{w: w, first: s.Lines[0].At}
-	r.printf("Request %s: %s in the logs of %s, on %s.\n", s.Request, count(len(s.Lines), "line"),
-		count(len(processes(s.Lines)), "process"), s.Lines[0].At.UTC().Format("2006-01-02"))
-	around := s.Around
-	if more := len(around) - mostShown; more > 0 {
-		around = around[more:]
-		r.printf("Not shown are %s about the processes, from before.\n", count(more, "line"))
+func Render(w io.Writer, t *Timeline) error {
+	r := &renderer{w: w, first: t.Lines[0].Time}
+	r.printf("Request %s: %s in the logs of %s, on %s.\n", t.Request, pluralize(len(t.Lines), "line"),
+		pluralize(len(distinctVMs(t.Lines)), "process"), t.Lines[0].Time.UTC().Format("2006-01-02"))
+	context := t.Context
+	if hidden := len(context) - maxShownContext; hidden > 0 {
+		context = context[hidden:]
+		r.printf("Not shown are %s about the processes, from before.\n", pluralize(hidden, "line"))
 	}
 	r.printf("\n")
-	for _, l := range s.Lines {
-		for len(around) > 0 && around[0].At.Before(l.At) {
-			r.around(around[0])
-			around = around[1:]
+	for _, l := range t.Lines {
+		for len(context) > 0 && context[0].Time.Before(l.Time) {
+			r.writeContextLine(context[0])
+			context = context[1:]
 		}
-		r.line(l)
+		r.writeLine(l)
 	}
-	for _, l := range around {
-		r.around(l)
+	for _, l := range context {
+		r.writeContextLine(l)
 	}
-	r.meaning(s.Lines)
+	r.writeResult(t.Lines)
 	return r.err
 }
 
@@ -57,48 +57,48 @@
 	}
 }
 
-// head writes what a line says, with its moment and process. The mark tells the request's
+// writeHead writes what a line says, with its moment and process. The mark tells the request's
 // own lines.
-func (r *renderer) head(mark string, l Line) {
-	r.printf("%s %s %+8.3f s  %s %s  %s", mark, l.At.UTC().Format(clockForm), l.At.Sub(r.first).Seconds(), l.Part, l.VM, l.Message)
+func (r *renderer) writeHead(mark string, l Line) {
+	r.printf("%s %s %+8.3f s  %s %s  %s", mark, l.Time.UTC().Format(clockLayout), l.Time.Sub(r.first).Seconds(), l.Part, l.VM, l.Message)
 	if l.Result != "" {
 		r.printf(" [%s]", l.Result)
 	}
 	r.printf("\n")
 }
 
-// line writes a line of the request with all its fields, by what they tell of.
-func (r *renderer) line(l Line) {
-	r.head("*", l)
+// writeLine writes a line of the request with all its fields, by what they tell of.
+func (r *renderer) writeLine(l Line) {
+	r.writeHead("*", l)
 	rows := make(map[string][]string)
 	for _, f := range l.Fields {
 		section := sectionOf[f.Key]
-		rows[section] = append(rows[section], f.Key+"="+quoted(f.Value))
+		rows[section] = append(rows[section], f.Key+"="+quoteIfNeeded(f.Value))
 	}
 	for _, section := range logging.Vocabulary {
-		r.row(section.Name, rows[section.Name])
+		r.writeRow(section.Name, rows[section.Name])
 	}
-	r.row("other", rows[""])
+	r.writeRow("other", rows[""])
 }
 
-func (r *renderer) row(name string, fields []string) {
+func (r *renderer) writeRow(name string, fields []string) {
 	if len(fields) > 0 {
 		r.printf("      %-9s %s\n", name, strings.Join(fields, " "))
 	}
 }
 
-// around writes a line about the process, on one line.
-func (r *renderer) around(l Line) {
-	r.head(" ", l)
+// writeContextLine writes a line about the process, on one line.
+func (r *renderer) writeContextLine(l Line) {
+	r.writeHead(" ", l)
 	var fields []string
 	for _, f := range l.Fields {
-		fields = append(fields, f.Key+"="+quoted(f.Value))
+		fields = append(fields, f.Key+"="+quoteIfNeeded(f.Value))
 	}
-	r.row("", fields)
+	r.writeRow("", fields)
 }
 
-// meaning writes what the last result of the request says.
-func (r *renderer) meaning(lines []Line) {
+// writeResult writes what the last result of the request says.
+func (r *renderer) writeResult(lines []Line) {
 	for i := len(lines) - 1; i >= 0; i-- {
 		l := lines[i]
 		if l.Result == "" {
@@ -129,7 +129,7 @@
 	return sections
 }()
 
-func processes(lines []Line) map[string]bool {
+func distinctVMs(lines []Line) map[string]bool {
 	vms := make(map[string]bool)
 	for _, l := range lines {
 		vms[l.VM] = true
@@ -137,19 +137,19 @@
 	return vms
 }
 
-func quoted(value string) string {
+func quoteIfNeeded(value string) string {
 	if value == "" || strings.ContainsAny(value, " \"=") {
 		return strconv.Quote(value)
 	}
 	return value
 }
 
-func count(n int, what string) string {
+func pluralize(n int, noun string) string {
 	if n == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	if strings.HasSuffix(what, "s") {
-		return strconv.Itoa(n) + " " + what + "es"
+	if strings.HasSuffix(noun, "s") {
+		return strconv.Itoa(n) + " " + noun + "es"
 	}
-	return strconv.Itoa(n) + " " + what + "s"
+	return strconv.Itoa(n) + " " + noun + "s"
 }
--- a/test/explain_test.go
+++ b/test/explain_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 		var text strings.Builder
-		story := r.Story()
+		story := r.Timeline()
 		if len(story.Lines) == 0 {
 			return errors.New("no line")
 		}
