--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// timestamp is a moment of the test's night, ms after its begin.
+// timestamp returns the time ms milliseconds after the start of the test's logs.
 func timestamp(ms int) string {
 	return time.Date(2026, 3, 1, 2, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 }
@@ -35,8 +35,9 @@
 	return strings.Join(all, " ")
 }
 
-// A caller went from one entry to another. The lines of both come in the order of time,
-// whatever the order of the files, and those of one moment as they were written.
+// A caller's request reached two entries. Guards against lines in the wrong order: they must be
+// ordered by time whatever the order of the files, and lines with the same time as they were
+// written.
 func TestLinesOfSeveralProcessesComeInOrder(t *testing.T) {
 	first := line(300, "front-1", "C.", "request=r1") + line(300, "front-1", "D.", "request=r1")
 	second := line(100, "front-2", "A.", "request=r1") + line(200, "front-2", "B.", "request=r1") + line(150, "front-2", "X.", "request=r10")
@@ -45,9 +46,8 @@
 	}
 }
 
-// What the processes came to believe shortly before is shown where it may be the cause: of
-// the request's service or server, or of none in particular; and only of processes that had
-// the request.
+// Lines about the processes shortly before a request are shown if they may show its cause: they
+// name the request's service or server, or none, and are from a process that had the request.
 func TestContextOfARequest(t *testing.T) {
 	log := line(0, "front-1", "Too old.", "") +
 		line(11_000, "front-1", "Marked.", "failure_domain=b") +
@@ -64,7 +64,7 @@
 	}
 }
 
-// A log of a whole night goes by before the request. What is kept of it stays small.
+// Guards against unlimited memory use when a long log precedes the request.
 func TestContextIsBounded(t *testing.T) {
 	var log strings.Builder
 	for i := range 20 * maxContextLines {
@@ -79,8 +79,8 @@
 	}
 }
 
-// The collector cut a line, put its own between ours, and joined two. What can be read is,
-// and the rest is counted.
+// The collector truncated a line, joined two, and inserted lines of its own. Lines that can be
+// parsed must be used, and the others counted.
 func TestUnparsableLinesAreSkipped(t *testing.T) {
 	log := "== front-1 ==\npart=gateway ts=20\n{\"json\":1}\n\n" + strings.Repeat("x", maxLineBytes+10) + "\n" +
 		line(1, "front-1", "Refused.", `request="r 1" text="said \"no\""`)
@@ -89,16 +89,16 @@
 		t.Errorf("got %q", got)
 	}
 	if s.Unparsable < 4 {
-		t.Errorf("%d lines could not be read", s.Unparsable)
+		t.Errorf("%d lines could not be parsed", s.Unparsable)
 	}
 }
 
-// The request has no line. The reader of the logs is told how many were left out, by lines of
-// other requests too.
+// The request has no line. The count of dropped lines, which lines of other requests report too,
+// shows that its lines may have been dropped.
 func TestDroppedLinesAreCounted(t *testing.T) {
 	s := readLogs(t, "r1", line(1, "front-1", "Refused.", "request=r2 dropped_before=40")+line(2, "front-1", "Refused.", "request=r3 dropped_before=2"))
 	if len(s.Lines) != 0 || s.Dropped != 42 {
-		t.Errorf("%d lines, %d left out", len(s.Lines), s.Dropped)
+		t.Errorf("%d lines, %d dropped", len(s.Lines), s.Dropped)
 	}
 }
 
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,5 +1,5 @@
-// Package explain puts together what the logs of several processes say of one request: its
-// lines in order, and what its processes came to believe shortly before and meanwhile.
+// Package explain builds the timeline of one request from the logs of several processes: its lines
+// in order, and the lines about the state of its processes shortly before and during the request.
 package explain
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/internal/logging"
 )
 
-// Field is one key of a line with its value.
+// Field is a key of a line with its value.
 type Field struct{ Key, Value string }
 
 // Line is one line of a log.
@@ -22,18 +22,18 @@
 	Part, VM string
 	Message  string
 	Request  string
-	// Result is the number and name of a result; empty for a line of no failure.
+	// Result is the number and name of a result; empty if the line is not about a failure.
 	Result string
-	// Fields are the rest, in the order of the line.
+	// Fields are the other fields, in the order of the line.
 	Fields []Field
-	// order is the place of the line among all that were read, for lines of one moment.
+	// order is the position among all lines read. It orders lines with the same time.
 	order int
 }
 
-// errNotLogLine says that a text is no line of a process's log.
-var errNotLogLine = errors.New("no line of a log")
+// errNotLogLine is returned for text that is not a line of a process's log.
+var errNotLogLine = errors.New("not a log line of a process")
 
-// parseLine reads a line in logfmt.
+// parseLine parses a logfmt line.
 func parseLine(text []byte) (Line, error) {
 	var l Line
 	decoder := logfmt.NewDecoder(bytes.NewReader(text))
@@ -72,7 +72,7 @@
 	return err
 }
 
-// field returns the value of a key, or an empty one.
+// field returns the value of a key, empty if the line does not have it.
 func (l *Line) field(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// number returns the number that a key holds; zero when the line has none there.
+// number returns the value of a key as a number, zero if there is none.
 func (l *Line) number(key string) int64 {
 	n, err := strconv.ParseInt(l.field(key), 10, 64)
 	if err != nil {
--- a/internal/explain/render.go
+++ b/internal/explain/render.go
@@ -14,12 +14,13 @@
 
 const (
 	clockLayout = "15:04:05.000"
-	// maxShownContext bounds the changes of belief that are shown: those next to the request's end.
+	// maxShownContext limits the context lines that are shown to the last ones, nearest to the end
+	// of the request.
 	maxShownContext = 24
 )
 
-// Render writes a story as text: the lines in order, each with its distance from the first
-// one of the request, and at the end what its result means.
+// Render writes a timeline as text: the lines in order, each with its time relative to the first
+// line of the request, and at the end the meaning of the result.
 func Render(w io.Writer, t *Timeline) error {
 	r := &renderer{w: w, first: t.Lines[0].Time}
 	r.printf("Request %s: %s in the logs of %s, on %s.\n", t.Request, pluralize(len(t.Lines), "line"),
@@ -44,7 +45,7 @@
 	return r.err
 }
 
-// renderer writes until the first error.
+// renderer writes text and keeps the first error.
 type renderer struct {
 	w     io.Writer
 	first time.Time
@@ -57,8 +58,8 @@
 	}
 }
 
-// writeHead writes what a line says, with its moment and process. The mark tells the request's
-// own lines.
+// writeHead writes the time, process and message of a line. The mark distinguishes the request's
+// own lines from context.
 func (r *renderer) writeHead(mark string, l Line) {
 	r.printf("%s %s %+8.3f s  %s %s  %s", mark, l.Time.UTC().Format(clockLayout), l.Time.Sub(r.first).Seconds(), l.Part, l.VM, l.Message)
 	if l.Result != "" {
@@ -67,7 +68,7 @@
 	r.printf("\n")
 }
 
-// writeLine writes a line of the request with all its fields, by what they tell of.
+// writeLine writes a line of the request with all its fields, grouped by section.
 func (r *renderer) writeLine(l Line) {
 	r.writeHead("*", l)
 	rows := make(map[string][]string)
@@ -87,7 +88,7 @@
 	}
 }
 
-// writeContextLine writes a line about the process, on one line.
+// writeContextLine writes a line about a process, with its fields in one row.
 func (r *renderer) writeContextLine(l Line) {
 	r.writeHead(" ", l)
 	var fields []string
@@ -97,7 +98,7 @@
 	r.writeRow("", fields)
 }
 
-// writeResult writes what the last result of the request says.
+// writeResult writes the meaning of the last result of the request.
 func (r *renderer) writeResult(lines []Line) {
 	for i := len(lines) - 1; i >= 0; i-- {
 		l := lines[i]
@@ -118,7 +119,7 @@
 	}
 }
 
-// sectionOf gives the section of each key.
+// sectionOf maps each key to the name of its section.
 var sectionOf = func() map[string]string {
 	sections := make(map[string]string)
 	for _, section := range logging.Vocabulary {
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -15,60 +15,61 @@
 )
 
 const (
-	// contextBefore is how long before the first line of a request a change of belief may be its
-	// cause, and meanwhile how long after its last line one is still of interest: servers
-	// lapse, and groups form again, within seconds.
+	// contextBefore is how long before the first line of a request a line about a process may show
+	// its cause. contextAfter is how long after its last line one is still of interest: servers
+	// expire and groups form again within seconds.
 	contextBefore = 10 * time.Second
 	contextAfter  = 2 * time.Second
-	// maxContextLines bounds the changes of belief that are kept for one process: the last ones.
+	// maxContextLines limits the context lines that are kept for one process to the last ones.
 	maxContextLines = 512
-	// maxLineBytes bounds a line, bytes; longer ones are passed over.
+	// maxLineBytes is the maximum length of a line; longer lines are skipped.
 	maxLineBytes = 1 << 20
 )
 
-// Timeline is what logs say of one request.
+// Timeline holds the log lines about one request.
 type Timeline struct {
 	Request string
-	// Lines are the request's own, of all processes, in order.
+	// Lines are the request's own lines from all processes, in order.
 	Lines []Line
-	// Context are lines about the state of the processes that served it.
+	// Context are lines about the state of the processes that handled the request.
 	Context []Line
-	// Dropped counts the lines about requests that all these logs say were left out, and
-	// those of any kind that nobody read.
+	// Dropped counts the lines that the logs report as dropped: those about requests, and those
+	// of any kind that were dropped because nobody read the log.
 	Dropped int64
-	// Parsed counts the lines that were read, Unparsable those that could not be.
+	// Parsed counts the lines that were parsed, Unparsable those that could not be.
 	Parsed, Unparsable int
 }
 
-// Reader gathers the story of one request out of logs. Each log is read once, from its
-// beginning, so that a pipe will do.
+// Reader collects the timeline of one request from logs. Each log is read once and sequentially, so
+// it may be a pipe.
 type Reader struct {
 	timeline  Timeline
 	processes map[string]*processContext
-	// droppedBySentence and droppedByLimit are lines about requests that were left out, by what the next
-	// line of each sentence says and by what the bound itself does; droppedUnread those of any kind
-	// that nobody read.
+	// droppedBySentence and droppedByLimit count the dropped lines about requests, as reported by
+	// the next line of each sentence and by the rate limit's own lines. droppedUnread counts lines
+	// of any kind that were dropped because nobody read the log.
 	droppedBySentence, droppedByLimit, droppedUnread int64
 }
 
-// processContext are a process's lines about itself, near to the request or to the line read last.
+// processContext holds a process's lines about itself, near the request or the last line read.
 type processContext struct {
 	lines []Line
-	// hasRequest says that the request has a line of this process, the last one at last.
+	// hasRequest is true if this process has a line of the request. The last one is at
+	// lastRequestLine.
 	hasRequest      bool
 	lastRequestLine time.Time
 }
 
-// NewReader returns a reader for the request with an id.
+// NewReader returns a reader for the request with the given ID.
 func NewReader(request string) *Reader {
 	return &Reader{timeline: Timeline{Request: request}, processes: make(map[string]*processContext)}
 }
 
-// Read takes in one log: the lines of one process, or of several one after another or mixed.
+// Read reads one log: the lines of one process, or of several, concatenated or interleaved.
 func (r *Reader) Read(log io.Reader) error {
 	lines := bufio.NewReaderSize(log, maxLineBytes)
 	id := []byte(r.timeline.Request)
-	// An id that is quoted in the log does not show as it is.
+	// An ID that needs quoting does not appear verbatim in the log.
 	unquoted := !bytes.ContainsAny(id, `"\`)
 	requestKey := []byte(" " + logging.RequestKey + "=")
 	for {
@@ -91,8 +92,7 @@
 	}
 }
 
-// countDropped counts what the line of another request says was left out, without reading the
-// rest of it.
+// countDropped adds the number of dropped lines that a line reports, without parsing the rest.
 func (r *Reader) countDropped(text []byte) {
 	_, after, found := bytes.Cut(text, []byte(" "+logging.DroppedKey+"="))
 	if !found {
@@ -133,7 +133,7 @@
 	}
 }
 
-// addContext keeps a line about the process while it may matter.
+// addContext keeps a line about the process while it may be relevant to the request.
 func (p *processContext) addContext(l Line) {
 	if p.hasRequest && l.Time.Sub(p.lastRequestLine) > contextAfter {
 		return
@@ -152,10 +152,10 @@
 	p.lines = slices.Delete(p.lines, 0, expired)
 }
 
-// Timeline returns what was gathered.
+// Timeline returns the timeline of the request from all logs read so far.
 func (r *Reader) Timeline() *Timeline {
 	timeline := r.timeline
-	// Both tell of the same lines, and neither of those left out last.
+	// Both count the same lines, and neither includes the most recently dropped ones.
 	timeline.Dropped = max(r.droppedBySentence, r.droppedByLimit) + r.droppedUnread
 	byTime := func(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.order, b.order)) }
 	slices.SortFunc(timeline.Lines, byTime)
@@ -178,10 +178,10 @@
 	return &timeline
 }
 
-// subjectKeys are the keys by which a change of belief concerns a request or not.
+// subjectKeys are the keys that decide whether a line about a process concerns a request.
 var subjectKeys = []string{"service", "server"}
 
-// subjectsOf are the services and backend servers that lines name.
+// subjectsOf returns the services and backend servers that lines name.
 func subjectsOf(lines []Line) map[Field]bool {
 	found := make(map[Field]bool)
 	for _, l := range lines {
@@ -194,8 +194,8 @@
 	return found
 }
 
-// concerns says whether a line about the process may have to do with the request: it names
-// one of the request's services or servers, or none at all.
+// concerns returns true if a line about a process may be related to the request: it names one of
+// the request's services or servers, or none at all.
 func concerns(l Line, requestSubjects map[Field]bool) bool {
 	hasSubject := false
 	for _, key := range subjectKeys {
