--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Nothing is the offset of a list that was never published.
-const Nothing = int64(-1)
+// NeverPublished is the offset of a list that was never published.
+const NeverPublished = int64(-1)
 
 // Outcome is what a publisher was told.
 type Outcome int
@@ -65,12 +65,12 @@
 // publishers compare and set: each read shows what was in force at some moment
 // between stale before its call and its return, and no process goes back. The search
 // ends after the timeout.
-func (h *History) Check(stale, timeout time.Duration) error {
+func (h *History) Check(maxStaleness, timeout time.Duration) error {
 	if err := h.checkMonotonic(); err != nil {
 		return err
 	}
 	model := registerModel()
-	switch porcupine.CheckOperationsTimeout(model, h.operations(stale), timeout) {
+	switch porcupine.CheckOperationsTimeout(model, h.operations(maxStaleness), timeout) {
 	case porcupine.Illegal:
 		return errors.Wrap(ErrIllegal, "some verdict or read fits no order")
 	case porcupine.Unknown:
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func (h *History) operations(stale time.Duration) []porcupine.Operation {
+func (h *History) operations(maxStaleness time.Duration) []porcupine.Operation {
 	ops := make([]porcupine.Operation, 0, len(h.Publishes)+len(h.Reads))
 	// Each operation gets a client of its own: those of one client may overlap here,
 	// as reads begin early and unknown outcomes never end.
@@ -110,7 +110,7 @@
 		add(p, int64(p.Call), end)
 	}
 	for _, r := range h.Reads {
-		add(r, int64(r.Call-stale), int64(r.Return))
+		add(r, int64(r.Call-maxStaleness), int64(r.Return))
 	}
 	return ops
 }
@@ -118,13 +118,13 @@
 // register is the list between two operations. After a change of unknown outcome was
 // accepted, only a bound below its offset is known.
 type register struct {
-	offset int64
-	above  bool
+	offset       int64
+	isLowerBound bool
 }
 
-// is tells whether the register may stand at an offset.
-func (r register) is(offset int64) bool {
-	if r.above {
+// mayBeAt tells whether the register may stand at an offset.
+func (r register) mayBeAt(offset int64) bool {
+	if r.isLowerBound {
 		return offset > r.offset
 	}
 	return offset == r.offset
@@ -132,13 +132,13 @@
 
 func registerModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{register{offset: Nothing}} },
+		Init: func() []any { return []any{register{offset: NeverPublished}} },
 		Step: func(state, input, _ any) []any {
 			switch op := input.(type) {
 			case Publish:
-				return publish(state.(register), op)
+				return applyPublish(state.(register), op)
 			case Read:
-				return read(state.(register), op)
+				return applyRead(state.(register), op)
 			}
 			return nil
 		},
@@ -146,29 +146,29 @@
 	return model.ToModel()
 }
 
-// publish returns the states after a publish, none if it could not have happened.
-func publish(r register, op Publish) []any {
+// applyPublish returns the states after a applyPublish, none if it could not have happened.
+func applyPublish(r register, op Publish) []any {
 	switch op.Outcome {
 	case Accepted:
-		if r.is(op.Base) && op.Offset > op.Base {
+		if r.mayBeAt(op.Base) && op.Offset > op.Base {
 			return []any{register{offset: op.Offset}}
 		}
 	case Conflict:
-		if r.is(op.Offset) && op.Offset != op.Base {
+		if r.mayBeAt(op.Offset) && op.Offset != op.Base {
 			return []any{register{offset: op.Offset}}
 		}
 	case Unknown:
 		states := []any{r}
-		if r.is(op.Base) {
-			states = append(states, register{offset: op.Base, above: true})
+		if r.mayBeAt(op.Base) {
+			states = append(states, register{offset: op.Base, isLowerBound: true})
 		}
 		return states
 	}
 	return nil
 }
 
-func read(r register, op Read) []any {
-	if r.is(op.Offset) {
+func applyRead(r register, op Read) []any {
+	if r.mayBeAt(op.Offset) {
 		return []any{register{offset: op.Offset}}
 	}
 	return nil
--- a/test/confighistory_test.go
+++ b/test/confighistory_test.go
@@ -122,7 +122,7 @@
 			return list.Offset
 		}
 	}
-	return history.Nothing
+	return history.NeverPublished
 }
 
 // Three operators race for nine seconds, each editing what one entry shows and
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	r.history.Publishes = append(r.history.Publishes, history.Publish{
-		Client: setUp, Return: r.now(), Base: history.Nothing, Outcome: history.Accepted, Offset: first.Offset,
+		Client: setUp, Return: r.now(), Base: history.NeverPublished, Outcome: history.Accepted, Offset: first.Offset,
 	})
 	stop := make(chan struct{})
 	var seen sync.WaitGroup
--- a/test/gateway_inforce_test.go
+++ b/test/gateway_inforce_test.go
@@ -201,7 +201,7 @@
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	looks, last := 0, map[int]int{}
-	h := &history.History{Publishes: []history.Publish{{Base: history.Nothing, Outcome: history.Accepted, Offset: 1}}}
+	h := &history.History{Publishes: []history.Publish{{Base: history.NeverPublished, Outcome: history.Accepted, Offset: 1}}}
 	for i, g := range s.gateways {
 		group.Go(func() {
 			for !isClosed(stop) {
--- a/test/site_soak_test.go
+++ b/test/site_soak_test.go
@@ -280,7 +280,7 @@
 // base is the version before the newest; none for the first one that is noted.
 func (s *siteSoak) base() int64 {
 	if len(s.history.Publishes) == 0 {
-		return history.Nothing
+		return history.NeverPublished
 	}
 	return s.version - 1
 }
