--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history checks what operators and processes saw of one list: that it
-// behaved as one versioned register. It is support for tests.
+// Package history checks that a list, as observed by operators and processes, behaved like a single
+// versioned register. It is used by tests.
 package history
 
 import (
@@ -15,56 +15,56 @@
 // NeverPublished is the offset of a list that was never published.
 const NeverPublished = int64(-1)
 
-// Outcome is what a publisher was told.
+// Outcome is the result of a publish as reported to the publisher.
 type Outcome int
 
 const (
-	// Unknown: the publisher was told nothing certain. The change may be accepted
-	// later, or never.
+	// Unknown means that the publisher got no definite result. The change may be accepted later, or
+	// never.
 	Unknown Outcome = iota
-	// Accepted: the change is in force from its offset on.
+	// Accepted means that the change is in force from its offset on.
 	Accepted
-	// Conflict: another change stood in its way.
+	// Conflict means that the change was rejected because of another change.
 	Conflict
 )
 
-// Publish is one change of the list. Times are on one clock for a whole history.
+// Publish is one change of the list. All times of a history are from the same clock.
 type Publish struct {
 	Client       int
 	Call, Return time.Duration
-	// Base is the offset that the change was made from.
+	// Base is the offset of the list that the change is based on.
 	Base    int64
 	Outcome Outcome
-	// Offset is that of the accepted change, or for a conflict the one that stood.
+	// Offset is the offset of the accepted change, or the current offset for a conflict.
 	Offset int64
 }
 
-// Read is one look at the list at a process.
+// Read is one read of the list at a process.
 type Read struct {
-	// Process is the same for all that ever ran on a VM: replacement must not take
-	// the list back either.
+	// Process is the same for all processes that ever ran on a VM: the list must not go back to an
+	// older offset when a process is replaced.
 	Process      int
 	Call, Return time.Duration
 	Offset       int64
 }
 
-// History is what was seen of one list.
+// History holds the observed publishes and reads of one list.
 type History struct {
 	Publishes []Publish
 	Reads     []Read
 }
 
 var (
-	// ErrIllegal says that no versioned register could have given the history.
+	// ErrIllegal is returned if no versioned register can have produced the history.
 	ErrIllegal = errors.New("history is not one of a versioned register")
-	// ErrUndecided says that the check ran out of time.
+	// ErrUndecided is returned if the check timed out.
 	ErrUndecided = errors.New("history not decided in time")
 )
 
-// Check returns ErrIllegal or ErrUndecided unless the history is that of a versioned register on which
-// publishers compare and set: each read shows what was in force at some moment
-// between stale before its call and its return, and no process goes back. The search
-// ends after the timeout.
+// Check returns ErrIllegal or ErrUndecided unless the history is that of a versioned register with
+// compare-and-set publishes: each read returns a value that was in force at some time between
+// maxStaleness before its call and its return, and no process goes back to an older value. The
+// search ends after the timeout.
 func (h *History) Check(maxStaleness, timeout time.Duration) error {
 	if err := h.checkMonotonic(); err != nil {
 		return err
@@ -72,15 +72,15 @@
 	model := registerModel()
 	switch porcupine.CheckOperationsTimeout(model, h.operations(maxStaleness), timeout) {
 	case porcupine.Illegal:
-		return errors.Wrap(ErrIllegal, "some verdict or read fits no order")
+		return errors.Wrap(ErrIllegal, "no order of the operations explains all outcomes and reads")
 	case porcupine.Unknown:
 		return ErrUndecided
 	}
 	return nil
 }
 
-// checkMonotonic checks that of two reads at a process, one after the other, the
-// later shows no lower offset.
+// checkMonotonic checks that of two consecutive reads at a process, the later one does not return
+// a lower offset.
 func (h *History) checkMonotonic() error {
 	reads := slices.Clone(h.Reads)
 	slices.SortFunc(reads, func(a, b Read) int { return cmp.Compare(a.Call, b.Call) })
@@ -97,8 +97,8 @@
 
 func (h *History) operations(maxStaleness time.Duration) []porcupine.Operation {
 	ops := make([]porcupine.Operation, 0, len(h.Publishes)+len(h.Reads))
-	// Each operation gets a client of its own: those of one client may overlap here,
-	// as reads begin early and unknown outcomes never end.
+	// Each operation gets its own client ID: operations of one client may overlap here, because
+	// reads begin maxStaleness early and publishes of unknown outcome never end.
 	add := func(input any, from, to int64) {
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: input, Call: from, Return: to})
 	}
@@ -115,14 +115,14 @@
 	return ops
 }
 
-// register is the list between two operations. After a change of unknown outcome was
-// accepted, only a bound below its offset is known.
+// register is the state of the list between two operations. After the acceptance of a change with
+// unknown outcome, only a lower bound of the offset is known.
 type register struct {
 	offset       int64
 	isLowerBound bool
 }
 
-// mayBeAt tells whether the register may stand at an offset.
+// mayBeAt returns true if the register may be at the offset.
 func (r register) mayBeAt(offset int64) bool {
 	if r.isLowerBound {
 		return offset > r.offset
@@ -146,7 +146,7 @@
 	return model.ToModel()
 }
 
-// applyPublish returns the states after a applyPublish, none if it could not have happened.
+// applyPublish returns the possible states after a publish, none if it is impossible.
 func applyPublish(r register, op Publish) []any {
 	switch op.Outcome {
 	case Accepted:
--- a/internal/textmetrics/textmetrics.go
+++ b/internal/textmetrics/textmetrics.go
@@ -8,20 +8,20 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// sampleSize and sampleAlpha make a histogram follow the last minutes.
+// sampleSize and sampleAlpha make a histogram represent the last few minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// NewSample returns the sample of a histogram.
+// NewSample returns a sample for a histogram.
 func NewSample() metrics.Sample { return metrics.NewExpDecaySample(sampleSize, sampleAlpha) }
 
-// quantiles are those shown of a histogram.
+// quantiles are the quantiles written for a histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Write writes a line for each counter, and one for each quantile of a histogram. An error
-// is that of a reader who has gone.
+// Write writes a line for each counter, and one for each quantile of a histogram. It ignores write
+// errors, which mean that the reader has disconnected.
 func Write(w io.Writer, registries ...metrics.Registry) {
 	for _, registry := range registries {
 		registry.Each(func(name string, m any) {
