--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -18,11 +18,11 @@
 
 func newRegistry() metrics.Registry { return metrics.NewRegistry() }
 
-// mint makes a ticket of the executor's agent.
-func mint(t *testing.T, e *executor) *api.Ticket {
+// mintTicket returns a ticket of the executor's agent.
+func mintTicket(t *testing.T, e *executor) *api.Ticket {
 	t.Helper()
 	minter := ticket.NewMinter()
-	minter.Add(clock.Now(), e.grant(clock.Now()))
+	minter.Add(clock.Now(), e.grantTickets(clock.Now()))
 	minted, ok := minter.Mint(clock.Now(), e.vm, "c")
 	if !ok {
 		t.Fatal("no ticket")
@@ -30,7 +30,7 @@
 	return minted
 }
 
-func push(ticket *api.Ticket) *api.Work {
+func pushWork(ticket *api.Ticket) *api.Work {
 	return &api.Work{
 		RequestId:  "r",
 		Kind:       api.WorkKind_WORK_CALL,
@@ -44,8 +44,8 @@
 	}
 }
 
-// end waits for the end of a job's answer and returns its refusal, if any.
-func end(t *testing.T, e *executor, j *job) *api.Refusal {
+// awaitEnd waits for the end of a job's answer and returns its refusal, if any.
+func awaitEnd(t *testing.T, e *executor, j *job) *api.Refusal {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
 	for time.Now().Before(limit) {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// The caller sends a push, hears nothing and sends it again with the same ticket while
-// the first is still running. Both get the one answer; the service runs it once.
+// The caller sends a push, gets no answer and sends it again with the same ticket while the first
+// is still running. Both get the same answer, and the service runs the push once.
 func TestSameTicketJoinsTheRun(t *testing.T) {
 	var runs atomic.Int32
 	hold := make(chan struct{})
@@ -76,17 +76,17 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
-	first, refused := e.take(push(minted))
+	minted := mintTicket(t, e)
+	first, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	second, refused := e.take(push(minted))
+	second, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	close(hold)
-	if first != second || end(t, e, first) != nil || runs.Load() != 1 {
+	if first != second || awaitEnd(t, e, first) != nil || runs.Load() != 1 {
 		t.Errorf("same job %v, %d runs", first == second, runs.Load())
 	}
 	event, _ := first.buffer.Next(answer.CursorAt(1))
@@ -95,9 +95,9 @@
 	}
 }
 
-// The backend server is full, so a push waits; then operators take the VM out. The
-// caller is told "not run" at once, and the same ticket, sent again later when the VM
-// is back, still does not run: "not run" was true.
+// The backend server is full, so a push is queued; then operators take the VM out of service. The
+// caller is told "not run" at once. The same ticket must not run either when it is sent again
+// after the VM has returned to service: "not run" must stay true.
 func TestRefusedTicketNeverRuns(t *testing.T) {
 	var runs atomic.Int32
 	hold := make(chan struct{})
@@ -110,24 +110,24 @@
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 1, ColdLimit: 1, Queue: 4})
 	var refusing atomic.Int32 // OK
 	e.refusing = func(time.Duration) api.ResultCode { return api.ResultCode(refusing.Load()) }
-	if _, refused := e.take(push(mint(t, e))); refused != nil {
+	if _, refused := e.accept(pushWork(mintTicket(t, e))); refused != nil {
 		t.Fatal(refused)
 	}
-	waiting := mint(t, e)
-	j, refused := e.take(push(waiting))
+	waiting := mintTicket(t, e)
+	j, refused := e.accept(pushWork(waiting))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	refusing.Store(int32(api.ResultCode_OUT_OF_SERVICE))
-	e.pump(clock.Now())
-	got := end(t, e, j)
+	e.dispatch(clock.Now())
+	got := awaitEnd(t, e, j)
 	if got.GetCode() != api.ResultCode_OUT_OF_SERVICE || got.GetRan() != api.Ran_RAN_NO {
-		t.Errorf("the waiting push got %v", got)
+		t.Errorf("the queued push got %v", got)
 	}
 	refusing.Store(int32(api.ResultCode_OK))
-	again, refused := e.take(push(waiting))
+	again, refused := e.accept(pushWork(waiting))
 	if refused == nil {
-		refused = end(t, e, again)
+		refused = awaitEnd(t, e, again)
 	}
 	if refused.GetRan() != api.Ran_RAN_NO {
 		t.Errorf("the same ticket later got %v", refused)
@@ -137,8 +137,8 @@
 	}
 }
 
-// The service reads a push and closes without a word. The caller hears "unknown", the
-// first time and every time it asks with the same ticket, and nothing runs again.
+// The service reads a push and closes the connection without an answer. The caller is told
+// "unknown", now and on every retry with the same ticket, and the push is not sent again.
 func TestLostAnswerIsUnknownForGood(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -147,11 +147,11 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
+	minted := mintTicket(t, e)
 	for range 3 {
-		j, refused := e.take(push(minted))
+		j, refused := e.accept(pushWork(minted))
 		if refused == nil {
-			refused = end(t, e, j)
+			refused = awaitEnd(t, e, j)
 		}
 		if refused.GetRan() != api.Ran_RAN_UNKNOWN {
 			t.Errorf("got %v, want unknown", refused)
@@ -162,32 +162,33 @@
 	}
 }
 
-// The process is frozen after a push got its place, and the VM is taken out while it
-// sleeps. On waking it must look again before it sends: the caller hears "not run".
+// The process is frozen after a push got its slot, and the VM is taken out of service meanwhile.
+// Before sending, the agent must check again whether it may accept work; the caller is told "not
+// run".
 func TestFrozenAgentLooksAgainBeforeSending(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8})
-	var looks atomic.Int32
+	var checks atomic.Int32
 	e.refusing = func(time.Duration) api.ResultCode {
-		if looks.Add(1) == 1 {
+		if checks.Add(1) == 1 {
 			return api.ResultCode_OK
 		}
 		return api.ResultCode_ISOLATED
 	}
-	j, refused := e.take(push(mint(t, e)))
+	j, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	if got := end(t, e, j); got.GetRan() != api.Ran_RAN_NO || runs.Load() != 0 {
+	if got := awaitEnd(t, e, j); got.GetRan() != api.Ran_RAN_NO || runs.Load() != 0 {
 		t.Errorf("got %v after %d runs", got, runs.Load())
 	}
 }
 
-// The agent restarts while its engine still runs three requests for the one before.
-// New work must wait for their places: the engine, which may be cold, bears no more
-// than the limit whatever the new agent remembers.
+// The agent restarts while its engine still runs three requests for the previous agent. New work
+// must wait for their slots: the engine may be cold and must not get more than the limit, although
+// the new agent knows nothing of the old requests.
 func TestRestartedAgentCountsPredecessorsWork(t *testing.T) {
 	var list atomic.Value
 	list.Store(`{"ids":["a","b","c"]}`)
@@ -196,65 +197,65 @@
 	}))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2, Queue: 4})
-	e.asked = false
-	if _, refused := e.take(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c"}); refused.GetCode() != api.ResultCode_STARTING {
-		t.Errorf("work before the question was answered got %v", refused)
+	e.runningKnown = false
+	if _, refused := e.accept(&api.Work{Kind: api.WorkKind_WORK_COMPLETION, Model: "m", Customer: "c"}); refused.GetCode() != api.ResultCode_STARTING {
+		t.Errorf("work before the engine reported its running requests got %v", refused)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = e.adopt(ctx) }()
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 3 })
+	go func() { _ = e.adoptRunning(ctx) }()
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 3 })
 	list.Store(`{"ids":["c","new"]}`)
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 1 })
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 1 })
 	list.Store(`{"ids":["new"]}`)
-	await(t, func() bool { return e.status(clock.Now()).GetRunning() == 0 })
+	waitUntil(t, func() bool { return e.status(clock.Now()).GetRunning() == 0 })
 }
 
-func await(t *testing.T, done func() bool) {
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatal("it did not come about")
+	t.Fatal("timed out waiting for the condition")
 }
 
-// The service closes without an answer, so nobody knows whether the push ran. The
-// caller hears "unknown"; then room is needed, and the record of it is let go of. The
-// caller asks again and must not hear "it ran", or the store keeps the old price.
-func TestUnknownStaysUnknownWhenLetGoOf(t *testing.T) {
-	for _, swept := range []bool{false, true} {
+// The service closes the connection without an answer, so it is unknown whether the push ran, and
+// the caller is told so. Then its record is discarded to free memory. When the caller asks again,
+// it must not be told "it ran", or the store keeps the old price.
+func TestUnknownOutcomeSurvivesEviction(t *testing.T) {
+	for _, evicted := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}))
 		defer server.Close()
 		e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-		minted := mint(t, e)
-		j, refused := e.take(push(minted))
+		minted := mintTicket(t, e)
+		j, refused := e.accept(pushWork(minted))
 		if refused != nil {
 			t.Fatal(refused)
 		}
-		if refused := end(t, e, j); refused.GetRan() != api.Ran_RAN_UNKNOWN {
+		if refused := awaitEnd(t, e, j); refused.GetRan() != api.Ran_RAN_UNKNOWN {
 			t.Fatalf("the first answer is %v", refused)
 		}
 		e.mu.Lock()
 		e.answers.MarkDelivered(j.buffer)
 		e.answers = answer.NewStore(1<<20, time.Minute)
-		if !swept {
+		if !evicted {
 			delete(e.jobs, j.buffer.ID)
 		}
 		e.mu.Unlock()
 		e.housekeeping(clock.Now())
-		if _, refused := e.take(push(minted)); refused.GetRan() != api.Ran_RAN_UNKNOWN {
-			t.Errorf("swept %v: the second answer is %v", swept, refused)
+		if _, refused := e.accept(pushWork(minted)); refused.GetRan() != api.Ran_RAN_UNKNOWN {
+			t.Errorf("evicted %v: the second answer is %v", evicted, refused)
 		}
 	}
 }
 
-// An engine tells of its prefix cache late and with gaps. What came in is told to the
-// entries for a second and then no more; an engine without the interface is asked once.
-func TestReportsTellNewPrefixes(t *testing.T) {
+// An engine reports its prefix cache late and with gaps. New prefixes are reported to the entries
+// for a second and then no longer; an engine without the interface is asked once.
+func TestReportsIncludeNewPrefixes(t *testing.T) {
 	var asked atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
@@ -271,50 +272,50 @@
 	e := testExecutor(t, server.URL, &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go e.watchPrefixes(ctx)
-	await(t, func() bool {
-		told := e.status(clock.Now()).GetPrefixes()
-		return len(told) == 2 && told[0] == 7 && told[1] == 9
+	go e.pollPrefixes(ctx)
+	waitUntil(t, func() bool {
+		reported := e.status(clock.Now()).GetPrefixes()
+		return len(reported) == 2 && reported[0] == 7 && reported[1] == 9
 	})
-	await(t, func() bool { return len(e.status(clock.Now()).GetPrefixes()) == 0 })
+	waitUntil(t, func() bool { return len(e.status(clock.Now()).GetPrefixes()) == 0 })
 	other := testExecutor(t, server.URL+"/none", &api.Backend{Model: "m", FullLimit: 8, ColdLimit: 2})
 	before := asked.Load()
-	other.watchCold(ctx)
+	other.pollCold(ctx)
 	if n := asked.Load() - before; n < 1 || other.limiter.IsBackingOff(clock.Now()) {
 		t.Errorf("asked %d times", n)
 	}
 }
 
-// A ticket names an agent. Shown with a call of another service, or with a completion, the
-// entry sends the request to that agent; its backend server would be asked what it is not
-// for. It must be refused, and the ticket stays good for its own service.
-func TestOnlyItsOwnServiceIsAsked(t *testing.T) {
+// A ticket names an agent. If it is presented with a call of another service, or with a
+// completion, the entry sends the request to that agent, whose backend server does not serve it.
+// The request must be refused, and the ticket must stay valid for its own service.
+func TestTicketOfAnotherServiceIsRefused(t *testing.T) {
 	var runs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 8, ColdLimit: 8, Queue: 4})
-	minted := mint(t, e)
-	other, completion := push(minted), push(minted)
+	minted := mintTicket(t, e)
+	other, completion := pushWork(minted), pushWork(minted)
 	other.Service = "deposits"
 	completion.Kind, completion.Model = api.WorkKind_WORK_COMPLETION, "m"
-	unticketed := push(nil)
+	unticketed := pushWork(nil)
 	unticketed.Service = "deposits"
 	for _, work := range []*api.Work{other, completion, unticketed} {
-		if _, refused := e.take(work); refused.GetRan() != api.Ran_RAN_NO {
+		if _, refused := e.accept(work); refused.GetRan() != api.Ran_RAN_NO {
 			t.Errorf("%v: %v", work, refused)
 		}
 	}
-	j, refused := e.take(push(minted))
+	j, refused := e.accept(pushWork(minted))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	if refused := end(t, e, j); refused != nil || runs.Load() != 1 {
+	if refused := awaitEnd(t, e, j); refused != nil || runs.Load() != 1 {
 		t.Errorf("%v after %d runs", refused, runs.Load())
 	}
 }
 
-// An operator looks for a request by its id in the dump of the agent that had it.
-func TestTheJournalTellsWhatBecameOfARequest(t *testing.T) {
+// An operator looks for a request by its ID in the dump of the agent that handled it.
+func TestJournalRecordsOutcomes(t *testing.T) {
 	status := atomic.Int32{}
 	status.Store(http.StatusOK)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(int(status.Load())) }))
@@ -325,11 +326,11 @@
 	}
 	for id, code := range map[string]int{"good": http.StatusOK, "bad": http.StatusInternalServerError} {
 		status.Store(int32(code))
-		j, refused := e.take(work(id))
+		j, refused := e.accept(work(id))
 		if refused != nil {
 			t.Fatal(refused)
 		}
-		end(t, e, j)
+		awaitEnd(t, e, j)
 	}
 	limit := time.Now().Add(5 * time.Second)
 	dump := e.journal.Dump(clock.Now())
@@ -345,67 +346,67 @@
 	}
 }
 
-// A full agent refuses thousands of requests a second, and entries send large prompts.
-// Neither the refused requests nor the bodies of those that have ended may fill the
-// memory until the time for which answers are kept is over.
-func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
+// A full agent refuses thousands of requests a second, and entries send large prompts. Neither
+// refused requests nor the bodies of ended ones may fill the memory until the retention time of
+// answers has passed.
+func TestEndedRequestsFreeMemory(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer server.Close()
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 1, ColdLimit: 1, Queue: 0})
-	running, refused := e.take(push(mint(t, e)))
+	running, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	for range 100 {
-		if _, refused := e.take(push(nil)); refused.GetRan() != api.Ran_RAN_NO {
-			t.Fatal("a full agent takes work")
+		if _, refused := e.accept(pushWork(nil)); refused.GetRan() != api.Ran_RAN_NO {
+			t.Fatal("a full agent accepted work")
 		}
 	}
 	if held := e.dump().Answers; held != 1 {
 		t.Errorf("%d answers are held", held)
 	}
 	close(hold)
-	end(t, e, running)
+	awaitEnd(t, e, running)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(running.work.GetBody()) > 0 {
-		t.Error("the body is held")
+		t.Error("the body of an ended request is still held")
 	}
 }
 
-// The backend server turns cold with its places full and two requests waiting: a draft,
-// and a push with a ticket. The draft's entry hears "not run" at once and places it
-// elsewhere; the push, which may run nowhere else, keeps its place.
-func TestTurningColdGivesBackWhatMayRunElsewhere(t *testing.T) {
+// The backend server turns cold while its slots are full and two requests are queued: a draft, and
+// a push with a ticket. The draft's entry is told "not run" at once and places it elsewhere; the
+// push, which cannot run elsewhere, stays in the queue.
+func TestTurningColdRefusesQueuedRepeatableWork(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer server.Close()
 	defer close(hold)
 	e := testExecutor(t, server.URL, &api.Backend{Service: "labels", FullLimit: 4, ColdLimit: 4, Queue: 4})
 	for range 4 {
-		if _, refused := e.take(push(nil)); refused != nil {
+		if _, refused := e.accept(pushWork(nil)); refused != nil {
 			t.Fatal(refused)
 		}
 	}
-	ticketed, refused := e.take(push(mint(t, e)))
+	ticketed, refused := e.accept(pushWork(mintTicket(t, e)))
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	draft, refused := e.take(push(nil))
+	draft, refused := e.accept(pushWork(nil))
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	e.mu.Lock()
 	e.limiter.Adopt(5)
 	e.mu.Unlock()
-	e.pump(clock.Now())
-	if got := end(t, e, draft); got.GetCode() != api.ResultCode_COLD || got.GetRan() != api.Ran_RAN_NO {
-		t.Errorf("the waiting draft got %v", got)
+	e.dispatch(clock.Now())
+	if got := awaitEnd(t, e, draft); got.GetCode() != api.ResultCode_COLD || got.GetRan() != api.Ran_RAN_NO {
+		t.Errorf("the queued draft got %v", got)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.queue.Len() != 1 || ticketed.buffer.IsEnded() {
-		t.Errorf("%d wait, the push has ended: %v", e.queue.Len(), ticketed.buffer.IsEnded())
+		t.Errorf("%d queued, the push has ended: %v", e.queue.Len(), ticketed.buffer.IsEnded())
 	}
 }
--- a/internal/agent/group.go
+++ b/internal/agent/group.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// groupTick is the time between looks at the clock and at the engine's step.
-	groupTick = 50 * time.Millisecond
-	// engineNumber is the one engine behind an agent.
-	engineNumber = 0
-	// taskQueue bounds what waits for the engine; the state machines ask again for
-	// what is lost with a connection.
-	taskQueue = 256
+	// groupTickInterval is the time between ticks of the coordinator and reads of the engine's
+	// step.
+	groupTickInterval = 50 * time.Millisecond
+	// engineIndex is the index of the only engine behind an agent.
+	engineIndex = 0
+	// maxQueuedTasks limits the tasks queued for the engine. The state machines repeat what is
+	// lost with a connection.
+	maxQueuedTasks = 256
 )
 
-// group runs the agent's part of one expert-parallel group, and the coordinator's on
-// the VM of rank 0. One goroutine owns both state machines; another talks to the
-// engine, whose answers come back as events.
+// group runs the agent's part of one expert-parallel group, and the coordinator's on the VM of
+// rank 0. One goroutine owns both state machines. Another one talks to the engine and posts its
+// answers as events.
 type group struct {
 	settings *api.Group
 	self     *api.Hello
 	node     *member.Node
-	giver    *giver
+	engine   *engineClient
 	backend  *backend
 	logger   log.Logger
 
 	events chan func()
 	tasks  chan task
 
-	agent       *expertmap.Agent
-	coordinator *expertmap.Coordinator
-	maps        *maps
-	rebalancer  *rebalancer // nil where experts are left to the engines
-	lastMap     uint64      // the map that the engine holds, for what a load must fetch
-	loading     uint64      // the map that was last asked for
-	loaders     map[uint64]bool
-	connections uint64 // to the engine, so far
-	members     []string
-	started     bool
-	seenStep    uint64
-	// publish shows the coordinator's status to the agent's reports.
+	agent           *expertmap.Agent
+	coordinator     *expertmap.Coordinator
+	placements      *placementSet
+	rebalancer      *rebalancer // nil where the engines place experts themselves
+	loadedMap       uint64      // the map that the engine has loaded; a load fetches the difference
+	requestedMap    uint64      // the map that was last requested
+	activeLoads     map[uint64]bool
+	connectionCount uint64 // number of connections to the engine so far
+	members         []string
+	started         bool
+	engineStep      uint64
+	// publish passes the coordinator's status to the agent's reports.
 	publish func(*api.GroupStatus)
 }
 
-// task is one thing to do over the connection to the engine.
+// task is one call over the connection to the engine: a read of its state or an order.
 type task struct {
 	read  bool
 	order *expertmap.Order
@@ -64,16 +65,16 @@
 func newGroup(a *agent) *group {
 	settings := a.settings.GetGroup()
 	g := &group{
-		settings: settings,
-		self:     a.self,
-		node:     a.node,
-		giver:    newGiver(a.settings.GetBackend().GetUrl(), a.self.GetIncarnation()),
-		backend:  a.executor.backend,
-		logger:   a.logger,
-		events:   make(chan func(), 1024),
-		loaders:  make(map[uint64]bool),
-		tasks:    make(chan task, taskQueue),
-		publish:  a.groupStatus.Store,
+		settings:    settings,
+		self:        a.self,
+		node:        a.node,
+		engine:      newEngineClient(a.settings.GetBackend().GetUrl(), a.self.GetIncarnation()),
+		backend:     a.executor.backend,
+		logger:      a.logger,
+		events:      make(chan func(), 1024),
+		activeLoads: make(map[uint64]bool),
+		tasks:       make(chan task, maxQueuedTasks),
+		publish:     a.groupStatus.Store,
 		agent: expertmap.NewAgent(expertmap.AgentConfig{
 			Group:       settings.GetName(),
 			VM:          a.self.GetVm(),
@@ -81,7 +82,7 @@
 			Engines:     1,
 		}),
 	}
-	g.maps = newMaps(settings)
+	g.placements = newPlacementSet(settings)
 	if settings.GetFirstRank() == 0 {
 		g.coordinator = expertmap.NewCoordinator(expertmap.CoordinatorConfig{
 			Group:       settings.GetName(),
@@ -93,9 +94,9 @@
 	return g
 }
 
-// dials says that of two agents of a group, the one whose name comes first opens the
+// shouldDial says that of two agents of a group, the one whose VM's name sorts first opens the
 // link.
-func (g *group) dials(vm platform.VM) bool {
+func (g *group) shouldDial(vm platform.VM) bool {
 	return vm.Role == platform.RoleBackend && vm.Group == g.settings.GetName() && vm.ID > g.self.GetVm()
 }
 
@@ -104,11 +105,11 @@
 	go g.serveEngine(ctx)
 	if g.settings.GetExperts() > 0 {
 		if g.coordinator != nil {
-			g.rebalancer = newRebalancer(g.maps, g.logger)
+			g.rebalancer = newRebalancer(g.placements, g.logger)
 		}
-		go g.watchExperts(ctx)
+		go g.pollExperts(ctx)
 	}
-	ticker := time.NewTicker(groupTick)
+	ticker := time.NewTicker(groupTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -131,11 +132,11 @@
 	}
 }
 
-// message takes a message of another agent; it must not wait, since it comes from the
+// handleMessage queues a message of another agent. It must not block, because it is called on the
 // member's control goroutine. A message lost to a full queue is sent again.
-func (g *group) message(m *api.GroupMessage) {
+func (g *group) handleMessage(m *api.GroupMessage) {
 	select {
-	case g.events <- func() { g.deliver(m) }:
+	case g.events <- func() { g.dispatch(m) }:
 	default:
 	}
 }
@@ -151,25 +152,25 @@
 	g.publish(g.coordinatorStatus())
 }
 
-// forgetOldMaps keeps the placements that are loaded, being loaded, held or planned.
+// forgetOldMaps keeps only the placements that are loaded, being loaded, held or planned.
 func (g *group) forgetOldMaps() {
-	used := map[uint64]bool{g.lastMap: true, g.loading: true}
+	usedVersions := map[uint64]bool{g.loadedMap: true, g.requestedMap: true}
 	status := g.agent.Status()
 	for _, r := range append(status.Acked, status.Given...) {
-		used[r.Map] = true
+		usedVersions[r.Map] = true
 	}
 	if g.coordinator != nil {
 		status := g.coordinator.Status()
-		used[status.Target] = true
+		usedVersions[status.Target] = true
 		for _, r := range status.Plan {
-			used[r.Map] = true
+			usedVersions[r.Map] = true
 		}
 	}
-	g.maps.keepOnly(used)
+	g.placements.retain(usedVersions)
 }
 
-// updateMembers takes the group's VMs from the platform's list. Ranges are planned
-// only for a whole group: the list lags, and without a rank no step can run.
+// updateMembers takes the group's VMs from the platform's list. Ranges of steps are planned only
+// for a complete group: the list lags, and without one of the ranks no step can run.
 func (g *group) updateMembers(now time.Duration) {
 	var members []string
 	for _, vm := range g.node.State().VMs {
@@ -178,8 +179,8 @@
 		}
 	}
 	slices.Sort(members)
-	whole := int64(len(members))*g.settings.GetRanks() == g.settings.GetSize()
-	if !whole || slices.Equal(members, g.members) {
+	complete := int64(len(members))*g.settings.GetRanks() == g.settings.GetSize()
+	if !complete || slices.Equal(members, g.members) {
 		return
 	}
 	g.members = members
@@ -191,7 +192,7 @@
 	}
 }
 
-// process does all that the state machines ask for.
+// process carries out everything that the state machines request.
 func (g *group) process(ctx context.Context) {
 	for {
 		ready := g.agent.Ready()
@@ -203,13 +204,13 @@
 			return
 		}
 		for range ready.Reads {
-			g.queue(task{read: true})
+			g.queueTask(task{read: true})
 		}
 		for _, order := range ready.Orders {
-			g.queue(task{order: &order})
+			g.queueTask(task{order: &order})
 		}
 		for _, load := range ready.Loads {
-			g.loading = load.Map
+			g.requestedMap = load.Map
 			g.startLoad(ctx, load.Map)
 		}
 		for _, envelope := range messages {
@@ -218,20 +219,20 @@
 	}
 }
 
-// queue hands a task to the engine's goroutine. A full queue means an engine that does
-// not answer: its connection is given up, and all begins again with the read.
-func (g *group) queue(t task) {
+// queueTask queues a task for the goroutine of the engine's connection. A full queue means that
+// the engine does not answer: the connection is closed, and a new one starts by reading the state.
+func (g *group) queueTask(t task) {
 	select {
 	case g.tasks <- t:
 	default:
-		g.giver.disconnect()
+		g.engine.disconnect()
 	}
 }
 
 func (g *group) send(e expertmap.Envelope) {
-	g.attach(e.Message)
+	g.attachMaps(e.Message)
 	if e.To == g.self.GetVm() {
-		g.deliver(e.Message)
+		g.dispatch(e.Message)
 		return
 	}
 	if peer, ok := g.node.State().Peers[e.To]; ok {
@@ -239,15 +240,15 @@
 	}
 }
 
-// deliver gives a message to the state machine that it is for.
-func (g *group) deliver(m *api.GroupMessage) {
-	g.detach(m)
+// dispatch passes a message to its state machine.
+func (g *group) dispatch(m *api.GroupMessage) {
+	g.storeMaps(m)
 	switch m.GetBody().(type) {
 	case *api.GroupMessage_Seal, *api.GroupMessage_Assign, *api.GroupMessage_Release, *api.GroupMessage_Load:
 		g.agent.HandleMessage(m)
 	case *api.GroupMessage_Ranks:
 		if g.rebalancer != nil {
-			g.rebalancer.ranks.take(m.GetFromVm(), m.GetRanks())
+			g.rebalancer.rankWork.addReport(m.GetFromVm(), m.GetRanks())
 		}
 	default:
 		if g.coordinator != nil {
@@ -256,29 +257,29 @@
 	}
 }
 
-// serveEngine keeps one connection to the engine and does tasks over it in order.
+// serveEngine keeps one connection to the engine and runs tasks over it in order.
 func (g *group) serveEngine(ctx context.Context) {
 	for ctx.Err() == nil {
-		state, err := g.giver.connect(ctx)
+		state, err := g.engine.connect(ctx)
 		if err != nil {
-			_ = g.logger.Log("level", "debug", "msg", "The engine's map could not be read.", "result", backendFailed, "err", err)
-			wait(ctx, giverRetry)
+			_ = g.logger.Log("level", "debug", "msg", "The expert maps of the engine could not be read; the connection will be retried.", "result", backendFailedLabel, "err", err)
+			sleep(ctx, engineRetryInterval)
 			continue
 		}
 		g.dropTasks()
 		g.post(ctx, func() {
-			g.connections++
-			g.agent.EngineUp(engineNumber)
-			g.wantFirst(state)
+			g.connectionCount++
+			g.agent.EngineUp(engineIndex)
+			g.adoptInitialMap(state)
 		})
 		err = g.serveConnection(ctx)
-		g.giver.disconnect()
-		_ = g.logger.Log("msg", "The connection to the engine has ended.", "result", backendFailed, "err", err)
-		g.post(ctx, func() { g.agent.EngineDown(engineNumber) })
+		g.engine.disconnect()
+		_ = g.logger.Log("msg", "The connection to the engine has ended.", "result", backendFailedLabel, "err", err)
+		g.post(ctx, func() { g.agent.EngineDown(engineIndex) })
 	}
 }
 
-// dropTasks forgets what was to be done over an earlier connection.
+// dropTasks drops the tasks of an earlier connection.
 func (g *group) dropTasks() {
 	for {
 		select {
@@ -290,65 +291,65 @@
 }
 
 func (g *group) serveConnection(ctx context.Context) error {
-	ticker := time.NewTicker(groupTick)
+	ticker := time.NewTicker(groupTickInterval)
 	defer ticker.Stop()
 	for {
 		var err error
 		select {
 		case t := <-g.tasks:
-			err = g.do(ctx, t)
+			err = g.runTask(ctx, t)
 		case <-ticker.C:
-			err = g.poll(ctx)
+			err = g.reportStep(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		if err != nil {
 			return err
 		}
-		if !g.giver.connected() {
-			return errNewConnection
+		if !g.engine.isConnected() {
+			return errConnectionEnded
 		}
 	}
 }
 
-func (g *group) do(ctx context.Context, t task) error {
+func (g *group) runTask(ctx context.Context, t task) error {
 	if t.order != nil {
-		return g.give(ctx, *t.order)
+		return g.sendOrder(ctx, *t.order)
 	}
-	state, err := g.giver.read(ctx)
+	state, err := g.engine.readState(ctx)
 	if err != nil {
 		return err
 	}
-	g.post(ctx, func() { g.agent.EngineStateRead(engineNumber, state.state()) })
+	g.post(ctx, func() { g.agent.EngineStateRead(engineIndex, state.engineState()) })
 	return nil
 }
 
-func (g *group) give(ctx context.Context, order expertmap.Order) error {
-	err := g.giver.give(ctx, order)
+func (g *group) sendOrder(ctx context.Context, order expertmap.Order) error {
+	err := g.engine.sendOrder(ctx, order)
 	if errors.Is(err, errOrderRefused) {
-		state, err := g.giver.read(ctx)
+		state, err := g.engine.readState(ctx)
 		if err != nil {
 			return err
 		}
-		g.post(ctx, func() { g.agent.OrderRefused(engineNumber, state.Fence) })
+		g.post(ctx, func() { g.agent.OrderRefused(engineIndex, state.Fence) })
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	g.post(ctx, func() { g.agent.OrderDone(engineNumber, order) })
+	g.post(ctx, func() { g.agent.OrderDone(engineIndex, order) })
 	return nil
 }
 
-// poll tells the state machines how far the engine has come.
-func (g *group) poll(ctx context.Context) error {
-	state, err := g.giver.read(ctx)
+// reportStep tells the state machines the engine's current step.
+func (g *group) reportStep(ctx context.Context) error {
+	state, err := g.engine.readState(ctx)
 	if err != nil {
 		return err
 	}
 	g.post(ctx, func() {
-		g.agent.SetEngineStep(engineNumber, state.Step)
-		g.seenStep = state.Step
+		g.agent.SetEngineStep(engineIndex, state.Step)
+		g.engineStep = state.Step
 		if g.coordinator != nil {
 			g.coordinator.SetStep(clock.Now(), state.Step)
 		}
@@ -356,26 +357,26 @@
 	return nil
 }
 
-// wantFirst makes the map that the engine came with the group's first.
-func (g *group) wantFirst(state *engineMap) {
+// adoptInitialMap makes the map that the engine started with the group's first target.
+func (g *group) adoptInitialMap(state *engineMap) {
 	if g.coordinator == nil || len(state.Loaded) == 0 || g.coordinator.Status().Target != 0 {
 		return
 	}
-	first := state.Loaded[0]
+	initial := state.Loaded[0]
 	if n := len(state.Given); n > 0 {
-		first = state.Given[n-1].MapVersion
+		initial = state.Given[n-1].MapVersion
 	}
-	g.coordinator.SetTarget(clock.Now(), first)
+	g.coordinator.SetTarget(clock.Now(), initial)
 }
 
-// mapLoad is the body of a request to load a map.
-type mapLoad struct {
+// mapLoadRequest is the body of a request to load a map.
+type mapLoadRequest struct {
 	Version uint64  `json:"version"`
 	Bytes   int64   `json:"bytes"`
 	Slots   []int32 `json:"slots,omitempty"`
 }
 
-// coordinatorStatus is the group as its coordinator sees it.
+// coordinatorStatus returns the coordinator's view of the group.
 func (g *group) coordinatorStatus() *api.GroupStatus {
 	s := g.coordinator.Status()
 	status := &api.GroupStatus{
@@ -391,7 +392,7 @@
 		}
 	}
 	if g.rebalancer != nil {
-		g.rebalancer.describe(status)
+		g.rebalancer.addRankStatus(status)
 	}
 	return status
 }
--- a/internal/httpguard/httpguard.go
+++ b/internal/httpguard/httpguard.go
@@ -1,5 +1,5 @@
-// Package httpguard bounds what callers can make an HTTP server hold: connections,
-// headers, bodies, and the time each may take.
+// Package httpguard limits what callers can make an HTTP server hold: connections, headers,
+// bodies, and the time that each may take.
 package httpguard
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// headerSlack lets the library read a little more than the limit, so that the
-// handler can refuse with a result code; past it the library itself answers 431.
+// headerSlack lets net/http read slightly more than the limit, so that the handler can refuse the
+// request with a result code. Beyond it net/http itself answers with status 431.
 const headerSlack = 4 << 10
 
-// NewServer makes a server with the limits. A caller that sends its header or body
-// a byte at a time is cut off when the time is over, and an idle one when its
-// connection is. Answers are streams, so that writing has no limit here: the
-// handler sets one by the deadline of each request.
+// NewServer returns a server with the given limits. A caller that sends its header or body one
+// byte at a time is cut off at the read timeout, and an idle connection at the idle timeout.
+// Answers may be streams, so there is no write timeout here; the handler sets a write deadline
+// from the deadline of each request.
 func NewServer(limits *api.Limits, handler http.Handler, logger log.Logger) *http.Server {
-	return watch(&http.Server{
+	return trackAnswers(&http.Server{
 		Handler:           limitHeader(limits.GetHeaderBytes(), handler),
 		ReadHeaderTimeout: time.Duration(limits.GetReadHeaderMs()) * time.Millisecond,
 		ReadTimeout:       time.Duration(limits.GetReadBodyMs()) * time.Millisecond,
 		IdleTimeout:       time.Duration(limits.GetIdleMs()) * time.Millisecond,
 		MaxHeaderBytes:    int(limits.GetHeaderBytes()) + headerSlack,
-		ErrorLog:          logging.NewStdLogger(logger, "The server for callers met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.NewStdLogger(logger, "The HTTP server for callers reported an error.", result.Label(api.ResultCode_INTERNAL)),
 	})
 }
 
-// limitHeader refuses a header past the limit by its result code.
+// limitHeader answers a request whose header exceeds the limit with a result code.
 func limitHeader(limit int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if headerBytes(r) > limit {
@@ -47,43 +47,43 @@
 	})
 }
 
-// separators counts the colon, the space and the line end of a header line.
-const separators = 4
+// headerLineOverhead counts the colon, the space and the line end of a header line.
+const headerLineOverhead = 4
 
 func headerBytes(r *http.Request) int64 {
 	size := int64(len(r.RequestURI))
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += int64(len(name) + len(value) + separators)
+			size += int64(len(name) + len(value) + headerLineOverhead)
 		}
 	}
 	return size
 }
 
-// ReadBody reads a whole body of bounded size. A length that the header already
-// gives away as too large is refused before any of it is read.
+// ReadBody reads a whole body of at most limit bytes. If the Content-Length already exceeds the
+// limit, nothing is read.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	tooLarge := result.Newf(api.ResultCode_BODY_TOO_LARGE, "The body is larger than %d bytes.", limit)
 	if r.ContentLength > limit {
 		return nil, tooLarge
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	var past *http.MaxBytesError
+	var maxBytesErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &past):
+	case errors.As(err, &maxBytesErr):
 		return nil, tooLarge
 	case err != nil:
-		// Part of a request must never run as if it were the whole.
+		// A truncated request must never run as if it were complete.
 		return nil, result.New(api.ResultCode_BAD_REQUEST, "The body could not be read to its end.")
 	}
 	return body, nil
 }
 
-// Listener bounds the connections held at once. Past the bound new ones wait in the
-// kernel's queue; without it a flood of idle connections would take the memory
-// that work needs.
-func Listener(inner net.Listener, connections int) net.Listener {
-	return &listener{Listener: inner, slots: make(chan struct{}, connections), closed: make(chan struct{})}
+// LimitListener limits the number of connections accepted at the same time. Further connections
+// wait in the kernel's queue. Without this limit a flood of idle connections would take the memory
+// needed for requests.
+func LimitListener(inner net.Listener, maxConnections int) net.Listener {
+	return &listener{Listener: inner, slots: make(chan struct{}, maxConnections), closed: make(chan struct{})}
 }
 
 type listener struct {
@@ -98,8 +98,8 @@
 	select {
 	case l.slots <- struct{}{}:
 	case <-l.closed:
-		// While all slots are taken nobody waits in the listener that a stop
-		// closes; a stop must not hang on idle callers.
+		// While all slots are taken, no goroutine waits in the inner listener, which Close would
+		// wake. Closing must not hang because of idle callers.
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
@@ -120,10 +120,10 @@
 	net.Conn
 	once    sync.Once
 	release func()
-	// after waits for the end of an answer, and broken says that a write has failed. Only
-	// the goroutine that serves the connection has them.
-	after  func(sent bool)
-	broken bool
+	// onAnswered is called at the end of an answer, and writeFailed says that a write has failed.
+	// Only the goroutine that serves the connection accesses them.
+	onAnswered  func(sent bool)
+	writeFailed bool
 }
 
 // Close implements net.Conn.
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -16,7 +16,7 @@
 		if info.HTTP == 0 || info.Doc == "" || info.Ran == api.Ran_RAN_UNSPECIFIED {
 			t.Errorf("%s lacks a status, a text or whether the request ran", info.Name)
 		}
-		// A refusal that names no time is asked again at once, by everybody.
+		// Without a retry time, every caller would retry at once.
 		if (info.HTTP == 429 || info.HTTP == 503) && !info.RetryAfter {
 			t.Errorf("%s has status %d and no Retry-After", info.Name, info.HTTP)
 		}
@@ -55,9 +55,9 @@
 			if !strings.Contains(w.Body.String(), test.body) || strings.Contains(w.Body.String(), "secret detail") {
 				t.Errorf("body %s", w.Body)
 			}
-			again := ReadHTTP(w.Result())
-			if want := From(test.err); again.Code != want.Code || again.Ran != want.Ran || again.Text != want.Text {
-				t.Errorf("read back as %+v", again)
+			decoded := ReadHTTP(w.Result())
+			if want := FromError(test.err); decoded.Code != want.Code || decoded.Ran != want.Ran || decoded.Text != want.Text {
+				t.Errorf("read back as %+v", decoded)
 			}
 		})
 	}
@@ -65,11 +65,11 @@
 
 func TestRefusalRoundTrip(t *testing.T) {
 	e := Refuse(api.ResultCode_SATURATED, 1500*time.Microsecond, "full")
-	again := FromRefusal(e.Refusal())
-	if again.Code != e.Code || again.Ran != e.Ran || again.Text != e.Text || again.RetryAfter != 2*time.Millisecond {
-		t.Errorf("got %+v", again)
+	decoded := FromRefusal(e.Refusal())
+	if decoded.Code != e.Code || decoded.Ran != e.Ran || decoded.Text != e.Text || decoded.RetryAfter != 2*time.Millisecond {
+		t.Errorf("got %+v", decoded)
 	}
-	if got := FromRefusal(&api.Refusal{Code: 9999}); got.Ran != api.Ran_RAN_UNKNOWN || Of(9999).HTTP != 500 {
+	if got := FromRefusal(&api.Refusal{Code: 9999}); got.Ran != api.Ran_RAN_UNKNOWN || Lookup(9999).HTTP != 500 {
 		t.Errorf("a code of a newer version: %+v", got)
 	}
 }
