--- a/internal/rankagent/rankagent.go
+++ b/internal/rankagent/rankagent.go
@@ -52,7 +52,7 @@
 	}
 	server := &http.Server{
 		Handler: a.handler(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		ErrorLog: logging.Library(logger, "The library for HTTP reports an error.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog: logging.NewStdLogger(logger, "The library for HTTP reports an error.", result.Label(api.ResultCode_INTERNAL)),
 	}
 	_ = level.Info(logger).Log("msg", "The process starts.", "failure_domain", s.FailureDomain, "engine", s.Engine)
 	failed := make(chan error, 1)
@@ -127,7 +127,7 @@
 		result.WriteHTTP(w, result.New(api.ResultCode_BAD_REQUEST))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineTime)
+	ctx, cancel := context.WithTimeout(r.Context(), platform.EngineCallTimeout)
 	defer cancel()
 	startedAt := clock.Now()
 	reply := ranks.Execute(ctx, a.engine, req)
--- a/internal/ranks/ranks.go
+++ b/internal/ranks/ranks.go
@@ -70,10 +70,10 @@
 
 // SendOrder sends an order to an engine and reads no state.
 //
-// It waits for the answer no longer than platform.OrderTime. Engines may leave orders unanswered,
+// It waits for the answer no longer than platform.OrderTimeout. Engines may leave orders unanswered,
 // and waiting longer would use up the time in which the rank's state can still be read.
 func SendOrder(ctx context.Context, engine *platform.Engine, o *api.RankOrder) (api.OrderResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, platform.OrderTime)
+	ctx, cancel := context.WithTimeout(ctx, platform.OrderTimeout)
 	defer cancel()
 	orderResult, err := engine.Order(ctx, orderFromWire(o))
 	return resultToWire[orderResult], err
@@ -176,7 +176,7 @@
 
 func stateToWire(r *platform.EngineReport) *api.RankState {
 	s := &api.RankState{
-		Group: r.Group, Rank: int32(r.Rank), Size: int32(r.Size), Open: r.Open, Born: r.Born, Pace: r.Pace,
+		Group: r.Group, Rank: int32(r.Rank), Size: int32(r.Size), Open: r.IsOpen, Born: r.StartedAtUnixMs, Pace: r.Slowdown,
 		Epoch: r.Maps.Epoch, Step: r.Maps.Step, Map: r.Maps.Map, Prepared: r.Maps.Prepared,
 	}
 	if a := r.Maps.Armed; a != nil {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,23 +12,22 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// maxItems bounds a comma-separated list.
+// maxItems is the maximum number of items in a comma-separated list.
 const maxItems = 256
 
-// settingOf returns the schema's description of a key, or nil when the field is
-// not a setting.
+// settingOf returns the schema's setting option of a field, or nil if the field is not a setting.
 func settingOf(field protoreflect.FieldDescriptor) *api.Setting {
 	setting, _ := proto.GetExtension(field.Options(), api.E_Setting).(*api.Setting)
 	return setting
 }
 
-// keyName turns a field's name into the key of the file.
+// keyName returns the key in the file for a field.
 func keyName(field protoreflect.FieldDescriptor) string {
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// fieldNamed finds the field of a key, or nil.
-func fieldNamed(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
+// fieldByKey returns the field for a key, or nil.
+func fieldByKey(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
 	if strings.Contains(key, "_") {
 		return nil
 	}
@@ -39,13 +38,13 @@
 	return field
 }
 
-// decode fills a message from a section, defaults included.
+// decode fills a message from a section and applies the defaults.
 func decode(from section, into protoreflect.Message, faults *faultList) {
 	seen := map[protoreflect.FieldNumber]int{}
 	for _, k := range from.keys {
-		field := fieldNamed(into.Descriptor(), k.name)
+		field := fieldByKey(into.Descriptor(), k.name)
 		if field == nil {
-			faults.add(k.line, from.name, k.name, "unknown key; the section has %s", keysOf(into.Descriptor()))
+			faults.add(k.line, from.name, k.name, "unknown key; the section has %s", keyNames(into.Descriptor()))
 			continue
 		}
 		if first, ok := seen[field.Number()]; ok {
@@ -60,11 +59,11 @@
 			faults.add(k.line, from.name, k.name, "%v", err)
 		}
 	}
-	complete(from, into, faults)
+	applyDefaults(from, into, faults)
 }
 
-// complete sets the defaults and reports the required keys that are missing.
-func complete(from section, into protoreflect.Message, faults *faultList) {
+// applyDefaults sets the defaults of absent keys and reports missing required keys.
+func applyDefaults(from section, into protoreflect.Message, faults *faultList) {
 	given := map[string]key{}
 	for _, k := range from.keys {
 		given[k.name] = k
@@ -109,7 +108,7 @@
 			return errors.New("an item between commas is empty")
 		}
 		if seen[item] {
-			return errors.Errorf("%q stands twice", clip(item))
+			return errors.Errorf("%q stands twice", truncate(item))
 		}
 		seen[item] = true
 		value, err := parseValue(field, item)
@@ -133,13 +132,13 @@
 	case protoreflect.Int64Kind:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return protoreflect.Value{}, errors.Errorf("%q is not a whole number%s", clip(text), ofUnit(setting))
+			return protoreflect.Value{}, errors.Errorf("%q is not a whole number%s", truncate(text), unitSuffix(setting))
 		}
 		return protoreflect.ValueOfInt64(n), checkRange(setting, float64(n), text)
 	case protoreflect.DoubleKind:
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return protoreflect.Value{}, errors.Errorf("%q is not a number%s", clip(text), ofUnit(setting))
+			return protoreflect.Value{}, errors.Errorf("%q is not a number%s", truncate(text), unitSuffix(setting))
 		}
 		return protoreflect.ValueOfFloat64(x), checkRange(setting, x, text)
 	}
@@ -147,22 +146,22 @@
 }
 
 func checkRange(setting *api.Setting, x float64, text string) error {
-	least, most := setting.GetMin(), setting.GetMax()
-	if least == 0 && most == 0 || x >= float64(least) && x <= float64(most) {
+	lower, upper := setting.GetMin(), setting.GetMax()
+	if lower == 0 && upper == 0 || x >= float64(lower) && x <= float64(upper) {
 		return nil
 	}
-	return errors.Errorf("%s is not between %d and %d%s", clip(text), least, most, ofUnit(setting))
+	return errors.Errorf("%s is not between %d and %d%s", truncate(text), lower, upper, unitSuffix(setting))
 }
 
-func ofUnit(setting *api.Setting) string {
+func unitSuffix(setting *api.Setting) string {
 	if setting.GetUnit() == "" {
 		return ""
 	}
 	return " " + setting.GetUnit()
 }
 
-// keysOf lists the keys of a section for an error message.
-func keysOf(message protoreflect.MessageDescriptor) string {
+// keyNames returns the keys of a section for an error message.
+func keyNames(message protoreflect.MessageDescriptor) string {
 	var keys []string
 	for i := range message.Fields().Len() {
 		if field := message.Fields().Get(i); settingOf(field) != nil {
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -8,7 +8,7 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// TestExamples loads every file that the examples give to newcomers.
+// TestExamples loads every file of the example deployments.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"shelfwise", "lakeshore"} {
 		files, err := filepath.Glob("../../examples/" + deployment + "/*.ini")
@@ -25,7 +25,7 @@
 		if len(lists["plans"]) != 10 {
 			t.Errorf("%s: %d teams", deployment, len(lists["plans"]))
 		}
-		if warnings := CheckTogether(lists["plans"], lists["uses"]); len(warnings) > 0 {
+		if warnings := CheckAcrossLists(lists["plans"], lists["uses"]); len(warnings) > 0 {
 			t.Errorf("%s: %v", deployment, warnings)
 		}
 	}
--- a/internal/settings/lists.go
+++ b/internal/settings/lists.go
@@ -10,8 +10,8 @@
 	"github.com/apricothub/apricothub/api"
 )
 
-// Kinds of sections, the first word of a section's name and the name of the field
-// in [api.Section].
+// Kinds of sections: the first word of a section's name, and the name of the field in
+// [api.Section].
 const (
 	kindCustomer = "customer"
 	kindPlan     = "plan"
@@ -19,7 +19,7 @@
 	kindModel    = "model"
 )
 
-// Parse reads one of the two lists; name stands in error messages.
+// Parse parses one of the two lists; name is the file name in error messages.
 func Parse(list api.ListName, name string, text []byte) ([]*api.Section, error) {
 	switch list {
 	case api.ListName_LIST_PLANS:
@@ -30,31 +30,30 @@
 	return nil, errors.Errorf("no list %v", list)
 }
 
-// ParsePlans reads the plans list: sections [customer NAME].
+// ParsePlans parses the plans list: sections [customer NAME].
 func ParsePlans(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindCustomer)
-	l.checkKeys()
+	l.checkUniqueKeys()
 	return l.result()
 }
 
-// ParseUses reads the uses list: sections [plan NAME], [service NAME] and
-// [model NAME].
+// ParseUses parses the uses list: sections [plan NAME], [service NAME] and [model NAME].
 func ParseUses(name string, text []byte) ([]*api.Section, error) {
 	l := parseList(name, text, kindPlan, kindService, kindModel)
-	l.checkNames()
+	l.checkReferences()
 	return l.result()
 }
 
-// list is a list being read.
+// list is a list that is being parsed.
 type list struct {
 	faults   *faultList
 	sections []*api.Section
-	// at holds the scanned section of each name, for its lines.
-	at map[string]section
+	// scanned holds the scanned section of each name, for line numbers.
+	scanned map[string]section
 }
 
 func parseList(file string, text []byte, kinds ...string) *list {
-	l := &list{faults: &faultList{file: file}, at: map[string]section{}}
+	l := &list{faults: &faultList{file: file}, scanned: map[string]section{}}
 	for _, from := range scan(text, l.faults) {
 		kind, name, _ := strings.Cut(from.name, " ")
 		if !slices.Contains(kinds, kind) || name == "" {
@@ -65,10 +64,10 @@
 			l.faults.add(from.line, from.name, "", "%v", err)
 			continue
 		}
-		if _, twice := l.at[from.name]; twice {
+		if _, twice := l.scanned[from.name]; twice {
 			continue
 		}
-		l.at[from.name] = from
+		l.scanned[from.name] = from
 		into := &api.Section{Name: from.name}
 		message := into.ProtoReflect()
 		body := message.Descriptor().Fields().ByName(protoreflect.Name(kind))
@@ -85,10 +84,10 @@
 	return l.sections, nil
 }
 
-// fault reports a fault at a key of a section.
-func (l *list) fault(name, keyName, format string, args ...any) {
-	line := l.at[name].line
-	for _, k := range l.at[name].keys {
+// addFault adds a fault at the line of a key, or of its section if the key is absent.
+func (l *list) addFault(name, keyName, format string, args ...any) {
+	line := l.scanned[name].line
+	for _, k := range l.scanned[name].keys {
 		if k.name == keyName {
 			line = k.line
 		}
@@ -96,65 +95,65 @@
 	l.faults.add(line, name, keyName, format, args...)
 }
 
-// checkKeys refuses one key for two customers: work would be charged to
-// whichever the entry happened to find.
-func (l *list) checkKeys() {
+// checkUniqueKeys rejects a key that two customers share: requests with it would be charged to an
+// arbitrary one of them.
+func (l *list) checkUniqueKeys() {
 	owner := map[string]string{}
 	for _, s := range l.sections {
 		for _, hash := range s.GetCustomer().GetKeySha256() {
 			if other, ok := owner[hash]; ok {
-				l.fault(s.GetName(), "key-sha256", "the key %s… belongs to [%s] as well", hash[:8], other)
+				l.addFault(s.GetName(), "key-sha256", "the key %s… belongs to [%s] as well", hash[:8], other)
 			}
 			owner[hash] = s.GetName()
 		}
 	}
 }
 
-// checkNames refuses a plan that names a service, model or adapter that no
-// section of the list describes.
-func (l *list) checkNames() {
+// checkReferences rejects a plan that names a service, model or adapter that no section of the
+// list defines.
+func (l *list) checkReferences() {
 	known := map[string]bool{}
-	carries := map[string]map[string]bool{}
+	adaptersByModel := map[string]map[string]bool{}
 	for _, s := range l.sections {
 		known[s.GetName()] = true
 		if s.GetModel() != nil {
 			_, model, _ := strings.Cut(s.GetName(), " ")
-			carries[model] = set(s.GetModel().GetAdapters())
+			adaptersByModel[model] = setOf(s.GetModel().GetAdapters())
 		}
 	}
 	for _, s := range l.sections {
 		plan := s.GetPlan()
-		l.checkKnown(s.GetName(), "models", kindModel, plan.GetModels(), known)
-		l.checkKnown(s.GetName(), "services", kindService, plan.GetServices(), known)
+		l.checkSectionsExist(s.GetName(), "models", kindModel, plan.GetModels(), known)
+		l.checkSectionsExist(s.GetName(), "services", kindService, plan.GetServices(), known)
 		for _, adapter := range plan.GetAdapters() {
-			if !carriedByAny(adapter, plan.GetModels(), carries) {
-				l.fault(s.GetName(), "adapters", "none of the plan's models carries the adapter %q", adapter)
+			if !anyModelHasAdapter(adapter, plan.GetModels(), adaptersByModel) {
+				l.addFault(s.GetName(), "adapters", "none of the plan's models carries the adapter %q", adapter)
 			}
 		}
 	}
 }
 
-func (l *list) checkKnown(plan, key, kind string, names []string, known map[string]bool) {
+func (l *list) checkSectionsExist(plan, key, kind string, names []string, known map[string]bool) {
 	for _, name := range names {
 		if !known[kind+" "+name] {
-			l.fault(plan, key, "the list has no section [%s %s]", kind, name)
+			l.addFault(plan, key, "the list has no section [%s %s]", kind, name)
 		}
 	}
 }
 
-func carriedByAny(adapter string, models []string, carries map[string]map[string]bool) bool {
+func anyModelHasAdapter(adapter string, models []string, adaptersByModel map[string]map[string]bool) bool {
 	for _, model := range models {
-		if carries[model][adapter] {
+		if adaptersByModel[model][adapter] {
 			return true
 		}
 	}
 	return false
 }
 
-// CheckTogether reports the customers whose plan is in no section of the uses
-// list: their requests would be refused. The lists are published one after the
-// other, so this is a warning to the operator and no reason to refuse.
-func CheckTogether(plans, uses []*api.Section) []string {
+// CheckAcrossLists returns a warning for each customer whose plan is not defined in the uses list:
+// the customer's requests would be refused. The lists are published one after the other, so this
+// is not an error.
+func CheckAcrossLists(plans, uses []*api.Section) []string {
 	known := map[string]bool{}
 	for _, s := range uses {
 		known[s.GetName()] = true
@@ -169,7 +168,7 @@
 	return warnings
 }
 
-func set(items []string) map[string]bool {
+func setOf(items []string) map[string]bool {
 	in := make(map[string]bool, len(items))
 	for _, item := range items {
 		in[item] = true
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -32,49 +32,50 @@
 	return ParseAgent(path, text)
 }
 
-// ReadFile reads a settings file or a list, up to the size that the parser takes.
+// ReadFile reads a settings file or a list, up to just beyond the maximum size for the parser.
 func ReadFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableFault(path, err)
 	}
 	defer file.Close()
-	// One byte more than allowed shows the parser that the file is too large.
+	// One byte more than allowed lets the parser detect that the file is too large.
 	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableFault(path, err)
 	}
 	return text, nil
 }
 
-// unreadable is the fault of a file that cannot be read; the name stands in it once.
-func unreadable(path string, err error) error {
-	var at *fs.PathError
-	if errors.As(err, &at) {
-		err = at.Err
+// unreadableFault returns the fault for a file that cannot be read. It unwraps the path error, so
+// that the message has the file name only once.
+func unreadableFault(path string, err error) error {
+	var pathErr *fs.PathError
+	if errors.As(err, &pathErr) {
+		err = pathErr.Err
 	}
 	return Faults{{File: path, Reason: "cannot be read: " + err.Error()}}
 }
 
-// ParseEntry reads an entry's settings from text; name stands in error messages.
+// ParseEntry parses an entry's settings; name is the file name in error messages.
 func ParseEntry(name string, text []byte) (*api.EntrySettings, error) {
 	faults := &faultList{file: name}
 	into := &api.EntrySettings{}
-	at := parseSettings(text, into, faults)
-	checkEntry(into, at, faults)
+	sectionLines := parseSettings(text, into, faults)
+	checkEntry(into, sectionLines, faults)
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
 	return into, nil
 }
 
-// ParseAgent reads an agent's settings from text; name stands in error messages.
-// The group is nil when the file names none.
+// ParseAgent parses an agent's settings; name is the file name in error messages. The group is
+// nil if the file names none.
 func ParseAgent(name string, text []byte) (*api.AgentSettings, error) {
 	faults := &faultList{file: name}
 	into := &api.AgentSettings{}
-	at := parseSettings(text, into, faults)
-	checkAgent(into, at, faults)
+	sectionLines := parseSettings(text, into, faults)
+	checkAgent(into, sectionLines, faults)
 	if into.GetGroup().GetName() == "" {
 		into.Group = nil
 	}
@@ -84,36 +85,36 @@
 	return into, nil
 }
 
-// lines gives the line of each section.
-type lines map[string]int
+// lineNumbers maps the name of a section to its line.
+type lineNumbers map[string]int
 
-// parseSettings fills every section of a settings message.
-func parseSettings(text []byte, into proto.Message, faults *faultList) lines {
+// parseSettings fills all sections of a settings message and returns their lines.
+func parseSettings(text []byte, into proto.Message, faults *faultList) lineNumbers {
 	message := into.ProtoReflect()
 	fields := message.Descriptor().Fields()
-	at := lines{}
+	sectionLines := lineNumbers{}
 	for _, from := range scan(text, faults) {
 		field := fields.ByName(protoreflect.Name(strings.ReplaceAll(from.name, "-", "_")))
 		if field == nil || strings.Contains(from.name, "_") {
-			faults.add(from.line, from.name, "", "unknown section; the file has %s", sectionsOf(message.Descriptor()))
+			faults.add(from.line, from.name, "", "unknown section; the file has %s", sectionNames(message.Descriptor()))
 			continue
 		}
-		if _, twice := at[from.name]; twice {
+		if _, twice := sectionLines[from.name]; twice {
 			continue
 		}
-		at[from.name] = from.line
+		sectionLines[from.name] = from.line
 		decode(from, message.Mutable(field).Message(), faults)
 	}
 	for i := range fields.Len() {
 		name := keyName(fields.Get(i))
-		if _, ok := at[name]; !ok {
-			complete(section{name: name}, message.Mutable(fields.Get(i)).Message(), faults)
+		if _, ok := sectionLines[name]; !ok {
+			applyDefaults(section{name: name}, message.Mutable(fields.Get(i)).Message(), faults)
 		}
 	}
-	return at
+	return sectionLines
 }
 
-func sectionsOf(message protoreflect.MessageDescriptor) string {
+func sectionNames(message protoreflect.MessageDescriptor) string {
 	var names []string
 	for i := range message.Fields().Len() {
 		names = append(names, "["+keyName(message.Fields().Get(i))+"]")
@@ -121,68 +122,67 @@
 	return strings.Join(names, ", ")
 }
 
-func checkEntry(s *api.EntrySettings, at lines, faults *faultList) {
+func checkEntry(s *api.EntrySettings, sectionLines lineNumbers, faults *faultList) {
 	listen := s.GetListen()
-	if unspecified(listen.GetPublic()) && listen.GetPublicName() == "" {
-		faults.add(at["listen"], "listen", "public-name",
-			"the key is missing: callers cannot be told %s", listen.GetPublic())
+	if isUnspecified(listen.GetPublic()) && listen.GetPublicName() == "" {
+		faults.add(sectionLines["listen"], "listen", "public-name",
+			"the key is missing: callers cannot connect to %s", listen.GetPublic())
 	}
-	if unspecified(listen.GetPublicName()) {
-		faults.add(at["listen"], "listen", "public-name", "callers cannot reach %s", listen.GetPublicName())
+	if isUnspecified(listen.GetPublicName()) {
+		faults.add(sectionLines["listen"], "listen", "public-name", "callers cannot reach %s", listen.GetPublicName())
 	}
-	checkLink(listen.GetLink(), at, faults)
-	checkLinks(s.GetLink(), at, faults)
-	checkLevel(s.GetLog(), at, faults)
+	checkLinkAddress(listen.GetLink(), sectionLines, faults)
+	checkLinkSettings(s.GetLink(), sectionLines, faults)
+	checkLogLevel(s.GetLog(), sectionLines, faults)
 	if limits := s.GetLimits(); limits.GetReadHeaderMs() > limits.GetReadBodyMs() {
-		faults.add(at["limits"], "limits", "read-header-ms", "must not be longer than read-body-ms")
+		faults.add(sectionLines["limits"], "limits", "read-header-ms", "must not be longer than read-body-ms")
 	}
 }
 
-func checkAgent(s *api.AgentSettings, at lines, faults *faultList) {
-	checkLink(s.GetListen().GetLink(), at, faults)
-	checkLinks(s.GetLink(), at, faults)
-	checkLevel(s.GetLog(), at, faults)
-	checkBackend(s.GetBackend(), at["backend"], faults)
-	checkGroup(s.GetGroup(), s.GetBackend(), at["group"], faults)
+func checkAgent(s *api.AgentSettings, sectionLines lineNumbers, faults *faultList) {
+	checkLinkAddress(s.GetListen().GetLink(), sectionLines, faults)
+	checkLinkSettings(s.GetLink(), sectionLines, faults)
+	checkLogLevel(s.GetLog(), sectionLines, faults)
+	checkBackend(s.GetBackend(), sectionLines["backend"], faults)
+	checkGroup(s.GetGroup(), s.GetBackend(), sectionLines["group"], faults)
 }
 
-func checkLink(link string, at lines, faults *faultList) {
-	if unspecified(link) {
-		faults.add(at["listen"], "listen", "link", "other processes cannot be told %s; name one address of this VM", link)
+func checkLinkAddress(link string, sectionLines lineNumbers, faults *faultList) {
+	if isUnspecified(link) {
+		faults.add(sectionLines["listen"], "listen", "link", "other processes cannot connect to %s; set one address of this VM", link)
 	}
 }
 
-// checkLinks looks at times and keys.
-func checkLinks(l *api.Links, at lines, faults *faultList) {
-	checkTimes(l, at, faults)
-	checkKeys(l, at, faults)
+// checkLinkSettings checks the times and keys of links.
+func checkLinkSettings(l *api.Links, sectionLines lineNumbers, faults *faultList) {
+	checkLinkTimes(l, sectionLines, faults)
+	checkLinkKeys(l, sectionLines, faults)
 }
 
-// checkKeys refuses a second key that is the first: whoever changes the key would take
-// the change for begun, and cut the links with its next step.
-func checkKeys(l *api.Links, at lines, faults *faultList) {
+// checkLinkKeys rejects a second key that equals the first. An operator who changes the key would
+// believe that the change has begun, and the next step of the change would break all links.
+func checkLinkKeys(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetOtherKey() != "" && l.GetOtherKey() == l.GetKey() {
-		faults.add(at["link"], "link", "other-key", "is the same as key; it must be the one before or the one to come")
+		faults.add(sectionLines["link"], "link", "other-key", "is the same as key; it must be the previous or the next key")
 	}
 }
 
-// checkTimes keeps the order heartbeat < suspect < dead: out of order, a healthy
-// link would be suspected between two heartbeats, or closed before it got no
-// new work.
-func checkTimes(l *api.Links, at lines, faults *faultList) {
+// checkLinkTimes requires heartbeat < suspect < dead. Otherwise, a healthy link would be suspected
+// between two heartbeats, or a link would be closed while it still got new work.
+func checkLinkTimes(l *api.Links, sectionLines lineNumbers, faults *faultList) {
 	if l.GetHeartbeatMs() >= l.GetSuspectMs() {
-		faults.add(at["link"], "link", "heartbeat-ms", "must be shorter than suspect-ms (%d)", l.GetSuspectMs())
+		faults.add(sectionLines["link"], "link", "heartbeat-ms", "must be shorter than suspect-ms (%d)", l.GetSuspectMs())
 	}
 	if l.GetSuspectMs() >= l.GetDeadMs() {
-		faults.add(at["link"], "link", "suspect-ms", "must be shorter than dead-ms (%d)", l.GetDeadMs())
+		faults.add(sectionLines["link"], "link", "suspect-ms", "must be shorter than dead-ms (%d)", l.GetDeadMs())
 	}
 }
 
-func checkLevel(l *api.Log, at lines, faults *faultList) {
+func checkLogLevel(l *api.Log, sectionLines lineNumbers, faults *faultList) {
 	switch l.GetLevel() {
 	case "debug", "info", "warn", "error":
 	default:
-		faults.add(at["log"], "log", "level", "%q is not debug, info, warn or error", clip(l.GetLevel()))
+		faults.add(sectionLines["log"], "log", "level", "%q is not debug, info, warn or error", truncate(l.GetLevel()))
 	}
 }
 
@@ -206,7 +206,7 @@
 		return
 	}
 	if b.GetModel() == "" {
-		faults.add(line, "group", "name", "only a model engine can stand in a group")
+		faults.add(line, "group", "name", "only a model engine can be in a group")
 	}
 	if g.GetRanks() == 0 {
 		faults.add(line, "group", "ranks", "a group needs at least one rank on this VM")
@@ -217,7 +217,7 @@
 	}
 }
 
-func unspecified(address string) bool {
+func isUnspecified(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Addr().IsUnspecified()
 }
--- a/internal/settings/redact.go
+++ b/internal/settings/redact.go
@@ -5,11 +5,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Hidden stands in a dump or a log in place of a secret.
-const Hidden = "(hidden)"
+// RedactedValue replaces a secret in a dump or a log.
+const RedactedValue = "(hidden)"
 
-// Redacted returns a copy of the message in which every field that the schema
-// calls secret is replaced by [Hidden].
+// Redacted returns a copy of the message in which the value of every secret field of the schema is
+// replaced by [RedactedValue].
 func Redacted(m proto.Message) proto.Message {
 	copied := proto.Clone(m)
 	redact(copied.ProtoReflect())
@@ -20,7 +20,7 @@
 	m.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		switch {
 		case settingOf(field).GetSecret():
-			m.Set(field, protoreflect.ValueOfString(Hidden))
+			m.Set(field, protoreflect.ValueOfString(RedactedValue))
 		case field.Kind() != protoreflect.MessageKind || field.IsMap():
 		case field.IsList():
 			for i := range value.List().Len() {
@@ -37,26 +37,25 @@
 type Change struct {
 	Section string
 	Key     string
-	// Reload says that a running process takes the new value; otherwise it
-	// needs a restart.
+	// Reload is true if a running process applies the new value without a restart.
 	Reload bool
 }
 
-// Changes compares two settings messages of one type, key by key.
+// Changes returns the keys in which two settings messages of the same type differ.
 func Changes(before, after proto.Message) []Change {
 	var changes []Change
 	sections := before.ProtoReflect().Descriptor().Fields()
 	for i := range sections.Len() {
-		part := sections.Get(i)
-		was := before.ProtoReflect().Get(part).Message()
-		is := after.ProtoReflect().Get(part).Message()
-		for j := range part.Message().Fields().Len() {
-			field := part.Message().Fields().Get(j)
-			if was.Get(field).Equal(is.Get(field)) {
+		sectionField := sections.Get(i)
+		oldSection := before.ProtoReflect().Get(sectionField).Message()
+		newSection := after.ProtoReflect().Get(sectionField).Message()
+		for j := range sectionField.Message().Fields().Len() {
+			field := sectionField.Message().Fields().Get(j)
+			if oldSection.Get(field).Equal(newSection.Get(field)) {
 				continue
 			}
 			changes = append(changes, Change{
-				Section: keyName(part), Key: keyName(field), Reload: settingOf(field).GetReload(),
+				Section: keyName(sectionField), Key: keyName(field), Reload: settingOf(field).GetReload(),
 			})
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// swap replaces one line of a text; the rest stays good.
-func swap(text, old, replacement string) string {
+// replaceOnce replaces the first occurrence of old, which must be present.
+func replaceOnce(text, old, replacement string) string {
 	if !strings.Contains(text, old) {
 		panic("the text has no " + old)
 	}
@@ -105,19 +105,19 @@
 
 func TestFaults(t *testing.T) {
 	entry := func(old, replacement string) error {
-		_, err := ParseEntry("entry.ini", []byte(swap(entryText, old, replacement)))
+		_, err := ParseEntry("entry.ini", []byte(replaceOnce(entryText, old, replacement)))
 		return err
 	}
 	agent := func(old, replacement string) error {
-		_, err := ParseAgent("agent.ini", []byte(swap(agentText, old, replacement)))
+		_, err := ParseAgent("agent.ini", []byte(replaceOnce(agentText, old, replacement)))
 		return err
 	}
 	plans := func(old, replacement string) error {
-		_, err := ParsePlans("plans.ini", []byte(swap(plansText, old, replacement)))
+		_, err := ParsePlans("plans.ini", []byte(replaceOnce(plansText, old, replacement)))
 		return err
 	}
 	uses := func(old, replacement string) error {
-		_, err := ParseUses("uses.ini", []byte(swap(usesText, old, replacement)))
+		_, err := ParseUses("uses.ini", []byte(replaceOnce(usesText, old, replacement)))
 		return err
 	}
 	tests := []struct {
@@ -130,7 +130,7 @@
 		{"host name", entry, "127.0.0.1:8081", "entry-1:8081", `entry.ini:8: [listen] link: "entry-1:8081" is not IP:port`},
 		{"port 0", entry, "127.0.0.1:8081", "127.0.0.1:0", `names no port`},
 		{"any address", entry, "public = 127.0.0.1", "public = 0.0.0.0", `entry.ini:6: [listen] public-name: the key is missing`},
-		{"link at any address", agent, "link = 127.0.0.1", "link = [::]", `agent.ini:4: [listen] link: other processes cannot be told`},
+		{"link at any address", agent, "link = 127.0.0.1", "link = [::]", `agent.ini:4: [listen] link: other processes cannot connect to [::]`},
 		{"unknown key", entry, "vm = entry-1", "vm = entry-1\nname = x", `entry.ini:4: [self] name: unknown key; the section has vm, failure-domain`},
 		{"field's name in place of the key", entry, "failure-domain", "failure_domain", `entry.ini:4: [self] failure_domain: unknown key`},
 		{"unknown section", entry, "[self]", "[selves]", `entry.ini:2: [selves] unknown section`},
@@ -159,7 +159,7 @@
 		{"cold above full", agent, "model = pricing", "model = pricing\ncold-limit = 40", `must not be larger than full-limit (32)`},
 		{"ranks without name", agent, "name = g\n", "", `agent.ini:16: [group] name: the key is missing: ranks need a group`},
 		{"ranks past size", agent, "ranks = 8", "ranks = 8\nfirst-rank = 250", `ranks 250 to 257 do not fit`},
-		{"group of a service", agent, "model = pricing\nadapters = hardware, grocer", "service = labels", `only a model engine can stand in a group`},
+		{"group of a service", agent, "model = pricing\nadapters = hardware, grocer", "service = labels", `only a model engine can be in a group`},
 		{"list twice", agent, "hardware, grocer", "grocer, grocer", `"grocer" stands twice`},
 		{"empty item", agent, "hardware, grocer", "hardware,,grocer", `an item between commas is empty`},
 		{"key in place of hash", plans, "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855", "my-secret-key", `plans.ini:2: [customer north] key-sha256: not a SHA-256`},
@@ -226,16 +226,16 @@
 func checkRoundTrip(t *testing.T, list api.ListName, sections []*api.Section) {
 	t.Helper()
 	text := Format(sections)
-	again, err := Parse(list, "again", text)
+	reparsed, err := Parse(list, "again", text)
 	if err != nil {
 		t.Fatalf("%v in:\n%s", err, text)
 	}
-	if len(again) != len(sections) {
-		t.Fatalf("%d sections, want %d:\n%s", len(again), len(sections), text)
+	if len(reparsed) != len(sections) {
+		t.Fatalf("%d sections, want %d:\n%s", len(reparsed), len(sections), text)
 	}
-	for i := range again {
-		if !proto.Equal(again[i], sections[i]) {
-			t.Fatalf("got %v, want %v", again[i], sections[i])
+	for i := range reparsed {
+		if !proto.Equal(reparsed[i], sections[i]) {
+			t.Fatalf("got %v, want %v", reparsed[i], sections[i])
 		}
 	}
 }
@@ -246,17 +246,17 @@
 		t.Fatal(err)
 	}
 	shown := Redacted(entry).(*api.EntrySettings)
-	if shown.GetListen().GetAdminToken() != Hidden || shown.GetLink().GetKey() != Hidden {
+	if shown.GetListen().GetAdminToken() != RedactedValue || shown.GetLink().GetKey() != RedactedValue {
 		t.Errorf("a secret is shown: %v", shown)
 	}
-	if entry.GetLink().GetKey() == Hidden || shown.GetSelf().GetVm() != "entry-1" {
+	if entry.GetLink().GetKey() == RedactedValue || shown.GetSelf().GetVm() != "entry-1" {
 		t.Error("only the copy's secrets may change")
 	}
 }
 
 func TestChanges(t *testing.T) {
 	before, _ := ParseEntry("entry.ini", []byte(entryText))
-	after, err := ParseEntry("entry.ini", []byte(swap(entryText, "[link]", "[log]\nlevel = debug\n[link]\ndead-ms = 2000")))
+	after, err := ParseEntry("entry.ini", []byte(replaceOnce(entryText, "[link]", "[log]\nlevel = debug\n[link]\ndead-ms = 2000")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,15 +270,15 @@
 func TestCheckTogether(t *testing.T) {
 	plans, _ := ParsePlans("p", []byte(plansText))
 	uses, _ := ParseUses("u", []byte(usesText))
-	if got := CheckTogether(plans, uses); len(got) != 0 {
+	if got := CheckAcrossLists(plans, uses); len(got) != 0 {
 		t.Errorf("got %v", got)
 	}
-	if got := CheckTogether(plans, nil); len(got) != 1 {
+	if got := CheckAcrossLists(plans, nil); len(got) != 1 {
 		t.Errorf("got %v", got)
 	}
 }
 
-// FuzzSettings looks for a text that crashes the parser.
+// FuzzSettings searches for a text that crashes the parser.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(entryText))
 	f.Add([]byte(agentText))
@@ -289,7 +289,7 @@
 	})
 }
 
-// FuzzLists looks for a list that is accepted and does not survive Format.
+// FuzzLists searches for an accepted list that changes when it is formatted and parsed again.
 func FuzzLists(f *testing.F) {
 	f.Add([]byte(plansText))
 	f.Add([]byte(usesText))
@@ -303,7 +303,7 @@
 	})
 }
 
-// BenchmarkParsePlans reads the plans list of the two-year size.
+// BenchmarkParsePlans parses a plans list of the size expected in two years.
 func BenchmarkParsePlans(b *testing.B) {
 	var text strings.Builder
 	for i := range 7300 {
