--- a/internal/admin/show.go
+++ b/internal/admin/diagnostics.go
@@ -23,19 +23,19 @@
 // maxDumpItems bounds one listing in a dump.
 const maxDumpItems = 500
 
-// Listing is the head of a long list in a dump.
-type Listing[T any] struct {
+// TruncatedList is the head of a long list in a dump.
+type TruncatedList[T any] struct {
 	Total int `json:"total"`
 	Shown []T `json:"shown"`
 }
 
-// Head keeps the first items of a list for a dump, and the count of all.
-func Head[T any](items []T) Listing[T] {
-	return Listing[T]{Total: len(items), Shown: items[:min(len(items), maxDumpItems)]}
+// TruncateList keeps the first items of a list for a dump, and the count of all.
+func TruncateList[T any](items []T) TruncatedList[T] {
+	return TruncatedList[T]{Total: len(items), Shown: items[:min(len(items), maxDumpItems)]}
 }
 
-// leftOut stands in a dump for a part that does not fit.
-type leftOut struct {
+// omittedPart stands in a dump for a part that does not fit.
+type omittedPart struct {
 	Bytes  int    `json:"bytes"`
 	Reason string `json:"left_out"`
 }
@@ -47,13 +47,13 @@
 		return
 	}
 	body := make(map[string]json.RawMessage, len(parts))
-	room := maxDumpBytes
+	remaining := maxDumpBytes
 	for _, part := range parts {
 		text := encodePart(part.Value)
-		if len(text) > room {
-			text = encodePart(leftOut{Bytes: len(text), Reason: "the dump would be larger than its bound"})
+		if len(text) > remaining {
+			text = encodePart(omittedPart{Bytes: len(text), Reason: "the dump would be larger than its bound"})
 		}
-		room -= len(text)
+		remaining -= len(text)
 		body[part.Name] = text
 	}
 	writeJSON(w, body)
@@ -62,7 +62,7 @@
 func encodePart(value any) json.RawMessage {
 	text, err := marshalPart(value)
 	if err != nil {
-		text, _ = json.Marshal(leftOut{Reason: err.Error()})
+		text, _ = json.Marshal(omittedPart{Reason: err.Error()})
 	}
 	return text
 }
@@ -79,12 +79,12 @@
 func (h *handler) metrics(w http.ResponseWriter, r *http.Request) {
 	values := map[string]float64{}
 	if status, err := h.process.Status(r.Context()); err == nil {
-		values = gauges(status)
+		values = statusGauges(status)
 	}
-	addProcess(values)
+	addRuntimeGauges(values)
 	// The default registry holds what the packages count that know no process, as the log.
 	for _, registry := range []metrics.Registry{h.process.Metrics(), metrics.DefaultRegistry} {
-		registry.Each(func(name string, metric any) { collect(values, name, metric) })
+		registry.Each(func(name string, metric any) { addMetric(values, name, metric) })
 	}
 	if r.URL.Query().Get("format") == "json" {
 		writeJSON(w, values)
@@ -103,7 +103,7 @@
 	_, _ = w.Write(text.Bytes())
 }
 
-func collect(values map[string]float64, name string, metric any) {
+func addMetric(values map[string]float64, name string, metric any) {
 	switch m := metric.(type) {
 	case metrics.Counter:
 		values[name] = float64(m.Count())
@@ -116,20 +116,20 @@
 		values[name+".rate1m"] = m.Rate1()
 	case metrics.Histogram:
 		s := m.Snapshot()
-		collectDistribution(values, name, s.Count(), s.Mean(), float64(s.Max()), s.Percentiles(quantiles))
+		addDistribution(values, name, s.Count(), s.Mean(), float64(s.Max()), s.Percentiles(quantiles))
 	case metrics.Timer:
 		s := m.Snapshot()
-		collectDistribution(values, name, s.Count(), s.Mean(), float64(s.Max()), s.Percentiles(quantiles))
+		addDistribution(values, name, s.Count(), s.Mean(), float64(s.Max()), s.Percentiles(quantiles))
 	}
 }
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-func collectDistribution(values map[string]float64, name string, count int64, mean, largest float64, at []float64) {
+func addDistribution(values map[string]float64, name string, count int64, mean, maximum float64, percentiles []float64) {
 	values[name+".count"] = float64(count)
 	values[name+".mean"] = mean
-	values[name+".max"] = largest
+	values[name+".max"] = maximum
 	for i, q := range quantiles {
-		values[fmt.Sprintf("%s.p%g", name, q*100)] = at[i]
+		values[fmt.Sprintf("%s.p%g", name, q*100)] = percentiles[i]
 	}
 }
--- a/internal/admin/gauges.go
+++ b/internal/admin/gauges.go
@@ -6,25 +6,25 @@
 	"github.com/apricothub/apricothub/internal/adminapi"
 )
 
-// gauges turns a status into the numbers that alarms watch. docs/METRICS.md lists
+// statusGauges turns a status into the numbers that alarms watch. docs/METRICS.md lists
 // them.
-func gauges(s *adminapi.Status) map[string]float64 {
+func statusGauges(s *adminapi.Status) map[string]float64 {
 	values := map[string]float64{
-		"status.ready":           truth(s.Process.Ready),
-		"status.draining":        truth(s.Process.Draining),
-		"status.isolated":        truth(s.Process.Freshness == "isolated"),
+		"status.ready":           boolGauge(s.Process.Ready),
+		"status.draining":        boolGauge(s.Process.Draining),
+		"status.isolated":        boolGauge(s.Process.Freshness == "isolated"),
 		"status.applied":         float64(s.Process.Applied),
 		"status.evidence.age.ms": float64(s.Process.EvidenceAgeMs),
 		"status.uptime.ms":       float64(s.Process.UptimeMs),
-		"status.log.reachable":   truth(s.Log.Reachable),
+		"status.log.reachable":   boolGauge(s.Log.Reachable),
 		"status.log.down.ms":     float64(s.Log.DownMs),
 		"status.marks.out":       float64(marksOut(s.Marks)),
 	}
-	countMembers(values, s)
-	countBackends(values, s.Backends)
+	addMemberGauges(values, s)
+	addBackendGauges(values, s.Backends)
 	for _, g := range s.Groups {
 		values["status.group."+g.Name+".step"] = float64(g.Step)
-		values["status.group."+g.Name+".still.ms"] = float64(g.StillMs)
+		values["status.group."+g.Name+".still.ms"] = float64(g.StepAgeMs)
 		values["status.group."+g.Name+".skew.ms"] = g.SkewMs
 		values["status.group."+g.Name+".ranks.slow"] = float64(g.SlowRanks)
 		values["status.group."+g.Name+".map"] = float64(g.MapVersion)
@@ -33,7 +33,7 @@
 	return values
 }
 
-func countMembers(values map[string]float64, s *adminapi.Status) {
+func addMemberGauges(values map[string]float64, s *adminapi.Status) {
 	silent, behind := 0, int64(0)
 	for _, m := range s.Members {
 		switch m.Link {
@@ -48,7 +48,7 @@
 	values["status.members.behind"] = float64(behind)
 }
 
-func countBackends(values map[string]float64, backends []adminapi.Backend) {
+func addBackendGauges(values map[string]float64, backends []adminapi.Backend) {
 	var cold, refusing, silent int
 	var running, queued, limit int32
 	for _, b := range backends {
@@ -72,8 +72,8 @@
 	values["status.backends.limit"] = float64(limit)
 }
 
-// addProcess adds what the runtime knows of the process.
-func addProcess(values map[string]float64) {
+// addRuntimeGauges adds what the runtime knows of the process.
+func addRuntimeGauges(values map[string]float64) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	values["process.goroutines"] = float64(runtime.NumGoroutine())
@@ -90,7 +90,7 @@
 	return out
 }
 
-func truth(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -34,25 +34,25 @@
 func Handler(process Process, configuration Configuration, token string) http.Handler {
 	h := &handler{process: process, configuration: configuration}
 	mux := http.NewServeMux()
-	mux.Handle(adminapi.PathStatus, only(http.MethodGet, h.status))
-	mux.Handle(adminapi.PathDump, only(http.MethodGet, h.dump))
-	mux.Handle(adminapi.PathMetrics, only(http.MethodGet, h.metrics))
+	mux.Handle(adminapi.PathStatus, allowMethod(http.MethodGet, h.status))
+	mux.Handle(adminapi.PathDump, allowMethod(http.MethodGet, h.dump))
+	mux.Handle(adminapi.PathMetrics, allowMethod(http.MethodGet, h.metrics))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS))
 	})
 	if configuration == nil {
 		for _, path := range []string{adminapi.PathLists, adminapi.PathChanges, adminapi.PathMarks} {
-			mux.HandleFunc(path, noConfiguration)
+			mux.HandleFunc(path, rejectConfiguration)
 		}
 	} else {
 		mux.HandleFunc(adminapi.PathLists+"{list}", h.lists)
-		mux.Handle(adminapi.PathChanges+"{id}", only(http.MethodGet, h.change))
-		mux.Handle(adminapi.PathMarks, only(http.MethodPost, h.mark))
+		mux.Handle(adminapi.PathChanges+"{id}", allowMethod(http.MethodGet, h.change))
+		mux.Handle(adminapi.PathMarks, allowMethod(http.MethodPost, h.mark))
 	}
-	open := http.NewServeMux()
-	open.Handle(adminapi.PathReady, only(http.MethodGet, h.ready))
-	open.Handle("/", requireToken(token, mux))
-	return open
+	root := http.NewServeMux()
+	root.Handle(adminapi.PathReady, allowMethod(http.MethodGet, h.ready))
+	root.Handle("/", requireToken(token, mux))
+	return root
 }
 
 // Serve serves the admin address until the context ends.
@@ -92,8 +92,8 @@
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		given, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		got := sha256.Sum256([]byte(given))
+		presented, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+		got := sha256.Sum256([]byte(presented))
 		if token == "" || !isBearer || subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 			result.WriteHTTP(w, result.New(api.ResultCode_BAD_TOKEN))
 			return
@@ -102,7 +102,7 @@
 	})
 }
 
-func only(method string, next http.HandlerFunc) http.Handler {
+func allowMethod(method string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
@@ -113,8 +113,8 @@
 	})
 }
 
-// noConfiguration answers for a process that takes no changes.
-func noConfiguration(w http.ResponseWriter, _ *http.Request) {
+// rejectConfiguration answers for a process that takes no changes.
+func rejectConfiguration(w http.ResponseWriter, _ *http.Request) {
 	result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS,
 		"This process takes no lists or marks. Use the admin address of an entry."))
 }
@@ -145,8 +145,8 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// writeFailure answers with an error and what goes with it.
-func writeFailure(w http.ResponseWriter, err error, failure adminapi.Failure) {
+// writeError answers with an error and what goes with it.
+func writeError(w http.ResponseWriter, err error, failure adminapi.Failure) {
 	e := result.FromError(err)
 	failure.Error = e.Detail()
 	e.SetHeader(w.Header())
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -26,22 +26,22 @@
 
 const token = "0123456789abcdef"
 
-// fake is one process with a log in memory: a record is accepted when its base is
+// fakeProcess is one process with a log in memory: a record is accepted when its base is
 // current, and in force when nobody is missing.
-type fake struct {
-	mu        sync.Mutex
-	lists     map[api.ListName]admin.ListInForce
-	changes   map[string]adminapi.Change
-	missing   []string
-	next      int64
-	appendErr error
-	// lost makes Append take effect and still fail.
-	lost    bool
-	appends int
+type fakeProcess struct {
+	mu         sync.Mutex
+	lists      map[api.ListName]admin.ListInForce
+	changes    map[string]adminapi.Change
+	missing    []string
+	nextOffset int64
+	appendErr  error
+	// applyDespiteError makes Append take effect and still fail.
+	applyDespiteError bool
+	appends           int
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeProcess() *fakeProcess {
+	return &fakeProcess{
 		lists: map[api.ListName]admin.ListInForce{
 			api.ListName_LIST_PLANS: {Offset: -1}, api.ListName_LIST_USES: {Offset: -1},
 		},
@@ -49,7 +49,7 @@
 	}
 }
 
-func (f *fake) Status(context.Context) (*adminapi.Status, error) {
+func (f *fakeProcess) Status(context.Context) (*adminapi.Status, error) {
 	return &adminapi.Status{
 		Process: adminapi.Process{VM: "entry-1", Role: "entry"},
 		Members: []adminapi.Member{{Link: "up"}, {Link: "down"}, {Link: "suspect"}, {}},
@@ -57,19 +57,19 @@
 	}, nil
 }
 
-func (f *fake) Dump(context.Context) ([]admin.DumpPart, error) {
+func (f *fakeProcess) Dump(context.Context) ([]admin.DumpPart, error) {
 	secret := &api.EntrySettings{Link: &api.Links{Key: token, HeartbeatMs: 200}}
 	return []admin.DumpPart{
 		{Name: "settings", Value: settings.Redacted(secret)},
 		{Name: "huge", Value: strings.Repeat("x", 9<<20)},
-		{Name: "long", Value: admin.Head(make([]int, 1000))},
+		{Name: "long", Value: admin.TruncateList(make([]int, 1000))},
 		{Name: "broken", Value: func() {}},
 	}, nil
 }
 
-func (f *fake) Ready() error { return result.New(api.ResultCode_STARTING) }
+func (f *fakeProcess) Ready() error { return result.New(api.ResultCode_STARTING) }
 
-func (f *fake) Metrics() metrics.Registry {
+func (f *fakeProcess) Metrics() metrics.Registry {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("requests.ok", r).Inc(12_000_000)
 	h := metrics.GetOrRegisterHistogram("work.us", r, metrics.NewUniformSample(10))
@@ -77,39 +77,39 @@
 	return r
 }
 
-func (f *fake) List(list api.ListName) admin.ListInForce {
+func (f *fakeProcess) List(list api.ListName) admin.ListInForce {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lists[list]
 }
 
-func (f *fake) Mark(target api.MarkTarget, name string) *api.MarkState {
+func (f *fakeProcess) Mark(target api.MarkTarget, name string) *api.MarkState {
 	return &api.MarkState{Target: target, Name: name, Offset: -1}
 }
 
-func (f *fake) Append(_ context.Context, record *api.Record) error {
+func (f *fakeProcess) Append(_ context.Context, record *api.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.appends++
-	if f.appendErr != nil && !f.lost {
+	if f.appendErr != nil && !f.applyDespiteError {
 		return f.appendErr
 	}
-	change := adminapi.Change{ChangeID: record.GetChangeId(), Offset: f.next, State: adminapi.Accepted, Missing: f.missing}
+	change := adminapi.Change{ChangeID: record.GetChangeId(), Offset: f.nextOffset, State: adminapi.Accepted, Missing: f.missing}
 	if len(f.missing) == 0 {
 		change.State = adminapi.InForce
 	}
 	if list := record.GetList(); list != nil {
 		f.lists[list.GetList()] = admin.ListInForce{
-			Offset: f.next, Sections: list.GetSet(),
+			Offset: f.nextOffset, Sections: list.GetSet(),
 			Author: record.GetAuthor(), ChangeID: record.GetChangeId(),
 		}
 	}
 	f.changes[record.GetChangeId()] = change
-	f.next++
+	f.nextOffset++
 	return f.appendErr
 }
 
-func (f *fake) Change(id string) adminapi.Change {
+func (f *fakeProcess) Change(id string) adminapi.Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if change, ok := f.changes[id]; ok {
@@ -118,7 +118,7 @@
 	return adminapi.Change{ChangeID: id, Offset: -1, State: adminapi.Pending}
 }
 
-func serve(t *testing.T, f *fake) (*adminclient.Client, string) {
+func startServer(t *testing.T, f *fakeProcess) (*adminclient.Client, string) {
 	t.Helper()
 	server := httptest.NewServer(admin.Handler(f, f, token))
 	t.Cleanup(server.Close)
@@ -137,7 +137,7 @@
 	return client.Publish(context.Background(), adminapi.ListUses, request, wanted, 100*time.Millisecond)
 }
 
-func code(err error) api.ResultCode {
+func codeOf(err error) api.ResultCode {
 	if err == nil {
 		return api.ResultCode_OK
 	}
@@ -145,8 +145,8 @@
 }
 
 func TestPublishAndFetch(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	change, err := publish(client, "c1", uses, -1, adminapi.InForce)
 	if err != nil || change.State != adminapi.InForce || change.Offset != 0 {
 		t.Fatalf("got %+v, %v", change, err)
@@ -164,9 +164,9 @@
 // An operator's publish is accepted, and the answer is lost. The operator sends it
 // again: the list now stands past the base, by this very change. That must read as
 // success, and must not append a second change.
-func TestPublishAgain(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+func TestRepeatedPublishAppendsOnce(t *testing.T) {
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	for range 2 {
 		if _, err := publish(client, "c1", uses, -1, adminapi.InForce); err != nil {
 			t.Fatal(err)
@@ -180,13 +180,13 @@
 // Two operators edit from the same list. The second must learn which change came
 // first, and nothing of the first may be overwritten.
 func TestConflict(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	if _, err := publish(client, "c1", uses, -1, adminapi.InForce); err != nil {
 		t.Fatal(err)
 	}
 	_, err := publish(client, "c2", "[plan small]\nshare = 1\n", -1, adminapi.InForce)
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || failed.Result.Code != api.ResultCode_CONFLICT {
 		t.Fatalf("got %v", err)
 	}
@@ -198,38 +198,38 @@
 // The log takes the record and its answer is lost. The operator must not be told
 // that nothing was published: only a verdict tells.
 func TestAppendAnswerLost(t *testing.T) {
-	f := newFake()
-	f.lost, f.appendErr = true, result.New(api.ResultCode_NOT_CONFIRMED)
-	client, _ := serve(t, f)
+	f := newFakeProcess()
+	f.applyDespiteError, f.appendErr = true, result.New(api.ResultCode_NOT_CONFIRMED)
+	client, _ := startServer(t, f)
 	if change, err := publish(client, "c1", uses, -1, adminapi.Accepted); err != nil || change.State != adminapi.InForce {
 		t.Errorf("got %+v, %v", change, err)
 	}
 }
 
 func TestPublishFailures(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
-	if _, err := publish(client, "c1", "[plan large]\nshare = many\n", -1, adminapi.Accepted); code(err) != api.ResultCode_BAD_LIST {
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
+	if _, err := publish(client, "c1", "[plan large]\nshare = many\n", -1, adminapi.Accepted); codeOf(err) != api.ResultCode_BAD_LIST {
 		t.Errorf("a list with a fault: %v", err)
 	}
-	if _, err := publish(client, "", uses, -1, adminapi.Accepted); code(err) != api.ResultCode_BAD_REQUEST {
+	if _, err := publish(client, "", uses, -1, adminapi.Accepted); codeOf(err) != api.ResultCode_BAD_REQUEST {
 		t.Errorf("no change_id: %v", err)
 	}
-	if _, err := publish(client, "c1", uses, 7, adminapi.Accepted); code(err) != api.ResultCode_LOG_UNAVAILABLE {
+	if _, err := publish(client, "c1", uses, 7, adminapi.Accepted); codeOf(err) != api.ResultCode_LOG_UNAVAILABLE {
 		t.Errorf("a base that this process has not reached: %v", err)
 	}
 	f.appendErr = result.Refuse(api.ResultCode_LOG_UNAVAILABLE, time.Second)
-	if _, err := publish(client, "c2", uses, -1, adminapi.Accepted); code(err) != api.ResultCode_LOG_UNAVAILABLE {
+	if _, err := publish(client, "c2", uses, -1, adminapi.Accepted); codeOf(err) != api.ResultCode_LOG_UNAVAILABLE {
 		t.Errorf("log down: %v", err)
 	}
 	f.appendErr = result.New(api.ResultCode_NOT_CONFIRMED, "status 503")
-	if _, err := publish(client, "c4", uses, -1, adminapi.Accepted); code(err) != api.ResultCode_NOT_CONFIRMED ||
+	if _, err := publish(client, "c4", uses, -1, adminapi.Accepted); codeOf(err) != api.ResultCode_NOT_CONFIRMED ||
 		!strings.Contains(err.Error(), "log gave no answer: status 503") {
 		t.Errorf("log gives no answer: %v", err)
 	}
 	f.appendErr, f.missing = nil, []string{"vm-7"}
 	_, err := publish(client, "c3", uses, -1, adminapi.InForce)
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || failed.Result.Code != api.ResultCode_NOT_CONFIRMED ||
 		!strings.Contains(failed.Result.Text, "hold it: vm-7.") || failed.Details.Change == nil || strings.Join(failed.Details.Change.Missing, "") != "vm-7" {
 		t.Errorf("one VM lags: %v", err)
@@ -246,43 +246,43 @@
 // A record that every member would refuse is not appended; the operator learns why. But
 // when it is the operator's own record, sent again after its answer was lost, that made
 // the conflict meanwhile, that is no conflict.
-func TestRefusedBeforeTheAppend(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+func TestRefusedBeforeAppend(t *testing.T) {
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	f.appendErr = &config.RefusedError{Reason: "the record takes 9 bytes; at most 8 are accepted"}
-	if _, err := publish(client, "c1", uses, -1, adminapi.Accepted); code(err) != api.ResultCode_BAD_LIST ||
+	if _, err := publish(client, "c1", uses, -1, adminapi.Accepted); codeOf(err) != api.ResultCode_BAD_LIST ||
 		!strings.Contains(err.Error(), "at most 8") {
 		t.Errorf("got %v", err)
 	}
 	f.appendErr = &config.ConflictError{What: "the list", Base: -1, Current: 4}
 	_, err := publish(client, "c2", uses, -1, adminapi.Accepted)
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || failed.Result.Code != api.ResultCode_CONFLICT || failed.Details.Current == nil || *failed.Details.Current != 4 {
 		t.Errorf("got %v", err)
 	}
-	f.lost = true // The fake applies the record and then answers with the conflict.
+	f.applyDespiteError = true // The fake applies the record and then answers with the conflict.
 	if change, err := publish(client, "c3", uses, -1, adminapi.Accepted); err != nil || change.State != adminapi.InForce {
 		t.Errorf("got %+v, %v", change, err)
 	}
 }
 
 func TestMark(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	request := adminapi.MarkRequest{Target: adminapi.TargetDomain, Name: "a", Out: true, Author: "pat", ChangeID: "m1"}
 	change, err := client.Mark(context.Background(), request, adminapi.InForce, time.Second)
 	if err != nil || change.State != adminapi.InForce {
 		t.Fatalf("got %+v, %v", change, err)
 	}
 	request.Target, request.ChangeID = "rack", "m2"
-	if _, err := client.Mark(context.Background(), request, adminapi.InForce, time.Second); code(err) != api.ResultCode_BAD_REQUEST {
+	if _, err := client.Mark(context.Background(), request, adminapi.InForce, time.Second); codeOf(err) != api.ResultCode_BAD_REQUEST {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestTokenAndPaths(t *testing.T) {
-	f := newFake()
-	_, address := serve(t, f)
+	f := newFakeProcess()
+	_, address := startServer(t, f)
 	tests := []struct {
 		method, path, authorization string
 		status                      int
@@ -304,20 +304,20 @@
 	for _, test := range tests {
 		request, _ := http.NewRequest(test.method, address+test.path, nil)
 		request.Header.Set("Authorization", test.authorization)
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer.Body.Close()
-		if answer.StatusCode != test.status || answer.Header.Get(result.Header) == "" {
+		response.Body.Close()
+		if response.StatusCode != test.status || response.Header.Get(result.Header) == "" {
 			t.Errorf("%s %s with %q: %s, result %q", test.method, test.path, test.authorization,
-				answer.Status, answer.Header.Get(result.Header))
+				response.Status, response.Header.Get(result.Header))
 		}
 	}
 }
 
-func TestAgentTakesNoChanges(t *testing.T) {
-	server := httptest.NewServer(admin.Handler(newFake(), nil, token))
+func TestAgentRejectsChanges(t *testing.T) {
+	server := httptest.NewServer(admin.Handler(newFakeProcess(), nil, token))
 	defer server.Close()
 	client, err := adminclient.New(strings.TrimPrefix(server.URL, "http://"), token)
 	if err != nil {
@@ -328,11 +328,11 @@
 	}
 }
 
-func TestBodyIsBounded(t *testing.T) {
-	f := newFake()
-	client, _ := serve(t, f)
+func TestRequestBodyIsLimited(t *testing.T) {
+	f := newFakeProcess()
+	client, _ := startServer(t, f)
 	_, err := publish(client, "c1", strings.Repeat("#", 9<<20), -1, adminapi.Accepted)
-	if code(err) != api.ResultCode_BODY_TOO_LARGE && code(err) != api.ResultCode_UNREACHABLE {
+	if codeOf(err) != api.ResultCode_BODY_TOO_LARGE && codeOf(err) != api.ResultCode_UNREACHABLE {
 		t.Errorf("got %v", err)
 	}
 	if f.appends != 0 {
@@ -340,9 +340,9 @@
 	}
 }
 
-func TestDumpIsBoundedAndHidesSecrets(t *testing.T) {
-	client, _ := serve(t, newFake())
-	text, err := client.Text(context.Background(), adminapi.PathDump)
+func TestDumpIsLimitedAndHidesSecrets(t *testing.T) {
+	client, _ := startServer(t, newFakeProcess())
+	text, err := client.Fetch(context.Background(), adminapi.PathDump)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,8 +364,8 @@
 
 // Every metric of the status stands in the page, which operators' alarms rest on.
 func TestMetrics(t *testing.T) {
-	client, _ := serve(t, newFake())
-	text, err := client.Text(context.Background(), adminapi.PathMetrics)
+	client, _ := startServer(t, newFakeProcess())
+	text, err := client.Fetch(context.Background(), adminapi.PathMetrics)
 	if err != nil || !strings.Contains(string(text), "\nrequests.ok 12000000\n") ||
 		!strings.Contains(string(text), "\nwork.us.count 1\n") || !strings.Contains(string(text), "\nstatus.members.silent 2\n") {
 		t.Errorf("got %s, %v", text, err)
--- a/internal/admin/publish.go
+++ b/internal/admin/publish.go
@@ -30,12 +30,12 @@
 )
 
 func (h *handler) lists(w http.ResponseWriter, r *http.Request) {
-	list := adminapi.ListNamed(r.PathValue("list"))
+	list := adminapi.ParseListName(r.PathValue("list"))
 	switch {
 	case list == api.ListName_LIST_UNSPECIFIED:
 		result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS, "There are two lists: plans and uses."))
 	case r.Method == http.MethodGet:
-		h.fetch(w, list)
+		h.writeList(w, list)
 	case r.Method == http.MethodPost:
 		h.publish(w, r, list)
 	default:
@@ -44,11 +44,11 @@
 	}
 }
 
-func (h *handler) fetch(w http.ResponseWriter, list api.ListName) {
-	in := h.configuration.List(list)
+func (h *handler) writeList(w http.ResponseWriter, list api.ListName) {
+	current := h.configuration.List(list)
 	writeJSON(w, adminapi.List{
-		Offset: in.Offset, Text: string(settings.Format(in.Sections)),
-		Author: in.Author, ChangeID: in.ChangeID,
+		Offset: current.Offset, Text: string(settings.Format(current.Sections)),
+		Author: current.Author, ChangeID: current.ChangeID,
 	})
 }
 
@@ -58,69 +58,69 @@
 		result.WriteHTTP(w, err)
 		return
 	}
-	if err := checkIDs(request.ChangeID, request.Author); err != nil {
+	if err := validateIDs(request.ChangeID, request.Author); err != nil {
 		result.WriteHTTP(w, err)
 		return
 	}
-	sections, err := settings.Parse(list, adminapi.NameOfList(list), []byte(request.Text))
+	sections, err := settings.Parse(list, adminapi.ListName(list), []byte(request.Text))
 	if err != nil {
 		writeBadList(w, err)
 		return
 	}
-	wait, err := readWait(r)
+	wait, err := readWaitOptions(r)
 	if err != nil {
 		result.WriteHTTP(w, err)
 		return
 	}
 	// The same change again, because its answer was lost: its own acceptance
 	// has moved the list past the base, which is no conflict.
-	if known := h.configuration.Change(request.ChangeID); known.State != adminapi.Pending {
-		h.follow(w, r, request.ChangeID, wait, list)
+	if existing := h.configuration.Change(request.ChangeID); existing.State != adminapi.Pending {
+		h.awaitChange(w, r, request.ChangeID, wait, list)
 		return
 	}
-	now, err := h.listAt(r, list, request.Base, wait)
+	current, err := h.awaitBase(r, list, request.Base, wait)
 	if err != nil {
 		result.WriteHTTP(w, err)
 		return
 	}
 	// A list that is in force already needs no change, from whatever base.
-	change := Difference(list, now.Sections, sections)
+	change := Difference(list, current.Sections, sections)
 	if len(change.GetSet()) == 0 && len(change.GetRemoved()) == 0 {
 		writeJSON(w, adminapi.Change{
-			ChangeID: request.ChangeID, Offset: now.Offset,
+			ChangeID: request.ChangeID, Offset: current.Offset,
 			State: adminapi.Unchanged, Missing: []string{},
 		})
 		return
 	}
-	if now.Offset != request.Base && h.decided(request.ChangeID) {
-		h.follow(w, r, request.ChangeID, wait, list)
+	if current.Offset != request.Base && h.hasVerdict(request.ChangeID) {
+		h.awaitChange(w, r, request.ChangeID, wait, list)
 		return
 	}
-	if now.Offset != request.Base {
-		writeConflict(w, now)
+	if current.Offset != request.Base {
+		writeBaseConflict(w, current)
 		return
 	}
 	change.Base = request.Base
 	record := newRecord(request.ChangeID, request.Author)
 	record.Body = &api.Record_List{List: change}
-	h.append(w, r, record, wait, list)
+	h.appendRecord(w, r, record, wait, list)
 }
 
-// listAt returns the list in force, once this process has come as far as the base
+// awaitBase returns the list in force, once this process has come as far as the base
 // that an operator read from another one.
-func (h *handler) listAt(r *http.Request, list api.ListName, base int64, wait waiting) (ListInForce, error) {
+func (h *handler) awaitBase(r *http.Request, list api.ListName, base int64, wait waitOptions) (ListInForce, error) {
 	deadline := time.After(wait.timeout)
 	for {
-		now := h.configuration.List(list)
-		if now.Offset >= base {
-			return now, nil
+		current := h.configuration.List(list)
+		if current.Offset >= base {
+			return current, nil
 		}
 		select {
 		case <-deadline:
-			return now, result.Refuse(api.ResultCode_LOG_UNAVAILABLE, time.Second,
+			return current, result.Refuse(api.ResultCode_LOG_UNAVAILABLE, time.Second,
 				"This process has not applied offset", strconv.FormatInt(base, 10), "yet. Try another entry.")
 		case <-r.Context().Done():
-			return now, result.New(api.ResultCode_LOG_UNAVAILABLE)
+			return current, result.New(api.ResultCode_LOG_UNAVAILABLE)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -130,14 +130,14 @@
 // to the caller.
 func Difference(list api.ListName, before, after []*api.Section) *api.ListChange {
 	change := &api.ListChange{List: list}
-	old := make(map[string]*api.Section, len(before))
+	oldByName := make(map[string]*api.Section, len(before))
 	for _, s := range before {
-		old[s.GetName()] = s
+		oldByName[s.GetName()] = s
 	}
 	kept := make(map[string]bool, len(after))
 	for _, s := range after {
 		kept[s.GetName()] = true
-		if !proto.Equal(old[s.GetName()], s) {
+		if !proto.Equal(oldByName[s.GetName()], s) {
 			change.Set = append(change.Set, s)
 		}
 	}
@@ -153,14 +153,14 @@
 	return &api.Record{ChangeId: changeID, Author: author, PublishedMs: time.Now().UnixMilli()}
 }
 
-// append puts a record into the log and answers how far it came.
-func (h *handler) append(w http.ResponseWriter, r *http.Request, record *api.Record, wait waiting, list api.ListName) {
+// appendRecord puts a record into the log and answers how far it came.
+func (h *handler) appendRecord(w http.ResponseWriter, r *http.Request, record *api.Record, wait waitOptions, list api.ListName) {
 	err := h.configuration.Append(r.Context(), record)
-	if refusedBefore(err) && !h.decided(record.GetChangeId()) {
-		h.refuse(w, record.GetChangeId(), err, list)
+	if refusedBeforeAppend(err) && !h.hasVerdict(record.GetChangeId()) {
+		h.writeRefusal(w, record.GetChangeId(), err, list)
 		return
 	}
-	if err != nil && !refusedBefore(err) && result.FromError(err).Ran != api.Ran_RAN_UNKNOWN {
+	if err != nil && !refusedBeforeAppend(err) && result.FromError(err).Ran != api.Ran_RAN_UNKNOWN {
 		result.WriteHTTP(w, err)
 		return
 	}
@@ -169,97 +169,97 @@
 		wait.state = adminapi.Accepted
 	}
 	wait.appendErr = err
-	h.follow(w, r, record.GetChangeId(), wait, list)
+	h.awaitChange(w, r, record.GetChangeId(), wait, list)
 }
 
-// decided says that a record with the change id was applied here. It is looked at last
+// hasVerdict says that a record with the change id was applied here. It is looked at last
 // before a conflict is answered: the record that an operator sends again, because its
 // answer was lost, may have been applied since the request came, and made the conflict.
-func (h *handler) decided(changeID string) bool {
+func (h *handler) hasVerdict(changeID string) bool {
 	return h.configuration.Change(changeID).State != adminapi.Pending
 }
 
-// refusedBefore says that a record was not appended, since every member would have
+// refusedBeforeAppend says that a record was not appended, since every member would have
 // refused it.
-func refusedBefore(err error) bool {
+func refusedBeforeAppend(err error) bool {
 	var conflict *config.ConflictError
 	var refused *config.RefusedError
 	return errors.As(err, &conflict) || errors.As(err, &refused)
 }
 
-// refuse answers for a record that was not appended.
-func (h *handler) refuse(w http.ResponseWriter, changeID string, err error, list api.ListName) {
+// writeRefusal answers for a record that was not appended.
+func (h *handler) writeRefusal(w http.ResponseWriter, changeID string, err error, list api.ListName) {
 	var conflict *config.ConflictError
 	if !errors.As(err, &conflict) {
-		writeFailure(w, result.New(api.ResultCode_BAD_LIST, err.Error()), adminapi.Failure{})
+		writeError(w, result.New(api.ResultCode_BAD_LIST, err.Error()), adminapi.Failure{})
 		return
 	}
 	change := adminapi.Change{
 		ChangeID: changeID, Offset: -1, State: adminapi.Refused, Missing: []string{},
 		Verdict: &adminapi.Verdict{Offset: -1, Current: conflict.Current},
 	}
-	h.conflict(w, change, list)
+	h.writeChangeConflict(w, change, list)
 }
 
-// follow waits for a change and answers how far it came. list is unspecified for
+// awaitChange waits for a change and answers how far it came. list is unspecified for
 // a mark.
-func (h *handler) follow(w http.ResponseWriter, r *http.Request, id string, wait waiting, list api.ListName) {
+func (h *handler) awaitChange(w http.ResponseWriter, r *http.Request, id string, wait waitOptions, list api.ListName) {
 	done := r.Context().Done()
 	deadline := time.Now().Add(wait.timeout)
 	change := h.configuration.Change(id)
 	for !change.State.Reached(wait.state) && time.Now().Before(deadline) {
-		if !pause(done) {
+		if !awaitPollInterval(done) {
 			return
 		}
 		change = h.configuration.Change(id)
 	}
-	h.answer(w, change, wait, list)
+	h.writeChange(w, change, wait, list)
 }
 
-func (h *handler) answer(w http.ResponseWriter, change adminapi.Change, wait waiting, list api.ListName) {
+func (h *handler) writeChange(w http.ResponseWriter, change adminapi.Change, wait waitOptions, list api.ListName) {
 	if change.Missing == nil {
 		change.Missing = []string{}
 	}
-	if more := len(change.Missing) - maxMissing; more > 0 {
-		change.Missing, change.MissingMore = change.Missing[:maxMissing], more
+	if omitted := len(change.Missing) - maxMissing; omitted > 0 {
+		change.Missing, change.MissingMore = change.Missing[:maxMissing], omitted
 	}
 	switch {
 	case change.State == adminapi.Refused && change.Verdict != nil && change.Verdict.Reason != "":
-		writeFailure(w, result.New(api.ResultCode_BAD_LIST, change.Verdict.Reason), adminapi.Failure{Change: &change})
+		writeError(w, result.New(api.ResultCode_BAD_LIST, change.Verdict.Reason), adminapi.Failure{Change: &change})
 	case change.State == adminapi.Refused:
-		h.conflict(w, change, list)
+		h.writeChangeConflict(w, change, list)
 	case !change.State.Reached(wait.state):
-		writeFailure(w, notConfirmed(change, wait), adminapi.Failure{Change: &change})
+		writeError(w, notConfirmed(change, wait), adminapi.Failure{Change: &change})
 	default:
 		writeJSON(w, change)
 	}
 }
 
-func notConfirmed(change adminapi.Change, wait waiting) *result.Error {
+func notConfirmed(change adminapi.Change, wait waitOptions) *result.Error {
 	text := fmt.Sprintf("After %s the change is %s, not %s.", wait.timeout, change.State, wait.state)
 	if wait.appendErr != nil && change.State == adminapi.Pending {
 		text += " The platform's log gave no answer: " + result.FromError(wait.appendErr).Text + "."
 	}
 	if len(change.Missing) > 0 {
-		text += " These have not shown that they hold it: " + change.Named() + "."
+		text += " These have not shown that they hold it: " + change.MissingSummary() + "."
 	}
 	return result.New(api.ResultCode_NOT_CONFIRMED, text)
 }
 
-func (h *handler) conflict(w http.ResponseWriter, change adminapi.Change, list api.ListName) {
+func (h *handler) writeChangeConflict(w http.ResponseWriter, change adminapi.Change, list api.ListName) {
 	failure := adminapi.Failure{Change: &change}
 	if change.Verdict != nil {
 		failure.Current = &change.Verdict.Current
 	}
-	if now := h.configuration.List(list); failure.Current != nil && now.Offset == *failure.Current {
-		failure.Author, failure.ChangeID = now.Author, now.ChangeID
+	if current := h.configuration.List(list); failure.Current != nil && current.Offset == *failure.Current {
+		failure.Author, failure.ChangeID = current.Author, current.ChangeID
 	}
-	writeFailure(w, result.New(api.ResultCode_CONFLICT), failure)
+	writeError(w, result.New(api.ResultCode_CONFLICT), failure)
 }
 
-func writeConflict(w http.ResponseWriter, now ListInForce) {
-	writeFailure(w, result.New(api.ResultCode_CONFLICT),
-		adminapi.Failure{Current: &now.Offset, Author: now.Author, ChangeID: now.ChangeID})
+func writeBaseConflict(w http.ResponseWriter, current ListInForce) {
+	writeError(w, result.New(api.ResultCode_CONFLICT),
+		adminapi.Failure{Current: &current.Offset, Author: current.Author, ChangeID: current.ChangeID})
 }
 
 func writeBadList(w http.ResponseWriter, err error) {
@@ -270,29 +270,29 @@
 			failure.Faults = append(failure.Faults, fault.String())
 		}
 	}
-	writeFailure(w, result.New(api.ResultCode_BAD_LIST), failure)
+	writeError(w, result.New(api.ResultCode_BAD_LIST), failure)
 }
 
 func (h *handler) change(w http.ResponseWriter, r *http.Request) {
-	wait, err := readWait(r)
+	wait, err := readWaitOptions(r)
 	if err != nil {
 		result.WriteHTTP(w, err)
 		return
 	}
-	h.follow(w, r, r.PathValue("id"), wait, api.ListName_LIST_UNSPECIFIED)
+	h.awaitChange(w, r, r.PathValue("id"), wait, api.ListName_LIST_UNSPECIFIED)
 }
 
-// waiting says how far a request wants to see its change come.
-type waiting struct {
+// waitOptions says how far a request wants to see its change come.
+type waitOptions struct {
 	state   adminapi.State
 	timeout time.Duration
 	// appendErr is why it is not known whether the record was appended, if so.
 	appendErr error
 }
 
-func readWait(r *http.Request) (waiting, error) {
+func readWaitOptions(r *http.Request) (waitOptions, error) {
 	query := r.URL.Query()
-	wait := waiting{state: adminapi.Pending, timeout: defaultWait}
+	wait := waitOptions{state: adminapi.Pending, timeout: defaultWait}
 	switch state := adminapi.State(query.Get("wait")); state {
 	case "":
 	case adminapi.Accepted, adminapi.InForce:
@@ -310,7 +310,7 @@
 	return wait, nil
 }
 
-func checkIDs(changeID, author string) error {
+func validateIDs(changeID, author string) error {
 	if changeID == "" || len(changeID) > maxIDBytes || author == "" || len(author) > maxIDBytes {
 		return result.Newf(api.ResultCode_BAD_REQUEST, "change_id and author are needed, of at most %d bytes.", maxIDBytes)
 	}
@@ -333,8 +333,8 @@
 	return result.New(api.ResultCode_BAD_REQUEST, err.Error())
 }
 
-// pause waits between two looks at a change; false when the client has gone.
-func pause(done <-chan struct{}) bool {
+// awaitPollInterval waits between two looks at a change; false when the client has gone.
+func awaitPollInterval(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return false
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -38,8 +38,8 @@
 	TargetVM     = "vm"
 )
 
-// ListNamed gives the list of a name; LIST_UNSPECIFIED for none.
-func ListNamed(name string) api.ListName {
+// ParseListName gives the list of a name; LIST_UNSPECIFIED for none.
+func ParseListName(name string) api.ListName {
 	switch name {
 	case ListPlans:
 		return api.ListName_LIST_PLANS
@@ -49,8 +49,8 @@
 	return api.ListName_LIST_UNSPECIFIED
 }
 
-// NameOfList is the inverse of [ListNamed].
-func NameOfList(list api.ListName) string {
+// ListName is the inverse of [ParseListName].
+func ListName(list api.ListName) string {
 	switch list {
 	case api.ListName_LIST_PLANS:
 		return ListPlans
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// TargetNamed gives the kind of a mark; TARGET_UNSPECIFIED for none.
-func TargetNamed(name string) api.MarkTarget {
+// ParseTarget gives the kind of a mark; TARGET_UNSPECIFIED for none.
+func ParseTarget(name string) api.MarkTarget {
 	switch name {
 	case TargetDomain:
 		return api.MarkTarget_TARGET_DOMAIN
@@ -71,8 +71,8 @@
 	return api.MarkTarget_TARGET_UNSPECIFIED
 }
 
-// NameOfTarget is the inverse of [TargetNamed].
-func NameOfTarget(target api.MarkTarget) string {
+// TargetName is the inverse of [ParseTarget].
+func TargetName(target api.MarkTarget) string {
 	switch target {
 	case api.MarkTarget_TARGET_DOMAIN:
 		return TargetDomain
@@ -135,11 +135,11 @@
 	InForce State = "in_force"
 )
 
-// rank orders the states that a change passes.
-var rank = map[State]int{Pending: 0, Accepted: 1, InForce: 2, Unchanged: 3, Refused: 3}
+// stateOrder orders the states that a change passes.
+var stateOrder = map[State]int{Pending: 0, Accepted: 1, InForce: 2, Unchanged: 3, Refused: 3}
 
 // Reached says that a change in state s needs no more waiting for the wanted one.
-func (s State) Reached(wanted State) bool { return rank[s] >= rank[wanted] }
+func (s State) Reached(wanted State) bool { return stateOrder[s] >= stateOrder[wanted] }
 
 // Change is the answer about a change: how far it has come.
 type Change struct {
@@ -154,8 +154,8 @@
 	Verdict     *Verdict `json:"verdict,omitempty"`
 }
 
-// Named names the VMs that have not shown that they applied the change, for a text.
-func (c *Change) Named() string {
+// MissingSummary names the VMs that have not shown that they applied the change, for a text.
+func (c *Change) MissingSummary() string {
 	text := strings.Join(c.Missing, ", ")
 	if c.MissingMore > 0 {
 		text += fmt.Sprintf(" and %d more", c.MissingMore)
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -110,8 +110,8 @@
 	MapVersion  uint64 `json:"map_version"`
 	// Step is the newest step that all ranks have finished.
 	Step uint64 `json:"step"`
-	// StillMs is the time since that changed, as the process that answers saw it.
-	StillMs int64 `json:"still_ms"`
+	// StepAgeMs is the time since that changed, as the process that answers saw it.
+	StepAgeMs int64 `json:"still_ms"`
 	// SkewMs is the time between the first and the last rank in a step.
 	SkewMs float64 `json:"skew_ms"`
 	// Agents counts those of the group that answer, of AgentsAll.
@@ -127,31 +127,31 @@
 type SlowRank struct {
 	Rank int    `json:"rank"`
 	VM   string `json:"vm"`
-	// Pace is its time for a token over the usual one of the group.
-	Pace float64 `json:"pace"`
+	// Slowdown is its time for a token over the usual one of the group.
+	Slowdown float64 `json:"pace"`
 }
 
-// GroupOf is how a coordinator's report of its group is shown.
-func GroupOf(name, coordinator string, g *api.GroupStatus) Group {
+// GroupFromStatus is how a coordinator's report of its group is shown.
+func GroupFromStatus(name, coordinator string, g *api.GroupStatus) Group {
 	group := Group{
 		Name:        name,
 		Coordinator: coordinator,
 		Ballot:      g.GetBallot(),
 		MapVersion:  g.GetMapVersion(),
 		Step:        g.GetStep(),
-		SkewMs:      float64(g.GetSkewUs()) / microsInMilli,
+		SkewMs:      float64(g.GetSkewUs()) / microsPerMilli,
 		Agents:      int(g.GetAgents()),
 		AgentsAll:   int(g.GetAgentsAll()),
 		SlowRanks:   int(g.GetSlowRanks()),
 	}
 	if slowest := g.GetSlowest(); slowest != nil {
-		group.Slowest = &SlowRank{Rank: int(slowest.GetRank()), VM: slowest.GetVm(), Pace: slowest.GetPace()}
+		group.Slowest = &SlowRank{Rank: int(slowest.GetRank()), VM: slowest.GetVm(), Slowdown: slowest.GetPace()}
 	}
 	return group
 }
 
-// BackendOf is how a report of a backend server is shown.
-func BackendOf(vm, failureDomain string, s *api.BackendStatus) Backend {
+// BackendFromStatus is how a report of a backend server is shown.
+func BackendFromStatus(vm, failureDomain string, s *api.BackendStatus) Backend {
 	b := Backend{
 		VM:            vm,
 		FailureDomain: failureDomain,
@@ -165,7 +165,7 @@
 		Queued:        s.GetQueued(),
 		Cold:          s.GetCold(),
 		Silent:        s.GetSilent(),
-		WorkMs:        float64(s.GetWorkUs()) / microsInMilli,
+		WorkMs:        float64(s.GetWorkUs()) / microsPerMilli,
 		Group:         s.GetGroup(),
 	}
 	if s.GetRefusing() != api.ResultCode_OK {
@@ -174,4 +174,4 @@
 	return b
 }
 
-const microsInMilli = 1000
+const microsPerMilli = 1000
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// maxAnswerBytes bounds what is read of an answer; a dump has at most 8 MiB.
-	maxAnswerBytes = 32 << 20
-	// margin is added to the time that the server may wait.
-	margin = 10 * time.Second
+	// maxResponseBytes bounds what is read of an answer; a dump has at most 8 MiB.
+	maxResponseBytes = 32 << 20
+	// responseMargin is added to the time that the server may wait.
+	responseMargin = 10 * time.Second
 )
 
 // Client talks to one process.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL    string
+	token      string
+	httpClient *http.Client
 }
 
 // New makes a client for an admin address, IP:port.
@@ -40,8 +40,8 @@
 		return nil, result.Newf(api.ResultCode_BAD_REQUEST, "%q is not an admin address, IP:port.", address)
 	}
 	return &Client{
-		base: "http://" + address, token: token,
-		http: &http.Client{
+		baseURL: "http://" + address, token: token,
+		httpClient: &http.Client{
 			// No proxy of the environment: the token goes to this address only.
 			Transport:     &http.Transport{DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -49,17 +49,17 @@
 	}, nil
 }
 
-// Failed is an answer that is an error, with what the process says about it.
-type Failed struct {
+// ResponseError is an answer that is an error, with what the process says about it.
+type ResponseError struct {
 	Result  *result.Error
 	Details adminapi.Failure
 }
 
 // Error gives the result.
-func (f *Failed) Error() string { return f.Result.Error() }
+func (f *ResponseError) Error() string { return f.Result.Error() }
 
 // Unwrap gives the result to errors.As.
-func (f *Failed) Unwrap() error { return f.Result }
+func (f *ResponseError) Unwrap() error { return f.Result }
 
 // List fetches a list as in force; list is plans or uses.
 func (c *Client) List(ctx context.Context, list string) (*adminapi.List, error) {
@@ -88,13 +88,13 @@
 	return c.change(ctx, http.MethodGet, adminapi.PathChanges+url.PathEscape(id), nil, wanted, timeout)
 }
 
-// Text fetches a path as it is: the dump, metrics or readiness.
-func (c *Client) Text(ctx context.Context, path string) ([]byte, error) {
+// Fetch fetches a path as it is: the dump, metrics or readiness.
+func (c *Client) Fetch(ctx context.Context, path string) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, path, nil)
 }
 
 func (c *Client) change(ctx context.Context, method, path string, body any, wanted adminapi.State, timeout time.Duration) (*adminapi.Change, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout+margin)
+	ctx, cancel := context.WithTimeout(ctx, timeout+responseMargin)
 	defer cancel()
 	query := url.Values{}
 	query.Set("wait", string(wanted))
@@ -123,42 +123,42 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body any) ([]byte, error) {
-	var content io.Reader
+	var bodyReader io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode request")
 		}
-		content = bytes.NewReader(text)
+		bodyReader = bytes.NewReader(text)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bodyReader)
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
-	answer, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
-		return nil, result.Newf(api.ResultCode_UNREACHABLE, "No answer from %s: %v.", c.base, errors.Unwrap(err))
+		return nil, result.Newf(api.ResultCode_UNREACHABLE, "No answer from %s: %v.", c.baseURL, errors.Unwrap(err))
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, result.Newf(api.ResultCode_UNREACHABLE, "The answer of %s broke off: %v.", c.base, err)
+		return nil, result.Newf(api.ResultCode_UNREACHABLE, "The answer of %s broke off: %v.", c.baseURL, err)
 	}
-	return text, failureOf(answer, text)
+	return text, errorFromResponse(response, text)
 }
 
-// failureOf turns an answer that is an error into one.
-func failureOf(answer *http.Response, text []byte) error {
-	answer.Body = io.NopCloser(bytes.NewReader(text))
-	e := result.ReadHTTP(answer)
-	if e == nil && answer.StatusCode == http.StatusOK {
+// errorFromResponse turns an answer that is an error into one.
+func errorFromResponse(response *http.Response, text []byte) error {
+	response.Body = io.NopCloser(bytes.NewReader(text))
+	e := result.ReadHTTP(response)
+	if e == nil && response.StatusCode == http.StatusOK {
 		return nil
 	}
 	if e == nil {
-		return result.New(api.ResultCode_UNREACHABLE, fmt.Sprintf("The answer is not one of apricothub: %s.", answer.Status))
+		return result.New(api.ResultCode_UNREACHABLE, fmt.Sprintf("The answer is not one of apricothub: %s.", response.Status))
 	}
-	failed := &Failed{Result: e}
-	_ = json.Unmarshal(text, &failed.Details)
-	return failed
+	responseErr := &ResponseError{Result: e}
+	_ = json.Unmarshal(text, &responseErr.Details)
+	return responseErr
 }
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -27,7 +27,7 @@
 func (p adminProcess) Status(context.Context) (*adminapi.Status, error) {
 	status := p.agent.node.AdminStatus()
 	s := p.agent.executor.status(clock.Now())
-	own := adminapi.BackendOf(p.agent.self.GetVm(), p.agent.self.GetFailureDomain(), s)
+	own := adminapi.BackendFromStatus(p.agent.self.GetVm(), p.agent.self.GetFailureDomain(), s)
 	status.Backends = []adminapi.Backend{own}
 	return status, nil
 }
@@ -37,7 +37,7 @@
 	Running, Waiting, Answers, Undelivered int
 	AnswerBytes                            int64
 	Tickets                                ticket.Stats
-	Jobs                                   admin.Listing[jobState]
+	Jobs                                   admin.TruncatedList[jobState]
 }
 
 type jobState struct {
@@ -81,7 +81,7 @@
 		Undelivered: e.answers.Undelivered(),
 		AnswerBytes: e.answers.Bytes(),
 		Tickets:     e.ledger.Stats(),
-		Jobs:        admin.Head(jobs),
+		Jobs:        admin.TruncateList(jobs),
 	}
 }
 
--- a/internal/command/check/check.go
+++ b/internal/command/check/check.go
@@ -31,7 +31,7 @@
 // Command makes the command.
 func Command() *cli.Command {
 	a := &arguments{}
-	sub := cli.New("check", "Check settings and lists; nothing is sent anywhere.",
+	sub := cli.NewSubcommand("check", "Check settings and lists; nothing is sent anywhere.",
 		"apricothub check --entry entry.ini --plans plans.ini --uses uses.ini\n"+
 			"printf %s \"$KEY\" | apricothub check --hash-key")
 	sub.StringSlice(&a.entries, "e", "entry", "Settings of an entry; may be given more than once.")
@@ -39,18 +39,18 @@
 	sub.String(&a.plans, "p", "plans", "The list of customers and their plans.")
 	sub.String(&a.uses, "u", "uses", "The list of what each plan may use.")
 	sub.Bool(&a.hashKey, "k", "hash-key", "Read a customer's key from standard input and print the hash for the list.")
-	return &cli.Command{Sub: sub, Run: func(_ context.Context, out, notes io.Writer) error {
+	return &cli.Command{Sub: sub, Run: func(_ context.Context, out, errOut io.Writer) error {
 		if a.hashKey {
-			return printHash(os.Stdin, out)
+			return printKeyHash(os.Stdin, out)
 		}
-		return a.check(out, notes)
+		return a.check(out, errOut)
 	}}
 }
 
-func (a *arguments) check(out, notes io.Writer) error {
+func (a *arguments) check(out, errOut io.Writer) error {
 	var faults settings.Faults
 	checked := 0
-	take := func(path string, err error) error {
+	collectFaults := func(path string, err error) error {
 		var found settings.Faults
 		if err != nil && !errors.As(err, &found) {
 			return err
@@ -64,37 +64,37 @@
 	}
 	for _, path := range a.entries {
 		_, err := settings.LoadEntry(path)
-		if err := take(path, err); err != nil {
+		if err := collectFaults(path, err); err != nil {
 			return err
 		}
 	}
 	for _, path := range a.agents {
 		_, err := settings.LoadAgent(path)
-		if err := take(path, err); err != nil {
+		if err := collectFaults(path, err); err != nil {
 			return err
 		}
 	}
 	plans, err := loadList(api.ListName_LIST_PLANS, a.plans)
 	if a.plans != "" {
-		if err := take(a.plans, err); err != nil {
+		if err := collectFaults(a.plans, err); err != nil {
 			return err
 		}
 	}
 	uses, err := loadList(api.ListName_LIST_USES, a.uses)
 	if a.uses != "" {
-		if err := take(a.uses, err); err != nil {
+		if err := collectFaults(a.uses, err); err != nil {
 			return err
 		}
 	}
 	if checked == 0 {
-		return cli.Usage("Name a file to check: --entry, --agent, --plans or --uses.")
+		return cli.UsageErrorf("Name a file to check: --entry, --agent, --plans or --uses.")
 	}
 	if len(faults) > 0 {
 		return faults
 	}
 	if a.plans != "" && a.uses != "" {
 		for _, warning := range settings.CheckTogether(plans, uses) {
-			fmt.Fprintln(notes, "warning:", warning)
+			fmt.Fprintln(errOut, "warning:", warning)
 		}
 	}
 	return nil
@@ -114,14 +114,14 @@
 // maxKeyBytes bounds a customer's key.
 const maxKeyBytes = 4096
 
-func printHash(in io.Reader, out io.Writer) error {
+func printKeyHash(in io.Reader, out io.Writer) error {
 	line, err := bufio.NewReader(io.LimitReader(in, maxKeyBytes+1)).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
 		return errors.Wrap(err, "read the key")
 	}
 	key := strings.TrimRight(line, "\r\n")
 	if key == "" || len(key) > maxKeyBytes {
-		return cli.Usage("Give one key, of at most %d bytes, on standard input.", maxKeyBytes)
+		return cli.UsageErrorf("Give one key, of at most %d bytes, on standard input.", maxKeyBytes)
 	}
 	hash := sha256.Sum256([]byte(key))
 	_, err = fmt.Fprintln(out, hex.EncodeToString(hash[:]))
--- a/internal/command/cli/cli.go
+++ b/internal/command/cli/cli.go
@@ -39,11 +39,11 @@
 	Sub *flaggy.Subcommand
 	// Run does the work once the arguments are parsed. It writes to out what the
 	// user asked for, and to notes what else the user should know.
-	Run func(ctx context.Context, out, notes io.Writer) error
+	Run func(ctx context.Context, out, errOut io.Writer) error
 }
 
-// New makes a subcommand. The help ends with the example.
-func New(name, description, example string) *flaggy.Subcommand {
+// NewSubcommand makes a subcommand. The help ends with the example.
+func NewSubcommand(name, description, example string) *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand(name)
 	sub.Description = description
 	sub.AdditionalHelpAppend = "\n  Example:\n    " + strings.ReplaceAll(example, "\n", "\n    ")
@@ -52,35 +52,35 @@
 
 // Main parses the arguments, runs the command they name and returns the exit
 // status. The parser itself ends the program after --help or a wrong flag.
-func Main(ctx context.Context, parser *flaggy.Parser, commands []*Command, args []string, out, notes io.Writer) int {
+func Main(ctx context.Context, parser *flaggy.Parser, commands []*Command, args []string, out, errOut io.Writer) int {
 	for _, c := range commands {
 		parser.AttachSubcommand(c.Sub, 1)
 	}
 	if err := parser.ParseArgs(args); err != nil {
-		fmt.Fprintln(notes, "apricothub:", err)
+		fmt.Fprintln(errOut, "apricothub:", err)
 		return ExitUsage
 	}
 	for _, c := range commands {
 		if c.Sub.Used {
-			return finish(c.Run(ctx, out, notes), notes)
+			return reportError(c.Run(ctx, out, errOut), errOut)
 		}
 	}
 	parser.ShowHelpWithMessage("Name a subcommand.")
 	return ExitUsage
 }
 
-// finish reports an error and gives its exit status.
-func finish(err error, notes io.Writer) int {
+// reportError reports an error and gives its exit status.
+func reportError(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(notes, "apricothub:", err)
-	return Exit(err)
+	fmt.Fprintln(errOut, "apricothub:", err)
+	return ExitStatus(err)
 }
 
-// Exit gives the exit status of an error: by its result code, ExitUsage for a
+// ExitStatus gives the exit status of an error: by its result code, ExitUsage for a
 // file with faults, otherwise 1.
-func Exit(err error) int {
+func ExitStatus(err error) int {
 	var faults settings.Faults
 	if errors.As(err, &faults) {
 		return ExitUsage
@@ -92,8 +92,8 @@
 	return exitError
 }
 
-// Usage makes an error about the arguments.
-func Usage(format string, args ...any) error {
+// UsageErrorf makes an error about the arguments.
+func UsageErrorf(format string, args ...any) error {
 	return &usageError{result: result.Newf(api.ResultCode_BAD_LIST, format, args...)}
 }
 
@@ -110,29 +110,29 @@
 	token   string
 }
 
-// Flags adds the flags to a subcommand.
-func (r *Remote) Flags(sub *flaggy.Subcommand) {
+// AddFlags adds the flags to a subcommand.
+func (r *Remote) AddFlags(sub *flaggy.Subcommand) {
 	sub.String(&r.address, "a", "admin", "Admin address of any entry, IP:port; or "+envAddress+".")
 	sub.String(&r.token, "t", "token", "Operators' token; better in "+envToken+", where other users do not see it.")
 }
 
 // Client makes the client that the flags or the environment describe.
 func (r *Remote) Client() (*adminclient.Client, error) {
-	address, token := orEnv(r.address, envAddress), orEnv(r.token, envToken)
+	address, token := valueOrEnv(r.address, envAddress), valueOrEnv(r.token, envToken)
 	if address == "" {
-		return nil, Usage("Name an admin address: -a IP:port, or %s.", envAddress)
+		return nil, UsageErrorf("Name an admin address: -a IP:port, or %s.", envAddress)
 	}
 	if token == "" {
-		return nil, Usage("Give the operators' token: %s, or -t.", envToken)
+		return nil, UsageErrorf("Give the operators' token: %s, or -t.", envToken)
 	}
 	client, err := adminclient.New(address, token)
 	if err != nil {
-		return nil, Usage("%s", result.FromError(err).Text)
+		return nil, UsageErrorf("%s", result.FromError(err).Text)
 	}
 	return client, nil
 }
 
-func orEnv(value, name string) string {
+func valueOrEnv(value, name string) string {
 	if value != "" {
 		return value
 	}
@@ -140,9 +140,9 @@
 }
 
 // Author names who gives a command, for status and conflict messages.
-func Author(given string) string {
-	if given != "" {
-		return given
+func Author(name string) string {
+	if name != "" {
+		return name
 	}
 	host, _ := os.Hostname()
 	user := os.Getenv("USER")
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -30,18 +30,18 @@
 
 const uses = "[plan large]\nshare = 3\n"
 
-// process answers as a process would. Each answer is by "METHOD path".
-type process struct {
-	answers map[string]any
-	// posted is the newest body sent.
-	posted []byte
+// fakeProcess answers as a fakeProcess would. Each answer is by "METHOD path".
+type fakeProcess struct {
+	responses map[string]any
+	// lastPosted is the newest body sent.
+	lastPosted []byte
 }
 
-func (p *process) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakeProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		p.posted, _ = io.ReadAll(r.Body)
+		p.lastPosted, _ = io.ReadAll(r.Body)
 	}
-	switch answer := p.answers[r.Method+" "+r.URL.Path].(type) {
+	switch answer := p.responses[r.Method+" "+r.URL.Path].(type) {
 	case nil:
 		result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS))
 	case adminapi.Failure:
@@ -55,12 +55,12 @@
 	}
 }
 
-func failure(code api.ResultCode) adminapi.Failure {
+func failureOf(code api.ResultCode) adminapi.Failure {
 	return adminapi.Failure{Error: result.New(code).Detail()}
 }
 
-// run gives one command line; it returns the exit status and all that was printed.
-func run(t *testing.T, p *process, args ...string) (int, string) {
+// runCommand gives one command line; it returns the exit status and all that was printed.
+func runCommand(t *testing.T, p *fakeProcess, args ...string) (int, string) {
 	t.Helper()
 	server := httptest.NewServer(p)
 	defer server.Close()
@@ -72,7 +72,7 @@
 	return code, out.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "list.ini")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -81,29 +81,29 @@
 	return path
 }
 
-// answers is a process that accepts what is published.
-func answers(changed map[string]any) *process {
+// newFakeProcess is a process that accepts what is published.
+func newFakeProcess(overrides map[string]any) *fakeProcess {
 	accepted := adminapi.Change{ChangeID: "c1", Offset: 8, State: adminapi.Accepted}
-	all := map[string]any{
+	responses := map[string]any{
 		"GET /v1/lists/uses":  adminapi.List{Offset: 7, Text: uses},
 		"GET /v1/lists/plans": adminapi.List{Offset: -1},
 		"POST /v1/lists/uses": accepted,
 		"POST /v1/marks":      accepted,
 		"GET /v1/changes/c1":  adminapi.Change{ChangeID: "c1", Offset: 8, State: adminapi.InForce},
-		"GET /v1/status":      sample(),
+		"GET /v1/status":      sampleStatus(),
 		"GET /debug/state":    map[string]int{"x": 1},
 	}
-	for path, answer := range changed {
-		all[path] = answer
+	for path, answer := range overrides {
+		responses[path] = answer
 	}
-	return &process{answers: all}
+	return &fakeProcess{responses: responses}
 }
 
 func TestPublish(t *testing.T) {
-	conflict := failure(api.ResultCode_CONFLICT)
+	conflict := failureOf(api.ResultCode_CONFLICT)
 	current := int64(9)
 	conflict.Current, conflict.Author, conflict.ChangeID = &current, "sam@x", "c9"
-	lag := failure(api.ResultCode_NOT_CONFIRMED)
+	lag := failureOf(api.ResultCode_NOT_CONFIRMED)
 	lag.Change = &adminapi.Change{State: adminapi.Accepted, Missing: []string{"vm-3", "vm-4"}, MissingMore: 2}
 	const edited = "[plan large]\nshare = 5\n\n[plan small]\nshare = 1\n"
 
@@ -149,21 +149,21 @@
 		},
 		{
 			"unconfirmed", edited, nil,
-			map[string]any{"POST /v1/lists/uses": failure(api.ResultCode_NOT_CONFIRMED)},
+			map[string]any{"POST /v1/lists/uses": failureOf(api.ResultCode_NOT_CONFIRMED)},
 			5,
 			[]string{"run the same command with -i "},
 			"",
 		},
 		{
 			"log down", edited, nil,
-			map[string]any{"POST /v1/lists/uses": failure(api.ResultCode_LOG_UNAVAILABLE)},
+			map[string]any{"POST /v1/lists/uses": failureOf(api.ResultCode_LOG_UNAVAILABLE)},
 			4,
 			[]string{"210 LOG_UNAVAILABLE"},
 			"",
 		},
 		{
 			"token", edited, nil,
-			map[string]any{"GET /v1/lists/uses": failure(api.ResultCode_BAD_TOKEN)},
+			map[string]any{"GET /v1/lists/uses": failureOf(api.ResultCode_BAD_TOKEN)},
 			6,
 			[]string{"503 BAD_TOKEN"},
 			"",
@@ -178,8 +178,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := answers(test.answers)
-			code, out := run(t, p, append([]string{"publish", "uses", write(t, test.text)}, test.args...)...)
+			p := newFakeProcess(test.answers)
+			code, out := runCommand(t, p, append([]string{"publish", "uses", writeFile(t, test.text)}, test.args...)...)
 			if code != test.exit {
 				t.Errorf("exit status %d, want %d", code, test.exit)
 			}
@@ -188,8 +188,8 @@
 					t.Errorf("want %q in:\n%s", want, out)
 				}
 			}
-			if !strings.Contains(string(p.posted), test.base) || test.exit == 2 && p.posted != nil {
-				t.Errorf("posted %s", p.posted)
+			if !strings.Contains(string(p.lastPosted), test.base) || test.exit == 2 && p.lastPosted != nil {
+				t.Errorf("posted %s", p.lastPosted)
 			}
 		})
 	}
@@ -225,17 +225,17 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := answers(nil)
-			code, out := run(t, p, append([]string{"mark"}, test.args...)...)
-			if code != test.exit || !strings.Contains(out, test.want) || !strings.Contains(string(p.posted), test.post) {
-				t.Errorf("exit status %d, posted %s:\n%s", code, p.posted, out)
+			p := newFakeProcess(nil)
+			code, out := runCommand(t, p, append([]string{"mark"}, test.args...)...)
+			if code != test.exit || !strings.Contains(out, test.want) || !strings.Contains(string(p.lastPosted), test.post) {
+				t.Errorf("exit status %d, posted %s:\n%s", code, p.lastPosted, out)
 			}
 		})
 	}
 }
 
-// sample is a system with one of each trouble.
-func sample() adminapi.Status {
+// sampleStatus is a system with one of each trouble.
+func sampleStatus() adminapi.Status {
 	return adminapi.Status{
 		Process: adminapi.Process{VM: "e-1", Role: "entry", FailureDomain: "a", Applied: 12, Freshness: "fresh", Ready: true, UptimeMs: 5000},
 		Lists:   []adminapi.ListStatus{{Name: "plans", Offset: 3, Sections: 10, Author: "pat"}},
@@ -249,12 +249,12 @@
 			{VM: "vm-1", FailureDomain: "a", Service: "labels", Limit: 8, FullLimit: 8, Running: 1},
 			{VM: "vm-3", FailureDomain: "a", Model: "pricing", Limit: 2, FullLimit: 8, Cold: true, Silent: true},
 		},
-		Groups: []adminapi.Group{{Name: "g", MapVersion: 4, Step: 1000, SkewMs: 1.25, Agents: 12, AgentsAll: 12, Coordinator: "vm-1", SlowRanks: 2, Slowest: &adminapi.SlowRank{Rank: 17, VM: "vm-2", Pace: 4.25}}, {Name: "h", StillMs: 30_000, AgentsAll: 3, Agents: 2}},
+		Groups: []adminapi.Group{{Name: "g", MapVersion: 4, Step: 1000, SkewMs: 1.25, Agents: 12, AgentsAll: 12, Coordinator: "vm-1", SlowRanks: 2, Slowest: &adminapi.SlowRank{Rank: 17, VM: "vm-2", Slowdown: 4.25}}, {Name: "h", StepAgeMs: 30_000, AgentsAll: 3, Agents: 2}},
 	}
 }
 
 func TestStatus(t *testing.T) {
-	code, out := run(t, answers(nil), "status")
+	code, out := runCommand(t, newFakeProcess(nil), "status")
 	for _, want := range []string{
 		"entry e-1 in a", "ready, configuration fresh", "THE PLATFORM'S LOG DOES NOT ANSWER", "domain b, offset 12",
 		"b       OUT      1 of 1", "model pricing v3  1", "1.2 ms", "2 offsets behind", "link silent", "server vm-3  its engine does not answer", "refuses new work: 205 OUT_OF_SERVICE",
@@ -272,7 +272,7 @@
 
 // A script takes the status as JSON and goes by the exit status.
 func TestStatusAsJSON(t *testing.T) {
-	code, out := run(t, answers(nil), "status", "--json")
+	code, out := runCommand(t, newFakeProcess(nil), "status", "--json")
 	var shown adminapi.Status
 	if err := json.Unmarshal([]byte(out), &shown); code != 0 || err != nil || shown.Process.VM != "e-1" {
 		t.Errorf("exit status %d, %v:\n%s", code, err, out)
@@ -280,8 +280,8 @@
 }
 
 // At the two-year size the status must still fit a screen.
-func TestStatusFitsAScreen(t *testing.T) {
-	s := sample()
+func TestStatusFitsOnOneScreen(t *testing.T) {
+	s := sampleStatus()
 	for range 500 {
 		s.Members = append(s.Members, s.Members...)[:min(500, 2*len(s.Members))]
 		s.Backends = append(s.Backends, s.Backends...)[:min(3700, 2*len(s.Backends))]
@@ -294,14 +294,14 @@
 }
 
 func TestDump(t *testing.T) {
-	code, out := run(t, answers(nil), "dump", "uses")
+	code, out := runCommand(t, newFakeProcess(nil), "dump", "uses")
 	if code != 0 || out != "# base = 7\n"+uses {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, out := run(t, answers(nil), "dump"); code != 0 || !strings.Contains(out, `"x": 1`) {
+	if code, out := runCommand(t, newFakeProcess(nil), "dump"); code != 0 || !strings.Contains(out, `"x": 1`) {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, _ := run(t, answers(nil), "dump", "all"); code != 2 {
+	if code, _ := runCommand(t, newFakeProcess(nil), "dump", "all"); code != 2 {
 		t.Errorf("exit status %d", code)
 	}
 }
@@ -309,10 +309,10 @@
 // An operator looks at the difference by a dry run before publishing. Somebody else has
 // published since the list was dumped, so that the difference shows their change undone: the
 // dry run must say so as the conflict that publishing would be, not as good.
-func TestDryRunSeesAnOutdatedBase(t *testing.T) {
-	in := map[string]any{"GET /v1/lists/uses": adminapi.List{Offset: 7, Text: uses, Author: "sam@x", ChangeID: "c9"}}
-	path := write(t, "# base = 5\n[plan large]\nshare = 5\n")
-	code, out := run(t, answers(in), "publish", "-n", "uses", path)
+func TestDryRunReportsOutdatedBase(t *testing.T) {
+	overrides := map[string]any{"GET /v1/lists/uses": adminapi.List{Offset: 7, Text: uses, Author: "sam@x", ChangeID: "c9"}}
+	path := writeFile(t, "# base = 5\n[plan large]\nshare = 5\n")
+	code, out := runCommand(t, newFakeProcess(overrides), "publish", "-n", "uses", path)
 	if code != 3 || !strings.Contains(out, "offset 7, by sam@x (change c9)") || !strings.Contains(out, "- share = 3") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
@@ -320,8 +320,8 @@
 
 // Each fault of the operator's own hand ends with 2, before anything is sent, and the
 // commands that wait say which flag is out of bounds.
-func TestWrongArgumentsEndWith2(t *testing.T) {
-	path := write(t, "[plan large]\nshare = 5\n")
+func TestWrongArgumentsExitWith2(t *testing.T) {
+	path := writeFile(t, "[plan large]\nshare = 5\n")
 	for _, args := range [][]string{
 		{"publish", "uses", path + ".missing"},
 		{"check", "--entry", path + ".missing"},
@@ -329,23 +329,23 @@
 		{"publish", "-w", "90s", "uses", path},
 		{"mark", "-w", "90s", "domain", "a", "out"},
 	} {
-		p := answers(nil)
-		code, out := run(t, p, args...)
-		if code != 2 || p.posted != nil || strings.Contains(out, "timeout_ms") {
-			t.Errorf("%v: exit status %d, posted %s:\n%s", args, code, p.posted, out)
+		p := newFakeProcess(nil)
+		code, out := runCommand(t, p, args...)
+		if code != 2 || p.lastPosted != nil || strings.Contains(out, "timeout_ms") {
+			t.Errorf("%v: exit status %d, posted %s:\n%s", args, code, p.lastPosted, out)
 		}
 	}
 }
 
 func TestCheck(t *testing.T) {
-	good, bad := write(t, uses), write(t, "[plan]\n")
-	if code, out := run(t, answers(nil), "check", "--uses", good); code != 0 || !strings.Contains(out, ": good") {
+	good, bad := writeFile(t, uses), writeFile(t, "[plan]\n")
+	if code, out := runCommand(t, newFakeProcess(nil), "check", "--uses", good); code != 0 || !strings.Contains(out, ": good") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, out := run(t, answers(nil), "check", "--uses", bad); code != 2 || !strings.Contains(out, "list.ini:1: [plan]") {
+	if code, out := runCommand(t, newFakeProcess(nil), "check", "--uses", bad); code != 2 || !strings.Contains(out, "list.ini:1: [plan]") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, _ := run(t, answers(nil), "check"); code != 2 {
+	if code, _ := runCommand(t, newFakeProcess(nil), "check"); code != 2 {
 		t.Errorf("exit status %d", code)
 	}
 }
--- a/internal/command/daemon/daemon.go
+++ b/internal/command/daemon/daemon.go
@@ -22,27 +22,27 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-const signals = "\n  Signals:\n" +
+const signalsHelp = "\n  Signals:\n" +
 	"    SIGTERM, SIGINT   Stop gracefully: no request is cut. A second one stops at once.\n" +
 	"    SIGHUP            Read the settings that may change while the process runs.\n"
 
 // Entry makes the command that runs an entry.
 func Entry(serve func(context.Context, *api.EntrySettings, log.Logger) error) *cli.Command {
-	return command("entry", "Run an entry: the process that callers reach.", settings.LoadEntry,
+	return settingsCommand("entry", "Run an entry: the process that callers reach.", settings.LoadEntry,
 		(*api.EntrySettings).GetSelf, (*api.EntrySettings).GetLog, serve)
 }
 
 // Agent makes the command that runs an agent.
 func Agent(serve func(context.Context, *api.AgentSettings, log.Logger) error) *cli.Command {
-	return command("agent", "Run an agent: the process before a backend server.", settings.LoadAgent,
+	return settingsCommand("agent", "Run an agent: the process before a backend server.", settings.LoadAgent,
 		(*api.AgentSettings).GetSelf, (*api.AgentSettings).GetLog, func(ctx context.Context, s *api.AgentSettings, logger log.Logger) error {
-			boundProcessors(agentProcessors)
+			limitProcessors(maxAgentProcessors)
 			return serve(ctx, s, logger)
 		})
 }
 
-// command makes the command for settings of type S.
-func command[S proto.Message](
+// settingsCommand makes the settingsCommand for settings of type S.
+func settingsCommand[S proto.Message](
 	name, description string,
 	load func(path string) (S, error),
 	selfOf func(S) *api.Self,
@@ -50,19 +50,19 @@
 	serve func(context.Context, S, log.Logger) error,
 ) *cli.Command {
 	path := ""
-	sub := cli.New(name, description, "apricothub "+name+" -c /etc/apricothub/"+name+".ini")
-	sub.AdditionalHelpAppend = signals + sub.AdditionalHelpAppend
+	sub := cli.NewSubcommand(name, description, "apricothub "+name+" -c /etc/apricothub/"+name+".ini")
+	sub.AdditionalHelpAppend = signalsHelp + sub.AdditionalHelpAppend
 	sub.String(&path, "c", "config", "Settings file (INI); docs/SETTINGS.md lists its keys.")
 	return &cli.Command{Sub: sub, Run: func(ctx context.Context, out, _ io.Writer) error {
 		if path == "" {
-			return cli.Usage("Name the settings file: -c FILE.")
+			return cli.UsageErrorf("Name the settings file: -c FILE.")
 		}
 		loaded, err := load(path)
 		if err != nil {
 			return err
 		}
-		bounds := logOf(loaded)
-		logger, err := logging.Open(out, name, selfOf(loaded).GetVm(), bounds.GetLevel(), int(bounds.GetLinesPerSecond()))
+		logSettings := logOf(loaded)
+		logger, err := logging.Open(out, name, selfOf(loaded).GetVm(), logSettings.GetLevel(), int(logSettings.GetLinesPerSecond()))
 		if err != nil {
 			return errors.Wrap(err, "log level")
 		}
@@ -72,20 +72,20 @@
 			func(s S) error { return logger.Set(logOf(s).GetLevel()) },
 			logger, loaded,
 		)
-		return untilSignal(ctx, r.watch, func(ctx context.Context) error { return serve(ctx, loaded, logger) })
+		return runUntilSignal(ctx, r.reloadOnSIGHUP, func(ctx context.Context) error { return serve(ctx, loaded, logger) })
 	}}
 }
 
-// untilSignal serves until the first signal to stop, and returns when serving has
+// runUntilSignal serves until the first signal to stop, and returns when serving has
 // ended gracefully.
-func untilSignal(ctx context.Context, watch, serve func(context.Context) error) error {
+func runUntilSignal(ctx context.Context, reload, serve func(context.Context) error) error {
 	var group run.Group
 	// After the first signal the handler is gone, so that a second one ends the
 	// process at once: an operator is never locked out by a long drain.
 	group.Add(run.SignalHandler(ctx, syscall.SIGTERM, syscall.SIGINT))
-	for _, part := range []func(context.Context) error{serve, watch} {
-		partCtx, cancel := context.WithCancel(ctx)
-		group.Add(func() error { return part(partCtx) }, func(error) { cancel() })
+	for _, task := range []func(context.Context) error{serve, reload} {
+		taskCtx, cancel := context.WithCancel(ctx)
+		group.Add(func() error { return task(taskCtx) }, func(error) { cancel() })
 	}
 	err := group.Run()
 	if errors.Is(err, run.ErrSignal) || errors.Is(err, context.Canceled) {
@@ -108,8 +108,8 @@
 	return &reloader[S]{load: load, apply: apply, logger: logger, current: running, running: running}
 }
 
-// watch reloads on each SIGHUP until the context ends.
-func (r *reloader[S]) watch(ctx context.Context) error {
+// reloadOnSIGHUP reloads on each SIGHUP until the context ends.
+func (r *reloader[S]) reloadOnSIGHUP(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
@@ -123,8 +123,8 @@
 	}
 }
 
-// badSettings is the result in log lines about the settings file.
-var badSettings = result.Label(api.ResultCode_BAD_SETTINGS)
+// badSettingsLabel is the result in log lines about the settings file.
+var badSettingsLabel = result.Label(api.ResultCode_BAD_SETTINGS)
 
 // reload applies what may change and names what needs a restart. A file with
 // faults changes nothing.
@@ -132,7 +132,7 @@
 	next, err := r.load()
 	if err != nil {
 		_ = level.Error(r.logger).Log("msg", "The settings file has faults. Nothing was changed.",
-			"result", badSettings, "err", err)
+			"result", badSettingsLabel, "err", err)
 		return
 	}
 	for _, change := range settings.Changes(r.current, next) {
@@ -148,7 +148,7 @@
 		}
 	}
 	if err := r.apply(next); err != nil {
-		_ = level.Error(r.logger).Log("msg", "The settings cannot be applied.", "result", badSettings, "err", err)
+		_ = level.Error(r.logger).Log("msg", "The settings cannot be applied.", "result", badSettingsLabel, "err", err)
 		return
 	}
 	r.current = next
--- a/internal/command/daemon/daemon_test.go
+++ b/internal/command/daemon/daemon_test.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-const entryText = `[self]
+const entrySettings = `[self]
 vm = entry-1
 failure-domain = a
 [listen]
@@ -32,14 +32,14 @@
 // writeSettings writes the file with one text replaced.
 func writeSettings(t *testing.T, path, old, replacement string) {
 	t.Helper()
-	text := strings.Replace(entryText, old, replacement, 1)
+	text := strings.Replace(entrySettings, old, replacement, 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reloaderOf makes a reloader of a process that runs with the file as it was written first.
-func reloaderOf(t *testing.T, path string, out *bytes.Buffer, applied *[]string) *reloader[*api.EntrySettings] {
+// newTestReloader makes a reloader of a process that runs with the file as it was written first.
+func newTestReloader(t *testing.T, path string, out *bytes.Buffer, applied *[]string) *reloader[*api.EntrySettings] {
 	t.Helper()
 	writeSettings(t, path, "", "")
 	running, err := settings.LoadEntry(path)
@@ -60,7 +60,7 @@
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
 	var applied []string
-	r := reloaderOf(t, path, &out, &applied)
+	r := newTestReloader(t, path, &out, &applied)
 	writeSettings(t, path, "level = info", "level = warn\n[limits]\nbody-bytes = 2048")
 	r.reload()
 	writeSettings(t, path, "level = info", "level = loud")
@@ -86,7 +86,7 @@
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
 	var applied []string
-	r := reloaderOf(t, path, &out, &applied)
+	r := newTestReloader(t, path, &out, &applied)
 	const pending = "A changed setting needs a restart."
 	for i, step := range []struct {
 		vm    string
--- a/internal/command/daemon/processors.go
+++ b/internal/command/daemon/processors.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// agentProcessors bounds the processors that an agent's goroutines run on at once.
+// maxAgentProcessors bounds the processors that an agent's goroutines run on at once.
 //
 // Load: a stream of small events on a backend server VM with many processors, each event
 // a few goroutines waking each other. Harm prevented: the Go scheduler wakes threads on
@@ -13,15 +13,15 @@
 // backend server lacks. Two carry three times the 2,500 tokens a second that are planned
 // for, and a collection of garbage or a large request on one leaves the other to the
 // heartbeats; on one processor they would wait for it.
-const agentProcessors = 2
+const maxAgentProcessors = 2
 
-// processorsVariable is the Go runtime's own setting, which goes first.
-const processorsVariable = "GOMAXPROCS"
+// envGOMAXPROCS is the Go runtime's own setting, which goes first.
+const envGOMAXPROCS = "GOMAXPROCS"
 
-// boundProcessors keeps the process from using more processors at once, unless the
+// limitProcessors keeps the process from using more processors at once, unless the
 // operators have set a number.
-func boundProcessors(most int) {
-	if os.Getenv(processorsVariable) == "" && runtime.GOMAXPROCS(0) > most {
-		runtime.GOMAXPROCS(most)
+func limitProcessors(limit int) {
+	if os.Getenv(envGOMAXPROCS) == "" && runtime.GOMAXPROCS(0) > limit {
+		runtime.GOMAXPROCS(limit)
 	}
 }
--- a/internal/command/dump/dump.go
+++ b/internal/command/dump/dump.go
@@ -19,45 +19,45 @@
 
 // What the command can print.
 const (
-	whatState   = "state"
-	whatMetrics = "metrics"
+	kindState   = "state"
+	kindMetrics = "metrics"
 )
 
 // Command makes the command.
 func Command() *cli.Command {
-	remote, what := &cli.Remote{}, whatState
-	sub := cli.New("dump", "Print the state of a process, a list in force, or the metrics.",
+	remote, kind := &cli.Remote{}, kindState
+	sub := cli.NewSubcommand("dump", "Print the state of a process, a list in force, or the metrics.",
 		"apricothub dump -a 10.20.1.11:7401 state\napricothub dump plans > plans.ini")
-	remote.Flags(sub)
-	sub.AddPositionalValue(&what, "what", 1, false, "state (as JSON), plans, uses or metrics.")
+	remote.AddFlags(sub)
+	sub.AddPositionalValue(&kind, "what", 1, false, "state (as JSON), plans, uses or metrics.")
 	return &cli.Command{Sub: sub, Run: func(ctx context.Context, out, _ io.Writer) error {
 		client, err := remote.Client()
 		if err != nil {
 			return err
 		}
-		return write(ctx, client, what, out)
+		return printKind(ctx, client, kind, out)
 	}}
 }
 
-func write(ctx context.Context, client *adminclient.Client, what string, out io.Writer) error {
-	switch what {
-	case whatState:
+func printKind(ctx context.Context, client *adminclient.Client, kind string, out io.Writer) error {
+	switch kind {
+	case kindState:
 		return printState(ctx, client, out)
-	case whatMetrics:
-		text, err := client.Text(ctx, adminapi.PathMetrics)
+	case kindMetrics:
+		text, err := client.Fetch(ctx, adminapi.PathMetrics)
 		if err != nil {
 			return err
 		}
 		_, err = out.Write(text)
 		return err
 	case adminapi.ListPlans, adminapi.ListUses:
-		return printList(ctx, client, what, out)
+		return printList(ctx, client, kind, out)
 	}
-	return cli.Usage("%q is not state, plans, uses or metrics.", what)
+	return cli.UsageErrorf("%q is not state, plans, uses or metrics.", kind)
 }
 
 func printState(ctx context.Context, client *adminclient.Client, out io.Writer) error {
-	text, err := client.Text(ctx, adminapi.PathDump)
+	text, err := client.Fetch(ctx, adminapi.PathDump)
 	if err != nil {
 		return err
 	}
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -21,7 +21,7 @@
 // Command makes the command, which reads logs from in when no file is named.
 func Command(in io.Reader) *cli.Command {
 	a := &arguments{}
-	sub := cli.New("explain", "Show what logs say of one request, and what its processes believed.",
+	sub := cli.NewSubcommand("explain", "Show what logs say of one request, and what its processes believed.",
 		"cat logs/*.log | apricothub explain e4b683f4fe53cf3b\napricothub explain e4b683f4fe53cf3b -f front-1.log -f front-2.log")
 	sub.AddPositionalValue(&a.request, "id", 1, true, "Id of the request, as the caller gave it or got it back.")
 	sub.StringSlice(&a.files, "f", "file", "File with the log of one process or more; default: standard input.")
@@ -30,7 +30,7 @@
 
 func (a *arguments) run(in io.Reader, out io.Writer) error {
 	if a.request == "" {
-		return cli.Usage("Name the id of a request.")
+		return cli.UsageErrorf("Name the id of a request.")
 	}
 	r := explain.NewReader(a.request)
 	if len(a.files) == 0 {
@@ -45,7 +45,7 @@
 	}
 	story := r.Story()
 	if len(story.Lines) == 0 {
-		return notFound(story)
+		return requestNotFound(story)
 	}
 	return explain.Render(out, story)
 }
@@ -53,7 +53,7 @@
 func readFile(r *explain.Reader, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return cli.Usage("%v.", err)
+		return cli.UsageErrorf("%v.", err)
 	}
 	defer func() { _ = file.Close() }()
 	if err := r.Read(file); err != nil {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// notFound says why a request may not be in the logs.
-func notFound(s *explain.Story) error {
+// requestNotFound says why a request may not be in the logs.
+func requestNotFound(s *explain.Story) error {
 	return errors.Errorf("no line names the request %s, of %d that were read and %d that could not be. "+
 		"The logs say that %d lines were left out; of requests that went well only a sample is logged",
 		s.Request, s.Read, s.Unread, s.LeftOut)
--- a/internal/command/mark/mark.go
+++ b/internal/command/mark/mark.go
@@ -23,33 +23,33 @@
 
 // The two directions of a mark.
 const (
-	wayOut = "out"
-	wayIn  = "in"
+	directionOut = "out"
+	directionIn  = "in"
 )
 
 // arguments of the command.
 type arguments struct {
-	remote   cli.Remote
-	target   string
-	name     string
-	way      string
-	base     string
-	author   string
-	changeID string
-	timeout  time.Duration
-	until    string
-	force    bool
+	remote    cli.Remote
+	target    string
+	name      string
+	direction string
+	base      string
+	author    string
+	changeID  string
+	timeout   time.Duration
+	until     string
+	force     bool
 }
 
 // Command makes the command.
 func Command() *cli.Command {
 	a := &arguments{timeout: defaultTimeout, until: publish.UntilInForce}
-	sub := cli.New("mark", "Take a failure domain or VM out of service, or bring it back.",
+	sub := cli.NewSubcommand("mark", "Take a failure domain or VM out of service, or bring it back.",
 		"apricothub mark domain us-south-a out\napricothub mark vm pricing-7 in")
 	sub.AddPositionalValue(&a.target, "target", 1, true, "domain or vm.")
 	sub.AddPositionalValue(&a.name, "name", 2, true, "Name of the failure domain or VM.")
-	sub.AddPositionalValue(&a.way, "way", 3, true, "out or in.")
-	a.remote.Flags(sub)
+	sub.AddPositionalValue(&a.direction, "way", 3, true, "out or in.")
+	a.remote.AddFlags(sub)
 	sub.String(&a.base, "b", "base", "Offset of the mark that you saw; default: whichever is current.")
 	sub.String(&a.author, "u", "author", "Who marks; default: user@host.")
 	sub.String(&a.changeID, "i", "change-id", "Id of a change whose outcome was not told; it is not made twice.")
@@ -59,8 +59,8 @@
 	return &cli.Command{Sub: sub, Run: a.run}
 }
 
-func (a *arguments) run(ctx context.Context, out, notes io.Writer) error {
-	if err := publish.CheckWaiting(a.until, a.timeout); err != nil {
+func (a *arguments) run(ctx context.Context, out, errOut io.Writer) error {
+	if err := publish.CheckWaitFlags(a.until, a.timeout); err != nil {
 		return err
 	}
 	request, err := a.request()
@@ -71,31 +71,31 @@
 	if err != nil {
 		return err
 	}
-	if err := a.checkName(ctx, client, notes); err != nil {
+	if err := a.checkNameIsKnown(ctx, client, errOut); err != nil {
 		return err
 	}
 	change, err := client.Mark(ctx, *request, adminapi.Accepted, a.timeout)
 	if err != nil {
-		return explain(err, request.ChangeID)
+		return explainFailure(err, request.ChangeID)
 	}
 	return publish.Await(ctx, client, change, a.until, a.timeout, out)
 }
 
 func (a *arguments) request() (*adminapi.MarkRequest, error) {
-	if adminapi.TargetNamed(a.target) == api.MarkTarget_TARGET_UNSPECIFIED {
-		return nil, cli.Usage("%q is not domain or vm.", a.target)
+	if adminapi.ParseTarget(a.target) == api.MarkTarget_TARGET_UNSPECIFIED {
+		return nil, cli.UsageErrorf("%q is not domain or vm.", a.target)
 	}
-	if a.way != wayOut && a.way != wayIn {
-		return nil, cli.Usage("%q is not out or in.", a.way)
+	if a.direction != directionOut && a.direction != directionIn {
+		return nil, cli.UsageErrorf("%q is not out or in.", a.direction)
 	}
 	request := &adminapi.MarkRequest{
-		Target: a.target, Name: a.name, Out: a.way == wayOut,
+		Target: a.target, Name: a.name, Out: a.direction == directionOut,
 		Author: cli.Author(a.author), ChangeID: a.changeID,
 	}
 	if a.base != "" {
 		base, err := strconv.ParseInt(a.base, 10, 64)
 		if err != nil {
-			return nil, cli.Usage("%q is not an offset.", a.base)
+			return nil, cli.UsageErrorf("%q is not an offset.", a.base)
 		}
 		request.Base = &base
 	}
@@ -105,27 +105,27 @@
 	return request, nil
 }
 
-// checkName refuses a name that no member or mark has: a misspelt failure domain
+// checkNameIsKnown refuses a name that no member or mark has: a misspelt failure domain
 // would be marked, and the one that burns would go on taking work.
-func (a *arguments) checkName(ctx context.Context, client *adminclient.Client, notes io.Writer) error {
+func (a *arguments) checkNameIsKnown(ctx context.Context, client *adminclient.Client, errOut io.Writer) error {
 	if a.force {
 		return nil
 	}
 	status, err := client.Status(ctx)
 	if err != nil {
-		fmt.Fprintln(notes, "The name could not be checked:", err)
+		fmt.Fprintln(errOut, "The name could not be checked:", err)
 		return nil
 	}
-	known := namesOf(status, a.target)
+	known := knownNames(status, a.target)
 	if slices.Contains(known, a.name) {
 		return nil
 	}
-	return cli.Usage("No %s is called %q. Known are: %s. Give --force to mark it all the same.",
+	return cli.UsageErrorf("No %s is called %q. Known are: %s. Give --force to mark it all the same.",
 		a.target, a.name, strings.Join(known, ", "))
 }
 
-// namesOf lists the names of one kind that a process knows.
-func namesOf(status *adminapi.Status, target string) []string {
+// knownNames lists the names of one kind that a process knows.
+func knownNames(status *adminapi.Status, target string) []string {
 	var names []string
 	add := func(vm, domain string) {
 		name := vm
@@ -150,7 +150,7 @@
 	return slices.Compact(names)
 }
 
-func explain(err error, id string) error {
+func explainFailure(err error, id string) error {
 	e := result.FromError(err)
 	switch e.Code {
 	case api.ResultCode_CONFLICT:
--- a/internal/command/publish/difference.go
+++ b/internal/command/publish/difference.go
@@ -12,25 +12,25 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// maxShown bounds the sections that a difference names one by one.
-const maxShown = 40
+// maxShownSections bounds the sections that a difference names one by one.
+const maxShownSections = 40
 
-// printDifference shows what publishing would change: sections with + or -, and
+// printDiff shows what publishing would change: sections with + or -, and
 // below a changed section its lines. It says whether anything would change.
-func printDifference(out io.Writer, before, after []*api.Section) bool {
-	old, kept := byName(before), byName(after)
+func printDiff(out io.Writer, before, after []*api.Section) bool {
+	oldByName, newByName := sectionsByName(before), sectionsByName(after)
 	var added, removed, changed []string
 	for _, s := range after {
-		was, ok := old[s.GetName()]
+		previous, ok := oldByName[s.GetName()]
 		switch {
 		case !ok:
 			added = append(added, "+ ["+s.GetName()+"]")
-		case !proto.Equal(was, s):
-			changed = append(changed, changedLines(was, s))
+		case !proto.Equal(previous, s):
+			changed = append(changed, changedLines(previous, s))
 		}
 	}
 	for _, s := range before {
-		if kept[s.GetName()] == nil {
+		if newByName[s.GetName()] == nil {
 			removed = append(removed, "- ["+s.GetName()+"]")
 		}
 	}
@@ -38,8 +38,8 @@
 		len(added), len(removed), len(changed), len(after)-len(added)-len(changed))
 	all := append(append(added, removed...), changed...)
 	for i, text := range all {
-		if i == maxShown {
-			fmt.Fprintf(out, "  … and %d more\n", len(all)-maxShown)
+		if i == maxShownSections {
+			fmt.Fprintf(out, "  … and %d more\n", len(all)-maxShownSections)
 			break
 		}
 		fmt.Fprintln(out, "  "+text)
@@ -47,18 +47,18 @@
 	return len(all) > 0
 }
 
-func byName(sections []*api.Section) map[string]*api.Section {
-	named := make(map[string]*api.Section, len(sections))
+func sectionsByName(sections []*api.Section) map[string]*api.Section {
+	byName := make(map[string]*api.Section, len(sections))
 	for _, s := range sections {
-		named[s.GetName()] = s
+		byName[s.GetName()] = s
 	}
-	return named
+	return byName
 }
 
 // changedLines gives a section's name and its lines that differ.
-func changedLines(was, is *api.Section) string {
-	before, after := keyLines(was), keyLines(is)
-	text := "~ [" + is.GetName() + "]"
+func changedLines(oldSection, newSection *api.Section) string {
+	before, after := keyLines(oldSection), keyLines(newSection)
+	text := "~ [" + newSection.GetName() + "]"
 	for _, line := range before {
 		if !slices.Contains(after, line) {
 			text += "\n      - " + line
--- a/internal/command/publish/publish.go
+++ b/internal/command/publish/publish.go
@@ -37,11 +37,11 @@
 // Command makes the command.
 func Command() *cli.Command {
 	a := &arguments{timeout: defaultTimeout, until: UntilInForce}
-	sub := cli.New("publish", "Publish a new version of a list, and wait until it is in force everywhere.",
+	sub := cli.NewSubcommand("publish", "Publish a new version of a list, and wait until it is in force everywhere.",
 		"apricothub dump plans > plans.ini     # and edit it\napricothub publish plans plans.ini")
 	sub.AddPositionalValue(&a.list, "list", 1, true, "plans or uses.")
 	sub.AddPositionalValue(&a.path, "file", 2, true, "The whole list, as INI.")
-	a.remote.Flags(sub)
+	a.remote.AddFlags(sub)
 	sub.String(&a.base, "b", "base", "Offset of the list that the edit was made from; default: the file's first line, or the current one.")
 	sub.String(&a.author, "u", "author", "Who publishes; default: user@host.")
 	sub.String(&a.changeID, "i", "change-id", "Id of a change whose outcome was not told; it is not made twice.")
@@ -51,12 +51,12 @@
 	return &cli.Command{Sub: sub, Run: a.run}
 }
 
-func (a *arguments) run(ctx context.Context, out, notes io.Writer) error {
-	list := adminapi.ListNamed(a.list)
+func (a *arguments) run(ctx context.Context, out, errOut io.Writer) error {
+	list := adminapi.ParseListName(a.list)
 	if list == api.ListName_LIST_UNSPECIFIED {
-		return cli.Usage("%q is not a list: plans or uses.", a.list)
+		return cli.UsageErrorf("%q is not a list: plans or uses.", a.list)
 	}
-	if err := CheckWaiting(a.until, a.timeout); err != nil {
+	if err := CheckWaitFlags(a.until, a.timeout); err != nil {
 		return err
 	}
 	text, err := settings.ReadFile(a.path)
@@ -71,22 +71,22 @@
 	if err != nil {
 		return err
 	}
-	now, err := client.List(ctx, a.list)
+	current, err := client.List(ctx, a.list)
 	if err != nil {
 		return err
 	}
-	base, err := a.baseOf(string(text), now.Offset, notes)
+	base, err := a.resolveBase(string(text), current.Offset, errOut)
 	if err != nil {
 		return err
 	}
-	before, err := settings.Parse(list, "the list in force", []byte(now.Text))
+	before, err := settings.Parse(list, "the list in force", []byte(current.Text))
 	if err != nil {
 		return err
 	}
-	changed := printDifference(out, before, after)
-	a.warn(ctx, client, list, after, notes)
-	if a.dryRun && changed && base != now.Offset {
-		return conflict(a.list, now.Offset, now.Author, now.ChangeID)
+	changed := printDiff(out, before, after)
+	a.warnAboutPlans(ctx, client, list, after, errOut)
+	if a.dryRun && changed && base != current.Offset {
+		return conflictError(a.list, current.Offset, current.Author, current.ChangeID)
 	}
 	if a.dryRun {
 		fmt.Fprintln(out, "Dry run: nothing was published.")
@@ -101,35 +101,35 @@
 // edit was made from, so that nobody's change in between is overwritten.
 func BaseLine(offset int64) string { return basePrefix + strconv.FormatInt(offset, 10) }
 
-// baseOf finds the offset that the edit was made from.
-func (a *arguments) baseOf(text string, current int64, notes io.Writer) (int64, error) {
-	given, from := a.base, "-b"
-	if given == "" {
+// resolveBase finds the offset that the edit was made from.
+func (a *arguments) resolveBase(text string, current int64, errOut io.Writer) (int64, error) {
+	value, source := a.base, "-b"
+	if value == "" {
 		line, _, _ := strings.Cut(text, "\n")
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), basePrefix); ok {
-			given, from = rest, "the file's first line"
+			value, source = rest, "the file's first line"
 		}
 	}
-	if given == "" && current >= 0 {
-		fmt.Fprintf(notes, "No base is named: the edit is taken as made from the current list, offset %d.\n", current)
+	if value == "" && current >= 0 {
+		fmt.Fprintf(errOut, "No base is named: the edit is taken as made from the current list, offset %d.\n", current)
 	}
-	if given == "" {
+	if value == "" {
 		return current, nil
 	}
-	base, err := strconv.ParseInt(strings.TrimSpace(given), 10, 64)
+	base, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 	if err != nil {
-		return 0, cli.Usage("%q in %s is not an offset.", given, from)
+		return 0, cli.UsageErrorf("%q in %s is not an offset.", value, source)
 	}
 	return base, nil
 }
 
-// warn tells of customers whose plan the other list does not describe.
-func (a *arguments) warn(ctx context.Context, client *adminclient.Client, list api.ListName, after []*api.Section, notes io.Writer) {
+// warnAboutPlans tells of customers whose plan the other list does not describe.
+func (a *arguments) warnAboutPlans(ctx context.Context, client *adminclient.Client, list api.ListName, after []*api.Section, errOut io.Writer) {
 	other := api.ListName_LIST_USES
 	if list == other {
 		other = api.ListName_LIST_PLANS
 	}
-	fetched, err := client.List(ctx, adminapi.NameOfList(other))
+	fetched, err := client.List(ctx, adminapi.ListName(other))
 	if err != nil {
 		return
 	}
@@ -142,7 +142,7 @@
 		plans, uses = sections, after
 	}
 	for _, warning := range settings.CheckTogether(plans, uses) {
-		fmt.Fprintln(notes, "warning:", warning)
+		fmt.Fprintln(errOut, "warning:", warning)
 	}
 }
 
@@ -154,7 +154,7 @@
 	request := adminapi.PublishRequest{Base: base, Author: cli.Author(a.author), ChangeID: id, Text: text}
 	change, err := client.Publish(ctx, a.list, request, adminapi.Accepted, a.timeout)
 	if err != nil {
-		return a.explain(err, id)
+		return a.explainFailure(err, id)
 	}
 	if change.State == adminapi.Unchanged {
 		fmt.Fprintf(out, "The list is the one in force, offset %d: nothing to publish.\n", change.Offset)
@@ -170,13 +170,13 @@
 	UntilHelp     = "How far to follow the change: accepted (it stands) or in-force (everywhere)."
 )
 
-// CheckWaiting refuses the flags of waiting that are out of their bounds.
-func CheckWaiting(until string, timeout time.Duration) error {
+// CheckWaitFlags refuses the flags of waiting that are out of their bounds.
+func CheckWaitFlags(until string, timeout time.Duration) error {
 	if until != UntilAccepted && until != UntilInForce {
-		return cli.Usage("-x: %q is not %s or %s.", until, UntilAccepted, UntilInForce)
+		return cli.UsageErrorf("-x: %q is not %s or %s.", until, UntilAccepted, UntilInForce)
 	}
 	if timeout < 0 || timeout > adminapi.MaxWait {
-		return cli.Usage("-w: %s is not between 0s and %s.", timeout, adminapi.MaxWait)
+		return cli.UsageErrorf("-w: %s is not between 0s and %s.", timeout, adminapi.MaxWait)
 	}
 	return nil
 }
@@ -188,67 +188,67 @@
 	if until == UntilAccepted {
 		return nil
 	}
-	last, err := client.Change(ctx, change.ChangeID, adminapi.InForce, timeout)
+	followed, err := client.Change(ctx, change.ChangeID, adminapi.InForce, timeout)
 	if err != nil {
-		return explainLag(err)
+		return explainMissing(err)
 	}
-	if last.State == adminapi.InForce {
+	if followed.State == adminapi.InForce {
 		fmt.Fprintln(out, "In force everywhere.")
 	}
 	return nil
 }
 
-// explainLag names who has not applied an accepted change.
-func explainLag(err error) error {
-	var failed *adminclient.Failed
+// explainMissing names who has not applied an accepted change.
+func explainMissing(err error) error {
+	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || failed.Details.Change == nil {
 		return err
 	}
 	return result.Newf(api.ResultCode_NOT_CONFIRMED,
 		"The change is accepted and need not be repeated, but these have not applied it: %s. Look at status: they are cut off or on their way out.",
-		failed.Details.Change.Named())
+		failed.Details.Change.MissingSummary())
 }
 
-// explain tells the operator how to go on.
-func (a *arguments) explain(err error, id string) error {
-	again := fmt.Sprintf("To learn what became of it, run the same command with -i %s: it makes no second change.", id)
+// explainFailure tells the operator how to go on.
+func (a *arguments) explainFailure(err error, id string) error {
+	retryHint := fmt.Sprintf("To learn what became of it, run the same command with -i %s: it makes no second change.", id)
 	e := result.FromError(err)
 	switch e.Code {
 	case api.ResultCode_CONFLICT:
 		return explainConflict(err, a.list)
 	case api.ResultCode_NOT_CONFIRMED, api.ResultCode_UNREACHABLE:
-		return result.New(e.Code, e.Text, again)
+		return result.New(e.Code, e.Text, retryHint)
 	}
 	return withFaults(err)
 }
 
 func explainConflict(err error, list string) error {
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	if errors.As(err, &failed) && failed.Details.Current != nil {
-		return conflict(list, *failed.Details.Current, failed.Details.Author, failed.Details.ChangeID)
+		return conflictError(list, *failed.Details.Current, failed.Details.Author, failed.Details.ChangeID)
 	}
-	return result.New(api.ResultCode_CONFLICT, cameFirst, repeatEdit(list))
+	return result.New(api.ResultCode_CONFLICT, conflictText, repeatEditHint(list))
 }
 
-const cameFirst = "Another change came first, and nothing was published."
+const conflictText = "Another change came first, and nothing was published."
 
-func repeatEdit(list string) string {
+func repeatEditHint(list string) string {
 	return fmt.Sprintf("Run apricothub dump %s, repeat the edit there, and publish that.", list)
 }
 
-// conflict names the change in force that an edit was not made from.
-func conflict(list string, offset int64, author, changeID string) error {
+// conflictError names the change in force that an edit was not made from.
+func conflictError(list string, offset int64, author, changeID string) error {
 	by := ""
 	if author != "" {
 		by = fmt.Sprintf(", by %s (change %s)", author, changeID)
 	}
-	text := fmt.Sprintf("%s In force is offset %d%s.", cameFirst, offset, by)
-	return result.New(api.ResultCode_CONFLICT, text, repeatEdit(list))
+	text := fmt.Sprintf("%s In force is offset %d%s.", conflictText, offset, by)
+	return result.New(api.ResultCode_CONFLICT, text, repeatEditHint(list))
 }
 
 // withFaults adds what an entry found wrong with the list.
 func withFaults(err error) error {
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || len(failed.Details.Faults) == 0 {
 		return err
 	}
--- a/internal/command/status/render.go
+++ b/internal/command/status/render.go
@@ -14,14 +14,14 @@
 
 // Bounds that keep the status on one screen; --json shows everything.
 const (
-	maxDomains = 12
-	maxGroups  = 6
-	maxTrouble = 12
-	maxMarks   = 6
+	maxDomains  = 12
+	maxGroups   = 6
+	maxProblems = 12
+	maxMarks    = 6
 )
 
-// longStill is the pause of a group that is shown; a switch of maps is shorter.
-const longStill = 10 * time.Second
+// maxStepAge is the pause of a group that is shown; a switch of maps is shorter.
+const maxStepAge = 10 * time.Second
 
 // States of a link in a status. Members that need no link have none.
 const (
@@ -34,17 +34,17 @@
 func Render(s *adminapi.Status) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-	process(w, s)
-	configuration(w, s)
-	domains(w, s)
-	work(w, s)
-	groups(w, s)
-	trouble(w, s)
+	renderProcess(w, s)
+	renderConfiguration(w, s)
+	renderDomains(w, s)
+	renderOffers(w, s)
+	renderGroups(w, s)
+	renderProblems(w, s)
 	_ = w.Flush()
 	return text.String()
 }
 
-func process(w io.Writer, s *adminapi.Status) {
+func renderProcess(w io.Writer, s *adminapi.Status) {
 	p := s.Process
 	state := "ready"
 	if !p.Ready {
@@ -54,13 +54,13 @@
 		state = "draining"
 	}
 	fmt.Fprintf(w, "As seen by %s %s in %s (version %s, up %s): %s, configuration %s\n",
-		p.Role, p.VM, p.FailureDomain, p.Version, seconds(p.UptimeMs), state, p.Freshness)
+		p.Role, p.VM, p.FailureDomain, p.Version, formatSeconds(p.UptimeMs), state, p.Freshness)
 	if !s.Log.Reachable {
-		fmt.Fprintf(w, "THE PLATFORM'S LOG DOES NOT ANSWER, for %s: nothing can be published\n", seconds(s.Log.DownMs))
+		fmt.Fprintf(w, "THE PLATFORM'S LOG DOES NOT ANSWER, for %s: nothing can be published\n", formatSeconds(s.Log.DownMs))
 	}
 }
 
-func configuration(w io.Writer, s *adminapi.Status) {
+func renderConfiguration(w io.Writer, s *adminapi.Status) {
 	fmt.Fprintln(w, "\nLIST\tOFFSET\tSECTIONS\tAUTHOR")
 	for _, l := range s.Lists {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", l.Name, l.Offset, l.Sections, l.Author)
@@ -75,23 +75,23 @@
 			fmt.Fprintf(w, "marked out:\t%s %s, offset %d\n", m.Target, m.Name, m.Offset)
 		}
 	}
-	more(w, out, maxMarks, "marks")
+	renderOmitted(w, out, maxMarks, "marks")
 }
 
-// domain sums up one failure domain.
-type domain struct {
+// domainSummary sums up one failure domainSummary.
+type domainSummary struct {
 	name                    string
 	out                     bool
 	entries, entriesUp      int
 	servers, cold, refusing int
 	running, queued, limit  int32
-	oldest                  int64
+	minApplied              int64
 }
 
-func domains(w io.Writer, s *adminapi.Status) {
-	sums := sumDomains(s)
+func renderDomains(w io.Writer, s *adminapi.Status) {
+	summaries := summarizeDomains(s)
 	fmt.Fprintln(w, "\nDOMAIN\tSERVICE\tENTRIES UP\tSERVERS\tCOLD\tREFUSING\tRUNNING/LIMIT\tQUEUED\tLEAST APPLIED")
-	for i, d := range sums {
+	for i, d := range summaries {
 		if i == maxDomains {
 			break
 		}
@@ -100,25 +100,25 @@
 			state = "OUT"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%d\t%d\t%d/%d\t%d\t%d\n", d.name, state, d.entriesUp, d.entries,
-			d.servers, d.cold, d.refusing, d.running, d.limit, d.queued, d.oldest)
+			d.servers, d.cold, d.refusing, d.running, d.limit, d.queued, d.minApplied)
 	}
-	more(w, len(sums), maxDomains, "failure domains")
+	renderOmitted(w, len(summaries), maxDomains, "failure domains")
 }
 
-// sumDomains adds up members and backend servers, in the order of names.
-func sumDomains(s *adminapi.Status) []*domain {
-	named := map[string]*domain{}
-	of := func(name string) *domain {
-		if named[name] == nil {
-			named[name] = &domain{name: name, oldest: s.Process.Applied}
+// summarizeDomains adds up members and backend servers, in the order of names.
+func summarizeDomains(s *adminapi.Status) []*domainSummary {
+	byName := map[string]*domainSummary{}
+	summaryOf := func(name string) *domainSummary {
+		if byName[name] == nil {
+			byName[name] = &domainSummary{name: name, minApplied: s.Process.Applied}
 		}
-		return named[name]
+		return byName[name]
 	}
-	for _, m := range allMembers(s) {
-		d := of(m.FailureDomain)
+	for _, m := range membersWithSelf(s) {
+		d := summaryOf(m.FailureDomain)
 		// Of a member without a link nothing new is known.
 		if m.Link == linkUp {
-			d.oldest = min(d.oldest, m.Applied)
+			d.minApplied = min(d.minApplied, m.Applied)
 		}
 		if m.Role != "entry" {
 			continue
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, b := range s.Backends {
-		d := of(b.FailureDomain)
+		d := summaryOf(b.FailureDomain)
 		d.servers++
 		d.running, d.queued, d.limit = d.running+b.Running, d.queued+b.Queued, d.limit+b.Limit
 		if b.Cold {
@@ -141,19 +141,19 @@
 	}
 	for _, m := range s.Marks {
 		if m.Target == adminapi.TargetDomain && m.Out {
-			of(m.Name).out = true
+			summaryOf(m.Name).out = true
 		}
 	}
-	sums := make([]*domain, 0, len(named))
-	for _, d := range named {
-		sums = append(sums, d)
+	summaries := make([]*domainSummary, 0, len(byName))
+	for _, d := range byName {
+		summaries = append(summaries, d)
 	}
-	slices.SortFunc(sums, func(a, b *domain) int { return cmp.Compare(a.name, b.name) })
-	return sums
+	slices.SortFunc(summaries, func(a, b *domainSummary) int { return cmp.Compare(a.name, b.name) })
+	return summaries
 }
 
-// allMembers gives the members and the process itself.
-func allMembers(s *adminapi.Status) []adminapi.Member {
+// membersWithSelf gives the members and the process itself.
+func membersWithSelf(s *adminapi.Status) []adminapi.Member {
 	p := s.Process
 	for _, m := range s.Members {
 		if m.VM == p.VM {
@@ -167,31 +167,31 @@
 	return append([]adminapi.Member{self}, s.Members...)
 }
 
-// work sums up the backend servers by what they offer.
-func work(w io.Writer, s *adminapi.Status) {
-	type sum struct {
+// renderOffers sums up the backend servers by what they offer.
+func renderOffers(w io.Writer, s *adminapi.Status) {
+	type offerSummary struct {
 		servers, cold, refusing int
 		running, queued, limit  int32
 	}
-	sums := map[string]*sum{}
+	summaries := map[string]*offerSummary{}
 	var names []string
 	for _, b := range s.Backends {
 		name := "service " + b.Service
 		if b.Model != "" {
 			name = strings.TrimSpace("model " + b.Model + " " + b.ModelVersion)
 		}
-		if sums[name] == nil {
-			sums[name] = &sum{}
+		if summaries[name] == nil {
+			summaries[name] = &offerSummary{}
 			names = append(names, name)
 		}
-		at := sums[name]
-		at.servers++
-		at.running, at.queued, at.limit = at.running+b.Running, at.queued+b.Queued, at.limit+b.Limit
+		offer := summaries[name]
+		offer.servers++
+		offer.running, offer.queued, offer.limit = offer.running+b.Running, offer.queued+b.Queued, offer.limit+b.Limit
 		if b.Cold {
-			at.cold++
+			offer.cold++
 		}
 		if b.Refusing != "" {
-			at.refusing++
+			offer.refusing++
 		}
 	}
 	slices.Sort(names)
@@ -200,13 +200,13 @@
 		if i == maxDomains {
 			break
 		}
-		at := sums[name]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d/%d\t%d\n", name, at.servers, at.cold, at.refusing, at.running, at.limit, at.queued)
+		offer := summaries[name]
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d/%d\t%d\n", name, offer.servers, offer.cold, offer.refusing, offer.running, offer.limit, offer.queued)
 	}
-	more(w, len(names), maxDomains, "offers")
+	renderOmitted(w, len(names), maxDomains, "offers")
 }
 
-func groups(w io.Writer, s *adminapi.Status) {
+func renderGroups(w io.Writer, s *adminapi.Status) {
 	if len(s.Groups) == 0 {
 		return
 	}
@@ -218,22 +218,22 @@
 		fmt.Fprintf(w, "%s\t%d\t%d\t%.1f ms\t%d of %d\t%s\t%d\n", g.Name, g.MapVersion, g.Step, g.SkewMs,
 			g.Agents, g.AgentsAll, cmp.Or(g.Coordinator, "none"), g.Ballot)
 	}
-	more(w, len(s.Groups), maxGroups, "groups")
+	renderOmitted(w, len(s.Groups), maxGroups, "groups")
 }
 
-// trouble names what an operator may have to act on.
-func trouble(w io.Writer, s *adminapi.Status) {
+// renderProblems names what an operator may have to act on.
+func renderProblems(w io.Writer, s *adminapi.Status) {
 	var lines []string
 	for _, g := range s.Groups {
-		if text := standing(g); text != "" {
+		if text := stepProblem(g); text != "" {
 			lines = append(lines, fmt.Sprintf("group %s\t%s", g.Name, text))
 		}
 		if g.Slowest != nil {
-			lines = append(lines, fmt.Sprintf("group %s\t%s", g.Name, slowRanks(g)))
+			lines = append(lines, fmt.Sprintf("group %s\t%s", g.Name, slowRankProblem(g)))
 		}
 	}
-	for _, m := range allMembers(s) {
-		if problem := problemOf(m, s.Process.Applied); problem != "" {
+	for _, m := range membersWithSelf(s) {
+		if problem := memberProblem(m, s.Process.Applied); problem != "" {
 			lines = append(lines, fmt.Sprintf("%s %s\t%s", m.Role, m.VM, problem))
 		}
 	}
@@ -252,36 +252,36 @@
 	}
 	fmt.Fprintln(w, "\nTO LOOK AT")
 	for i, line := range lines {
-		if i == maxTrouble {
+		if i == maxProblems {
 			break
 		}
 		fmt.Fprintln(w, line)
 	}
-	more(w, len(lines), maxTrouble, "lines")
+	renderOmitted(w, len(lines), maxProblems, "lines")
 }
 
-// standing says that a group takes no step, or nothing.
-func standing(g adminapi.Group) string {
+// stepProblem says that a group takes no step, or nothing.
+func stepProblem(g adminapi.Group) string {
 	switch {
 	case g.Coordinator == "":
-		return "no word of its coordinator, the agent of rank 0; no step seen for " + seconds(g.StillMs)
-	case g.StillMs > longStill.Milliseconds():
-		return fmt.Sprintf("no step for %s, after step %d", seconds(g.StillMs), g.Step)
+		return "no word of its coordinator, the agent of rank 0; no step seen for " + formatSeconds(g.StepAgeMs)
+	case g.StepAgeMs > maxStepAge.Milliseconds():
+		return fmt.Sprintf("no step for %s, after step %d", formatSeconds(g.StepAgeMs), g.Step)
 	}
 	return ""
 }
 
-// slowRanks says whom every step of a group waits for.
-func slowRanks(g adminapi.Group) string {
-	text := fmt.Sprintf("rank %d on %s stays %.1f times slower than its group", g.Slowest.Rank, g.Slowest.VM, g.Slowest.Pace)
+// slowRankProblem says whom every step of a group waits for.
+func slowRankProblem(g adminapi.Group) string {
+	text := fmt.Sprintf("rank %d on %s stays %.1f times slower than its group", g.Slowest.Rank, g.Slowest.VM, g.Slowest.Slowdown)
 	if others := g.SlowRanks - 1; others > 0 {
 		text += fmt.Sprintf(", and %d more", others)
 	}
 	return text
 }
 
-// problemOf says what is unusual about a member, or nothing.
-func problemOf(m adminapi.Member, applied int64) string {
+// memberProblem says what is unusual about a member, or nothing.
+func memberProblem(m adminapi.Member, applied int64) string {
 	switch {
 	case m.Link == "":
 		return ""
@@ -301,10 +301,10 @@
 	return ""
 }
 
-func more(w io.Writer, all, shown int, what string) {
-	if all > shown {
-		fmt.Fprintf(w, "… and %d more %s (--json shows all)\n", all-shown, what)
+func renderOmitted(w io.Writer, total, shown int, noun string) {
+	if total > shown {
+		fmt.Fprintf(w, "… and %d more %s (--json shows all)\n", total-shown, noun)
 	}
 }
 
-func seconds(ms int64) string { return fmt.Sprintf("%d s", ms/1000) }
+func formatSeconds(ms int64) string { return fmt.Sprintf("%d s", ms/1000) }
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -12,9 +12,9 @@
 // Command makes the command.
 func Command() *cli.Command {
 	remote, asJSON := &cli.Remote{}, false
-	sub := cli.New("status", "Show members, failure domains, offsets, backend servers and groups on one screen.",
+	sub := cli.NewSubcommand("status", "Show members, failure domains, offsets, backend servers and groups on one screen.",
 		"apricothub status -a 10.20.1.11:7401")
-	remote.Flags(sub)
+	remote.AddFlags(sub)
 	sub.Bool(&asJSON, "j", "json", "Print everything as JSON.")
 	return &cli.Command{Sub: sub, Run: func(ctx context.Context, out, _ io.Writer) error {
 		client, err := remote.Client()
--- a/internal/command/version/version.go
+++ b/internal/command/version/version.go
@@ -14,7 +14,7 @@
 // Command makes the command.
 func Command() *cli.Command {
 	return &cli.Command{
-		Sub: cli.New("version", "Print the version.", "apricothub version"),
+		Sub: cli.NewSubcommand("version", "Print the version.", "apricothub version"),
 		Run: func(_ context.Context, out, _ io.Writer) error {
 			_, err := fmt.Fprintln(out, "apricothub", version.String(), runtime.Version())
 			return err
--- a/internal/docgen/docgen_test.go
+++ b/internal/docgen/docgen_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// registered finds the names under which the processes register metrics.
-var registered = regexp.MustCompile(`metrics\.(?:GetOrRegister|NewRegistered)\w+\(\s*"([^"]+)"`)
+// registeredMetric finds the names under which the processes register metrics.
+var registeredMetric = regexp.MustCompile(`metrics\.(?:GetOrRegister|NewRegistered)\w+\(\s*"([^"]+)"`)
 
 func TestMetricsAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, match := range registered.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range registeredMetric.FindAllStringSubmatch(string(text), -1) {
 			if !strings.Contains(string(page), "`"+match[1]+"`") {
 				t.Errorf("docs/METRICS.md does not list %s, of %s", match[1], path)
 			}
--- a/internal/docgen/operations_test.go
+++ b/internal/docgen/operations_test.go
@@ -11,17 +11,17 @@
 )
 
 var (
-	// quoted finds what stands as code in a line of the page.
-	quoted = regexp.MustCompile("`([^`]+)`")
-	metric = regexp.MustCompile(`^(status|entry|agent|process)\.[a-zA-Z._]+$`)
-	// sentence is a line of the log or a text of a command, quoted whole.
-	sentence = regexp.MustCompile(`^[A-Z][a-z]* [^=/]+\.$`)
+	// quotedPattern finds what stands as code in a line of the page.
+	quotedPattern = regexp.MustCompile("`([^`]+)`")
+	metricPattern = regexp.MustCompile(`^(status|entry|agent|process)\.[a-zA-Z._]+$`)
+	// sentencePattern is a line of the log or a text of a command, quoted whole.
+	sentencePattern = regexp.MustCompile(`^[A-Z][a-z]* [^=/]+\.$`)
 )
 
 // An operator searches at night for what the page names: each metric must be one of
 // docs/METRICS.md, each result code one of the schema, each quoted sentence one that the
 // code prints.
-func TestOperationsNamesWhatThereIs(t *testing.T) {
+func TestOperationsPageNamesExist(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -41,32 +41,32 @@
 			}
 		}
 	}
-	metrics, seen := read("../../docs/METRICS.md"), 0
-	for _, match := range quoted.FindAllStringSubmatch(read("../../docs/OPERATIONS.md"), -1) {
+	metricsPage, checked := read("../../docs/METRICS.md"), 0
+	for _, match := range quotedPattern.FindAllStringSubmatch(read("../../docs/OPERATIONS.md"), -1) {
 		name := match[1]
 		code, isResult := strings.CutPrefix(name, "entry.results.")
 		known := true
 		switch {
 		case isResult:
-			known = named(code)
-		case metric.MatchString(name):
-			known = strings.Contains(metrics, "`"+name+"`")
-		case sentence.MatchString(name):
+			known = isResultName(code)
+		case metricPattern.MatchString(name):
+			known = strings.Contains(metricsPage, "`"+name+"`")
+		case sentencePattern.MatchString(name):
 			known = strings.Contains(sources.String(), `"`+name)
 		default:
 			continue
 		}
-		seen++
+		checked++
 		if !known {
 			t.Errorf("docs/OPERATIONS.md names %q, which there is not", name)
 		}
 	}
-	if seen < 20 {
-		t.Errorf("only %d names were found: the test looks in the wrong place", seen)
+	if checked < 20 {
+		t.Errorf("only %d names were found: the test looks in the wrong place", checked)
 	}
 }
 
-func named(code string) bool {
+func isResultName(code string) bool {
 	for _, info := range result.All() {
 		if info.Name == code {
 			return true
--- a/internal/docgen/results.go
+++ b/internal/docgen/results.go
@@ -26,8 +26,8 @@
 failure with 1.
 `
 
-// groups names the codes by their hundreds.
-var groups = []string{
+// groupTitles names the codes by their hundreds.
+var groupTitles = []string{
 	"Success", "The request is at fault", "Refused: the request has not run",
 	"About a ticket that was used", "The answer failed", "Operators' commands",
 }
@@ -35,18 +35,18 @@
 func resultsPage() string {
 	var b strings.Builder
 	b.WriteString(resultsIntro)
-	hundred := int32(-1)
+	group := int32(-1)
 	for _, info := range result.All() {
-		if info.Number/100 != hundred {
-			hundred = info.Number / 100
-			fmt.Fprintf(&b, "\n## %s\n\n| Code | Name | HTTP | Ran | Exit | Meaning |\n|---|---|---|---|---|---|\n", groups[hundred])
+		if info.Number/100 != group {
+			group = info.Number / 100
+			fmt.Fprintf(&b, "\n## %s\n\n| Code | Name | HTTP | Ran | Exit | Meaning |\n|---|---|---|---|---|---|\n", groupTitles[group])
 		}
-		row(&b, info)
+		writeRow(&b, info)
 	}
 	return b.String()
 }
 
-func row(b *strings.Builder, info result.Info) {
+func writeRow(b *strings.Builder, info result.Info) {
 	text := info.Doc
 	if info.RetryAfter {
 		text += " *Retry-After.*"
--- a/internal/docgen/settings.go
+++ b/internal/docgen/settings.go
@@ -31,29 +31,29 @@
 func settingsPage() string {
 	var b strings.Builder
 	b.WriteString(settingsIntro)
-	file(&b, "Settings of an entry", "`apricothub entry -c FILE`. Examples: `examples/*/entry.ini`.", (&api.EntrySettings{}).ProtoReflect().Descriptor())
-	file(&b, "Settings of an agent", "`apricothub agent -c FILE`. Examples: `examples/*/agent-*.ini`. A plain service has no `[group]`.", (&api.AgentSettings{}).ProtoReflect().Descriptor())
+	writeFile(&b, "Settings of an entry", "`apricothub entry -c FILE`. Examples: `examples/*/entry.ini`.", (&api.EntrySettings{}).ProtoReflect().Descriptor())
+	writeFile(&b, "Settings of an agent", "`apricothub agent -c FILE`. Examples: `examples/*/agent-*.ini`. A plain service has no `[group]`.", (&api.AgentSettings{}).ProtoReflect().Descriptor())
 	b.WriteString("\n## The plans list\n\nCustomers and their plans, published by `apricothub publish plans FILE`. " +
 		"A customer's keys stand in it as hashes only; `apricothub check --hash-key` makes them.\n")
-	section(&b, "[customer NAME]", (&api.Customer{}).ProtoReflect().Descriptor())
+	writeSection(&b, "[customer NAME]", (&api.Customer{}).ProtoReflect().Descriptor())
 	b.WriteString("\n## The uses list\n\nWhat each plan may use, published by `apricothub publish uses FILE`. " +
 		"Models, adapters and services that a plan names must have their section.\n")
-	section(&b, "[plan NAME]", (&api.Plan{}).ProtoReflect().Descriptor())
-	section(&b, "[service NAME]", (&api.Service{}).ProtoReflect().Descriptor())
-	section(&b, "[model NAME]", (&api.Model{}).ProtoReflect().Descriptor())
+	writeSection(&b, "[plan NAME]", (&api.Plan{}).ProtoReflect().Descriptor())
+	writeSection(&b, "[service NAME]", (&api.Service{}).ProtoReflect().Descriptor())
+	writeSection(&b, "[model NAME]", (&api.Model{}).ProtoReflect().Descriptor())
 	return b.String()
 }
 
-// file writes the sections of a settings file.
-func file(b *strings.Builder, title, text string, message protoreflect.MessageDescriptor) {
+// writeFile writes the sections of a settings writeFile.
+func writeFile(b *strings.Builder, title, text string, message protoreflect.MessageDescriptor) {
 	fmt.Fprintf(b, "\n## %s\n\n%s\n", title, text)
 	for i := range message.Fields().Len() {
 		field := message.Fields().Get(i)
-		section(b, "["+dashed(field)+"]", field.Message())
+		writeSection(b, "["+settingName(field)+"]", field.Message())
 	}
 }
 
-func section(b *strings.Builder, title string, message protoreflect.MessageDescriptor) {
+func writeSection(b *strings.Builder, title string, message protoreflect.MessageDescriptor) {
 	fmt.Fprintf(b, "\n### `%s`\n\n| Key | Value | Default | Meaning |\n|---|---|---|---|\n", title)
 	for i := range message.Fields().Len() {
 		field := message.Fields().Get(i)
@@ -65,16 +65,16 @@
 		if setting.GetReload() {
 			meaning += " *Reload.*"
 		}
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", dashed(field), valueOf(field, setting), defaultOf(setting), meaning)
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", settingName(field), describeValue(field, setting), describeDefault(setting), meaning)
 	}
 }
 
-func dashed(field protoreflect.FieldDescriptor) string {
+func settingName(field protoreflect.FieldDescriptor) string {
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// valueOf describes what a key may hold.
-func valueOf(field protoreflect.FieldDescriptor, setting *api.Setting) string {
+// describeValue describes what a key may hold.
+func describeValue(field protoreflect.FieldDescriptor, setting *api.Setting) string {
 	text := setting.GetForm()
 	switch {
 	case setting.GetSecret():
@@ -98,7 +98,7 @@
 	return text
 }
 
-func defaultOf(setting *api.Setting) string {
+func describeDefault(setting *api.Setting) string {
 	switch {
 	case setting.GetRequired():
 		return "**required**"
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -36,7 +36,7 @@
 	named := make(map[string]adminapi.Group)
 	for vm, s := range d.status {
 		if g := s.GetGroupStatus(); g != nil {
-			named[s.GetGroup()] = adminapi.GroupOf(s.GetGroup(), vm, g)
+			named[s.GetGroup()] = adminapi.GroupFromStatus(s.GetGroup(), vm, g)
 		}
 	}
 	for _, vm := range vms {
@@ -59,7 +59,7 @@
 			d.steps[name] = seen
 		}
 		g.Step = max(g.Step, seen.step)
-		g.StillMs = (now - seen.at).Milliseconds()
+		g.StepAgeMs = (now - seen.at).Milliseconds()
 		all = append(all, g)
 	}
 	for name := range d.steps {
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -34,15 +34,15 @@
 	report(1*time.Second, 100)
 	report(2*time.Second, 120)
 	report(9*time.Second, 120)
-	if g := shown(9 * time.Second); g.Coordinator != "p1" || g.StillMs != 7000 || g.Agents != 2 {
+	if g := shown(9 * time.Second); g.Coordinator != "p1" || g.StepAgeMs != 7000 || g.Agents != 2 {
 		t.Errorf("a stalled engine: %+v", g)
 	}
 	delete(d.status, "p1")
-	if g := shown(12 * time.Second); g.Coordinator != "" || g.Step != 120 || g.StillMs != 10000 || g.Agents != 1 || g.AgentsAll != 2 {
+	if g := shown(12 * time.Second); g.Coordinator != "" || g.Step != 120 || g.StepAgeMs != 10000 || g.Agents != 1 || g.AgentsAll != 2 {
 		t.Errorf("no coordinator: %+v", g)
 	}
 	report(13*time.Second, 121)
-	if g := shown(13 * time.Second); g.Coordinator != "p1" || g.StillMs != 0 {
+	if g := shown(13 * time.Second); g.Coordinator != "p1" || g.StepAgeMs != 0 {
 		t.Errorf("it goes on: %+v", g)
 	}
 }
--- a/internal/entry/show.go
+++ b/internal/entry/show.go
@@ -38,7 +38,7 @@
 		if peer := d.peers[vm]; peer != nil {
 			domain = peer.Hello.GetFailureDomain()
 		}
-		b := adminapi.BackendOf(vm, domain, s)
+		b := adminapi.BackendFromStatus(vm, domain, s)
 		b.ReportAgeMs = (now - d.heard[vm]).Milliseconds()
 		all = append(all, b)
 	}
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -37,7 +37,7 @@
 	for _, list := range []api.ListName{api.ListName_LIST_PLANS, api.ListName_LIST_USES} {
 		offset, sections, made := n.List(list)
 		status.Lists = append(status.Lists, adminapi.ListStatus{
-			Name:     adminapi.NameOfList(list),
+			Name:     adminapi.ListName(list),
 			Offset:   offset,
 			Sections: len(sections),
 			Author:   made.GetAuthor(),
@@ -46,7 +46,7 @@
 	}
 	for _, mark := range state.View.Marks() {
 		status.Marks = append(status.Marks, adminapi.Mark{
-			Target: adminapi.NameOfTarget(mark.GetTarget()),
+			Target: adminapi.TargetName(mark.GetTarget()),
 			Name:   mark.GetName(),
 			Out:    mark.GetOut(),
 			Offset: mark.GetOffset(),
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -3,11 +3,11 @@
 
 import "runtime/debug"
 
-// shortRevision is how much of a revision is shown.
-const shortRevision = 12
+// maxRevisionLength is how much of a revision is shown.
+const maxRevisionLength = 12
 
-// unstamped is what the toolchain writes when it knows no version.
-const unstamped = "(devel)"
+// develVersion is what the toolchain writes when it knows no version.
+const develVersion = "(devel)"
 
 // built is set by `make build` to what git calls the revision.
 var built string
@@ -26,7 +26,7 @@
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			revision = s.Value[:min(len(s.Value), shortRevision)]
+			revision = s.Value[:min(len(s.Value), maxRevisionLength)]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			dirty = "+changes"
 		}
@@ -34,7 +34,7 @@
 	if revision != "" {
 		return revision + dirty
 	}
-	if info.Main.Version != "" && info.Main.Version != unstamped {
+	if info.Main.Version != "" && info.Main.Version != develVersion {
 		return info.Main.Version
 	}
 	return "unknown"
--- a/test/confighistory_test.go
+++ b/test/confighistory_test.go
@@ -71,7 +71,7 @@
 		Text:     harness.PlansListWith(1 + 1000*number + n),
 	}, adminapi.Accepted, operatorPatience)
 	seen.Return = r.now()
-	var failed *adminclient.Failed
+	var failed *adminclient.ResponseError
 	switch {
 	case err == nil && change.State != adminapi.Unchanged:
 		seen.Outcome, seen.Offset = history.Accepted, change.Offset
