--- a/internal/admin/diagnostics.go
+++ b/internal/admin/diagnostics.go
@@ -15,26 +15,25 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// maxDumpBytes bounds a dump. Parts past it are named with their size and left
-// out: a dump asked for at a bad moment must not take the memory the process
-// needs.
+// maxDumpBytes limits the size of a dump. A part that no longer fits is replaced by its size, so
+// that a dump taken under load does not use the memory that the process needs.
 const maxDumpBytes = 8 << 20
 
-// maxDumpItems bounds one listing in a dump.
+// maxDumpItems limits the items of one list in a dump.
 const maxDumpItems = 500
 
-// TruncatedList is the head of a long list in a dump.
+// TruncatedList holds the first items of a long list and the length of the whole list.
 type TruncatedList[T any] struct {
 	Total int `json:"total"`
 	Shown []T `json:"shown"`
 }
 
-// TruncateList keeps the first items of a list for a dump, and the count of all.
+// TruncateList returns the first items of a list for a dump, together with the count of all items.
 func TruncateList[T any](items []T) TruncatedList[T] {
 	return TruncatedList[T]{Total: len(items), Shown: items[:min(len(items), maxDumpItems)]}
 }
 
-// omittedPart stands in a dump for a part that does not fit.
+// omittedPart replaces a part of a dump that does not fit or cannot be encoded.
 type omittedPart struct {
 	Bytes  int    `json:"bytes"`
 	Reason string `json:"left_out"`
@@ -74,15 +73,15 @@
 	return json.Marshal(value)
 }
 
-// metrics answers one line `name value` for each number, in the order of names,
-// or JSON with ?format=json.
+// metrics writes one line `name value` for each metric, sorted by name, or JSON with ?format=json.
 func (h *handler) metrics(w http.ResponseWriter, r *http.Request) {
 	values := map[string]float64{}
 	if status, err := h.process.Status(r.Context()); err == nil {
 		values = statusGauges(status)
 	}
 	addRuntimeGauges(values)
-	// The default registry holds what the packages count that know no process, as the log.
+	// The default registry holds the metrics of packages that are not tied to one process, such as
+	// logging.
 	for _, registry := range []metrics.Registry{h.process.Metrics(), metrics.DefaultRegistry} {
 		registry.Each(func(name string, metric any) { addMetric(values, name, metric) })
 	}
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,7 +1,7 @@
-// Package admin serves operators: the two lists, marks, state, metrics and
-// readiness, over HTTP on an address of its own and behind a token.
+// Package admin serves the admin interface of a process over HTTP: the two lists, marks, state,
+// metrics and readiness. It listens on its own address and requires a token, except for readiness.
 //
-// A process implements [Process]; an entry implements [Configuration] as well.
-// [Handler] does the rest: the token, bounds, parsing, waiting for a change to be
-// accepted and in force, and the answers of package adminapi.
+// A process implements [Process]; an entry also implements [Configuration]. [Handler] checks the
+// token, limits and parses requests, waits until a change is accepted and in force, and answers
+// with the messages of package adminapi.
 package admin
--- a/internal/admin/gauges.go
+++ b/internal/admin/gauges.go
@@ -6,8 +6,7 @@
 	"github.com/apricothub/apricothub/internal/adminapi"
 )
 
-// statusGauges turns a status into the numbers that alarms watch. docs/METRICS.md lists
-// them.
+// statusGauges returns the gauges derived from a status. docs/METRICS.md lists them.
 func statusGauges(s *adminapi.Status) map[string]float64 {
 	values := map[string]float64{
 		"status.ready":           boolGauge(s.Process.Ready),
@@ -72,7 +71,7 @@
 	values["status.backends.limit"] = float64(limit)
 }
 
-// addRuntimeGauges adds what the runtime knows of the process.
+// addRuntimeGauges adds gauges of the Go runtime.
 func addRuntimeGauges(values map[string]float64) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -18,8 +18,8 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// Bounds of the admin server. A body holds a list of at most 4 MiB, with every
-// newline escaped.
+// Limits of the admin server. A body holds a list of at most 4 MiB in which every newline may be
+// escaped, hence twice that size.
 const (
 	maxBodyBytes      = 8 << 20
 	maxHeaderBytes    = 16 << 10
@@ -29,8 +29,8 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// Handler serves the admin address of a process. configuration is nil for a
-// process that takes no changes, such as an agent.
+// Handler returns the handler of a process's admin address. configuration is nil for a process that
+// accepts no changes, such as an agent.
 func Handler(process Process, configuration Configuration, token string) http.Handler {
 	h := &handler{process: process, configuration: configuration}
 	mux := http.NewServeMux()
@@ -55,7 +55,7 @@
 	return root
 }
 
-// Serve serves the admin address until the context ends.
+// Serve listens on the admin address until the context ends.
 func Serve(ctx context.Context, address string, handler http.Handler, logger log.Logger) error {
 	server := NewServer(handler, logger)
 	server.Addr = address
@@ -65,10 +65,11 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return ctx.Err()
 	}
-	return errors.Wrap(err, "listen for operators")
+	return errors.Wrap(err, "serve the admin address")
 }
 
-// NewServer bounds what a client of the admin address can hold open or send.
+// NewServer returns a server whose timeouts and header limit bound what a client of the admin
+// address can hold open or send.
 func NewServer(handler http.Handler, logger log.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -77,7 +78,7 @@
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          logging.Library(logger, "The server for operators met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.Library(logger, "The admin server reported an error.", result.Label(api.ResultCode_INTERNAL)),
 	}
 }
 
@@ -86,9 +87,8 @@
 	configuration Configuration
 }
 
-// requireToken lets requests with the token pass. Hashes of equal length are
-// compared in constant time, so that the time of a refusal tells nothing about
-// the token or its length.
+// requireToken rejects requests without the token. It compares hashes, which have equal length, in
+// constant time, so that the time of a rejection reveals neither the token nor its length.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -102,6 +102,7 @@
 	})
 }
 
+// allowMethod rejects requests whose method is not the given one.
 func allowMethod(method string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -113,7 +114,7 @@
 	})
 }
 
-// rejectConfiguration answers for a process that takes no changes.
+// rejectConfiguration answers requests for lists and marks at a process that accepts no changes.
 func rejectConfiguration(w http.ResponseWriter, _ *http.Request) {
 	result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS,
 		"This process takes no lists or marks. Use the admin address of an entry."))
@@ -138,14 +139,14 @@
 	writeJSON(w, status)
 }
 
-// writeJSON answers OK.
+// writeJSON writes body as JSON with the result OK.
 func writeJSON(w http.ResponseWriter, body any) {
 	result.SetHeader(w.Header(), api.ResultCode_OK)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// writeError answers with an error and what goes with it.
+// writeError writes an error together with the details in failure.
 func writeError(w http.ResponseWriter, err error, failure adminapi.Failure) {
 	e := result.FromError(err)
 	failure.Error = e.Detail()
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -26,8 +26,8 @@
 
 const token = "0123456789abcdef"
 
-// fakeProcess is one process with a log in memory: a record is accepted when its base is
-// current, and in force when nobody is missing.
+// fakeProcess is a process with an in-memory log. A record is accepted when its base is current,
+// and in force when no VM is missing.
 type fakeProcess struct {
 	mu         sync.Mutex
 	lists      map[api.ListName]admin.ListInForce
@@ -35,7 +35,7 @@
 	missing    []string
 	nextOffset int64
 	appendErr  error
-	// applyDespiteError makes Append take effect and still fail.
+	// applyDespiteError makes Append apply the record and still return appendErr.
 	applyDespiteError bool
 	appends           int
 }
@@ -161,9 +161,9 @@
 	}
 }
 
-// An operator's publish is accepted, and the answer is lost. The operator sends it
-// again: the list now stands past the base, by this very change. That must read as
-// success, and must not append a second change.
+// A publish is accepted but its answer is lost, and the operator repeats it. The list is now past
+// the base because of this very change, so the repetition must succeed without appending a second
+// change.
 func TestRepeatedPublishAppendsOnce(t *testing.T) {
 	f := newFakeProcess()
 	client, _ := startServer(t, f)
@@ -177,8 +177,8 @@
 	}
 }
 
-// Two operators edit from the same list. The second must learn which change came
-// first, and nothing of the first may be overwritten.
+// Two operators edit the same version of a list. The second must learn which change came first, and
+// must not overwrite it.
 func TestConflict(t *testing.T) {
 	f := newFakeProcess()
 	client, _ := startServer(t, f)
@@ -195,8 +195,8 @@
 	}
 }
 
-// The log takes the record and its answer is lost. The operator must not be told
-// that nothing was published: only a verdict tells.
+// The log appends the record but its answer is lost. The operator must not be told that nothing was
+// published: only a verdict shows the outcome.
 func TestAppendAnswerLost(t *testing.T) {
 	f := newFakeProcess()
 	f.applyDespiteError, f.appendErr = true, result.New(api.ResultCode_NOT_CONFIRMED)
@@ -243,9 +243,9 @@
 	}
 }
 
-// A record that every member would refuse is not appended; the operator learns why. But
-// when it is the operator's own record, sent again after its answer was lost, that made
-// the conflict meanwhile, that is no conflict.
+// A record that every member would refuse is not appended, and the operator gets the reason. A
+// conflict caused by the operator's own record, repeated after its answer was lost, is not reported
+// as a conflict.
 func TestRefusedBeforeAppend(t *testing.T) {
 	f := newFakeProcess()
 	client, _ := startServer(t, f)
@@ -362,7 +362,7 @@
 	}
 }
 
-// Every metric of the status stands in the page, which operators' alarms rest on.
+// Alarms depend on docs/METRICS.md, so the page must list every status metric.
 func TestMetrics(t *testing.T) {
 	client, _ := startServer(t, newFakeProcess())
 	text, err := client.Fetch(context.Background(), adminapi.PathMetrics)
--- a/internal/admin/publish.go
+++ b/internal/admin/publish.go
@@ -19,13 +19,13 @@
 
 const (
 	defaultWait = 10 * time.Second
-	// pollInterval is short against the time a change takes to spread, and cheap:
-	// only operators wait.
+	// pollInterval is short compared with the time a change takes to spread. Polling is cheap,
+	// since only operators wait.
 	pollInterval = 20 * time.Millisecond
-	// maxMissing bounds the VMs that an answer names: an operator looks at a few, and at
-	// thousands of VMs the rest is a count.
+	// maxMissing limits the VMs that an answer names. An operator looks at a few of them; with
+	// thousands of VMs the rest is given as a count.
 	maxMissing = 50
-	// maxIDBytes bounds change_id and author.
+	// maxIDBytes limits the length of change_id and author.
 	maxIDBytes = 100
 )
 
@@ -72,8 +72,8 @@
 		result.WriteHTTP(w, err)
 		return
 	}
-	// The same change again, because its answer was lost: its own acceptance
-	// has moved the list past the base, which is no conflict.
+	// The publisher may repeat a change because its answer was lost. The accepted change has then
+	// moved the list past the base, which is not a conflict.
 	if existing := h.configuration.Change(request.ChangeID); existing.State != adminapi.Pending {
 		h.awaitChange(w, r, request.ChangeID, wait, list)
 		return
@@ -83,7 +83,7 @@
 		result.WriteHTTP(w, err)
 		return
 	}
-	// A list that is in force already needs no change, from whatever base.
+	// A list that is already in force needs no change, whatever its base.
 	change := Difference(list, current.Sections, sections)
 	if len(change.GetSet()) == 0 && len(change.GetRemoved()) == 0 {
 		writeJSON(w, adminapi.Change{
@@ -106,8 +106,8 @@
 	h.appendRecord(w, r, record, wait, list)
 }
 
-// awaitBase returns the list in force, once this process has come as far as the base
-// that an operator read from another one.
+// awaitBase returns the list in force once this process has applied the base, which the operator
+// may have read from another process.
 func (h *handler) awaitBase(r *http.Request, list api.ListName, base int64, wait waitOptions) (ListInForce, error) {
 	deadline := time.After(wait.timeout)
 	for {
@@ -126,8 +126,7 @@
 	}
 }
 
-// Difference gives the change that turns one list into another. The base is left
-// to the caller.
+// Difference returns the change that turns one list into another. The caller sets the base.
 func Difference(list api.ListName, before, after []*api.Section) *api.ListChange {
 	change := &api.ListChange{List: list}
 	oldByName := make(map[string]*api.Section, len(before))
@@ -153,7 +152,7 @@
 	return &api.Record{ChangeId: changeID, Author: author, PublishedMs: time.Now().UnixMilli()}
 }
 
-// appendRecord puts a record into the log and answers how far it came.
+// appendRecord appends a record to the log and answers with the progress of the change.
 func (h *handler) appendRecord(w http.ResponseWriter, r *http.Request, record *api.Record, wait waitOptions, list api.ListName) {
 	err := h.configuration.Append(r.Context(), record)
 	if refusedBeforeAppend(err) && !h.hasVerdict(record.GetChangeId()) {
@@ -165,21 +164,21 @@
 		return
 	}
 	if err != nil && wait.state == adminapi.Pending {
-		// Nobody can tell whether the record stands; only a verdict can.
+		// It is unknown whether the record was appended; only a verdict shows it.
 		wait.state = adminapi.Accepted
 	}
 	wait.appendErr = err
 	h.awaitChange(w, r, record.GetChangeId(), wait, list)
 }
 
-// hasVerdict says that a record with the change id was applied here. It is looked at last
-// before a conflict is answered: the record that an operator sends again, because its
-// answer was lost, may have been applied since the request came, and made the conflict.
+// hasVerdict reports whether a record with the change id was applied here. It is checked again just
+// before a conflict is answered: a record that an operator repeats, because its answer was lost,
+// may have been applied since the request arrived and have caused the conflict itself.
 func (h *handler) hasVerdict(changeID string) bool {
 	return h.configuration.Change(changeID).State != adminapi.Pending
 }
 
-// refusedBeforeAppend says that a record was not appended, since every member would have
+// refusedBeforeAppend reports whether a record was not appended because every member would have
 // refused it.
 func refusedBeforeAppend(err error) bool {
 	var conflict *config.ConflictError
@@ -187,7 +186,7 @@
 	return errors.As(err, &conflict) || errors.As(err, &refused)
 }
 
-// writeRefusal answers for a record that was not appended.
+// writeRefusal answers for a record that was refused before it was appended.
 func (h *handler) writeRefusal(w http.ResponseWriter, changeID string, err error, list api.ListName) {
 	var conflict *config.ConflictError
 	if !errors.As(err, &conflict) {
@@ -201,8 +200,8 @@
 	h.writeChangeConflict(w, change, list)
 }
 
-// awaitChange waits for a change and answers how far it came. list is unspecified for
-// a mark.
+// awaitChange waits until a change reaches the requested state or the timeout passes, then writes
+// its progress. list is unspecified for a mark.
 func (h *handler) awaitChange(w http.ResponseWriter, r *http.Request, id string, wait waitOptions, list api.ListName) {
 	done := r.Context().Done()
 	deadline := time.Now().Add(wait.timeout)
@@ -282,11 +281,11 @@
 	h.awaitChange(w, r, r.PathValue("id"), wait, api.ListName_LIST_UNSPECIFIED)
 }
 
-// waitOptions says how far a request wants to see its change come.
+// waitOptions holds the state that a request waits for, and for how long.
 type waitOptions struct {
 	state   adminapi.State
 	timeout time.Duration
-	// appendErr is why it is not known whether the record was appended, if so.
+	// appendErr is the error of an append whose outcome is unknown, or nil.
 	appendErr error
 }
 
@@ -317,8 +316,8 @@
 	return nil
 }
 
-// readJSON reads a body of bounded size. Unknown fields are refused, so that a
-// misspelt one does not go unnoticed.
+// readJSON decodes a body of limited size. Unknown fields are rejected, so that a misspelt field is
+// noticed.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -333,7 +332,7 @@
 	return result.New(api.ResultCode_BAD_REQUEST, err.Error())
 }
 
-// awaitPollInterval waits between two looks at a change; false when the client has gone.
+// awaitPollInterval waits for one poll interval and returns false if the client has disconnected.
 func awaitPollInterval(done <-chan struct{}) bool {
 	select {
 	case <-done:
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,5 @@
-// Package adminapi holds the JSON messages between operators' commands and the
-// admin address of a process. Package admin serves them, package adminclient
-// sends them.
+// Package adminapi defines the JSON messages between the operators' commands and the admin address
+// of a process. Package admin serves them, package adminclient sends them.
 package adminapi
 
 import (
@@ -23,7 +22,7 @@
 	PathReady   = "/ready"
 )
 
-// MaxWait bounds the time that one request may wait for a change.
+// MaxWait limits how long one request may wait for a change.
 const MaxWait = time.Minute
 
 // Names of the two lists, in paths and on the command line.
@@ -32,13 +31,13 @@
 	ListUses  = "uses"
 )
 
-// Kinds of marks.
+// Targets of marks, in requests and on the command line.
 const (
 	TargetDomain = "domain"
 	TargetVM     = "vm"
 )
 
-// ParseListName gives the list of a name; LIST_UNSPECIFIED for none.
+// ParseListName returns the list with the given name, or LIST_UNSPECIFIED.
 func ParseListName(name string) api.ListName {
 	switch name {
 	case ListPlans:
@@ -60,7 +59,7 @@
 	return ""
 }
 
-// ParseTarget gives the kind of a mark; TARGET_UNSPECIFIED for none.
+// ParseTarget returns the mark target with the given name, or TARGET_UNSPECIFIED.
 func ParseTarget(name string) api.MarkTarget {
 	switch name {
 	case TargetDomain:
@@ -82,25 +81,24 @@
 	return ""
 }
 
-// List is a list as in force.
+// List is a list in force.
 type List struct {
-	// Offset of the accepted change that made it; -1 if never published.
+	// Offset of the accepted change that the list comes from; -1 if never published.
 	Offset int64 `json:"offset"`
 	// Text is the list as INI.
 	Text string `json:"text"`
-	// Author and ChangeID name the change at Offset, while they are remembered.
+	// Author and ChangeID identify the change at Offset, while the process still keeps them.
 	Author   string `json:"author,omitempty"`
 	ChangeID string `json:"change_id,omitempty"`
 }
 
 // PublishRequest replaces a list.
 type PublishRequest struct {
-	// Base is the offset of the list that the edit was made from; -1 for a list
-	// that was never published.
+	// Base is the offset of the list that was edited; -1 for a list that was never published.
 	Base   int64  `json:"base"`
 	Author string `json:"author"`
-	// ChangeID is random and chosen by the publisher. Sending the same change
-	// again under the same id does not make a second change.
+	// ChangeID is a random id chosen by the publisher. Repeating a change with the same id does not
+	// make a second change.
 	ChangeID string `json:"change_id"`
 	Text     string `json:"text"`
 }
@@ -111,50 +109,50 @@
 	Target string `json:"target"`
 	Name   string `json:"name"`
 	Out    bool   `json:"out"`
-	// Base is the offset of the mark that the operator saw; null means the
-	// current one, whichever it is.
+	// Base is the offset of the mark that the operator saw; null accepts any current mark.
 	Base     *int64 `json:"base"`
 	Author   string `json:"author"`
 	ChangeID string `json:"change_id"`
 }
 
-// State is how far a change has come.
+// State is the progress of a change.
 type State string
 
 // The states of a change, in order. Refused and Unchanged are final.
 const (
-	// Pending: appended to the log, or perhaps not; no verdict yet.
+	// Pending: the record may or may not be in the log; there is no verdict yet.
 	Pending State = "pending"
-	// Unchanged: the list is in force as sent; nothing was appended.
+	// Unchanged: the list in force already has this content; nothing was appended.
 	Unchanged State = "unchanged"
-	// Refused: the fold refused the change; the verdict says why.
+	// Refused: the fold refused the change; the verdict gives the reason.
 	Refused State = "refused"
-	// Accepted: the change stands, and will never be lost or reverted.
+	// Accepted: the change is final; it is never lost or reverted.
 	Accepted State = "accepted"
 	// InForce: every live process has applied the change.
 	InForce State = "in_force"
 )
 
-// stateOrder orders the states that a change passes.
+// stateOrder gives the order in which a change passes through its states.
 var stateOrder = map[State]int{Pending: 0, Accepted: 1, InForce: 2, Unchanged: 3, Refused: 3}
 
-// Reached says that a change in state s needs no more waiting for the wanted one.
+// Reached reports whether a change in state s need not be waited for any longer to reach the wanted
+// state.
 func (s State) Reached(wanted State) bool { return stateOrder[s] >= stateOrder[wanted] }
 
-// Change is the answer about a change: how far it has come.
+// Change reports the progress of a change.
 type Change struct {
 	ChangeID string `json:"change_id"`
 	// Offset of the record; -1 while it is not known.
 	Offset int64 `json:"offset"`
 	State  State `json:"state"`
-	// Missing names the VMs of live processes that have not shown that they applied the
-	// change, at most 50 of them; MissingMore is how many there are beside those.
+	// Missing names the VMs of live processes that have not confirmed that they applied the
+	// change, at most 50 of them; MissingMore counts the others.
 	Missing     []string `json:"missing"`
 	MissingMore int      `json:"missing_more,omitempty"`
 	Verdict     *Verdict `json:"verdict,omitempty"`
 }
 
-// MissingSummary names the VMs that have not shown that they applied the change, for a text.
+// MissingSummary lists the VMs that have not confirmed that they applied the change, as text.
 func (c *Change) MissingSummary() string {
 	text := strings.Join(c.Missing, ", ")
 	if c.MissingMore > 0 {
@@ -168,22 +166,22 @@
 	Accepted bool   `json:"accepted"`
 	Offset   int64  `json:"offset"`
 	Author   string `json:"author"`
-	// Current is the offset that stood in place of the base.
+	// Current is the offset that was in force in place of the base.
 	Current int64 `json:"current"`
-	// Reason says what is wrong with a record that is refused for itself.
+	// Reason says why a record is refused that is invalid in itself, rather than in conflict.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Failure is the body of an answer that is an error. The further fields are set
-// for a conflict and for a change that could not be confirmed.
+// Failure is the body of an error response. The other fields are set for a conflict and for a
+// change that could not be confirmed.
 type Failure struct {
 	Error result.Detail `json:"error"`
-	// Current is the offset that stands, with its author and change.
+	// Current is the offset in force; Author and ChangeID identify its change.
 	Current  *int64 `json:"current,omitempty"`
 	Author   string `json:"author,omitempty"`
 	ChangeID string `json:"change_id,omitempty"`
-	// Change is how far the change had come.
+	// Change is the progress of the change.
 	Change *Change `json:"change,omitempty"`
-	// Faults lists what is wrong with a list, with lines.
+	// Faults lists the errors found in a list, with line numbers.
 	Faults []string `json:"faults,omitempty"`
 }
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -2,7 +2,7 @@
 
 import "github.com/apricothub/apricothub/api"
 
-// Status is what one process knows of the system.
+// Status is the state of the system as one process knows it.
 type Status struct {
 	Process  Process      `json:"process"`
 	Log      LogStatus    `json:"log"`
@@ -13,7 +13,7 @@
 	Groups   []Group      `json:"groups"`
 }
 
-// Process is the process that answers.
+// Process describes the process that answers.
 type Process struct {
 	VM string `json:"vm"`
 	// Role is entry or agent.
@@ -22,22 +22,22 @@
 	Incarnation   string `json:"incarnation"`
 	Version       string `json:"version"`
 	UptimeMs      int64  `json:"uptime_ms"`
-	// Applied is the newest offset of the log that it has applied; -1 for none.
+	// Applied is the newest log offset that the process has applied; -1 for none.
 	Applied int64 `json:"applied"`
-	// Freshness says whether it trusts its configuration: "fresh", "outage"
-	// (stale, and so is everybody: it goes on), "isolated" or "starting".
+	// Freshness says whether the process trusts its configuration: "fresh", "outage" (its
+	// configuration is stale, as at all members, and it keeps serving), "isolated" or "starting".
 	Freshness string `json:"freshness"`
-	// EvidenceAgeMs is the age of its newest evidence that Applied is the tail;
-	// -1 for never.
+	// EvidenceAgeMs is the age of the newest evidence that Applied is the end of the log; -1 if
+	// there was none.
 	EvidenceAgeMs int64 `json:"evidence_age_ms"`
 	Ready         bool  `json:"ready"`
 	Draining      bool  `json:"draining"`
 }
 
-// LogStatus is the platform's log as this process sees it.
+// LogStatus is the state of the platform's log as seen by this process.
 type LogStatus struct {
 	Reachable bool `json:"reachable"`
-	// DownMs is the time since it last answered; 0 while it does.
+	// DownMs is the time since the log last answered; 0 while it is reachable.
 	DownMs int64 `json:"down_ms"`
 }
 
@@ -59,7 +59,7 @@
 	Offset int64  `json:"offset"`
 }
 
-// Member is one process of the system, as this process last heard of it.
+// Member is one process of the system, as last reported to this process.
 type Member struct {
 	VM            string `json:"vm"`
 	Role          string `json:"role"`
@@ -68,11 +68,11 @@
 	Version       string `json:"version"`
 	Applied       int64  `json:"applied"`
 	EvidenceAgeMs int64  `json:"evidence_age_ms"`
-	// Link is up, suspect or down; empty where no link is meant to be.
+	// Link is up, suspect or down; empty for a member to which no link is needed.
 	Link     string `json:"link"`
 	Ready    bool   `json:"ready"`
 	Draining bool   `json:"draining"`
-	// Leaving says that the platform's list calls the VM leaving.
+	// Leaving is set while the platform lists the VM as leaving.
 	Leaving bool `json:"leaving"`
 }
 
@@ -84,17 +84,17 @@
 	Model         string   `json:"model,omitempty"`
 	ModelVersion  string   `json:"model_version,omitempty"`
 	Adapters      []string `json:"adapters,omitempty"`
-	// Limit is the concurrency limit now, FullLimit the one when warm.
+	// Limit is the current concurrency limit, FullLimit the limit of the warm server.
 	Limit     int32 `json:"limit"`
 	FullLimit int32 `json:"full_limit"`
 	Running   int32 `json:"running"`
 	Queued    int32 `json:"queued"`
 	Cold      bool  `json:"cold"`
-	// Refusing names the result code of new work; empty when it is taken.
+	// Refusing is the result code with which new work is refused; empty while it is accepted.
 	Refusing string `json:"refusing,omitempty"`
-	// Silent says that its engine has not answered its agent for some seconds.
+	// Silent is set when the engine has not answered its agent for some seconds.
 	Silent bool `json:"silent"`
-	// WorkMs is the smoothed time of one piece of work.
+	// WorkMs is the moving average of the time per request.
 	WorkMs float64 `json:"work_ms"`
 	Group  string  `json:"group,omitempty"`
 	// ReportAgeMs is the age of the report.
@@ -110,15 +110,15 @@
 	MapVersion  uint64 `json:"map_version"`
 	// Step is the newest step that all ranks have finished.
 	Step uint64 `json:"step"`
-	// StepAgeMs is the time since that changed, as the process that answers saw it.
+	// StepAgeMs is the time since Step last changed, as seen by the process that answers.
 	StepAgeMs int64 `json:"still_ms"`
 	// SkewMs is the time between the first and the last rank in a step.
 	SkewMs float64 `json:"skew_ms"`
-	// Agents counts those of the group that answer, of AgentsAll.
+	// Agents counts the agents of the group that answer, out of AgentsAll.
 	Agents    int `json:"agents"`
 	AgentsAll int `json:"agents_all"`
-	// SlowRanks counts the ranks that stay more than 3 times slower than the group, and
-	// Slowest is the slowest of them; nil when there is none.
+	// SlowRanks counts the ranks that stay more than 3 times slower than the group, and Slowest is
+	// the slowest of them; nil when there is none.
 	SlowRanks int       `json:"slow_ranks"`
 	Slowest   *SlowRank `json:"slowest,omitempty"`
 }
@@ -127,11 +127,11 @@
 type SlowRank struct {
 	Rank int    `json:"rank"`
 	VM   string `json:"vm"`
-	// Slowdown is its time for a token over the usual one of the group.
+	// Slowdown is the time per token of the rank relative to the typical time of the group.
 	Slowdown float64 `json:"pace"`
 }
 
-// GroupFromStatus is how a coordinator's report of its group is shown.
+// GroupFromStatus converts a coordinator's report of its group.
 func GroupFromStatus(name, coordinator string, g *api.GroupStatus) Group {
 	group := Group{
 		Name:        name,
@@ -150,7 +150,7 @@
 	return group
 }
 
-// BackendFromStatus is how a report of a backend server is shown.
+// BackendFromStatus converts an agent's report of its backend server.
 func BackendFromStatus(vm, failureDomain string, s *api.BackendStatus) Backend {
 	b := Backend{
 		VM:            vm,
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,4 +1,4 @@
-// Package adminclient sends operators' commands to the admin address of a process.
+// Package adminclient sends the operators' commands to the admin address of a process.
 package adminclient
 
 import (
@@ -21,20 +21,21 @@
 )
 
 const (
-	// maxResponseBytes bounds what is read of an answer; a dump has at most 8 MiB.
+	// maxResponseBytes limits how much of a response is read; a dump has at most 8 MiB.
 	maxResponseBytes = 32 << 20
-	// responseMargin is added to the time that the server may wait.
+	// responseMargin is added to the time that the server may wait, for the deadline of the
+	// request.
 	responseMargin = 10 * time.Second
 )
 
-// Client talks to one process.
+// Client sends requests to one process.
 type Client struct {
 	baseURL    string
 	token      string
 	httpClient *http.Client
 }
 
-// New makes a client for an admin address, IP:port.
+// New returns a client for an admin address, IP:port.
 func New(address, token string) (*Client, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, result.Newf(api.ResultCode_BAD_REQUEST, "%q is not an admin address, IP:port.", address)
@@ -42,53 +43,53 @@
 	return &Client{
 		baseURL: "http://" + address, token: token,
 		httpClient: &http.Client{
-			// No proxy of the environment: the token goes to this address only.
+			// Proxies from the environment are ignored: the token is sent to this address only.
 			Transport:     &http.Transport{DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}, nil
 }
 
-// ResponseError is an answer that is an error, with what the process says about it.
+// ResponseError is an error response, with the details that the process gives.
 type ResponseError struct {
 	Result  *result.Error
 	Details adminapi.Failure
 }
 
-// Error gives the result.
+// Error returns the text of the result.
 func (f *ResponseError) Error() string { return f.Result.Error() }
 
-// Unwrap gives the result to errors.As.
+// Unwrap returns the result.
 func (f *ResponseError) Unwrap() error { return f.Result }
 
-// List fetches a list as in force; list is plans or uses.
+// List fetches a list in force; list is plans or uses.
 func (c *Client) List(ctx context.Context, list string) (*adminapi.List, error) {
 	into := &adminapi.List{}
 	return into, c.get(ctx, adminapi.PathLists+list, into)
 }
 
-// Status fetches what the process knows of the system.
+// Status fetches the state of the system as the process knows it.
 func (c *Client) Status(ctx context.Context) (*adminapi.Status, error) {
 	into := &adminapi.Status{}
 	return into, c.get(ctx, adminapi.PathStatus, into)
 }
 
-// Publish sends a list and waits until it is as far as wanted.
+// Publish sends a list and waits until the change reaches the wanted state.
 func (c *Client) Publish(ctx context.Context, list string, request adminapi.PublishRequest, wanted adminapi.State, timeout time.Duration) (*adminapi.Change, error) {
 	return c.change(ctx, http.MethodPost, adminapi.PathLists+list, request, wanted, timeout)
 }
 
-// Mark sends a mark and waits until it is as far as wanted.
+// Mark sends a mark and waits until the change reaches the wanted state.
 func (c *Client) Mark(ctx context.Context, request adminapi.MarkRequest, wanted adminapi.State, timeout time.Duration) (*adminapi.Change, error) {
 	return c.change(ctx, http.MethodPost, adminapi.PathMarks, request, wanted, timeout)
 }
 
-// Change asks how far a change has come, and waits until it is as far as wanted.
+// Change fetches the progress of a change, after waiting for it to reach the wanted state.
 func (c *Client) Change(ctx context.Context, id string, wanted adminapi.State, timeout time.Duration) (*adminapi.Change, error) {
 	return c.change(ctx, http.MethodGet, adminapi.PathChanges+url.PathEscape(id), nil, wanted, timeout)
 }
 
-// Fetch fetches a path as it is: the dump, metrics or readiness.
+// Fetch returns the raw body of a path: the dump, metrics or readiness.
 func (c *Client) Fetch(ctx context.Context, path string) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, path, nil)
 }
@@ -148,7 +149,7 @@
 	return text, errorFromResponse(response, text)
 }
 
-// errorFromResponse turns an answer that is an error into one.
+// errorFromResponse returns the error that a response carries, or nil.
 func errorFromResponse(response *http.Response, text []byte) error {
 	response.Body = io.NopCloser(bytes.NewReader(text))
 	e := result.ReadHTTP(response)
