--- a/internal/docgen/docgen_test.go
+++ b/internal/docgen/docgen_test.go
@@ -16,12 +16,12 @@
 			continue
 		}
 		if string(text) != page() {
-			t.Errorf("%s is not what the schema says; run: go run ./internal/docgen", path)
+			t.Errorf("%s does not match the schema; run: go run ./internal/docgen", path)
 		}
 	}
 }
 
-// registeredMetric finds the names under which the processes register metrics.
+// registeredMetric matches the registration of a metric and captures its name.
 var registeredMetric = regexp.MustCompile(`metrics\.(?:GetOrRegister|NewRegistered)\w+\(\s*"([^"]+)"`)
 
 func TestMetricsAreListed(t *testing.T) {
--- a/internal/docgen/main.go
+++ b/internal/docgen/main.go
@@ -1,6 +1,6 @@
-// Command docgen writes the pages that are made from the schema and the code:
-// docs/SETTINGS.md, docs/RESULT-CODES.md and docs/LOGS.md. Run it at the root of the repository;
-// a test checks that the pages are up to date.
+// Command docgen writes the pages that are generated from the schema and the code:
+// docs/SETTINGS.md, docs/RESULT-CODES.md and docs/LOGS.md. Run it at the root of the repository; a
+// test checks that the pages are up to date.
 package main
 
 import (
@@ -9,14 +9,14 @@
 	"path/filepath"
 )
 
-// pages gives the generated pages by their path from the root.
+// pages maps the path of each generated page, relative to the root, to the function that makes it.
 var pages = map[string]func() string{
 	"docs/SETTINGS.md":     settingsPage,
 	"docs/RESULT-CODES.md": resultsPage,
 	"docs/LOGS.md":         logsPage,
 }
 
-// pageMode lets everybody read the pages.
+// pageMode makes the pages readable by everybody.
 const pageMode = 0o644
 
 func main() {
--- a/internal/docgen/operations_test.go
+++ b/internal/docgen/operations_test.go
@@ -11,16 +11,16 @@
 )
 
 var (
-	// quotedPattern finds what stands as code in a line of the page.
+	// quotedPattern matches text quoted as code.
 	quotedPattern = regexp.MustCompile("`([^`]+)`")
 	metricPattern = regexp.MustCompile(`^(status|entry|agent|process)\.[a-zA-Z._]+$`)
-	// sentencePattern is a line of the log or a text of a command, quoted whole.
+	// sentencePattern matches a log line or output of a command that is quoted in full.
 	sentencePattern = regexp.MustCompile(`^[A-Z][a-z]* [^=/]+\.$`)
 )
 
-// An operator searches at night for what the page names: each metric must be one of
-// docs/METRICS.md, each result code one of the schema, each quoted sentence one that the
-// code prints.
+// Operators search for the names that docs/OPERATIONS.md quotes. Each metric must be listed in
+// docs/METRICS.md, each result code must be in the schema, and each quoted sentence must be in the
+// source code.
 func TestOperationsPageNamesExist(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
@@ -58,7 +58,7 @@
 		}
 		checked++
 		if !known {
-			t.Errorf("docs/OPERATIONS.md names %q, which there is not", name)
+			t.Errorf("docs/OPERATIONS.md names %q, which does not exist", name)
 		}
 	}
 	if checked < 20 {
--- a/internal/docgen/results.go
+++ b/internal/docgen/results.go
@@ -26,7 +26,7 @@
 failure with 1.
 `
 
-// groupTitles names the codes by their hundreds.
+// groupTitles gives the title of each group of codes, indexed by the code's hundreds.
 var groupTitles = []string{
 	"Success", "The request is at fault", "Refused: the request has not run",
 	"About a ticket that was used", "The answer failed", "Operators' commands",
--- a/internal/docgen/settings.go
+++ b/internal/docgen/settings.go
@@ -44,7 +44,7 @@
 	return b.String()
 }
 
-// writeFile writes the sections of a settings writeFile.
+// writeFile writes the sections of a settings file.
 func writeFile(b *strings.Builder, title, text string, message protoreflect.MessageDescriptor) {
 	fmt.Fprintf(b, "\n## %s\n\n%s\n", title, text)
 	for i := range message.Fields().Len() {
@@ -73,7 +73,7 @@
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// describeValue describes what a key may hold.
+// describeValue describes the values that a key accepts.
 func describeValue(field protoreflect.FieldDescriptor, setting *api.Setting) string {
 	text := setting.GetForm()
 	switch {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,19 +1,19 @@
-// Package version names the version of the running program.
+// Package version reports the version of the running program.
 package version
 
 import "runtime/debug"
 
-// maxRevisionLength is how much of a revision is shown.
+// maxRevisionLength is the number of characters shown of a revision.
 const maxRevisionLength = 12
 
-// develVersion is what the toolchain writes when it knows no version.
+// develVersion is what the toolchain records when it knows no version.
 const develVersion = "(devel)"
 
-// built is set by `make build` to what git calls the revision.
+// built is set by `make build` to the revision that git describes.
 var built string
 
-// String gives what make build has set, or the revision that the program was built
-// from, or the module's version, or "unknown".
+// String returns the version set by make build, or else the revision that the program was built
+// from, the module's version, or "unknown".
 func String() string {
 	if built != "" {
 		return built
