--- a/cmd/apricothub/main.go
+++ b/cmd/apricothub/main.go
@@ -1,5 +1,5 @@
-// Command apricothub is a load balancer for expert-parallel model groups: the entry
-// and the agent, and the operators' commands.
+// Command apricothub is a load balancer for expert-parallel model groups. It runs the entry, the
+// agent, the gateway and the rank agent, and holds the operators' commands.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	parser := flaggy.NewParser("apricothub")
 	parser.Description = "A load balancer for expert-parallel model groups. Run SUBCOMMAND --help for more."
 	parser.AdditionalHelpAppend = "\n  Example:\n    apricothub status -a 10.20.1.11:7401"
-	// The subcommand shows the version; the library's flag would hide it.
+	// The library's version flag would hide the version subcommand.
 	parser.DisableShowVersionWithVersion()
 	commands := []*cli.Command{
 		daemon.Entry(entry.Run),
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -134,7 +134,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bodyReader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
 	response, err := c.httpClient.Do(request)
--- a/internal/command/check/check.go
+++ b/internal/command/check/check.go
@@ -1,5 +1,4 @@
-// Package check is the command that checks settings and lists without a running
-// system.
+// Package check implements the command that checks settings and lists without a running system.
 package check
 
 import (
@@ -19,7 +18,6 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// arguments of the command.
 type arguments struct {
 	entries []string
 	agents  []string
@@ -28,7 +26,7 @@
 	hashKey bool
 }
 
-// Command makes the command.
+// Command returns the check command.
 func Command() *cli.Command {
 	a := &arguments{}
 	sub := cli.NewSubcommand("check", "Check settings and lists; nothing is sent anywhere.",
@@ -111,13 +109,13 @@
 	return settings.Parse(list, path, text)
 }
 
-// maxKeyBytes bounds a customer's key.
+// maxKeyBytes limits the length of a customer's key.
 const maxKeyBytes = 4096
 
 func printKeyHash(in io.Reader, out io.Writer) error {
 	line, err := bufio.NewReader(io.LimitReader(in, maxKeyBytes+1)).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
-		return errors.Wrap(err, "read the key")
+		return errors.Wrap(err, "read the customer's key")
 	}
 	key := strings.TrimRight(line, "\r\n")
 	if key == "" || len(key) > maxKeyBytes {
--- a/internal/command/cli/cli.go
+++ b/internal/command/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the commands of apricothub share: their form, the flags of
-// those that talk to a process, and how an error becomes an exit status.
+// Package cli holds what the commands of apricothub share: their type, the flags of commands that
+// talk to a process, and the exit status of an error.
 package cli
 
 import (
@@ -20,15 +20,15 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// Exit statuses that no result code gives.
+// Exit statuses that are not derived from a result code.
 const (
 	exitOK    = 0
 	exitError = 1
-	// ExitUsage is for arguments, settings or lists with an error.
+	// ExitUsage is the status for invalid arguments, settings or lists.
 	ExitUsage = 2
 )
 
-// Environment variables that stand in for -a and -t.
+// Environment variables used when -a or -t is not given.
 const (
 	envAddress = "APRICOTHUB_ADMIN"
 	envToken   = "APRICOTHUB_TOKEN"
@@ -37,12 +37,12 @@
 // Command is one subcommand.
 type Command struct {
 	Sub *flaggy.Subcommand
-	// Run does the work once the arguments are parsed. It writes to out what the
-	// user asked for, and to notes what else the user should know.
+	// Run executes the command after the arguments are parsed. It writes the requested output to
+	// out, and warnings and notes to errOut.
 	Run func(ctx context.Context, out, errOut io.Writer) error
 }
 
-// NewSubcommand makes a subcommand. The help ends with the example.
+// NewSubcommand returns a subcommand whose help ends with the example.
 func NewSubcommand(name, description, example string) *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand(name)
 	sub.Description = description
@@ -50,8 +50,8 @@
 	return sub
 }
 
-// Main parses the arguments, runs the command they name and returns the exit
-// status. The parser itself ends the program after --help or a wrong flag.
+// Main parses the arguments, runs the command they name and returns the exit status. The parser
+// itself exits the program after --help or an invalid flag.
 func Main(ctx context.Context, parser *flaggy.Parser, commands []*Command, args []string, out, errOut io.Writer) int {
 	for _, c := range commands {
 		parser.AttachSubcommand(c.Sub, 1)
@@ -69,7 +69,7 @@
 	return ExitUsage
 }
 
-// reportError reports an error and gives its exit status.
+// reportError prints an error, if any, and returns the exit status.
 func reportError(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitOK
@@ -78,8 +78,8 @@
 	return ExitStatus(err)
 }
 
-// ExitStatus gives the exit status of an error: by its result code, ExitUsage for a
-// file with faults, otherwise 1.
+// ExitStatus returns the exit status of an error: that of its result code, ExitUsage for a file
+// with faults, otherwise 1.
 func ExitStatus(err error) int {
 	var faults settings.Faults
 	if errors.As(err, &faults) {
@@ -92,13 +92,13 @@
 	return exitError
 }
 
-// UsageErrorf makes an error about the arguments.
+// UsageErrorf returns an error about the arguments.
 func UsageErrorf(format string, args ...any) error {
 	return &usageError{result: result.Newf(api.ResultCode_BAD_LIST, format, args...)}
 }
 
-// usageError has the exit status of BAD_LIST and shows no code: nothing was asked
-// of the system.
+// usageError has the exit status of BAD_LIST. Its text shows no result code, since the error is in
+// the command line and not an answer of the system.
 type usageError struct{ result *result.Error }
 
 func (e *usageError) Error() string { return e.result.Text }
@@ -116,7 +116,7 @@
 	sub.String(&r.token, "t", "token", "Operators' token; better in "+envToken+", where other users do not see it.")
 }
 
-// Client makes the client that the flags or the environment describe.
+// Client returns a client for the address and token given by the flags or the environment.
 func (r *Remote) Client() (*adminclient.Client, error) {
 	address, token := valueOrEnv(r.address, envAddress), valueOrEnv(r.token, envToken)
 	if address == "" {
@@ -139,7 +139,8 @@
 	return os.Getenv(name)
 }
 
-// Author names who gives a command, for status and conflict messages.
+// Author returns the name under which a command is recorded in status and conflict messages: the
+// given name, or user@host.
 func Author(name string) string {
 	if name != "" {
 		return name
@@ -152,10 +153,10 @@
 	return user + "@" + host
 }
 
-// idBytes makes two change ids differ for certain in practice.
+// idBytes is the length of a change id, long enough that random ids do not collide.
 const idBytes = 16
 
-// NewChangeID makes the random id of a change.
+// NewChangeID returns a random id for a change.
 func NewChangeID() string {
 	var id [idBytes]byte
 	// Read fills the slice or ends the program.
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -1,5 +1,5 @@
-// Package command_test runs the operators' commands as a shell would, against an
-// admin address with prepared answers.
+// Package command_test runs the operators' commands as a shell would, against an admin address with
+// prepared responses.
 package command_test
 
 import (
@@ -30,10 +30,10 @@
 
 const uses = "[plan large]\nshare = 3\n"
 
-// fakeProcess answers as a fakeProcess would. Each answer is by "METHOD path".
+// fakeProcess serves prepared responses by "METHOD path".
 type fakeProcess struct {
 	responses map[string]any
-	// lastPosted is the newest body sent.
+	// lastPosted is the body of the last POST request.
 	lastPosted []byte
 }
 
@@ -59,7 +59,7 @@
 	return adminapi.Failure{Error: result.New(code).Detail()}
 }
 
-// runCommand gives one command line; it returns the exit status and all that was printed.
+// runCommand runs one command line and returns the exit status and everything printed.
 func runCommand(t *testing.T, p *fakeProcess, args ...string) (int, string) {
 	t.Helper()
 	server := httptest.NewServer(p)
@@ -81,7 +81,7 @@
 	return path
 }
 
-// newFakeProcess is a process that accepts what is published.
+// newFakeProcess returns a process that accepts what is published; overrides replaces responses.
 func newFakeProcess(overrides map[string]any) *fakeProcess {
 	accepted := adminapi.Change{ChangeID: "c1", Offset: 8, State: adminapi.Accepted}
 	responses := map[string]any{
@@ -234,7 +234,7 @@
 	}
 }
 
-// sampleStatus is a system with one of each trouble.
+// sampleStatus is a system with one problem of each kind.
 func sampleStatus() adminapi.Status {
 	return adminapi.Status{
 		Process: adminapi.Process{VM: "e-1", Role: "entry", FailureDomain: "a", Applied: 12, Freshness: "fresh", Ready: true, UptimeMs: 5000},
@@ -259,7 +259,7 @@
 		"entry e-1 in a", "ready, configuration fresh", "THE PLATFORM'S LOG DOES NOT ANSWER", "domain b, offset 12",
 		"b       OUT      1 of 1", "model pricing v3  1", "1.2 ms", "2 offsets behind", "link silent", "server vm-3  its engine does not answer", "refuses new work: 205 OUT_OF_SERVICE",
 		"rank 17 on vm-2 stays 4.2 times slower than its group, and 1 more",
-		"h      0    0     0.0 ms  2 of 3    none", "no word of its coordinator, the agent of rank 0; no step seen for 30 s",
+		"h      0    0     0.0 ms  2 of 3    none", "no report from its coordinator, the agent of rank 0; no step seen for 30 s",
 	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("want %q", want)
@@ -270,7 +270,7 @@
 	}
 }
 
-// A script takes the status as JSON and goes by the exit status.
+// Scripts parse the status as JSON and check the exit status.
 func TestStatusAsJSON(t *testing.T) {
 	code, out := runCommand(t, newFakeProcess(nil), "status", "--json")
 	var shown adminapi.Status
@@ -279,7 +279,8 @@
 	}
 }
 
-// At the two-year size the status must still fit a screen.
+// With the members and backend servers expected in two years, the status must still fit on one
+// screen.
 func TestStatusFitsOnOneScreen(t *testing.T) {
 	s := sampleStatus()
 	for range 500 {
@@ -306,9 +307,8 @@
 	}
 }
 
-// An operator looks at the difference by a dry run before publishing. Somebody else has
-// published since the list was dumped, so that the difference shows their change undone: the
-// dry run must say so as the conflict that publishing would be, not as good.
+// Another operator publishes after the list was dumped, so the difference shows that change undone.
+// A dry run must then fail with the conflict that publishing would cause.
 func TestDryRunReportsOutdatedBase(t *testing.T) {
 	overrides := map[string]any{"GET /v1/lists/uses": adminapi.List{Offset: 7, Text: uses, Author: "sam@x", ChangeID: "c9"}}
 	path := writeFile(t, "# base = 5\n[plan large]\nshare = 5\n")
@@ -318,8 +318,8 @@
 	}
 }
 
-// Each fault of the operator's own hand ends with 2, before anything is sent, and the
-// commands that wait say which flag is out of bounds.
+// Invalid arguments must end with status 2 before anything is sent, and the commands that wait must
+// name the flag that is out of range.
 func TestWrongArgumentsExitWith2(t *testing.T) {
 	path := writeFile(t, "[plan large]\nshare = 5\n")
 	for _, args := range [][]string{
@@ -350,8 +350,8 @@
 	}
 }
 
-// The engineer on call pipes the logs into the command, or names the files. An id that no
-// line names ends with an error that says why that may be.
+// Logs are read from standard input or from named files. For an id that no line names, the error
+// must say why that may be.
 func TestExplain(t *testing.T) {
 	log := `part=gateway level=warn ts=2026-03-01T02:00:00Z self=front-1 msg="A request was refused." request=r1 result="201 SATURATED"` + "\n"
 	file := filepath.Join(t.TempDir(), "front-1.log")
@@ -366,7 +366,7 @@
 	}{
 		{log, []string{"r1"}, 0, "A request was refused. [201 SATURATED]"},
 		{"", []string{"r1", "-f", file}, 0, "A request was refused. [201 SATURATED]"},
-		{log, []string{"r2"}, 1, "no line names the request r2, of 1 that were read"},
+		{log, []string{"r2"}, 1, "no log line names request r2 (lines read: 1,"},
 		{"", []string{"r1", "-f", file + "x"}, cli.ExitUsage, "no such file"},
 	} {
 		var out, notes bytes.Buffer
--- a/internal/command/daemon/daemon.go
+++ b/internal/command/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds the commands that run an entry or an agent until a signal
-// stops it.
+// Package daemon implements the commands that run an entry, agent, gateway or rank agent until a
+// signal stops it.
 package daemon
 
 import (
@@ -26,13 +26,13 @@
 	"    SIGTERM, SIGINT   Stop gracefully: no request is cut. A second one stops at once.\n" +
 	"    SIGHUP            Read the settings that may change while the process runs.\n"
 
-// Entry makes the command that runs an entry.
+// Entry returns the command that runs an entry.
 func Entry(serve func(context.Context, *api.EntrySettings, log.Logger) error) *cli.Command {
 	return settingsCommand("entry", "Run an entry: the process that callers reach.", settings.LoadEntry,
 		(*api.EntrySettings).GetSelf, (*api.EntrySettings).GetLog, serve)
 }
 
-// Agent makes the command that runs an agent.
+// Agent returns the command that runs an agent.
 func Agent(serve func(context.Context, *api.AgentSettings, log.Logger) error) *cli.Command {
 	return settingsCommand("agent", "Run an agent: the process before a backend server.", settings.LoadAgent,
 		(*api.AgentSettings).GetSelf, (*api.AgentSettings).GetLog, func(ctx context.Context, s *api.AgentSettings, logger log.Logger) error {
@@ -41,7 +41,7 @@
 		})
 }
 
-// settingsCommand makes the settingsCommand for settings of type S.
+// settingsCommand returns the command of a process whose settings of type S come from a file.
 func settingsCommand[S proto.Message](
 	name, description string,
 	load func(path string) (S, error),
@@ -76,12 +76,12 @@
 	}}
 }
 
-// runUntilSignal serves until the first signal to stop, and returns when serving has
-// ended gracefully.
+// runUntilSignal runs serve and reload until the first signal to stop, and returns after a graceful
+// shutdown.
 func runUntilSignal(ctx context.Context, reload, serve func(context.Context) error) error {
 	var group run.Group
-	// After the first signal the handler is gone, so that a second one ends the
-	// process at once: an operator is never locked out by a long drain.
+	// The first signal removes the handler, so that a second one ends the process at once. An
+	// operator need not wait for a long drain.
 	group.Add(run.SignalHandler(ctx, syscall.SIGTERM, syscall.SIGINT))
 	for _, task := range []func(context.Context) error{serve, reload} {
 		taskCtx, cancel := context.WithCancel(ctx)
@@ -94,13 +94,13 @@
 	return err
 }
 
-// reloader takes a changed settings file while the process runs.
+// reloader reads the settings file again while the process runs.
 type reloader[S proto.Message] struct {
 	load   func() (S, error)
 	apply  func(S) error
 	logger log.Logger
-	// current is what was read last, running what the process began with: a key that
-	// needs a restart is pending while the two differ.
+	// current holds the settings last read, running those that the process started with. A changed
+	// key that needs a restart is reported as long as the two differ.
 	current, running S
 }
 
@@ -108,7 +108,7 @@
 	return &reloader[S]{load: load, apply: apply, logger: logger, current: running, running: running}
 }
 
-// reloadOnSIGHUP reloads on each SIGHUP until the context ends.
+// reloadOnSIGHUP reloads the settings on each SIGHUP until the context ends.
 func (r *reloader[S]) reloadOnSIGHUP(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -126,8 +126,8 @@
 // badSettingsLabel is the result in log lines about the settings file.
 var badSettingsLabel = result.Label(api.ResultCode_BAD_SETTINGS)
 
-// reload applies what may change and names what needs a restart. A file with
-// faults changes nothing.
+// reload applies the settings that can change at run time and logs those that need a restart. An
+// invalid file changes nothing.
 func (r *reloader[S]) reload() {
 	next, err := r.load()
 	if err != nil {
--- a/internal/command/daemon/daemon_test.go
+++ b/internal/command/daemon/daemon_test.go
@@ -29,7 +29,7 @@
 level = info
 `
 
-// writeSettings writes the file with one text replaced.
+// writeSettings writes the settings file with the text old replaced.
 func writeSettings(t *testing.T, path, old, replacement string) {
 	t.Helper()
 	text := strings.Replace(entrySettings, old, replacement, 1)
@@ -38,7 +38,8 @@
 	}
 }
 
-// newTestReloader makes a reloader of a process that runs with the file as it was written first.
+// newTestReloader returns a reloader for a process that was started with the unchanged settings
+// file.
 func newTestReloader(t *testing.T, path string, out *bytes.Buffer, applied *[]string) *reloader[*api.EntrySettings] {
 	t.Helper()
 	writeSettings(t, path, "", "")
@@ -53,9 +54,8 @@
 	)
 }
 
-// An operator edits the settings of a running process. The level of the log
-// changes at once, a key that cannot change is named, and a file with a fault
-// changes nothing.
+// The settings of a running process are edited. The log level must change at once, a key that
+// cannot change must be named in the log, and an invalid file must change nothing.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
@@ -79,9 +79,9 @@
 	}
 }
 
-// An operator sets a key that needs a restart, is told so, reads the file again in the
-// morning, and takes the edit back. Told each time is what differs from what runs: the key
-// stays pending until then, and taking it back needs no restart.
+// A key that needs a restart is changed, the file is reloaded twice, and the change is reverted.
+// Each reload must compare with the settings in use: the key is reported until the change is
+// reverted, and reverting it needs no restart.
 func TestReloadComparesWithWhatRuns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
--- a/internal/command/daemon/gateway.go
+++ b/internal/command/daemon/gateway.go
@@ -15,12 +15,12 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// Gateway makes the command that runs the entry of the users' platform.
+// Gateway returns the command that runs a gateway, the entry on the users' platform.
 func Gateway(serve func(context.Context, *platform.Settings, log.Logger) error) *cli.Command {
 	return platformCommand("gateway", "Run an entry that calls backend servers itself, on the users' platform.", serve)
 }
 
-// RankAgent makes the command that runs the process beside a model engine.
+// RankAgent returns the command that runs the process beside a model engine.
 func RankAgent(serve func(context.Context, *platform.Settings, log.Logger) error) *cli.Command {
 	return platformCommand("rank-agent", "Run the process beside a model engine, on the users' platform.", serve)
 }
@@ -30,21 +30,21 @@
 	"    SIGINT    The same; a second one stops at once.\n" +
 	"    SIGHUP    Read the settings again, and log what they say.\n"
 
-// ignoreFurtherSIGTERM keeps further signals to stop from ending the process at once, until the returned
-// function is called.
+// ignoreFurtherSIGTERM keeps further SIGTERM signals from ending the process during a graceful
+// shutdown, until the returned function is called.
 //
-// Load: the platform asks a process to stop more than once, as when a VM is replaced while its
-// zone is taken down. Harm prevented: the second request to stop cuts what the first one lets
-// come to its end. The platform ends a process by force when the grace period is over; an
-// operator at a terminal has SIGINT.
+// The platform may stop a process more than once, for example when a VM is replaced while its zone
+// is taken down, and the second SIGTERM would cut the requests that the first one lets finish. The
+// platform kills the process when the grace period is over; an operator at a terminal can use
+// SIGINT.
 func ignoreFurtherSIGTERM() func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM)
 	return func() { signal.Stop(signals) }
 }
 
-// platformCommand makes the command of a process whose settings come from the platform, and
-// whose log goes to standard output, as the platform collects it.
+// platformCommand returns the command of a process whose settings come from the platform and that
+// logs to standard output, where the platform collects the log.
 func platformCommand(name, description string, serve func(context.Context, *platform.Settings, log.Logger) error) *cli.Command {
 	minLevel, linesPerSecond := "info", logging.DefaultLines
 	sub := cli.NewSubcommand(name, description, "apricothub "+name)
@@ -70,8 +70,8 @@
 	}}
 }
 
-// reloadOnSIGHUP reads the platform's settings on each SIGHUP. The addresses, and all else
-// that a process uses of them, hold for its life; what has changed is logged.
+// reloadOnSIGHUP reads the platform's settings on each SIGHUP and logs that it did. A running
+// process does not change its addresses or the other settings that it uses.
 func reloadOnSIGHUP(ctx context.Context, logger log.Logger) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/internal/command/daemon/processors.go
+++ b/internal/command/daemon/processors.go
@@ -5,21 +5,19 @@
 	"runtime"
 )
 
-// maxAgentProcessors bounds the processors that an agent's goroutines run on at once.
+// maxAgentProcessors limits the processors that run an agent's goroutines at the same time.
 //
-// Load: a stream of small events on a backend server VM with many processors, each event
-// a few goroutines waking each other. Harm prevented: the Go scheduler wakes threads on
-// idle processors to look for that work, a third of an agent's processor time that its
-// backend server lacks. Two carry three times the 2,500 tokens a second that are planned
-// for, and a collection of garbage or a large request on one leaves the other to the
-// heartbeats; on one processor they would wait for it.
+// An agent on a VM with many processors handles a stream of small events, each of which wakes a few
+// goroutines. The Go scheduler then wakes threads on idle processors to look for work, which takes
+// a third of the agent's processor time away from its backend server. Two processors sustain three
+// times the planned 2,500 tokens a second. With one, heartbeats would wait for a garbage collection
+// or a large request; the second keeps them on time.
 const maxAgentProcessors = 2
 
-// envGOMAXPROCS is the Go runtime's own setting, which goes first.
+// envGOMAXPROCS is the Go runtime's own setting, which takes precedence.
 const envGOMAXPROCS = "GOMAXPROCS"
 
-// limitProcessors keeps the process from using more processors at once, unless the
-// operators have set a number.
+// limitProcessors limits the processors used by Go code, unless operators have set GOMAXPROCS.
 func limitProcessors(limit int) {
 	if os.Getenv(envGOMAXPROCS) == "" && runtime.GOMAXPROCS(0) > limit {
 		runtime.GOMAXPROCS(limit)
--- a/internal/command/daemon/processors_test.go
+++ b/internal/command/daemon/processors_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An agent is started on a VM with many processors, and once by operators who know that
-// it needs more: what they set stays.
+// The limit must apply on a VM with many processors, but must not override a number that operators
+// have set.
 func TestLimitProcessors(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(4))
 	t.Setenv(envGOMAXPROCS, "4")
--- a/internal/command/dump/dump.go
+++ b/internal/command/dump/dump.go
@@ -1,5 +1,5 @@
-// Package dump is the command that prints what a process holds: its state, a list
-// in force, or its metrics.
+// Package dump implements the command that prints the state of a process, a list in force, or
+// metrics.
 package dump
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/apricothub/apricothub/internal/command/publish"
 )
 
-// What the command can print.
+// Kinds of output beside the two lists.
 const (
 	kindState   = "state"
 	kindMetrics = "metrics"
 )
 
-// Command makes the command.
+// Command returns the dump command.
 func Command() *cli.Command {
 	remote, kind := &cli.Remote{}, kindState
 	sub := cli.NewSubcommand("dump", "Print the state of a process, a list in force, or the metrics.",
@@ -69,7 +69,7 @@
 	return err
 }
 
-// printList writes a list with the line that tells publish what it was edited from.
+// printList prints a list, preceded by the line that tells publish which version was edited.
 func printList(ctx context.Context, client *adminclient.Client, name string, out io.Writer) error {
 	list, err := client.List(ctx, name)
 	if err != nil {
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain is the command that shows what logs say of one request.
+// Package explain implements the command that shows the log lines of one request.
 package explain
 
 import (
@@ -12,13 +12,12 @@
 	"github.com/apricothub/apricothub/internal/explain"
 )
 
-// arguments of the command.
 type arguments struct {
 	request string
 	files   []string
 }
 
-// Command makes the command, which reads logs from in when no file is named.
+// Command returns the explain command, which reads logs from in when no file is named.
 func Command(in io.Reader) *cli.Command {
 	a := &arguments{}
 	sub := cli.NewSubcommand("explain", "Show what logs say of one request, and what its processes believed.",
@@ -62,9 +61,9 @@
 	return nil
 }
 
-// requestNotFound says why a request may not be in the logs.
+// requestNotFound returns an error that says why a request may be missing from the logs.
 func requestNotFound(s *explain.Story) error {
-	return errors.Errorf("no line names the request %s, of %d that were read and %d that could not be. "+
-		"The logs say that %d lines were left out; of requests that went well only a sample is logged",
+	return errors.Errorf("no log line names request %s (lines read: %d, unreadable: %d, reported as dropped: %d); "+
+		"successful requests are logged only as a sample",
 		s.Request, s.Read, s.Unread, s.LeftOut)
 }
--- a/internal/command/mark/mark.go
+++ b/internal/command/mark/mark.go
@@ -1,5 +1,5 @@
-// Package mark is the command that takes a failure domain or VM out of service, or
-// brings it back.
+// Package mark implements the command that takes a failure domain or VM out of service, or brings
+// it back.
 package mark
 
 import (
@@ -21,13 +21,12 @@
 
 const defaultTimeout = 30 * time.Second
 
-// The two directions of a mark.
+// The directions of a mark: out of service, or back into service.
 const (
 	directionOut = "out"
 	directionIn  = "in"
 )
 
-// arguments of the command.
 type arguments struct {
 	remote    cli.Remote
 	target    string
@@ -41,7 +40,7 @@
 	force     bool
 }
 
-// Command makes the command.
+// Command returns the mark command.
 func Command() *cli.Command {
 	a := &arguments{timeout: defaultTimeout, until: publish.UntilInForce}
 	sub := cli.NewSubcommand("mark", "Take a failure domain or VM out of service, or bring it back.",
@@ -105,8 +104,8 @@
 	return request, nil
 }
 
-// checkNameIsKnown refuses a name that no member or mark has: a misspelt failure domain
-// would be marked, and the one that burns would go on taking work.
+// checkNameIsKnown rejects a name that no member, backend server or mark has. Otherwise a misspelt
+// failure domain would be marked, and the failing one would keep receiving requests.
 func (a *arguments) checkNameIsKnown(ctx context.Context, client *adminclient.Client, errOut io.Writer) error {
 	if a.force {
 		return nil
@@ -124,7 +123,7 @@
 		a.target, a.name, strings.Join(known, ", "))
 }
 
-// knownNames lists the names of one kind that a process knows.
+// knownNames returns the names of the target kind that the process knows.
 func knownNames(status *adminapi.Status, target string) []string {
 	var names []string
 	add := func(vm, domain string) {
--- a/internal/command/publish/difference.go
+++ b/internal/command/publish/difference.go
@@ -12,11 +12,11 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-// maxShownSections bounds the sections that a difference names one by one.
+// maxShownSections limits the sections that a difference lists.
 const maxShownSections = 40
 
-// printDiff shows what publishing would change: sections with + or -, and
-// below a changed section its lines. It says whether anything would change.
+// printDiff prints what publishing would change: sections with + or -, and under a changed section
+// the lines that differ. It reports whether anything would change.
 func printDiff(out io.Writer, before, after []*api.Section) bool {
 	oldByName, newByName := sectionsByName(before), sectionsByName(after)
 	var added, removed, changed []string
@@ -55,7 +55,7 @@
 	return byName
 }
 
-// changedLines gives a section's name and its lines that differ.
+// changedLines returns the name of a section and its lines that differ.
 func changedLines(oldSection, newSection *api.Section) string {
 	before, after := keyLines(oldSection), keyLines(newSection)
 	text := "~ [" + newSection.GetName() + "]"
@@ -72,7 +72,7 @@
 	return text
 }
 
-// keyLines gives the lines of a section below its name.
+// keyLines returns the lines of a section without its name.
 func keyLines(s *api.Section) []string {
 	text := strings.TrimSpace(string(settings.Format([]*api.Section{s})))
 	return strings.Split(text, "\n")[1:]
--- a/internal/command/publish/publish.go
+++ b/internal/command/publish/publish.go
@@ -1,4 +1,4 @@
-// Package publish is the command that publishes a new version of a list.
+// Package publish implements the command that publishes a new version of a list.
 package publish
 
 import (
@@ -21,7 +21,6 @@
 
 const defaultTimeout = 30 * time.Second
 
-// arguments of the command.
 type arguments struct {
 	remote   cli.Remote
 	list     string
@@ -34,7 +33,7 @@
 	dryRun   bool
 }
 
-// Command makes the command.
+// Command returns the publish command.
 func Command() *cli.Command {
 	a := &arguments{timeout: defaultTimeout, until: UntilInForce}
 	sub := cli.NewSubcommand("publish", "Publish a new version of a list, and wait until it is in force everywhere.",
@@ -97,11 +96,11 @@
 
 const basePrefix = "# base = "
 
-// BaseLine is the first line of a dumped list: it tells publish which version the
-// edit was made from, so that nobody's change in between is overwritten.
+// BaseLine returns the first line of a dumped list. It tells publish which version was edited, so
+// that changes published since are not overwritten.
 func BaseLine(offset int64) string { return basePrefix + strconv.FormatInt(offset, 10) }
 
-// resolveBase finds the offset that the edit was made from.
+// resolveBase returns the offset of the list version that was edited.
 func (a *arguments) resolveBase(text string, current int64, errOut io.Writer) (int64, error) {
 	value, source := a.base, "-b"
 	if value == "" {
@@ -123,7 +122,7 @@
 	return base, nil
 }
 
-// warnAboutPlans tells of customers whose plan the other list does not describe.
+// warnAboutPlans warns of customers whose plan the uses list does not describe.
 func (a *arguments) warnAboutPlans(ctx context.Context, client *adminclient.Client, list api.ListName, after []*api.Section, errOut io.Writer) {
 	other := api.ListName_LIST_USES
 	if list == other {
@@ -163,14 +162,14 @@
 	return Await(ctx, client, change, a.until, a.timeout, out)
 }
 
-// How far a command follows its change.
+// Values of the --until flag: the state that a command waits for.
 const (
 	UntilAccepted = "accepted"
 	UntilInForce  = "in-force"
 	UntilHelp     = "How far to follow the change: accepted (it stands) or in-force (everywhere)."
 )
 
-// CheckWaitFlags refuses the flags of waiting that are out of their bounds.
+// CheckWaitFlags rejects values of --until and --wait that are out of range.
 func CheckWaitFlags(until string, timeout time.Duration) error {
 	if until != UntilAccepted && until != UntilInForce {
 		return cli.UsageErrorf("-x: %q is not %s or %s.", until, UntilAccepted, UntilInForce)
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// Await tells of an accepted change and, unless told otherwise, waits until it is in
+// Await prints that a change is accepted and, unless until is UntilAccepted, waits until it is in
 // force everywhere.
 func Await(ctx context.Context, client *adminclient.Client, change *adminapi.Change, until string, timeout time.Duration, out io.Writer) error {
 	fmt.Fprintf(out, "Accepted at offset %d: the change stands and will not be lost.\n", change.Offset)
@@ -198,7 +197,7 @@
 	return nil
 }
 
-// explainMissing names who has not applied an accepted change.
+// explainMissing names the VMs that have not applied an accepted change.
 func explainMissing(err error) error {
 	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || failed.Details.Change == nil {
@@ -209,7 +208,7 @@
 		failed.Details.Change.MissingSummary())
 }
 
-// explainFailure tells the operator how to go on.
+// explainFailure adds to an error what the operator can do next.
 func (a *arguments) explainFailure(err error, id string) error {
 	retryHint := fmt.Sprintf("To learn what became of it, run the same command with -i %s: it makes no second change.", id)
 	e := result.FromError(err)
@@ -236,7 +235,7 @@
 	return fmt.Sprintf("Run apricothub dump %s, repeat the edit there, and publish that.", list)
 }
 
-// conflictError names the change in force that an edit was not made from.
+// conflictError names the change in force that the edit was not based on.
 func conflictError(list string, offset int64, author, changeID string) error {
 	by := ""
 	if author != "" {
@@ -246,7 +245,7 @@
 	return result.New(api.ResultCode_CONFLICT, text, repeatEditHint(list))
 }
 
-// withFaults adds what an entry found wrong with the list.
+// withFaults adds the faults that an entry found in the list.
 func withFaults(err error) error {
 	var failed *adminclient.ResponseError
 	if !errors.As(err, &failed) || len(failed.Details.Faults) == 0 {
--- a/internal/command/status/render.go
+++ b/internal/command/status/render.go
@@ -12,7 +12,7 @@
 	"github.com/apricothub/apricothub/internal/adminapi"
 )
 
-// Bounds that keep the status on one screen; --json shows everything.
+// Limits that keep the status on one screen; --json shows everything.
 const (
 	maxDomains  = 12
 	maxGroups   = 6
@@ -20,17 +20,18 @@
 	maxMarks    = 6
 )
 
-// maxStepAge is the pause of a group that is shown; a switch of maps is shorter.
+// maxStepAge is the time without a step after which a group is shown as a problem. A change of
+// expert maps takes less.
 const maxStepAge = 10 * time.Second
 
-// States of a link in a status. Members that need no link have none.
+// States of a link in a status. Members to which no link is needed have none.
 const (
 	linkUp      = "up"
 	linkSuspect = "suspect"
 	linkDown    = "down"
 )
 
-// Render draws the status as text.
+// Render returns the status as text.
 func Render(s *adminapi.Status) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
@@ -78,7 +79,7 @@
 	renderOmitted(w, out, maxMarks, "marks")
 }
 
-// domainSummary sums up one failure domainSummary.
+// domainSummary sums up one failure domain.
 type domainSummary struct {
 	name                    string
 	out                     bool
@@ -105,7 +106,7 @@
 	renderOmitted(w, len(summaries), maxDomains, "failure domains")
 }
 
-// summarizeDomains adds up members and backend servers, in the order of names.
+// summarizeDomains sums up members and backend servers per failure domain, sorted by name.
 func summarizeDomains(s *adminapi.Status) []*domainSummary {
 	byName := map[string]*domainSummary{}
 	summaryOf := func(name string) *domainSummary {
@@ -116,7 +117,7 @@
 	}
 	for _, m := range membersWithSelf(s) {
 		d := summaryOf(m.FailureDomain)
-		// Of a member without a link nothing new is known.
+		// The applied offset of a member without a working link may be outdated.
 		if m.Link == linkUp {
 			d.minApplied = min(d.minApplied, m.Applied)
 		}
@@ -152,7 +153,7 @@
 	return summaries
 }
 
-// membersWithSelf gives the members and the process itself.
+// membersWithSelf returns the members including the process that answers.
 func membersWithSelf(s *adminapi.Status) []adminapi.Member {
 	p := s.Process
 	for _, m := range s.Members {
@@ -167,7 +168,7 @@
 	return append([]adminapi.Member{self}, s.Members...)
 }
 
-// renderOffers sums up the backend servers by what they offer.
+// renderOffers sums up the backend servers per service or model.
 func renderOffers(w io.Writer, s *adminapi.Status) {
 	type offerSummary struct {
 		servers, cold, refusing int
@@ -221,7 +222,7 @@
 	renderOmitted(w, len(s.Groups), maxGroups, "groups")
 }
 
-// renderProblems names what an operator may have to act on.
+// renderProblems lists what an operator may have to act on.
 func renderProblems(w io.Writer, s *adminapi.Status) {
 	var lines []string
 	for _, g := range s.Groups {
@@ -260,18 +261,18 @@
 	renderOmitted(w, len(lines), maxProblems, "lines")
 }
 
-// stepProblem says that a group takes no step, or nothing.
+// stepProblem describes a group that completes no steps; empty if it does.
 func stepProblem(g adminapi.Group) string {
 	switch {
 	case g.Coordinator == "":
-		return "no word of its coordinator, the agent of rank 0; no step seen for " + formatSeconds(g.StepAgeMs)
+		return "no report from its coordinator, the agent of rank 0; no step seen for " + formatSeconds(g.StepAgeMs)
 	case g.StepAgeMs > maxStepAge.Milliseconds():
 		return fmt.Sprintf("no step for %s, after step %d", formatSeconds(g.StepAgeMs), g.Step)
 	}
 	return ""
 }
 
-// slowRankProblem says whom every step of a group waits for.
+// slowRankProblem names the slowest rank, which every step of the group waits for.
 func slowRankProblem(g adminapi.Group) string {
 	text := fmt.Sprintf("rank %d on %s stays %.1f times slower than its group", g.Slowest.Rank, g.Slowest.VM, g.Slowest.Slowdown)
 	if others := g.SlowRanks - 1; others > 0 {
@@ -280,7 +281,7 @@
 	return text
 }
 
-// memberProblem says what is unusual about a member, or nothing.
+// memberProblem describes the problem of a member; empty if there is none.
 func memberProblem(m adminapi.Member, applied int64) string {
 	switch {
 	case m.Link == "":
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -1,4 +1,4 @@
-// Package status is the command that shows the system on one screen.
+// Package status implements the command that shows the system on one screen.
 package status
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/apricothub/apricothub/internal/command/cli"
 )
 
-// Command makes the command.
+// Command returns the status command.
 func Command() *cli.Command {
 	remote, asJSON := &cli.Remote{}, false
 	sub := cli.NewSubcommand("status", "Show members, failure domains, offsets, backend servers and groups on one screen.",
--- a/internal/command/version/version.go
+++ b/internal/command/version/version.go
@@ -1,4 +1,4 @@
-// Package version is the command that prints the program's version.
+// Package version implements the command that prints the program's version.
 package version
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/apricothub/apricothub/internal/version"
 )
 
-// Command makes the command.
+// Command returns the version command.
 func Command() *cli.Command {
 	return &cli.Command{
 		Sub: cli.NewSubcommand("version", "Print the version.", "apricothub version"),
