--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -18,8 +18,8 @@
 	"github.com/apricothub/apricothub/internal/result"
 )
 
-// Bounds of the admin server. A body holds a list of at most 4 MiB, with every
-// newline escaped.
+// Limits of the admin server. A body holds a list of at most 4 MiB in which every newline may be
+// escaped, hence twice that size.
 const (
 	maxBodyBytes      = 8 << 20
 	maxHeaderBytes    = 16 << 10
@@ -29,33 +29,33 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// Handler serves the admin address of a process. configuration is nil for a
-// process that takes no changes, such as an agent.
+// Handler returns the handler of a process's admin address. configuration is nil for a process that
+// accepts no changes, such as an agent.
 func Handler(process Process, configuration Configuration, token string) http.Handler {
 	h := &handler{process: process, configuration: configuration}
 	mux := http.NewServeMux()
-	mux.Handle(adminapi.PathStatus, only(http.MethodGet, h.status))
-	mux.Handle(adminapi.PathDump, only(http.MethodGet, h.dump))
-	mux.Handle(adminapi.PathMetrics, only(http.MethodGet, h.metrics))
+	mux.Handle(adminapi.PathStatus, allowMethod(http.MethodGet, h.status))
+	mux.Handle(adminapi.PathDump, allowMethod(http.MethodGet, h.dump))
+	mux.Handle(adminapi.PathMetrics, allowMethod(http.MethodGet, h.metrics))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS))
 	})
 	if configuration == nil {
 		for _, path := range []string{adminapi.PathLists, adminapi.PathChanges, adminapi.PathMarks} {
-			mux.HandleFunc(path, noConfiguration)
+			mux.HandleFunc(path, rejectConfiguration)
 		}
 	} else {
 		mux.HandleFunc(adminapi.PathLists+"{list}", h.lists)
-		mux.Handle(adminapi.PathChanges+"{id}", only(http.MethodGet, h.change))
-		mux.Handle(adminapi.PathMarks, only(http.MethodPost, h.mark))
+		mux.Handle(adminapi.PathChanges+"{id}", allowMethod(http.MethodGet, h.change))
+		mux.Handle(adminapi.PathMarks, allowMethod(http.MethodPost, h.mark))
 	}
-	open := http.NewServeMux()
-	open.Handle(adminapi.PathReady, only(http.MethodGet, h.ready))
-	open.Handle("/", requireToken(token, mux))
-	return open
+	root := http.NewServeMux()
+	root.Handle(adminapi.PathReady, allowMethod(http.MethodGet, h.ready))
+	root.Handle("/", requireToken(token, mux))
+	return root
 }
 
-// Serve serves the admin address until the context ends.
+// Serve listens on the admin address until the context ends.
 func Serve(ctx context.Context, address string, handler http.Handler, logger log.Logger) error {
 	server := NewServer(handler, logger)
 	server.Addr = address
@@ -65,10 +65,11 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return ctx.Err()
 	}
-	return errors.Wrap(err, "listen for operators")
+	return errors.Wrap(err, "serve the admin address")
 }
 
-// NewServer bounds what a client of the admin address can hold open or send.
+// NewServer returns a server whose timeouts and header limit bound what a client of the admin
+// address can hold open or send.
 func NewServer(handler http.Handler, logger log.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -77,7 +78,7 @@
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          logging.NewStdLogger(logger, "The server for operators met a fault.", result.Label(api.ResultCode_INTERNAL)),
+		ErrorLog:          logging.NewStdLogger(logger, "The admin server reported an error.", result.Label(api.ResultCode_INTERNAL)),
 	}
 }
 
@@ -86,14 +87,13 @@
 	configuration Configuration
 }
 
-// requireToken lets requests with the token pass. Hashes of equal length are
-// compared in constant time, so that the time of a refusal tells nothing about
-// the token or its length.
+// requireToken rejects requests without the token. It compares hashes, which have equal length, in
+// constant time, so that the time of a rejection reveals neither the token nor its length.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		given, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		got := sha256.Sum256([]byte(given))
+		presented, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+		got := sha256.Sum256([]byte(presented))
 		if token == "" || !isBearer || subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 			result.WriteHTTP(w, result.New(api.ResultCode_BAD_TOKEN))
 			return
@@ -102,7 +102,8 @@
 	})
 }
 
-func only(method string, next http.HandlerFunc) http.Handler {
+// allowMethod rejects requests whose method is not the given one.
+func allowMethod(method string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
@@ -113,8 +114,8 @@
 	})
 }
 
-// noConfiguration answers for a process that takes no changes.
-func noConfiguration(w http.ResponseWriter, _ *http.Request) {
+// rejectConfiguration answers requests for lists and marks at a process that accepts no changes.
+func rejectConfiguration(w http.ResponseWriter, _ *http.Request) {
 	result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS,
 		"This process takes no lists or marks. Use the admin address of an entry."))
 }
@@ -138,15 +139,15 @@
 	writeJSON(w, status)
 }
 
-// writeJSON answers OK.
+// writeJSON writes body as JSON with the result OK.
 func writeJSON(w http.ResponseWriter, body any) {
 	result.SetHeader(w.Header(), api.ResultCode_OK)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// writeFailure answers with an error and what goes with it.
-func writeFailure(w http.ResponseWriter, err error, failure adminapi.Failure) {
+// writeError writes an error together with the details in failure.
+func writeError(w http.ResponseWriter, err error, failure adminapi.Failure) {
 	e := result.FromError(err)
 	failure.Error = e.Detail()
 	e.SetHeader(w.Header())
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -1,5 +1,5 @@
-// Package command_test runs the operators' commands as a shell would, against an
-// admin address with prepared answers.
+// Package command_test runs the operators' commands as a shell would, against an admin address with
+// prepared responses.
 package command_test
 
 import (
@@ -30,18 +30,18 @@
 
 const uses = "[plan large]\nshare = 3\n"
 
-// process answers as a process would. Each answer is by "METHOD path".
-type process struct {
-	answers map[string]any
-	// posted is the newest body sent.
-	posted []byte
+// fakeProcess serves prepared responses by "METHOD path".
+type fakeProcess struct {
+	responses map[string]any
+	// lastPosted is the body of the last POST request.
+	lastPosted []byte
 }
 
-func (p *process) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakeProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		p.posted, _ = io.ReadAll(r.Body)
+		p.lastPosted, _ = io.ReadAll(r.Body)
 	}
-	switch answer := p.answers[r.Method+" "+r.URL.Path].(type) {
+	switch answer := p.responses[r.Method+" "+r.URL.Path].(type) {
 	case nil:
 		result.WriteHTTP(w, result.New(api.ResultCode_UNKNOWN_ADDRESS))
 	case adminapi.Failure:
@@ -55,12 +55,12 @@
 	}
 }
 
-func failure(code api.ResultCode) adminapi.Failure {
+func failureOf(code api.ResultCode) adminapi.Failure {
 	return adminapi.Failure{Error: result.New(code).Detail()}
 }
 
-// run gives one command line; it returns the exit status and all that was printed.
-func run(t *testing.T, p *process, args ...string) (int, string) {
+// runCommand runs one command line and returns the exit status and everything printed.
+func runCommand(t *testing.T, p *fakeProcess, args ...string) (int, string) {
 	t.Helper()
 	server := httptest.NewServer(p)
 	defer server.Close()
@@ -72,7 +72,7 @@
 	return code, out.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "list.ini")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -81,29 +81,29 @@
 	return path
 }
 
-// answers is a process that accepts what is published.
-func answers(changed map[string]any) *process {
+// newFakeProcess returns a process that accepts what is published; overrides replaces responses.
+func newFakeProcess(overrides map[string]any) *fakeProcess {
 	accepted := adminapi.Change{ChangeID: "c1", Offset: 8, State: adminapi.Accepted}
-	all := map[string]any{
+	responses := map[string]any{
 		"GET /v1/lists/uses":  adminapi.List{Offset: 7, Text: uses},
 		"GET /v1/lists/plans": adminapi.List{Offset: -1},
 		"POST /v1/lists/uses": accepted,
 		"POST /v1/marks":      accepted,
 		"GET /v1/changes/c1":  adminapi.Change{ChangeID: "c1", Offset: 8, State: adminapi.InForce},
-		"GET /v1/status":      sample(),
+		"GET /v1/status":      sampleStatus(),
 		"GET /debug/state":    map[string]int{"x": 1},
 	}
-	for path, answer := range changed {
-		all[path] = answer
+	for path, answer := range overrides {
+		responses[path] = answer
 	}
-	return &process{answers: all}
+	return &fakeProcess{responses: responses}
 }
 
 func TestPublish(t *testing.T) {
-	conflict := failure(api.ResultCode_CONFLICT)
+	conflict := failureOf(api.ResultCode_CONFLICT)
 	current := int64(9)
 	conflict.Current, conflict.Author, conflict.ChangeID = &current, "sam@x", "c9"
-	lag := failure(api.ResultCode_NOT_CONFIRMED)
+	lag := failureOf(api.ResultCode_NOT_CONFIRMED)
 	lag.Change = &adminapi.Change{State: adminapi.Accepted, Missing: []string{"vm-3", "vm-4"}, MissingMore: 2}
 	const edited = "[plan large]\nshare = 5\n\n[plan small]\nshare = 1\n"
 
@@ -149,21 +149,21 @@
 		},
 		{
 			"unconfirmed", edited, nil,
-			map[string]any{"POST /v1/lists/uses": failure(api.ResultCode_NOT_CONFIRMED)},
+			map[string]any{"POST /v1/lists/uses": failureOf(api.ResultCode_NOT_CONFIRMED)},
 			5,
 			[]string{"run the same command with -i "},
 			"",
 		},
 		{
 			"log down", edited, nil,
-			map[string]any{"POST /v1/lists/uses": failure(api.ResultCode_LOG_UNAVAILABLE)},
+			map[string]any{"POST /v1/lists/uses": failureOf(api.ResultCode_LOG_UNAVAILABLE)},
 			4,
 			[]string{"210 LOG_UNAVAILABLE"},
 			"",
 		},
 		{
 			"token", edited, nil,
-			map[string]any{"GET /v1/lists/uses": failure(api.ResultCode_BAD_TOKEN)},
+			map[string]any{"GET /v1/lists/uses": failureOf(api.ResultCode_BAD_TOKEN)},
 			6,
 			[]string{"503 BAD_TOKEN"},
 			"",
@@ -178,8 +178,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := answers(test.answers)
-			code, out := run(t, p, append([]string{"publish", "uses", write(t, test.text)}, test.args...)...)
+			p := newFakeProcess(test.answers)
+			code, out := runCommand(t, p, append([]string{"publish", "uses", writeFile(t, test.text)}, test.args...)...)
 			if code != test.exit {
 				t.Errorf("exit status %d, want %d", code, test.exit)
 			}
@@ -188,8 +188,8 @@
 					t.Errorf("want %q in:\n%s", want, out)
 				}
 			}
-			if !strings.Contains(string(p.posted), test.base) || test.exit == 2 && p.posted != nil {
-				t.Errorf("posted %s", p.posted)
+			if !strings.Contains(string(p.lastPosted), test.base) || test.exit == 2 && p.lastPosted != nil {
+				t.Errorf("posted %s", p.lastPosted)
 			}
 		})
 	}
@@ -225,17 +225,17 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := answers(nil)
-			code, out := run(t, p, append([]string{"mark"}, test.args...)...)
-			if code != test.exit || !strings.Contains(out, test.want) || !strings.Contains(string(p.posted), test.post) {
-				t.Errorf("exit status %d, posted %s:\n%s", code, p.posted, out)
+			p := newFakeProcess(nil)
+			code, out := runCommand(t, p, append([]string{"mark"}, test.args...)...)
+			if code != test.exit || !strings.Contains(out, test.want) || !strings.Contains(string(p.lastPosted), test.post) {
+				t.Errorf("exit status %d, posted %s:\n%s", code, p.lastPosted, out)
 			}
 		})
 	}
 }
 
-// sample is a system with one of each trouble.
-func sample() adminapi.Status {
+// sampleStatus is a system with one problem of each kind.
+func sampleStatus() adminapi.Status {
 	return adminapi.Status{
 		Process: adminapi.Process{VM: "e-1", Role: "entry", FailureDomain: "a", Applied: 12, Freshness: "fresh", Ready: true, UptimeMs: 5000},
 		Lists:   []adminapi.ListStatus{{Name: "plans", Offset: 3, Sections: 10, Author: "pat"}},
@@ -249,17 +249,17 @@
 			{VM: "vm-1", FailureDomain: "a", Service: "labels", Limit: 8, FullLimit: 8, Running: 1},
 			{VM: "vm-3", FailureDomain: "a", Model: "pricing", Limit: 2, FullLimit: 8, Cold: true, Silent: true},
 		},
-		Groups: []adminapi.Group{{Name: "g", MapVersion: 4, Step: 1000, SkewMs: 1.25, Agents: 12, AgentsAll: 12, Coordinator: "vm-1", SlowRanks: 2, Slowest: &adminapi.SlowRank{Rank: 17, VM: "vm-2", Pace: 4.25}}, {Name: "h", StillMs: 30_000, AgentsAll: 3, Agents: 2}},
+		Groups: []adminapi.Group{{Name: "g", MapVersion: 4, Step: 1000, SkewMs: 1.25, Agents: 12, AgentsAll: 12, Coordinator: "vm-1", SlowRanks: 2, Slowest: &adminapi.SlowRank{Rank: 17, VM: "vm-2", Slowdown: 4.25}}, {Name: "h", StepAgeMs: 30_000, AgentsAll: 3, Agents: 2}},
 	}
 }
 
 func TestStatus(t *testing.T) {
-	code, out := run(t, answers(nil), "status")
+	code, out := runCommand(t, newFakeProcess(nil), "status")
 	for _, want := range []string{
 		"entry e-1 in a", "ready, configuration fresh", "THE PLATFORM'S LOG DOES NOT ANSWER", "domain b, offset 12",
 		"b       OUT      1 of 1", "model pricing v3  1", "1.2 ms", "2 offsets behind", "link silent", "server vm-3  its engine does not answer", "refuses new work: 205 OUT_OF_SERVICE",
 		"rank 17 on vm-2 stays 4.2 times slower than its group, and 1 more",
-		"h      0    0     0.0 ms  2 of 3    none", "no word of its coordinator, the agent of rank 0; no step seen for 30 s",
+		"h      0    0     0.0 ms  2 of 3    none", "no report from its coordinator, the agent of rank 0; no step seen for 30 s",
 	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("want %q", want)
@@ -270,18 +270,19 @@
 	}
 }
 
-// A script takes the status as JSON and goes by the exit status.
+// Scripts parse the status as JSON and check the exit status.
 func TestStatusAsJSON(t *testing.T) {
-	code, out := run(t, answers(nil), "status", "--json")
+	code, out := runCommand(t, newFakeProcess(nil), "status", "--json")
 	var shown adminapi.Status
 	if err := json.Unmarshal([]byte(out), &shown); code != 0 || err != nil || shown.Process.VM != "e-1" {
 		t.Errorf("exit status %d, %v:\n%s", code, err, out)
 	}
 }
 
-// At the two-year size the status must still fit a screen.
-func TestStatusFitsAScreen(t *testing.T) {
-	s := sample()
+// With the members and backend servers expected in two years, the status must still fit on one
+// screen.
+func TestStatusFitsOnOneScreen(t *testing.T) {
+	s := sampleStatus()
 	for range 500 {
 		s.Members = append(s.Members, s.Members...)[:min(500, 2*len(s.Members))]
 		s.Backends = append(s.Backends, s.Backends...)[:min(3700, 2*len(s.Backends))]
@@ -294,34 +295,33 @@
 }
 
 func TestDump(t *testing.T) {
-	code, out := run(t, answers(nil), "dump", "uses")
+	code, out := runCommand(t, newFakeProcess(nil), "dump", "uses")
 	if code != 0 || out != "# base = 7\n"+uses {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, out := run(t, answers(nil), "dump"); code != 0 || !strings.Contains(out, `"x": 1`) {
+	if code, out := runCommand(t, newFakeProcess(nil), "dump"); code != 0 || !strings.Contains(out, `"x": 1`) {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, _ := run(t, answers(nil), "dump", "all"); code != 2 {
+	if code, _ := runCommand(t, newFakeProcess(nil), "dump", "all"); code != 2 {
 		t.Errorf("exit status %d", code)
 	}
 }
 
-// An operator looks at the difference by a dry run before publishing. Somebody else has
-// published since the list was dumped, so that the difference shows their change undone: the
-// dry run must say so as the conflict that publishing would be, not as good.
-func TestDryRunSeesAnOutdatedBase(t *testing.T) {
-	in := map[string]any{"GET /v1/lists/uses": adminapi.List{Offset: 7, Text: uses, Author: "sam@x", ChangeID: "c9"}}
-	path := write(t, "# base = 5\n[plan large]\nshare = 5\n")
-	code, out := run(t, answers(in), "publish", "-n", "uses", path)
+// Another operator publishes after the list was dumped, so the difference shows that change undone.
+// A dry run must then fail with the conflict that publishing would cause.
+func TestDryRunReportsOutdatedBase(t *testing.T) {
+	overrides := map[string]any{"GET /v1/lists/uses": adminapi.List{Offset: 7, Text: uses, Author: "sam@x", ChangeID: "c9"}}
+	path := writeFile(t, "# base = 5\n[plan large]\nshare = 5\n")
+	code, out := runCommand(t, newFakeProcess(overrides), "publish", "-n", "uses", path)
 	if code != 3 || !strings.Contains(out, "offset 7, by sam@x (change c9)") || !strings.Contains(out, "- share = 3") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
 }
 
-// Each fault of the operator's own hand ends with 2, before anything is sent, and the
-// commands that wait say which flag is out of bounds.
-func TestWrongArgumentsEndWith2(t *testing.T) {
-	path := write(t, "[plan large]\nshare = 5\n")
+// Invalid arguments must end with status 2 before anything is sent, and the commands that wait must
+// name the flag that is out of range.
+func TestWrongArgumentsExitWith2(t *testing.T) {
+	path := writeFile(t, "[plan large]\nshare = 5\n")
 	for _, args := range [][]string{
 		{"publish", "uses", path + ".missing"},
 		{"check", "--entry", path + ".missing"},
@@ -329,29 +329,29 @@
 		{"publish", "-w", "90s", "uses", path},
 		{"mark", "-w", "90s", "domain", "a", "out"},
 	} {
-		p := answers(nil)
-		code, out := run(t, p, args...)
-		if code != 2 || p.posted != nil || strings.Contains(out, "timeout_ms") {
-			t.Errorf("%v: exit status %d, posted %s:\n%s", args, code, p.posted, out)
+		p := newFakeProcess(nil)
+		code, out := runCommand(t, p, args...)
+		if code != 2 || p.lastPosted != nil || strings.Contains(out, "timeout_ms") {
+			t.Errorf("%v: exit status %d, posted %s:\n%s", args, code, p.lastPosted, out)
 		}
 	}
 }
 
 func TestCheck(t *testing.T) {
-	good, bad := write(t, uses), write(t, "[plan]\n")
-	if code, out := run(t, answers(nil), "check", "--uses", good); code != 0 || !strings.Contains(out, ": good") {
+	good, bad := writeFile(t, uses), writeFile(t, "[plan]\n")
+	if code, out := runCommand(t, newFakeProcess(nil), "check", "--uses", good); code != 0 || !strings.Contains(out, ": good") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, out := run(t, answers(nil), "check", "--uses", bad); code != 2 || !strings.Contains(out, "list.ini:1: [plan]") {
+	if code, out := runCommand(t, newFakeProcess(nil), "check", "--uses", bad); code != 2 || !strings.Contains(out, "list.ini:1: [plan]") {
 		t.Errorf("exit status %d:\n%s", code, out)
 	}
-	if code, _ := run(t, answers(nil), "check"); code != 2 {
+	if code, _ := runCommand(t, newFakeProcess(nil), "check"); code != 2 {
 		t.Errorf("exit status %d", code)
 	}
 }
 
-// The engineer on call pipes the logs into the command, or names the files. An id that no
-// line names ends with an error that says why that may be.
+// Logs are read from standard input or from named files. For an id that no line names, the error
+// must say why that may be.
 func TestExplain(t *testing.T) {
 	log := `part=gateway level=warn ts=2026-03-01T02:00:00Z self=front-1 msg="A request was refused." request=r1 result="201 SATURATED"` + "\n"
 	file := filepath.Join(t.TempDir(), "front-1.log")
@@ -366,7 +366,7 @@
 	}{
 		{log, []string{"r1"}, 0, "A request was refused. [201 SATURATED]"},
 		{"", []string{"r1", "-f", file}, 0, "A request was refused. [201 SATURATED]"},
-		{log, []string{"r2"}, 1, "no line names the request r2, of 1 that were read"},
+		{log, []string{"r2"}, 1, "no log line names request r2 (lines read: 1,"},
 		{"", []string{"r1", "-f", file + "x"}, cli.ExitUsage, "no such file"},
 	} {
 		var out, notes bytes.Buffer
--- a/internal/command/daemon/daemon_test.go
+++ b/internal/command/daemon/daemon_test.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/internal/settings"
 )
 
-const entryText = `[self]
+const entrySettings = `[self]
 vm = entry-1
 failure-domain = a
 [listen]
@@ -29,17 +29,18 @@
 level = info
 `
 
-// writeSettings writes the file with one text replaced.
+// writeSettings writes the settings file with the text old replaced.
 func writeSettings(t *testing.T, path, old, replacement string) {
 	t.Helper()
-	text := strings.Replace(entryText, old, replacement, 1)
+	text := strings.Replace(entrySettings, old, replacement, 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reloaderOf makes a reloader of a process that runs with the file as it was written first.
-func reloaderOf(t *testing.T, path string, out *bytes.Buffer, applied *[]string) *reloader[*api.EntrySettings] {
+// newTestReloader returns a reloader for a process that was started with the unchanged settings
+// file.
+func newTestReloader(t *testing.T, path string, out *bytes.Buffer, applied *[]string) *reloader[*api.EntrySettings] {
 	t.Helper()
 	writeSettings(t, path, "", "")
 	running, err := settings.LoadEntry(path)
@@ -53,14 +54,13 @@
 	)
 }
 
-// An operator edits the settings of a running process. The level of the log
-// changes at once, a key that cannot change is named, and a file with a fault
-// changes nothing.
+// The settings of a running process are edited. The log level must change at once, a key that
+// cannot change must be named in the log, and an invalid file must change nothing.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
 	var applied []string
-	r := reloaderOf(t, path, &out, &applied)
+	r := newTestReloader(t, path, &out, &applied)
 	writeSettings(t, path, "level = info", "level = warn\n[limits]\nbody-bytes = 2048")
 	r.reload()
 	writeSettings(t, path, "level = info", "level = loud")
@@ -79,14 +79,14 @@
 	}
 }
 
-// An operator sets a key that needs a restart, is told so, reads the file again in the
-// morning, and takes the edit back. Told each time is what differs from what runs: the key
-// stays pending until then, and taking it back needs no restart.
+// A key that needs a restart is changed, the file is reloaded twice, and the change is reverted.
+// Each reload must compare with the settings in use: the key is reported until the change is
+// reverted, and reverting it needs no restart.
 func TestReloadComparesWithWhatRuns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	var out bytes.Buffer
 	var applied []string
-	r := reloaderOf(t, path, &out, &applied)
+	r := newTestReloader(t, path, &out, &applied)
 	const pending = "A changed setting needs a restart."
 	for i, step := range []struct {
 		vm    string
--- a/internal/command/version/version.go
+++ b/internal/command/version/version.go
@@ -1,4 +1,4 @@
-// Package version is the command that prints the program's version.
+// Package version implements the command that prints the program's version.
 package version
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/apricothub/apricothub/internal/version"
 )
 
-// Command makes the command.
+// Command returns the version command.
 func Command() *cli.Command {
 	return &cli.Command{
-		Sub: cli.New("version", "Print the version.", "apricothub version"),
+		Sub: cli.NewSubcommand("version", "Print the version.", "apricothub version"),
 		Run: func(_ context.Context, out, _ io.Writer) error {
 			_, err := fmt.Fprintln(out, "apricothub", version.String(), runtime.Version())
 			return err
--- a/internal/docgen/docgen_test.go
+++ b/internal/docgen/docgen_test.go
@@ -16,13 +16,13 @@
 			continue
 		}
 		if string(text) != page() {
-			t.Errorf("%s is not what the schema says; run: go run ./internal/docgen", path)
+			t.Errorf("%s does not match the schema; run: go run ./internal/docgen", path)
 		}
 	}
 }
 
-// registered finds the names under which the processes register metrics.
-var registered = regexp.MustCompile(`metrics\.(?:GetOrRegister|NewRegistered)\w+\(\s*"([^"]+)"`)
+// registeredMetric matches the registration of a metric and captures its name.
+var registeredMetric = regexp.MustCompile(`metrics\.(?:GetOrRegister|NewRegistered)\w+\(\s*"([^"]+)"`)
 
 func TestMetricsAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, match := range registered.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range registeredMetric.FindAllStringSubmatch(string(text), -1) {
 			if !strings.Contains(string(page), "`"+match[1]+"`") {
 				t.Errorf("docs/METRICS.md does not list %s, of %s", match[1], path)
 			}
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -36,7 +36,7 @@
 	byName := make(map[string]adminapi.Group)
 	for vm, s := range d.status {
 		if g := s.GetGroupStatus(); g != nil {
-			byName[s.GetGroup()] = adminapi.GroupOf(s.GetGroup(), vm, g)
+			byName[s.GetGroup()] = adminapi.GroupFromStatus(s.GetGroup(), vm, g)
 		}
 	}
 	for _, vm := range vms {
@@ -59,7 +59,7 @@
 			d.lastSteps[name] = last
 		}
 		g.Step = max(g.Step, last.step)
-		g.StillMs = (now - last.since).Milliseconds()
+		g.StepAgeMs = (now - last.since).Milliseconds()
 		all = append(all, g)
 	}
 	for name := range d.lastSteps {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,19 +1,19 @@
-// Package version names the version of the running program.
+// Package version reports the version of the running program.
 package version
 
 import "runtime/debug"
 
-// shortRevision is how much of a revision is shown.
-const shortRevision = 12
+// maxRevisionLength is the number of characters shown of a revision.
+const maxRevisionLength = 12
 
-// unstamped is what the toolchain writes when it knows no version.
-const unstamped = "(devel)"
+// develVersion is what the toolchain records when it knows no version.
+const develVersion = "(devel)"
 
-// built is set by `make build` to what git calls the revision.
+// built is set by `make build` to the revision that git describes.
 var built string
 
-// String gives what make build has set, or the revision that the program was built
-// from, or the module's version, or "unknown".
+// String returns the version set by make build, or else the revision that the program was built
+// from, the module's version, or "unknown".
 func String() string {
 	if built != "" {
 		return built
@@ -26,7 +26,7 @@
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			revision = s.Value[:min(len(s.Value), shortRevision)]
+			revision = s.Value[:min(len(s.Value), maxRevisionLength)]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			dirty = "+changes"
 		}
@@ -34,7 +34,7 @@
 	if revision != "" {
 		return revision + dirty
 	}
-	if info.Main.Version != "" && info.Main.Version != unstamped {
+	if info.Main.Version != "" && info.Main.Version != develVersion {
 		return info.Main.Version
 	}
 	return "unknown"
