--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -45,9 +45,9 @@
 
 func newTestGroup(t *testing.T, drift int64) *testGroup {
 	g := &testGroup{Group: fakeplatform.NewGroup(t, fakeplatform.GroupShape{
-		Ranks: groupSize, Experts: expertCount, Places: engineConfig.SlotsPerRank, Spare: engineConfig.MaxNewExperts, Drift: drift,
+		Ranks: groupSize, Experts: expertCount, Places: engineConfig.SlotsPerRank, Spare: engineConfig.MaxNewExperts, PopularityShiftPasses: drift,
 	}, 1)}
-	for rank, address := range g.Engines {
+	for rank, address := range g.EngineAddresses {
 		g.engines = append(g.engines, Engine{ID: fmt.Sprint("i-", rank), Address: address, Config: engineConfig, MaxPause: time.Second})
 		g.startAgent(t, rank, address)
 	}
@@ -165,7 +165,7 @@
 func TestLostAnswersToOrders(t *testing.T) {
 	t.Parallel()
 	g := newTestGroup(t, 0)
-	g.SetTrouble(fakeplatform.Trouble{Lost: 0.33})
+	g.SetOrderFaults(fakeplatform.OrderFaults{LostAnswers: 0.33})
 	startCoordinator(t, g, newStore(t))
 	waitFor(t, "the popular expert is loaded on several ranks", func() bool { return g.State().Replicas >= 3 })
 	g.waitForPasses(t, 20)
@@ -240,7 +240,7 @@
 				return
 			case <-time.After(500 * time.Millisecond):
 			}
-			g.startAgent(t, rank, g.Engines[rank])
+			g.startAgent(t, rank, g.EngineAddresses[rank])
 		}
 	}()
 	versions, changed, longest := g.State().Versions, time.Now(), time.Duration(0)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 
 // startWorld starts a store with the usual configuration, backend servers with the given answers,
 // and one entry.
-func startWorld(t *testing.T, answers ...fakeplatform.Answer) (*fakeplatform.Store, []*fakeplatform.Server, *entry) {
+func startWorld(t *testing.T, answers ...fakeplatform.Handler) (*fakeplatform.Store, []*fakeplatform.Server, *entry) {
 	t.Helper()
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1", "key-2")
@@ -40,7 +40,7 @@
 	if r.status != 200 || r.body != "answer to r1" || r.header.Get("Upstream-Signature") != "sig" {
 		t.Fatalf("the caller got %+v", r)
 	}
-	got := servers[0].Got()[0]
+	got := servers[0].Requests()[0]
 	if got.Request.RequestURI != "/push/a%2Fb//c?q=1&q=%20" || got.Body != "body of r1" || got.Request.Host != "h.example" {
 		t.Errorf("the server got %s %q for %s", got.Request.RequestURI, got.Body, got.Request.Host)
 	}
@@ -55,7 +55,7 @@
 // kept one, with another server available. The caller is told that the outcome is unknown.
 func TestAPushIsNeverSentTwice(t *testing.T) {
 	t.Parallel()
-	drop := func(s fakeplatform.Seen, conn net.Conn) bool {
+	drop := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if strings.HasPrefix(s.Request.RequestURI, "/look/") {
 			return fakeplatform.Echo(s, conn)
 		}
@@ -72,7 +72,7 @@
 			}
 		}
 		for _, body := range []string{"x", ""} {
-			before := len(servers[0].Got()) + len(servers[1].Got())
+			before := len(servers[0].Requests()) + len(servers[1].Requests())
 			r := e.ask("POST", "/push/1", "push", func(req *http.Request) {
 				req.Body = io.NopCloser(strings.NewReader(body))
 				req.ContentLength = int64(len(body))
@@ -81,7 +81,7 @@
 			if r.status != http.StatusBadGateway {
 				t.Errorf("kept %v, body %q: the caller got %+v", kept, body, r)
 			}
-			if n := len(servers[0].Got()) + len(servers[1].Got()) - before; n != 1 {
+			if n := len(servers[0].Requests()) + len(servers[1].Requests()) - before; n != 1 {
 				t.Errorf("kept %v, body %q: sent %d times", kept, body, n)
 			}
 		}
@@ -103,8 +103,8 @@
 			t.Fatalf("push: %+v", r)
 		}
 	}
-	for _, got := range servers[0].Got() {
-		if got.Request.Method == "POST" && !got.First {
+	for _, got := range servers[0].Requests() {
+		if got.Request.Method == "POST" && !got.FirstOnConn {
 			t.Error("a push went over a kept connection")
 		}
 	}
@@ -114,7 +114,7 @@
 // to retry.
 func TestARefusedPushHasNotRun(t *testing.T) {
 	t.Parallel()
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -127,7 +127,7 @@
 // One server fails all look-ups. A look-up may run again, so callers must see no failure.
 func TestALookUpGoesToAnotherServer(t *testing.T) {
 	t.Parallel()
-	_, servers, e := startWorld(t, fakeplatform.Echo, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, servers, e := startWorld(t, fakeplatform.Echo, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 500 Oops\r\nUpstream-Signature: bad\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -136,7 +136,7 @@
 			t.Errorf("look-up %d: %+v", i, r)
 		}
 	}
-	if len(servers[1].Got()) == 0 {
+	if len(servers[1].Requests()) == 0 {
 		t.Error("the failing server got no request: the test shows nothing")
 	}
 }
@@ -144,7 +144,7 @@
 // When all servers fail, the caller gets a server's error answer, with its signature.
 func TestTheServersFailureIsPassedOn(t *testing.T) {
 	t.Parallel()
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 500 Oops\r\nUpstream-Signature: bad\r\nContent-Length: 4\r\n\r\noops")
 		return true
 	})
@@ -160,11 +160,11 @@
 func TestASecondAnswerReachesNobody(t *testing.T) {
 	t.Parallel()
 	last := ""
-	_, servers, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, servers, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		id := s.Request.Header.Get("Attempt-Id")
-		text := fakeplatform.Whole(id, "answer to "+id)
+		text := fakeplatform.WholeResponse(id, "answer to "+id)
 		if last != "" {
-			text = fakeplatform.Whole(last, "answer to "+last) + text
+			text = fakeplatform.WholeResponse(last, "answer to "+last) + text
 		}
 		last = id
 		_, _ = io.WriteString(conn, text)
@@ -177,8 +177,8 @@
 		}
 	}
 	reused := false
-	for _, s := range servers[0].Got() {
-		reused = reused || !s.First
+	for _, s := range servers[0].Requests() {
+		reused = reused || !s.FirstOnConn
 	}
 	if !reused {
 		t.Error("no connection was used again: the test shows nothing")
@@ -191,7 +191,7 @@
 	t.Parallel()
 	release := make(chan struct{})
 	defer close(release)
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		<-release
 		return false
 	})
@@ -228,13 +228,13 @@
 	store, servers, e := startWorld(t, fakeplatform.Echo, fakeplatform.Echo)
 	store.Register(servers[0], "draining")
 	e.until("the server is known to drain", func() bool { return e.fleet.dump(0)[0].Draining })
-	before := len(servers[0].Got())
+	before := len(servers[0].Requests())
 	for range 10 {
 		if r := e.ask("GET", "/look/1", "x"); r.status != 200 {
 			t.Errorf("look-up: %+v", r)
 		}
 	}
-	if n := len(servers[0].Got()) - before; n != 0 {
+	if n := len(servers[0].Requests()) - before; n != 0 {
 		t.Errorf("the draining server got %d requests", n)
 	}
 	store.Put("keyed.op", "evacuate/a", "{}")
@@ -248,7 +248,7 @@
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	t.Parallel()
 	finishStream := make(chan struct{})
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if strings.HasPrefix(s.Request.RequestURI, "/draft/") {
 			_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 			<-finishStream
@@ -290,16 +290,16 @@
 	store.Configure(1, fakeplatform.Routes(), "key-1", "key-2")
 	store.Serve(t, "i-a", fakeplatform.Echo)
 	settings := settingsFor(store)
-	door := store.Door(t)
+	door := store.NewEndpoint(t)
 	settings.Store.Address = door.Address
 	one := start(t, settings)
 	two := start(t, settingsFor(store, settings.IP))
 	for _, e := range []*entry{one, two} {
 		e.until("both know of each other", func() bool { return len(e.view.Load().addresses) == 2 })
 	}
-	door.Shut.Store(true)
+	door.Unavailable.Store(true)
 	// A long poll that is already waiting would still return the new record.
-	one.until("no read is under way", func() bool { return door.Under.Load() == 0 })
+	one.until("no read is under way", func() bool { return door.InFlight.Load() == 0 })
 	store.Configure(2, fakeplatform.Routes(), "key-1")
 	one.until("the first has the new version", func() bool { return one.view.Load().table.Version == 2 })
 	if r := one.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
@@ -321,11 +321,11 @@
 		reading, hearing = hearing, reading
 		hearing.Seeds, reading.Seeds = []string{reading.IP}, nil
 	}
-	door := store.Door(t)
+	door := store.NewEndpoint(t)
 	hearing.Store.Address = door.Address
 	one, two := start(t, reading), start(t, hearing)
 	two.until("the second one leaves reading to the first", func() bool { return !two.readsStore.Load() })
-	two.until("no read is under way", func() bool { return door.Under.Load() == 0 })
+	two.until("no read is under way", func() bool { return door.InFlight.Load() == 0 })
 	before := door.Calls.Load()
 	store.Configure(2, fakeplatform.Routes(), "key-1")
 	two.until("it has the new version", func() bool { return two.view.Load().table.Version == 2 })
--- a/internal/gateway/hang_test.go
+++ b/internal/gateway/hang_test.go
@@ -26,7 +26,7 @@
 // caller must not wait until its deadline: another server must resume the stream.
 func TestAStreamThatStandsStillGoesOnAtAnotherServer(t *testing.T) {
 	t.Parallel()
-	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
+	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s))
 		if s.ResumeAfter() == "" {
 			_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(1)+fakeplatform.Event(2)))
@@ -50,7 +50,7 @@
 func TestALookUpThatHangsIsAnsweredByAnotherServer(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int32
-	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
+	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if asked.Add(1) == 1 {
 			return neverAnswer(conn)
 		}
@@ -71,7 +71,7 @@
 func TestAPushThatHangsStaysWhereItIs(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int32
-	answer := func(_ fakeplatform.Seen, conn net.Conn) bool {
+	answer := func(_ fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		asked.Add(1)
 		return neverAnswer(conn)
 	}
@@ -86,8 +86,8 @@
 // over another kept connection, when it has no attempt left after that.
 func TestALookUpThatHungGoesOnOverANewConnection(t *testing.T) {
 	t.Parallel()
-	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
-		if s.ID() == "l1" && !s.First {
+	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
+		if s.ID() == "l1" && !s.FirstOnConn {
 			return neverAnswer(conn)
 		}
 		return fakeplatform.Echo(s, conn)
@@ -95,7 +95,7 @@
 	_, servers, e := startWorld(t, answer, answer)
 	e.until("a connection to each server is kept", func() bool {
 		e.ask("GET", "/look/1", "first")
-		return len(servers[0].Got()) > 0 && len(servers[1].Got()) > 0
+		return len(servers[0].Requests()) > 0 && len(servers[1].Requests()) > 0
 	})
 	if r := e.ask("GET", "/look/1", "l1"); r.body != "answer to l1" {
 		t.Errorf("the caller got %v", r)
@@ -108,7 +108,7 @@
 	t.Parallel()
 	const pieces, size = 12, 200 << 10
 	piece := strings.Repeat("x", size)
-	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
+	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fmt.Sprintf(
 			"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nUpstream-Signature: sig\r\nContent-Length: %d\r\n\r\n", s.ID(), pieces*size))
 		for range pieces {
@@ -123,7 +123,7 @@
 	if r := e.ask("GET", "/look/1", "long"); len(r.body) != pieces*size || r.err != nil {
 		t.Errorf("the caller got %d bytes of %d, %v", len(r.body), pieces*size, r.err)
 	}
-	if n := len(servers[0].Got()) + len(servers[1].Got()); n != 1 {
+	if n := len(servers[0].Requests()) + len(servers[1].Requests()); n != 1 {
 		t.Errorf("%d servers were asked", n)
 	}
 }
--- a/internal/gateway/leftover_test.go
+++ b/internal/gateway/leftover_test.go
@@ -17,9 +17,9 @@
 func TestTheRestOfALongRefusalIsNobodysAnswer(t *testing.T) {
 	t.Parallel()
 	leftover := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 7\r\n\r\ncrossed"
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if s.Request.Header.Get("Attempt-Id") != "full" {
-			if !s.First {
+			if !s.FirstOnConn {
 				_, _ = io.WriteString(conn, leftover)
 			}
 			return fakeplatform.Echo(s, conn)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -33,7 +33,7 @@
 	})
 	w := &controlWorld{
 		control: newControl(g, log.NewNopLogger(), 0),
-		other:   &api.PeerBeat{Vm: "other", Ip: fakeplatform.OwnIP(), FailureDomain: "a", Incarnation: 1, Serving: true},
+		other:   &api.PeerBeat{Vm: "other", Ip: fakeplatform.NewLoopbackIP(), FailureDomain: "a", Incarnation: 1, Serving: true},
 	}
 	w.reportServers(t, 1, registration, 0)
 	if n := len(w.registry.Registrations()); n != 1 {
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -22,7 +22,7 @@
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1")
 	store.Serve(t, "i-a", fakeplatform.Echo)
-	door := store.Door(t)
+	door := store.NewEndpoint(t)
 	settings := settingsFor(store)
 	settings.Store.Address = door.Address
 	opening, open := make(chan struct{}), make(chan struct{})
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -18,7 +18,7 @@
 func TestAStreamGoesOnAtAnotherServer(t *testing.T) {
 	t.Parallel()
 	broken := make(chan string, 2)
-	answer := func(s fakeplatform.Seen, conn net.Conn) bool {
+	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		from := s.Request.Header.Get("Last-Event-Id")
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s))
 		if from == "" {
@@ -46,7 +46,7 @@
 // look whole.
 func TestABrokenStreamLooksBroken(t *testing.T) {
 	t.Parallel()
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		return false
 	})
@@ -59,7 +59,7 @@
 // stream.
 func TestEventsOutOfOrderArePassedOnToNobody(t *testing.T) {
 	t.Parallel()
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)+fakeplatform.Event(2)+fakeplatform.Event(2))+"0\r\n\r\n")
 		return true
 	})
@@ -72,7 +72,7 @@
 func TestACallerThatLeavesEndsTheWork(t *testing.T) {
 	t.Parallel()
 	ended := make(chan struct{})
-	_, _, e := startWorld(t, func(s fakeplatform.Seen, conn net.Conn) bool {
+	_, _, e := startWorld(t, func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, fakeplatform.StreamHead(s)+fakeplatform.Chunk(fakeplatform.Event(1)))
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -28,7 +28,7 @@
 }
 
 func settingsFor(store *fakeplatform.Store, seeds ...string) *platform.Settings {
-	ip := fakeplatform.OwnIP()
+	ip := fakeplatform.NewLoopbackIP()
 	address := func(port string) string { return net.JoinHostPort(ip, port) }
 	return &platform.Settings{
 		VM: "vm-" + ip, IP: ip, FailureDomain: "a", PeerPort: fakeplatform.PortPeers, Seeds: seeds,
--- a/internal/measure/logs/logs.go
+++ b/internal/measure/logs/logs.go
@@ -101,15 +101,15 @@
 		store := fakeplatform.NewStore(b.report)
 		store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 		for _, id := range []string{"i-a", "i-b"} {
-			s := store.ServeAt(b.report, fakeplatform.Place{ID: id, FailureDomain: "a", Concurrency: places / 2, Forgets: true}, fakeplatform.Echo)
+			s := store.ServeAt(b.report, fakeplatform.Registration{ID: id, FailureDomain: "a", Concurrency: places / 2, DiscardRequests: true}, fakeplatform.Echo)
 			b.direct = s.Address()
 		}
-		b.ips[w] = fakeplatform.OwnIP()
+		b.ips[w] = fakeplatform.NewLoopbackIP()
 		entry := fakeplatform.Entry{VM: b.vm(w), IP: b.ips[w], FailureDomain: "a", Store: store.Address()}
 		env := []string{entry.WriteSettings(b.report, b.dir), "GOMAXPROCS=1"}
 		b.gateway(w, env)
 		harness.Eventually(b.report, patience, "a gateway is ready", func() error {
-			if !fakeplatform.Ready(b.ips[w]) {
+			if !fakeplatform.IsReady(b.ips[w]) {
 				return errors.New("it is not")
 			}
 			return nil
@@ -173,7 +173,7 @@
 		group.Go(func() {
 			for n := 0; time.Now().Before(until); n++ {
 				began := time.Now()
-				status := fakeplatform.AskAt(b.client, address, paths[i%len(paths)], fmt.Sprintf("c%d-%d", i, n))
+				status := fakeplatform.SendTo(b.client, address, paths[i%len(paths)], fmt.Sprintf("c%d-%d", i, n))
 				spent := time.Since(began)
 				lock.Lock()
 				if status == http.StatusOK {
--- a/test/explain_drill_test.go
+++ b/test/explain_drill_test.go
@@ -89,14 +89,14 @@
 	d := &drill{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t), held: make(chan struct{})}
 	d.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range []string{"a", "b"} {
-		d.servers = append(d.servers, d.store.ServeAt(t, fakeplatform.Place{ID: "i-" + domain, FailureDomain: domain, Concurrency: 2}, d.answer))
+		d.servers = append(d.servers, d.store.ServeAt(t, fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 2}, d.answer))
 	}
-	one, two := fakeplatform.OwnIP(), fakeplatform.OwnIP()
+	one, two := fakeplatform.NewLoopbackIP(), fakeplatform.NewLoopbackIP()
 	d.gateway("front-1", one)
 	d.gateway("front-2", two, one)
 	for _, ip := range d.gateways {
 		harness.Eventually(t, drillPatience, "a gateway is ready", func() error {
-			if !fakeplatform.Ready(ip) {
+			if !fakeplatform.IsReady(ip) {
 				return errNotReady
 			}
 			return nil
@@ -117,7 +117,7 @@
 
 // answer is the backend servers': pushes with "die" in their path lose their server, those
 // with "hold" wait, streams send two events.
-func (d *drill) answer(s fakeplatform.Seen, conn net.Conn) bool {
+func (d *drill) answer(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	switch path := s.Request.RequestURI; {
 	case strings.Contains(path, "die"):
 		d.servers[0].Kill()
@@ -134,7 +134,7 @@
 
 // ask sends a request to the first gateway and returns the status.
 func (d *drill) ask(path, id string) int {
-	return fakeplatform.Ask(http.DefaultClient, d.gateways[0], path, id)
+	return fakeplatform.Send(http.DefaultClient, d.gateways[0], path, id)
 }
 
 // hold sends pushes that stay with their servers.
@@ -149,7 +149,7 @@
 	harness.Eventually(d.t, drillPatience, "the servers hold requests", func() error {
 		got := 0
 		for _, s := range d.servers {
-			got += len(s.Got())
+			got += len(s.Requests())
 		}
 		if got < n {
 			return fmt.Errorf("%d of %d", got, n)
--- a/test/fakeplatform/caller.go
+++ b/test/fakeplatform/caller.go
@@ -11,14 +11,14 @@
 // CallerKey is the key of team north.
 const CallerKey = "key-1"
 
-// Ask sends a request to the entry with an IP, and returns the status once the whole answer is
+// Send sends a request to the entry with an IP, and returns the status once the whole answer is
 // there; zero for none.
-func Ask(client *http.Client, ip, path, id string) int {
-	return AskAt(client, net.JoinHostPort(ip, PortCallers), path, id)
+func Send(client *http.Client, ip, path, id string) int {
+	return SendTo(client, net.JoinHostPort(ip, PortCallers), path, id)
 }
 
-// AskAt sends a request to an address, as Ask does.
-func AskAt(client *http.Client, address, path, id string) int {
+// SendTo sends a request to an address, as Ask does.
+func SendTo(client *http.Client, address, path, id string) int {
 	req, err := NewRequest(address, path, id)
 	if err != nil {
 		return 0
@@ -63,8 +63,8 @@
 	return req, nil
 }
 
-// Ready says whether the entry at an address takes new connections.
-func Ready(ip string) bool {
+// IsReady says whether the entry at an address takes new connections.
+func IsReady(ip string) bool {
 	resp, err := http.Get("http://" + net.JoinHostPort(ip, PortReadiness) + "/apricothub/readyz")
 	if err != nil {
 		return false
--- a/test/fakeplatform/group.go
+++ b/test/fakeplatform/group.go
@@ -18,8 +18,8 @@
 const PortEngine = "9000"
 
 const (
-	// passEach is the time between two passes of a group that nobody holds.
-	passEach = 5 * time.Millisecond
+	// passInterval is the time between two passes of a group that nobody holds.
+	passInterval = 5 * time.Millisecond
 	// copyTime is how long a rank takes to copy what a version adds.
 	copyTime = 40 * time.Millisecond
 )
@@ -28,42 +28,42 @@
 type GroupShape struct {
 	// Ranks hold Experts on Places each; a version may add Spare experts to a rank.
 	Ranks, Experts, Places, Spare int
-	// Drift is the number of passes after which another expert is the popular one; zero for
+	// PopularityShiftPasses is the number of passes after which another expert is the popular one; zero for
 	// never.
-	Drift int64
+	PopularityShiftPasses int64
 }
 
-// Trouble is what may come of an order, each as a part of all orders.
-type Trouble struct {
-	// Lost answers are not given, though the order is carried out. Late orders are carried
+// OrderFaults is what may come of an order, each as a part of all orders.
+type OrderFaults struct {
+	// LostAnswers answers are not given, though the order is carried out. Delayed orders are carried
 	// out up to Latest later, and not answered.
-	Lost, Late float64
-	Latest     time.Duration
+	LostAnswers, Delayed float64
+	MaxDelay             time.Duration
 }
 
 // Group is a lock-step group of engines on sockets, each at an IP of its own. It begins a pass
 // each few ms, and notes each one that begins with two maps or lacks an expert.
 type Group struct {
 	Shape GroupShape
-	// Engines are their addresses, by rank.
-	Engines []string
+	// EngineAddresses are their addresses, by rank.
+	EngineAddresses []string
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	ranks []*rank
 	// step is the last pass begun in this epoch, passes their number in all.
 	epoch, step, passes int64
-	broken              bool
-	trouble             Trouble
-	// used are the versions in use so far in any epoch, orders those carried out by kind.
-	used   map[int64]bool
-	orders map[string]int
-	faults []string
-	// asleep are the ranks whose VM stands still; woken is signalled when one is back.
-	asleep []bool
-	woken  *sync.Cond
-	runs   []Run
-	ended  atomic.Bool
+	crashed             bool
+	orderFaults         OrderFaults
+	// usedVersions are the versions in use so far in any epoch, orders those carried out by kind.
+	usedVersions map[int64]bool
+	orderCounts  map[string]int
+	faults       []string
+	// paused are the ranks whose VM stands still; woken is signalled when one is back.
+	paused  []bool
+	resumed *sync.Cond
+	runs    []Run
+	stopped atomic.Bool
 }
 
 // NewGroup starts a group that stops with the test.
@@ -71,27 +71,27 @@
 	report.Helper()
 	g := &Group{
 		Shape: shape, rng: rand.New(rand.NewPCG(seed, 1)), epoch: 1,
-		used: make(map[int64]bool), orders: make(map[string]int), asleep: make([]bool, shape.Ranks),
+		usedVersions: make(map[int64]bool), orderCounts: make(map[string]int), paused: make([]bool, shape.Ranks),
 	}
-	g.woken = sync.NewCond(&g.mu)
-	for at := range shape.Ranks {
-		r := &rank{counts: make([]int64, shape.Experts), born: 1}
-		r.reset(g.firstMap())
+	g.resumed = sync.NewCond(&g.mu)
+	for index := range shape.Ranks {
+		r := &rank{counts: make([]int64, shape.Experts), incarnation: 1}
+		r.reset(g.initialMap())
 		g.ranks = append(g.ranks, r)
-		g.Engines = append(g.Engines, g.listen(report, at))
+		g.EngineAddresses = append(g.EngineAddresses, g.listen(report, index))
 	}
 	done := make(chan struct{})
 	report.Cleanup(func() {
-		g.ended.Store(true)
+		g.stopped.Store(true)
 		<-done
 	})
 	go func() {
 		defer close(done)
-		for !g.ended.Load() {
-			time.Sleep(passEach)
+		for !g.stopped.Load() {
+			time.Sleep(passInterval)
 			g.mu.Lock()
-			if !g.broken {
-				g.pass()
+			if !g.crashed {
+				g.beginPass()
 			}
 			g.mu.Unlock()
 		}
@@ -99,8 +99,8 @@
 	return g
 }
 
-// firstMap gives the experts to the ranks in turn.
-func (g *Group) firstMap() expertMap {
+// initialMap gives the experts to the ranks in turn.
+func (g *Group) initialMap() expertMap {
 	m := make(expertMap, g.Shape.Ranks)
 	for e := range g.Shape.Experts {
 		m[e%g.Shape.Ranks] = append(m[e%g.Shape.Ranks], int32(e))
@@ -108,37 +108,37 @@
 	return m
 }
 
-func (g *Group) listen(report harness.Reporter, at int) string {
+func (g *Group) listen(report harness.Reporter, index int) string {
 	report.Helper()
-	address := net.JoinHostPort(OwnIP(), PortEngine)
+	address := net.JoinHostPort(NewLoopbackIP(), PortEngine)
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		report.Fatalf("engine: %v", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /apricothub/report", func(w http.ResponseWriter, _ *http.Request) { g.serveReport(w, at) })
-	mux.HandleFunc("GET /apricothub/picked", func(w http.ResponseWriter, r *http.Request) { g.servePicked(w, r, at) })
-	mux.HandleFunc("POST /apricothub/order", func(w http.ResponseWriter, r *http.Request) { g.serveOrder(w, r, at) })
-	mux.HandleFunc("POST /", func(w http.ResponseWriter, r *http.Request) { g.serveStream(w, r, at) })
+	mux.HandleFunc("GET /apricothub/report", func(w http.ResponseWriter, _ *http.Request) { g.serveReport(w, index) })
+	mux.HandleFunc("GET /apricothub/picked", func(w http.ResponseWriter, r *http.Request) { g.servePicked(w, r, index) })
+	mux.HandleFunc("POST /apricothub/order", func(w http.ResponseWriter, r *http.Request) { g.serveOrder(w, r, index) })
+	mux.HandleFunc("POST /", func(w http.ResponseWriter, r *http.Request) { g.serveStream(w, r, index) })
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.awake(at)
+		g.waitResumed(index)
 		mux.ServeHTTP(w, r)
 	})}
 	go func() { _ = server.Serve(l) }()
 	report.Cleanup(func() {
-		g.Wake(at)
+		g.ResumeVM(index)
 		_ = server.Close()
 	})
 	return address
 }
 
-func (g *Group) serveReport(w http.ResponseWriter, at int) {
+func (g *Group) serveReport(w http.ResponseWriter, index int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.ranks[at]
-	r.settle()
+	r := g.ranks[index]
+	r.completeCopy()
 	state := "open"
-	if g.broken {
+	if g.crashed {
 		state = "broken"
 	}
 	var prepared any
@@ -146,18 +146,18 @@
 		prepared = r.prepared
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"group": map[string]any{"name": "g", "epoch": g.epoch, "rank": at, "state": state}, "size": g.Shape.Ranks,
-		"pace": 1.0, "step": g.step, "map": r.version, "prepared": prepared, "armed": r.armed, "held": r.held, "born": r.born,
+		"group": map[string]any{"name": "g", "epoch": g.epoch, "rank": index, "state": state}, "size": g.Shape.Ranks,
+		"pace": 1.0, "step": g.step, "map": r.version, "prepared": prepared, "armed": r.armed, "held": r.held, "born": r.incarnation,
 	})
 }
 
-func (g *Group) servePicked(w http.ResponseWriter, req *http.Request, at int) {
+func (g *Group) servePicked(w http.ResponseWriter, req *http.Request, index int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.ranks[at]
+	r := g.ranks[index]
 	if req.URL.Query().Has("lists") {
 		_ = json.NewEncoder(w).Encode(map[string]any{
-			"epoch": g.epoch, "map": map[string]any{"version": r.version, "experts": [][]int32{r.maps[r.version][at]}},
+			"epoch": g.epoch, "map": map[string]any{"version": r.version, "experts": [][]int32{r.maps[r.version][index]}},
 		})
 		return
 	}
@@ -165,26 +165,26 @@
 }
 
 // serveOrder carries an order out: now, now without an answer, or late without one.
-func (g *Group) serveOrder(w http.ResponseWriter, req *http.Request, at int) {
-	var o Order
-	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
+func (g *Group) serveOrder(w http.ResponseWriter, req *http.Request, index int) {
+	var order Order
+	if err := json.NewDecoder(req.Body).Decode(&order); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	g.mu.Lock()
-	chance := g.rng.Float64()
-	if late := chance < g.trouble.Late; late {
-		after := time.Duration(g.rng.Int64N(int64(g.trouble.Latest)))
+	draw := g.rng.Float64()
+	if delayed := draw < g.orderFaults.Delayed; delayed {
+		delay := time.Duration(g.rng.Int64N(int64(g.orderFaults.MaxDelay)))
 		g.mu.Unlock()
-		time.AfterFunc(after, func() {
+		time.AfterFunc(delay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.order(at, o)
+			g.carryOut(index, order)
 		})
 		panic(http.ErrAbortHandler)
 	}
-	lost := chance < g.trouble.Late+g.trouble.Lost
-	status := g.order(at, o)
+	lost := draw < g.orderFaults.Delayed+g.orderFaults.LostAnswers
+	status := g.carryOut(index, order)
 	g.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -192,31 +192,31 @@
 	w.WriteHeader(status)
 }
 
-// SetTrouble sets what may come of orders from now on.
-func (g *Group) SetTrouble(t Trouble) {
+// SetOrderFaults sets what may come of orders from now on.
+func (g *Group) SetOrderFaults(faults OrderFaults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.trouble = t
+	g.orderFaults = faults
 }
 
-// Break ends one rank, and with it the group's work, until it has formed again in a new epoch:
+// Crash ends one rank, and with it the group's work, until it has formed again in a new epoch:
 // with its first map, and nothing prepared, armed or held. The rank that ended has forgotten
 // which fencing numbers it saw.
-func (g *Group) Break(at int, forming time.Duration) {
+func (g *Group) Crash(index int, formingTime time.Duration) {
 	g.mu.Lock()
-	g.broken = true
+	g.crashed = true
 	g.mu.Unlock()
-	time.Sleep(forming)
+	time.Sleep(formingTime)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.broken = false
+	g.crashed = false
 	g.epoch++
 	g.step = 0
 	for i, r := range g.ranks {
-		r.reset(g.firstMap())
-		if i == at {
+		r.reset(g.initialMap())
+		if i == index {
 			r.fence = 0
-			r.born++
+			r.incarnation++
 			r.counts = make([]int64, g.Shape.Experts)
 		}
 	}
@@ -224,11 +224,11 @@
 
 // Hold has a rank hold the group some passes ahead, as an order of a coordinator that is gone
 // did. It returns the pass.
-func (g *Group) Hold(at int, ahead int64) int64 {
+func (g *Group) Hold(index int, ahead int64) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	step := g.step + ahead
-	g.ranks[at].held = &step
+	g.ranks[index].held = &step
 	return step
 }
 
@@ -252,15 +252,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := GroupState{
-		Passes: g.passes, Step: g.step, Version: g.ranks[0].version, Versions: len(g.used),
+		Passes: g.passes, Step: g.step, Version: g.ranks[0].version, Versions: len(g.usedVersions),
 		Orders: make(map[string]int), Faults: slices.Clone(g.faults),
 	}
-	for op, n := range g.orders {
+	for op, n := range g.orderCounts {
 		s.Orders[op] = n
 	}
-	const popular = 5
-	for at, r := range g.ranks {
-		if slices.Contains(r.maps[r.version][at], popular) {
+	const popularAtStart = 5
+	for index, r := range g.ranks {
+		if slices.Contains(r.maps[r.version][index], popularAtStart) {
 			s.Replicas++
 		}
 	}
@@ -277,12 +277,12 @@
 
 // RegisterGroup registers the engines of a group under a service.
 func (s *Store) RegisterGroup(g *Group, service string, domains []string) {
-	s.RegisterEngines(g.Engines, service, domains)
+	s.RegisterEngines(g.EngineAddresses, service, domains)
 }
 
 // RegisterEngines registers engines, by rank, at addresses under a service.
 func (s *Store) RegisterEngines(addresses []string, service string, domains []string) {
-	for at, address := range addresses {
-		s.registerAs(service, fmt.Sprintf("e-%d", at), address, Place{FailureDomain: domains[at%len(domains)], Concurrency: 12}, "ready")
+	for index, address := range addresses {
+		s.registerAs(service, fmt.Sprintf("e-%d", index), address, Registration{FailureDomain: domains[index%len(domains)], Concurrency: 12}, "ready")
 	}
 }
--- a/test/fakeplatform/server.go
+++ b/test/fakeplatform/server.go
@@ -12,56 +12,56 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Seen is one request as a backend server got it.
-type Seen struct {
+// ReceivedRequest is one request as a backend server got it.
+type ReceivedRequest struct {
 	Request *http.Request
 	Body    string
-	// First says that it is the first one on its connection.
-	First bool
+	// FirstOnConn says that it is the first one on its connection.
+	FirstOnConn bool
 }
 
 // Server is a backend server on a socket of its own: answer writes what it likes, and
 // returns whether the connection stays.
 type Server struct {
-	place    Place
-	listener net.Listener
+	registration Registration
+	listener     net.Listener
 	// address is the registered one.
 	address  string
-	answer   Answer
+	handler  Handler
 	mu       sync.Mutex
-	requests []Seen
+	requests []ReceivedRequest
 	conns    []net.Conn
 }
 
-// Answer answers one request, and returns whether the connection stays.
-type Answer func(s Seen, conn net.Conn) bool
+// Handler answers one request, and returns whether the connection stays.
+type Handler func(s ReceivedRequest, conn net.Conn) bool
 
-// Place says what a backend server registers itself as.
-type Place struct {
+// Registration says what a backend server registers itself as.
+type Registration struct {
 	ID, FailureDomain string
 	// Concurrency is the number of requests that it works on at once.
 	Concurrency int
-	// Link makes the address that it registers in place of its own; nil for none.
-	Link func(address string) string
-	// Forgets says that it keeps no record of its requests, for long runs.
-	Forgets bool
+	// MapAddress makes the address that it registers in place of its own; nil for none.
+	MapAddress func(address string) string
+	// DiscardRequests says that it keeps no record of its requests, for long runs.
+	DiscardRequests bool
 }
 
 // Serve starts a backend server of service app in failure domain a, and registers it.
-func (s *Store) Serve(report harness.Reporter, id string, answer Answer) *Server {
-	return s.ServeAt(report, Place{ID: id, FailureDomain: "a", Concurrency: 4}, answer)
+func (s *Store) Serve(report harness.Reporter, id string, handler Handler) *Server {
+	return s.ServeAt(report, Registration{ID: id, FailureDomain: "a", Concurrency: 4}, handler)
 }
 
 // ServeAt starts a backend server of service app, and registers it.
-func (s *Store) ServeAt(report harness.Reporter, place Place, answer Answer) *Server {
+func (s *Store) ServeAt(report harness.Reporter, registration Registration, handler Handler) *Server {
 	report.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		report.Fatalf("listen: %v", err)
 	}
-	f := &Server{place: place, listener: listener, address: listener.Addr().String(), answer: answer}
-	if place.Link != nil {
-		f.address = place.Link(f.address)
+	f := &Server{registration: registration, listener: listener, address: listener.Addr().String(), handler: handler}
+	if registration.MapAddress != nil {
+		f.address = registration.MapAddress(f.address)
 	}
 	report.Cleanup(func() { _ = listener.Close() })
 	go func() {
@@ -79,13 +79,13 @@
 
 // Register registers a backend server anew, in a state such as ready or draining.
 func (s *Store) Register(f *Server, state string) {
-	s.registerAs("app", f.place.ID, f.address, f.place, state)
+	s.registerAs("app", f.registration.ID, f.address, f.registration, state)
 }
 
-func (s *Store) registerAs(service, id, address string, place Place, state string) {
+func (s *Store) registerAs(service, id, address string, registration Registration, state string) {
 	s.Put(platform.TopicServers, id, fmt.Sprintf(
 		`{"service":"%s","address":"%s","zone":"%s","concurrency":%d,"state":"%s","cold-remaining-ms":0,"sequence":1,"born":1}`,
-		service, address, place.FailureDomain, place.Concurrency, state))
+		service, address, registration.FailureDomain, registration.Concurrency, state))
 }
 
 func (f *Server) handle(conn net.Conn) {
@@ -103,16 +103,16 @@
 		if err != nil {
 			return
 		}
-		s := Seen{Request: req, Body: string(body), First: first}
+		s := ReceivedRequest{Request: req, Body: string(body), FirstOnConn: first}
 		f.record(s)
-		if !f.answer(s, conn) {
+		if !f.handler(s, conn) {
 			return
 		}
 	}
 }
 
-func (f *Server) record(s Seen) {
-	if f.place.Forgets {
+func (f *Server) record(s ReceivedRequest) {
+	if f.registration.DiscardRequests {
 		return
 	}
 	f.mu.Lock()
@@ -132,20 +132,20 @@
 }
 
 // ID is the name under which the server is registered.
-func (f *Server) ID() string { return f.place.ID }
+func (f *Server) ID() string { return f.registration.ID }
 
 // Address is where the server listens.
 func (f *Server) Address() string { return f.listener.Addr().String() }
 
-// Got returns the requests so far.
-func (f *Server) Got() []Seen {
+// Requests returns the requests so far.
+func (f *Server) Requests() []ReceivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Seen(nil), f.requests...)
+	return append([]ReceivedRequest(nil), f.requests...)
 }
 
 // Refuse answers that the request has not run and will not.
-func Refuse(s Seen, conn net.Conn) bool {
+func Refuse(s ReceivedRequest, conn net.Conn) bool {
 	_, err := io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: "+s.ID()+
 		"\r\nNot-Executed: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
@@ -153,22 +153,22 @@
 
 // ID is the id of the caller's attempt, ResumeAfter that of the last event that it has of a
 // stream.
-func (s Seen) ID() string          { return s.Request.Header.Get("Attempt-Id") }
-func (s Seen) ResumeAfter() string { return s.Request.Header.Get("Last-Event-Id") }
+func (s ReceivedRequest) ID() string          { return s.Request.Header.Get("Attempt-Id") }
+func (s ReceivedRequest) ResumeAfter() string { return s.Request.Header.Get("Last-Event-Id") }
 
-// Whole is an answer with a body and the server's signature.
-func Whole(id, body string) string {
+// WholeResponse is an answer with a body and the server's signature.
+func WholeResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nUpstream-Signature: sig\r\nContent-Type: text/plain\r\nKeep-Alive: timeout=30\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 // Echo answers with the request's id.
-func Echo(s Seen, conn net.Conn) bool {
-	_, _ = io.WriteString(conn, Whole(s.ID(), "answer to "+s.ID()))
+func Echo(s ReceivedRequest, conn net.Conn) bool {
+	_, _ = io.WriteString(conn, WholeResponse(s.ID(), "answer to "+s.ID()))
 	return true
 }
 
 // StreamHead begins a stream in chunks.
-func StreamHead(s Seen) string {
+func StreamHead(s ReceivedRequest) string {
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.Request.Header.Get("Attempt-Id") +
 		"\r\nUpstream-Signature: sig\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
--- a/test/fakeplatform/settings.go
+++ b/test/fakeplatform/settings.go
@@ -11,26 +11,26 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Loopback addresses that are given out: their second number from firstNet on, one of nets,
+// Loopback addresses that are given out: their second number from firstSecondOctet on, one of secondOctets,
 // their third and fourth from 1 on.
 const (
-	firstNet = 64
-	nets     = 190
-	hosts    = 250
+	firstSecondOctet = 64
+	secondOctets     = 190
+	hostsPerOctet    = 250
 )
 
-// given counts the addresses that this process has given out.
-var given atomic.Int32
+// assignedIPs counts the addresses that this process has given out.
+var assignedIPs atomic.Int32
 
-// OwnIP returns a loopback address that was not given out before, so that each process of a
+// NewLoopbackIP returns a loopback address that was not given out before, so that each process of a
 // test has one of its own.
 //
 // Its net is that of this process by its id. Two runs of tests on one machine, as of two
 // checkouts, would otherwise take the same addresses; the entries of one then do not start,
 // and its callers talk to those of the other.
-func OwnIP() string {
-	pid, n := os.Getpid(), int(given.Add(1))
-	return fmt.Sprintf("127.%d.%d.%d", firstNet+pid%nets, 1+(pid/nets+n/hosts)%hosts, 1+n%hosts)
+func NewLoopbackIP() string {
+	pid, n := os.Getpid(), int(assignedIPs.Add(1))
+	return fmt.Sprintf("127.%d.%d.%d", firstSecondOctet+pid%secondOctets, 1+(pid/secondOctets+n/hostsPerOctet)%hostsPerOctet, 1+n%hostsPerOctet)
 }
 
 // Ports of the processes, the same on each address.
@@ -94,7 +94,7 @@
 }
 
 func (e Entry) settings() string {
-	at := func(port string) string { return net.JoinHostPort(e.IP, port) }
+	address := func(port string) string { return net.JoinHostPort(e.IP, port) }
 	var seeds []string
 	for _, seed := range e.Seeds {
 		seeds = append(seeds, net.JoinHostPort(seed, PortAdmin))
@@ -116,5 +116,5 @@
 bounds.cold-over=1.5
 bounds.cold-slack=5
 bounds.ttl_max_s=5
-`, e.VM, e.IP, e.FailureDomain, at(PortCallers), at(PortReadiness), at(PortDirectory), at(PortAdmin), PortPeers, strings.Join(seeds, ","), e.Store)
+`, e.VM, e.IP, e.FailureDomain, address(PortCallers), address(PortReadiness), address(PortDirectory), address(PortAdmin), PortPeers, strings.Join(seeds, ","), e.Store)
 }
--- a/test/fakeplatform/store.go
+++ b/test/fakeplatform/store.go
@@ -25,54 +25,54 @@
 	*httptest.Server
 	mu     sync.Mutex
 	topics map[string][][2]string
-	// first are the offsets from which on topics keep their records for readers.
-	first map[string]int
+	// firstOffsets are the offsets from which on topics keep their records for readers.
+	firstOffsets map[string]int
 }
 
 // NewStore starts a store that stops with the test.
 func NewStore(report harness.Reporter) *Store {
-	s := &Store{topics: make(map[string][][2]string), first: make(map[string]int)}
+	s := &Store{topics: make(map[string][][2]string), firstOffsets: make(map[string]int)}
 	s.Server = httptest.NewServer(s.handler(func() bool { return false }))
 	report.Cleanup(s.Close)
 	return s
 }
 
 // handler serves the store's calls; shut ends reads that wait.
-func (s *Store) handler(shut func() bool) http.Handler {
+func (s *Store) handler(isUnavailable func() bool) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /apricothub/log-read", func(w http.ResponseWriter, r *http.Request) { s.read(w, r, shut) })
+	mux.HandleFunc("GET /apricothub/log-read", func(w http.ResponseWriter, r *http.Request) { s.read(w, r, isUnavailable) })
 	mux.HandleFunc("GET /apricothub/log-newest", s.newest)
 	mux.HandleFunc("POST /apricothub/log-append", s.append)
 	return mux
 }
 
-// Door is another address of the store. It counts the calls, and turns callers away while it
+// Endpoint is another address of the store. It counts the calls, and turns callers away while it
 // is shut.
-type Door struct {
-	Address string
-	Shut    atomic.Bool
-	Calls   atomic.Int64
-	// Under are the calls under way.
-	Under atomic.Int64
-}
-
-// Door opens another address of the store.
-func (s *Store) Door(report harness.Reporter) *Door {
-	d := &Door{}
-	handler := s.handler(d.Shut.Load)
+type Endpoint struct {
+	Address     string
+	Unavailable atomic.Bool
+	Calls       atomic.Int64
+	// InFlight are the calls under way.
+	InFlight atomic.Int64
+}
+
+// NewEndpoint opens another address of the store.
+func (s *Store) NewEndpoint(report harness.Reporter) *Endpoint {
+	e := &Endpoint{}
+	handler := s.handler(e.Unavailable.Load)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.Calls.Add(1)
-		d.Under.Add(1)
-		defer d.Under.Add(-1)
-		if d.Shut.Load() {
+		e.Calls.Add(1)
+		e.InFlight.Add(1)
+		defer e.InFlight.Add(-1)
+		if e.Unavailable.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		handler.ServeHTTP(w, r)
 	}))
 	report.Cleanup(server.Close)
-	d.Address = strings.TrimPrefix(server.URL, "http://")
-	return d
+	e.Address = strings.TrimPrefix(server.URL, "http://")
+	return e
 }
 
 // Put appends a record; an empty value takes its key away.
@@ -82,28 +82,28 @@
 	s.topics[topic] = append(s.topics[topic], [2]string{key, value})
 }
 
-// Forget drops the history of all topics: a reader that is behind must read the newest record of
+// Truncate drops the history of all topics: a reader that is behind must read the newest record of
 // each key anew.
-func (s *Store) Forget() {
+func (s *Store) Truncate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for topic, records := range s.topics {
-		s.first[topic] = len(records)
+		s.firstOffsets[topic] = len(records)
 	}
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request, shut func() bool) {
+func (s *Store) read(w http.ResponseWriter, r *http.Request, isUnavailable func() bool) {
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
 	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
-		if shut() {
+		if isUnavailable() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		s.mu.Lock()
 		records := s.topics[r.URL.Query().Get("topic")]
-		first := s.first[r.URL.Query().Get("topic")]
+		first := s.firstOffsets[r.URL.Query().Get("topic")]
 		s.mu.Unlock()
 		if from < first {
 			w.WriteHeader(http.StatusGone)
--- a/test/fakeplatform/stream.go
+++ b/test/fakeplatform/stream.go
@@ -12,15 +12,15 @@
 const (
 	// engineEvents is the number of events of a whole stream of an engine, eventEach the time
 	// between two.
-	engineEvents = 20
-	eventEach    = 20 * time.Millisecond
+	engineEvents  = 20
+	eventInterval = 20 * time.Millisecond
 )
 
 // Run is one request that an engine began to work on.
 type Run struct {
-	Request string
-	Rank    int
-	At      time.Time
+	Request   string
+	Rank      int
+	StartedAt time.Time
 }
 
 // EngineEvent is one event of an engine's stream for a path.
@@ -37,35 +37,35 @@
 	return text
 }
 
-// Sleep has the VM of a rank stand still until Wake: its engine takes connections and requests
+// PauseVM has the VM of a rank stand still until Wake: its engine takes connections and requests
 // in, as its kernel does, and neither works nor answers.
-func (g *Group) Sleep(at int) { g.setAsleep(at, true) }
+func (g *Group) PauseVM(index int) { g.setPaused(index, true) }
 
-// Wake ends Sleep. The engine begins the requests that it had taken in, also those whose
+// ResumeVM ends Sleep. The engine begins the requests that it had taken in, also those whose
 // connections have ended meanwhile.
-func (g *Group) Wake(at int) { g.setAsleep(at, false) }
+func (g *Group) ResumeVM(index int) { g.setPaused(index, false) }
 
-func (g *Group) setAsleep(at int, asleep bool) {
+func (g *Group) setPaused(index int, paused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.asleep[at] = asleep
-	g.woken.Broadcast()
+	g.paused[index] = paused
+	g.resumed.Broadcast()
 }
 
-// awake waits until the VM of a rank does not stand still.
-func (g *Group) awake(at int) {
+// waitResumed waits until the VM of a rank does not stand still.
+func (g *Group) waitResumed(index int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for g.asleep[at] {
-		g.woken.Wait()
+	for g.paused[index] {
+		g.resumed.Wait()
 	}
 }
 
-// unbroken says that the group works on since an epoch.
-func (g *Group) unbroken(epoch int64) bool {
+// isRunning says that the group works on since an epoch.
+func (g *Group) isRunning(epoch int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.epoch == epoch && !g.broken
+	return g.epoch == epoch && !g.crashed
 }
 
 // Runs are the requests that engines began to work on.
@@ -75,18 +75,18 @@
 	return slices.Clone(g.runs)
 }
 
-func (g *Group) serveStream(w http.ResponseWriter, r *http.Request, at int) {
+func (g *Group) serveStream(w http.ResponseWriter, r *http.Request, index int) {
 	id := r.Header.Get("Attempt-Id")
 	g.mu.Lock()
-	epoch, broken := g.epoch, g.broken
-	if broken {
+	epoch, crashed := g.epoch, g.crashed
+	if crashed {
 		g.mu.Unlock()
 		w.Header().Set("Attempt-Id", id)
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.runs = append(g.runs, Run{Request: id, Rank: at, At: time.Now()})
+	g.runs = append(g.runs, Run{Request: id, Rank: index, StartedAt: time.Now()})
 	g.mu.Unlock()
 	w.Header().Set("Attempt-Id", id)
 	w.Header().Set("Upstream-Signature", "sig")
@@ -96,9 +96,9 @@
 		after = 0
 	}
 	for n := after + 1; n <= engineEvents; n++ {
-		time.Sleep(eventEach)
-		g.awake(at)
-		if !g.unbroken(epoch) {
+		time.Sleep(eventInterval)
+		g.waitResumed(index)
+		if !g.isRunning(epoch) {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, EngineEvent(r.URL.Path, n)); err != nil {
--- a/test/gateway_cold_test.go
+++ b/test/gateway_cold_test.go
@@ -134,7 +134,7 @@
 			t.Parallel()
 			began := time.Now()
 			got := &arrivalTimes{}
-			s := startSite(t, 4, func(seen fakeplatform.Seen, conn net.Conn) bool {
+			s := startSite(t, 4, func(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 				got.note(time.Since(began))
 				return fakeplatform.Echo(seen, conn)
 			})
--- a/test/gateway_inforce_test.go
+++ b/test/gateway_inforce_test.go
@@ -60,7 +60,7 @@
 	}{
 		{"plain", func(_ *gatewayProcess, mark func()) { mark() }, heardOf},
 		{"the store turns one away", func(g *gatewayProcess, mark func()) {
-			g.door.Shut.Store(true)
+			g.door.Unavailable.Store(true)
 			mark()
 		}, heardOf},
 		{"one is frozen", func(g *gatewayProcess, mark func()) {
@@ -90,7 +90,7 @@
 func sendNothingAfter(t *testing.T, gateways int, quiet time.Duration, event func(s *site) time.Time) {
 	t.Helper()
 	out := &arrivals{}
-	s := startSite(t, gateways, func(seen fakeplatform.Seen, conn net.Conn) bool {
+	s := startSite(t, gateways, func(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if seen.Request.Header.Get("Target-Instance") == "i-b" {
 			out.note()
 		}
@@ -124,11 +124,11 @@
 	disturbed := map[string]func(g *gatewayProcess){
 		"plain": func(*gatewayProcess) {},
 		"one had been turned away": func(g *gatewayProcess) {
-			g.door.Shut.Store(true)
+			g.door.Unavailable.Store(true)
 			time.Sleep(time.Second)
-			g.door.Shut.Store(false)
+			g.door.Unavailable.Store(false)
 		},
-		"the store turns one away": func(g *gatewayProcess) { g.door.Shut.Store(true) },
+		"the store turns one away": func(g *gatewayProcess) { g.door.Unavailable.Store(true) },
 	}
 	for how, leaves := range leave {
 		for name, disturb := range disturbed {
@@ -159,7 +159,7 @@
 			client := &http.Client{Transport: &http.Transport{}, Timeout: stateTime}
 			address := net.JoinHostPort(s.gateways[i%len(s.gateways)].ip, fakeplatform.PortCallers)
 			for n := 0; !isClosed(stop); n++ {
-				if fakeplatform.AskAt(client, address, "/look/1", fmt.Sprintf("l%d-%d", i, n)) == http.StatusOK {
+				if fakeplatform.SendTo(client, address, "/look/1", fmt.Sprintf("l%d-%d", i, n)) == http.StatusOK {
 					mu.Lock()
 					served++
 					mu.Unlock()
@@ -232,9 +232,9 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range 6 {
 		shut := s.gateways[rng.IntN(len(s.gateways))]
-		shut.door.Shut.Store(true)
+		shut.door.Unavailable.Store(true)
 		s.breakGateways(rng, 2)
-		shut.door.Shut.Store(false)
+		shut.door.Unavailable.Store(false)
 	}
 	waitFor(t, "the last version is in force everywhere", func() bool {
 		for _, g := range s.gateways {
--- a/test/gateway_maps_test.go
+++ b/test/gateway_maps_test.go
@@ -23,7 +23,7 @@
 func startMapSite(t *testing.T, gateways int, seed uint64) *mapSite {
 	t.Helper()
 	m := &mapSite{site: startSite(t, gateways, fakeplatform.Echo)}
-	m.startGroup(fakeplatform.GroupShape{Ranks: 4, Experts: 16, Places: 6, Spare: 2, Drift: 120}, seed)
+	m.startGroup(fakeplatform.GroupShape{Ranks: 4, Experts: 16, Places: 6, Spare: 2, PopularityShiftPasses: 120}, seed)
 	services := []fakeplatform.Service{{Name: "app", HealthPath: "/healthz"}, m.group.EngineService("drafts")}
 	m.store.ConfigureServices(2, services, fakeplatform.Routes(), fakeplatform.CallerKey)
 	m.store.RegisterGroup(m.group, "drafts", domains)
@@ -35,7 +35,7 @@
 func (m *mapSite) startGroup(shape fakeplatform.GroupShape, seed uint64) {
 	m.t.Helper()
 	m.group = fakeplatform.NewGroup(m.t, shape, seed)
-	for at, engine := range m.group.Engines {
+	for at, engine := range m.group.EngineAddresses {
 		vm := fmt.Sprintf("side-%d", at+1)
 		settings := fakeplatform.RankAgent{VM: vm, FailureDomain: domains[at%len(domains)], Engine: engine, Store: m.store.Address()}
 		m.agents = append(m.agents, harness.StartWith(m.t, []string{settings.WriteSettings(m.t, m.dir)}, m.dir, vm, bin+"/apricothub", "rank-agent"))
@@ -65,14 +65,14 @@
 		time.Sleep(moment)
 		agent.Continue()
 	case 6:
-		gateway.door.Shut.Store(true)
+		gateway.door.Unavailable.Store(true)
 		gateway.Signal(syscall.SIGTERM)
 		time.Sleep(moment / 4)
 		gateway.Kill()
 		gateway.Restart()
-		gateway.door.Shut.Store(false)
+		gateway.door.Unavailable.Store(false)
 	case 7:
-		m.group.Break(rng.IntN(len(m.agents)), moment/10)
+		m.group.Crash(rng.IntN(len(m.agents)), moment/10)
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			m := startMapSite(t, 3, seed)
-			m.group.SetTrouble(fakeplatform.Trouble{Lost: 0.1, Late: 0.1, Latest: 3 * time.Second})
+			m.group.SetOrderFaults(fakeplatform.OrderFaults{LostAnswers: 0.1, Delayed: 0.1, MaxDelay: 3 * time.Second})
 			end := time.Now().Add(each)
 			var group sync.WaitGroup
 			// Two that break things, each a half of the processes.
@@ -116,7 +116,7 @@
 				})
 			}
 			group.Wait()
-			m.group.SetTrouble(fakeplatform.Trouble{})
+			m.group.SetOrderFaults(fakeplatform.OrderFaults{})
 			calm := m.group.State()
 			waitFor(t, "passes and switches go on", func() bool {
 				s := m.group.State()
--- a/test/gateway_once_test.go
+++ b/test/gateway_once_test.go
@@ -27,7 +27,7 @@
 
 // answer is that of a backend server in a bad night: most requests run and are answered, some
 // run and the connection breaks, some run slowly, some are refused.
-func (r *pushLedger) answer(s fakeplatform.Seen, conn net.Conn) bool {
+func (r *pushLedger) answer(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	r.mu.Lock()
 	fate := r.rng.IntN(100)
 	if fate >= 10 {
--- a/test/gateway_silent_test.go
+++ b/test/gateway_silent_test.go
@@ -120,17 +120,17 @@
 		})
 	}
 	waitFor(t, "streams run", func() bool { return len(m.group.Runs()) > 2*callers })
-	m.group.Sleep(1)
+	m.group.PauseVM(1)
 	m.agents[1].Pause()
 	time.Sleep(still)
 	m.agents[1].Continue()
-	m.group.Wake(1)
+	m.group.ResumeVM(1)
 	time.Sleep(time.Second)
 	close(stop)
 	group.Wait()
 	for _, run := range m.group.Runs() {
-		if left, has := l.left[run.Request]; has && run.At.After(left.Add(leftSlack)) {
-			t.Errorf("request %s ran %v after its caller had left", run.Request, run.At.Sub(left))
+		if left, has := l.left[run.Request]; has && run.StartedAt.After(left.Add(leftSlack)) {
+			t.Errorf("request %s ran %v after its caller had left", run.Request, run.StartedAt.Sub(left))
 		}
 	}
 	t.Logf("%d streams read whole, %d callers left, longest wait for an event %v", l.served, len(l.left), l.longest)
--- a/test/gateway_streams_test.go
+++ b/test/gateway_streams_test.go
@@ -45,7 +45,7 @@
 	breakOff int
 }
 
-func (s *streamer) answer(seen fakeplatform.Seen, conn net.Conn) bool {
+func (s *streamer) answer(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	path, isDraft := strings.CutPrefix(seen.Request.URL.Path, "/draft/")
 	if !isDraft {
 		return fakeplatform.Echo(seen, conn)
@@ -182,7 +182,7 @@
 	}()
 	waitFor(t, "the draft has begun", func() bool {
 		for _, server := range world.servers {
-			if len(server.Got()) > 0 {
+			if len(server.Requests()) > 0 {
 				return true
 			}
 		}
@@ -226,7 +226,7 @@
 					text, whole, again := readDraft(client, book, name, 1)
 					ok = whole && again == 0 && text == wholeStream(name)
 				} else {
-					ok = fakeplatform.AskAt(client, book.pick(), "/push/1", name) == http.StatusOK
+					ok = fakeplatform.SendTo(client, book.pick(), "/push/1", name) == http.StatusOK
 					time.Sleep(10 * time.Millisecond)
 				}
 				mu.Lock()
--- a/test/site_soak_test.go
+++ b/test/site_soak_test.go
@@ -149,15 +149,15 @@
 	{"rank agent stopped by plan", func(b *breaker) { b.replace(b.agent()) }},
 	{"VM beside an engine paused", func(b *breaker) {
 		at := b.rank()
-		b.group.Sleep(at)
+		b.group.PauseVM(at)
 		b.pause(b.agents[at])
-		b.group.Wake(at)
+		b.group.ResumeVM(at)
 	}},
-	{"rank lost", func(b *breaker) { b.group.Break(b.rank(), 300*time.Millisecond) }},
+	{"rank lost", func(b *breaker) { b.group.Crash(b.rank(), 300*time.Millisecond) }},
 	{"orders lost and late", func(b *breaker) {
-		b.group.SetTrouble(fakeplatform.Trouble{Lost: 0.1, Late: 0.1, Latest: 3 * time.Second})
+		b.group.SetOrderFaults(fakeplatform.OrderFaults{LostAnswers: 0.1, Delayed: 0.1, MaxDelay: 3 * time.Second})
 		b.wait()
-		b.group.SetTrouble(fakeplatform.Trouble{})
+		b.group.SetOrderFaults(fakeplatform.OrderFaults{})
 	}},
 	{"link delayed", func(b *breaker) {
 		link := b.link()
@@ -180,20 +180,20 @@
 	{"store loses answers to one", func(b *breaker) { b.disturb(b.door(), (*harness.Forwarder).Mute) }},
 	{"store turns one away", func(b *breaker) {
 		g := b.gateway()
-		g.door.Shut.Store(true)
+		g.door.Unavailable.Store(true)
 		b.wait()
-		g.door.Shut.Store(false)
+		g.door.Unavailable.Store(false)
 	}},
 	{"store away for all", func(b *breaker) {
 		for _, g := range b.mapSite.gateways {
-			g.door.Shut.Store(true)
+			g.door.Unavailable.Store(true)
 		}
 		b.wait()
 		for _, g := range b.mapSite.gateways {
-			g.door.Shut.Store(false)
+			g.door.Unavailable.Store(false)
 		}
 	}},
-	{"store forgets its history", func(b *breaker) { b.store.Forget() }},
+	{"store forgets its history", func(b *breaker) { b.store.Truncate() }},
 	{"configuration changed", func(b *breaker) { b.configure() }},
 	{"failure domain out and in", func(b *breaker) {
 		key := "evacuate/" + domains[b.rng.IntN(len(domains))]
@@ -225,11 +225,11 @@
 	s.mapSite = &mapSite{site: startSiteAs(t, siteSpec{
 		gateways: gateways, answer: s.answer, serverLink: linkTo(&s.links), doorLink: linkTo(&s.doors),
 	})}
-	s.startGroup(fakeplatform.GroupShape{Ranks: engines, Experts: 4 * engines, Places: 6, Spare: 2, Drift: 120}, seed)
+	s.startGroup(fakeplatform.GroupShape{Ranks: engines, Experts: 4 * engines, Places: 6, Spare: 2, PopularityShiftPasses: 120}, seed)
 	s.version = 1
 	s.configure()
 	var addresses []string
-	for _, engine := range s.group.Engines {
+	for _, engine := range s.group.EngineAddresses {
 		host, _, err := net.SplitHostPort(engine)
 		if err != nil {
 			t.Fatal(err)
@@ -250,7 +250,7 @@
 const portEngineLink = "9001"
 
 // answer is that of a plain backend server.
-func (s *siteSoak) answer(seen fakeplatform.Seen, conn net.Conn) bool {
+func (s *siteSoak) answer(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	s.arrived[seen.Request.Header.Get("Target-Instance")].note(time.Since(s.began))
 	return s.pushes.answer(seen, conn)
 }
@@ -518,7 +518,7 @@
 	quiet := time.Now()
 	time.Sleep(outFor)
 	for _, run := range s.group.Runs() {
-		if run.Rank%len(domains) == out && run.At.After(quiet) {
+		if run.Rank%len(domains) == out && run.StartedAt.After(quiet) {
 			s.t.Errorf("seed %d: the engine of rank %d got request %s in a domain that is out", s.seed, run.Rank, run.Request)
 		}
 	}
--- a/test/site_test.go
+++ b/test/site_test.go
@@ -33,14 +33,14 @@
 	*harness.Process
 	vm, ip string
 	// door is its own way to the store.
-	door *fakeplatform.Door
+	door *fakeplatform.Endpoint
 }
 
 // siteSpec says what a site is like.
 type siteSpec struct {
 	gateways int
 	// answer is that of the backend servers.
-	answer fakeplatform.Answer
+	answer fakeplatform.Handler
 	// links are put before each backend server and each gateway's door, and return the address
 	// to use in place of theirs; nil for none.
 	serverLink, doorLink func(address string) string
@@ -48,7 +48,7 @@
 
 // startSite starts a site with so many gateways, and a backend server in each of three
 // failure domains that answers as given. It waits until all gateways know all servers.
-func startSite(t *testing.T, gateways int, answer fakeplatform.Answer) *site {
+func startSite(t *testing.T, gateways int, answer fakeplatform.Handler) *site {
 	t.Helper()
 	return startSiteAs(t, siteSpec{gateways: gateways, answer: answer})
 }
@@ -59,12 +59,12 @@
 	s := &site{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
 	s.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range domains {
-		place := fakeplatform.Place{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, Link: spec.serverLink}
+		place := fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, MapAddress: spec.serverLink}
 		s.servers = append(s.servers, s.store.ServeAt(t, place, spec.answer))
 	}
 	var seeds []string
 	for i := range spec.gateways {
-		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.OwnIP(), door: s.store.Door(t)}
+		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.NewLoopbackIP(), door: s.store.NewEndpoint(t)}
 		store := g.door.Address
 		if spec.doorLink != nil {
 			store = spec.doorLink(store)
