--- a/internal/measure/logs/logs.go
+++ b/internal/measure/logs/logs.go
@@ -83,7 +83,7 @@
 func Measure(bin string, log io.Writer) (string, error) {
 	var text string
 	err := harness.RunProgram(log, func(r *harness.Program) {
-		b := &bench{report: r, bin: bin, dir: harness.Dir(r, "logs"), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: beyond}}}
+		b := &bench{report: r, bin: bin, dir: harness.NewDir(r, "logs"), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: beyond}}}
 		b.start()
 		for n := range rounds + 1 {
 			for w := range ways {
@@ -123,16 +123,16 @@
 	program := filepath.Join(b.bin, "apricothub")
 	switch w {
 	case off, control:
-		b.gateways[w] = harness.StartWith(b.report, env, b.dir, b.vm(w), program, "gateway", "--log-level", "none")
+		b.gateways[w] = harness.StartWithEnv(b.report, env, b.dir, b.vm(w), program, "gateway", "--log-level", "none")
 	case unread:
 		reader, writer, err := os.Pipe()
 		if err != nil {
 			b.report.Fatalf("pipe: %v", err)
 		}
 		b.report.Cleanup(func() { _, _ = reader.Close(), writer.Close() })
-		b.gateways[w] = harness.StartInto(b.report, writer, env, b.vm(w), program, "gateway")
+		b.gateways[w] = harness.StartWithOutput(b.report, writer, env, b.vm(w), program, "gateway")
 	default:
-		b.gateways[w] = harness.StartWith(b.report, env, b.dir, b.vm(w), program, "gateway")
+		b.gateways[w] = harness.StartWithEnv(b.report, env, b.dir, b.vm(w), program, "gateway")
 	}
 }
 
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -77,7 +77,7 @@
 
 func measure(r harness.Reporter, bin string, n int) result {
 	c := harness.StartCluster(r, harness.Spec{
-		Bin: bin, Dir: harness.Dir(r, "overhead"), Domains: []string{"a"}, Entries: 1, Engines: engines, Direct: true,
+		Bin: bin, Dir: harness.NewDir(r, "overhead"), Domains: []string{"a"}, Entries: 1, Engines: engines, Direct: true,
 		EngineFlags: []string{"-token", tokenTime.String(), "-cold", "0", "-full", "1024"},
 		Entry:       harness.Settings{"platform": {"poll-ms": "500"}},
 		Agent:       harness.Settings{"platform": {"poll-ms": "500"}, "backend": {"full-limit": "1024", "cold-limit": "1024"}},
@@ -126,7 +126,7 @@
 	begin := time.Now().Add(warmUp)
 	for i := range callers {
 		group.Go(func() {
-			caller := harness.NewKeepingCaller(harness.Key)
+			caller := harness.NewKeepAliveCaller(harness.Key)
 			// Callers do not begin together, or all requests would come in bursts.
 			time.Sleep(warmUp * time.Duration(i) / time.Duration(callers))
 			for n := i; !closed(stop); n++ {
--- a/internal/measure/slopes/cluster.go
+++ b/internal/measure/slopes/cluster.go
@@ -34,7 +34,7 @@
 	cpu      time.Duration
 	resident float64
 	bytes    float64 // of links, both directions
-	asked    harness.Asked
+	asked    harness.RequestCounts
 	answers  float64
 	beats    float64 // heartbeats sent
 }
@@ -66,7 +66,7 @@
 func spec(r harness.Reporter, bin string, s size) harness.Spec {
 	platform := map[string]string{"poll-ms": "500"}
 	return harness.Spec{
-		Bin: bin, Dir: harness.Dir(r, "slopes"), Domains: []string{"a", "b", "c"},
+		Bin: bin, Dir: harness.NewDir(r, "slopes"), Domains: []string{"a", "b", "c"},
 		Entries: s.entries, Engines: s.agents,
 		EngineFlags: []string{"-token", "20ms", "-cold", "0", "-full", "64"},
 		Entry:       harness.Settings{"platform": platform},
@@ -81,7 +81,7 @@
 	}
 	u := m.Usage()
 	return sample{
-		cpu: u.CPU, resident: float64(u.Resident), asked: m.View.Asked(),
+		cpu: u.CPU, resident: float64(u.Resident), asked: m.View.RequestCounts(),
 		bytes:   values["link.bytes.in"] + values["link.bytes.out"],
 		answers: values["entry.answers.whole"],
 		beats:   values["link.heartbeats.out"],
@@ -108,8 +108,8 @@
 		n.resident += a.resident / count
 		n.bytes += (a.bytes - b.bytes) / each
 		n.beats += (a.beats - b.beats) / each
-		reads += float64(a.asked.Reads - b.asked.Reads)
-		lists += float64(a.asked.Lists - b.asked.Lists)
+		reads += float64(a.asked.LogReads - b.asked.LogReads)
+		lists += float64(a.asked.ListReads - b.asked.ListReads)
 		readBytes += float64(a.asked.ReadBytes - b.asked.ReadBytes)
 		n.listSize += float64(a.asked.ListSize) / count
 	}
@@ -161,7 +161,7 @@
 	run.changeBytes = (busy.bytes - run.entry.bytes) * took.Seconds() / changes / run.entry.links
 	run.changeCPU = (busy.cpu - run.entry.cpu) * took.Seconds() / changes
 	for i := range after {
-		run.appends += float64(after[i].asked.Appends-before[i].asked.Appends) / changes
+		run.appends += float64(after[i].asked.LogAppends-before[i].asked.LogAppends) / changes
 	}
 	slices.Sort(run.inForce)
 }
@@ -179,7 +179,7 @@
 }
 
 func measureBusy(r harness.Reporter, c *harness.Cluster, q quietRun, callers, tokens int) busyRun {
-	load := c.StartLoad(harness.LoadSpec{Callers: callers, Tokens: tokens, Keep: true, Seed: uint64(callers)})
+	load := c.StartLoad(harness.LoadSpec{Callers: callers, Tokens: tokens, KeepAlive: true, Seed: uint64(callers)})
 	time.Sleep(settle)
 	entries, agents := takeAll(r, c.Entries), takeAll(r, c.Agents)
 	from := time.Now()
--- a/internal/measure/slopes/trial_test.go
+++ b/internal/measure/slopes/trial_test.go
@@ -29,7 +29,7 @@
 		time.Sleep(settle)
 		compare(b, "idle", bins, clusters)
 		for _, c := range clusters {
-			c.StartLoad(harness.LoadSpec{Callers: 8, Tokens: 64, Keep: true, Seed: 1})
+			c.StartLoad(harness.LoadSpec{Callers: 8, Tokens: 64, KeepAlive: true, Seed: 1})
 		}
 		time.Sleep(settle)
 		compare(b, "busy", bins, clusters)
--- a/internal/measure/subsets/subsets.go
+++ b/internal/measure/subsets/subsets.go
@@ -64,7 +64,7 @@
 	link := map[string]string{"agents-per-offer": strconv.Itoa(per)}
 	platform := map[string]string{"poll-ms": "500"}
 	c := harness.StartCluster(r, harness.Spec{
-		Bin: bin, Dir: harness.Dir(r, "subsets"), Domains: []string{"a", "b", "c"},
+		Bin: bin, Dir: harness.NewDir(r, "subsets"), Domains: []string{"a", "b", "c"},
 		Entries: entries, Engines: engines, Direct: true,
 		EngineFlags: []string{"-token", "20ms", "-cold", "0", "-full", limit},
 		Entry:       harness.Settings{"platform": platform, "link": link},
@@ -73,7 +73,7 @@
 	time.Sleep(settle)
 	res := result{per: per}
 	res.entry, res.agent = during(r, c, quiet)
-	load := c.StartLoad(harness.LoadSpec{Callers: callers, Tokens: 30, Keep: true, Seed: 1})
+	load := c.StartLoad(harness.LoadSpec{Callers: callers, Tokens: 30, KeepAlive: true, Seed: 1})
 	time.Sleep(busy)
 	res.load = load.Stop()
 	return res
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -106,7 +106,7 @@
 }
 
 func (d *demo) start() (string, error) {
-	d.dir = harness.Dir(d, "demo")
+	d.dir = harness.NewDir(d, "demo")
 	d.cluster = harness.StartCluster(d, harness.Spec{
 		Bin:      d.bin,
 		Dir:      d.dir,
@@ -165,7 +165,7 @@
 
 func (d *demo) pushTwice() (string, error) {
 	const call = "demo-push"
-	ticket, err := d.caller.TakeTicket(context.Background(), d.entry(0), harness.Service)
+	ticket, err := d.caller.RequestTicket(context.Background(), d.entry(0), harness.Service)
 	if err != nil {
 		return "", err
 	}
@@ -178,7 +178,7 @@
 			return "", errors.Errorf("push %d: %d %d %s %s", i+1, reply.Status, reply.Code, reply.Name, reply.Message)
 		}
 	}
-	if runs := harness.Runs(d.cluster.ServiceAgents()[0].Backend.Ledger())[call]; runs != 1 {
+	if runs := harness.CountRuns(d.cluster.ServiceAgents()[0].Backend.Ledger())[call]; runs != 1 {
 		return "", errors.Errorf("the ledger shows %d runs, want 1", runs)
 	}
 	return "both answered 200, through two entries; the ledger shows 1 run", nil
--- a/test/answers_test.go
+++ b/test/answers_test.go
@@ -146,7 +146,7 @@
 	for i := range callers {
 		all.Go(func() {
 			p := harness.Prompt{Text: fmt.Sprintf("prompt %d", i), Seed: int64(i), Tokens: 200}
-			got, err := harness.NewCaller(harness.Key).StreamOn(ctx, []string{publics(c)[i%2], publics(c)[(i+1)%2]}, p, nil)
+			got, err := harness.NewCaller(harness.Key).StreamWithRetry(ctx, []string{publics(c)[i%2], publics(c)[(i+1)%2]}, p, nil)
 			if !got.Whole || got.Text != p.Want() {
 				problems <- fmt.Sprintf("caller %d: whole %v, %d of %d bytes, refused %+v, %v",
 					i, got.Whole, len(got.Text), len(p.Want()), got.Refused, err)
--- a/test/badinput_test.go
+++ b/test/badinput_test.go
@@ -17,7 +17,7 @@
 	c := start(t, harness.Spec{Entries: 1, Engines: 1, Services: 1, Entry: harness.Settings{"limits": {"body-bytes": "2048", "header-bytes": "4096"}}})
 	address := c.Entries[0].Public
 	caller, stranger, other := harness.NewCaller(harness.Key), harness.NewCaller("no-such-key"), harness.NewCaller(harness.OtherKey)
-	ticket, err := caller.TakeTicket(t.Context(), address, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), address, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/cold_return_test.go
+++ b/test/cold_return_test.go
@@ -20,7 +20,7 @@
 		returnsCold(t, func(m *harness.Member) {
 			m.Backend.Kill()
 			m.Backend.Restart()
-			m.Backend.WaitUp()
+			m.Backend.WaitRunning()
 		})
 	})
 	t.Run("engine silent", func(t *testing.T) {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -99,7 +99,7 @@
 	spec := coldSpec(1)
 	spec.EngineFlags = []string{"-cold", "2", "-warm-after", "100000"}
 	c := start(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: 12, Tokens: 30, Seed: 5, Patience: 2 * time.Second})
+	load := c.StartLoad(harness.LoadSpec{Callers: 12, Tokens: 30, Seed: 5, RequestTimeout: 2 * time.Second})
 	m := c.EngineAgents()[0]
 	for range 4 {
 		time.Sleep(700 * time.Millisecond)
@@ -131,7 +131,7 @@
 	spec.EngineFlags = []string{"-cold", "2", "-warm-after", "4", "-full", "4", "-token", "15ms"}
 	spec.Agent = harness.Settings{"backend": {"cold-limit": "2", "full-limit": "4"}}
 	c := start(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: 8, Tokens: 60, Seed: 6, Patience: 2 * time.Second})
+	load := c.StartLoad(harness.LoadSpec{Callers: 8, Tokens: 60, Seed: 6, RequestTimeout: 2 * time.Second})
 	m := c.EngineAgents()[0]
 	full := func() error {
 		if r := m.Backend.Record(); r.Running < 4 {
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		if round%3 == 2 {
-			c.Platform.LogMode("lose_answers", 0)
+			c.Platform.SetLogMode("lose_answers", 0)
 		}
 		statuses := make([]int, len(c.Entries))
 		outs := make([]string, len(c.Entries))
@@ -96,7 +96,7 @@
 		}
 		operators.Wait()
 		took := time.Since(begin)
-		c.Platform.LogMode("up", 0)
+		c.Platform.SetLogMode("up", 0)
 		winner := -1
 		for i, status := range statuses {
 			switch {
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Platform.Retain(8)
+	c.Platform.SetRetention(8)
 	for _, m := range c.Members() {
 		m.Kill()
 		m.Restart()
@@ -173,7 +173,7 @@
 	for _, m := range paused {
 		m.Pause()
 	}
-	c.Platform.Retain(1)
+	c.Platform.SetRetention(1)
 	for i := range 3 {
 		if out, status := publishPlans(t, c, c.Entries[i%2], i+1, "-x", "accepted"); status != exitOK {
 			t.Fatalf("publish %d: exit status %d: %s", i, status, out)
@@ -208,7 +208,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Platform.LogMode("down", 0)
+	c.Platform.SetLogMode("down", 0)
 	time.Sleep(3 * time.Second)
 	streams := c.StartLoad(harness.LoadSpec{Callers: 4, Tokens: 10, Pause: 20 * time.Millisecond, Seed: 20})
 	pushes := c.StartLoad(harness.LoadSpec{Callers: 4, Pushes: true, Pause: 20 * time.Millisecond, Seed: 21})
@@ -233,6 +233,6 @@
 		t.Errorf("the replaced entry shows %+v, %v; want offset %d", list, err, last.Offset)
 	}
 	waitServed(t, c, harness.NewCaller(harness.Key))
-	c.Platform.LogMode("up", 0)
+	c.Platform.SetLogMode("up", 0)
 	neverBack(t, watch)
 }
--- a/test/confighistory_test.go
+++ b/test/confighistory_test.go
@@ -167,15 +167,15 @@
 func historyFaults() []func(*harness.Cluster) {
 	log := func(mode string) func(*harness.Cluster) {
 		return func(c *harness.Cluster) {
-			c.Platform.LogMode(mode, 200*time.Millisecond)
+			c.Platform.SetLogMode(mode, 200*time.Millisecond)
 			time.Sleep(800 * time.Millisecond)
-			c.Platform.LogMode("up", 0)
+			c.Platform.SetLogMode("up", 0)
 		}
 	}
 	return []func(*harness.Cluster){
 		log("lose_answers"),
 		func(c *harness.Cluster) { restart(c.Entries[0]) },
-		func(c *harness.Cluster) { c.Platform.Retain(4) },
+		func(c *harness.Cluster) { c.Platform.SetRetention(4) },
 		log("down"),
 		func(c *harness.Cluster) { pause(c.Entries[1]) },
 		func(c *harness.Cluster) { restart(c.Agents[0]) },
--- a/test/counts_test.go
+++ b/test/counts_test.go
@@ -36,7 +36,7 @@
 	}
 	// The links that are cut are found dead, and what was heard on them is forgotten.
 	time.Sleep(4 * time.Second)
-	c.Platform.LogMode("down", 0)
+	c.Platform.SetLogMode("down", 0)
 	caller := harness.NewCaller(harness.Key)
 	begin, served := time.Now(), 0
 	for time.Since(begin) < 10*time.Second {
--- a/test/domain_test.go
+++ b/test/domain_test.go
@@ -67,10 +67,10 @@
 	back(t, c, m)
 
 	begin, ended = c.MarkOut(m.Domain)
-	c.Platform.LogMode("down", 0)
+	c.Platform.SetLogMode("down", 0)
 	noneAfter(t, m, begin, "log down after the mark")
 	inForce(t, ended)
-	c.Platform.LogMode("up", 0)
+	c.Platform.SetLogMode("up", 0)
 	back(t, c, m)
 
 	for _, e := range c.Entries {
@@ -153,7 +153,7 @@
 	load := c.StartLoad(harness.LoadSpec{Callers: 12, Tokens: 30, Pause: 5 * time.Millisecond, Seed: 9})
 	time.Sleep(300 * time.Millisecond)
 	m := c.EngineAgents()[2]
-	c.Leave(m)
+	c.MarkLeaving(m)
 	noneAfter(t, m, time.Now(), "leaving")
 	if status := m.Terminate(); status != 0 {
 		t.Errorf("exit status %d: %s", status, m.Tail())
--- a/test/explain_drill_test.go
+++ b/test/explain_drill_test.go
@@ -86,7 +86,7 @@
 }
 
 func startDrill(t *testing.T) *drill {
-	d := &drill{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t), held: make(chan struct{})}
+	d := &drill{t: t, dir: harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t), held: make(chan struct{})}
 	d.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range []string{"a", "b"} {
 		d.servers = append(d.servers, d.store.ServeAt(t, fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 2}, d.answer))
@@ -111,7 +111,7 @@
 
 func (d *drill) gateway(vm, ip string, seeds ...string) {
 	entry := fakeplatform.Entry{VM: vm, IP: ip, FailureDomain: "a", Store: d.store.Address(), Seeds: seeds}
-	harness.StartWith(d.t, []string{entry.WriteSettings(d.t, d.dir)}, d.dir, vm, bin+"/apricothub", "gateway")
+	harness.StartWithEnv(d.t, []string{entry.WriteSettings(d.t, d.dir)}, d.dir, vm, bin+"/apricothub", "gateway")
 	d.gateways = append(d.gateways, ip)
 }
 
--- a/test/explain_test.go
+++ b/test/explain_test.go
@@ -25,7 +25,7 @@
 	agent.Backend.Kill()
 	id := ""
 	harness.Eventually(t, 20*time.Second, "a push reached the agent and came to nothing", func() error {
-		ticket, err := caller.TakeTicket(t.Context(), entry.Public, harness.Service)
+		ticket, err := caller.RequestTicket(t.Context(), entry.Public, harness.Service)
 		if err != nil {
 			return err
 		}
--- a/test/gateway_maps_test.go
+++ b/test/gateway_maps_test.go
@@ -38,7 +38,7 @@
 	for at, engine := range m.group.EngineAddresses {
 		vm := fmt.Sprintf("side-%d", at+1)
 		settings := fakeplatform.RankAgent{VM: vm, FailureDomain: domains[at%len(domains)], Engine: engine, Store: m.store.Address()}
-		m.agents = append(m.agents, harness.StartWith(m.t, []string{settings.WriteSettings(m.t, m.dir)}, m.dir, vm, bin+"/apricothub", "rank-agent"))
+		m.agents = append(m.agents, harness.StartWithEnv(m.t, []string{settings.WriteSettings(m.t, m.dir)}, m.dir, vm, bin+"/apricothub", "rank-agent"))
 	}
 }
 
--- a/test/group_test.go
+++ b/test/group_test.go
@@ -145,7 +145,7 @@
 	}
 	before := demand.Stretch(even)
 	for i, m := range c.EngineAgents() {
-		m.Backend.Throttle(demand.Popularity, demand.Slowdowns[i*8:(i+1)*8])
+		m.Backend.SetSlowdowns(demand.Popularity, demand.Slowdowns[i*8:(i+1)*8])
 	}
 	harness.Eventually(t, 3*stepsWithin, "the slow rank has less to do", func() error {
 		placement := inUse(c)
@@ -179,7 +179,7 @@
 		if i == slowEngine {
 			throttled[slowRank] = 8
 		}
-		m.Backend.Throttle(make([]float64, 16), throttled)
+		m.Backend.SetSlowdowns(make([]float64, 16), throttled)
 	}
 	shows := func(slow int) error {
 		status, err := c.Entries[0].Status()
@@ -196,7 +196,7 @@
 		return nil
 	}
 	harness.Eventually(t, 3*stepsWithin, "the slow rank is named", func() error { return shows(1) })
-	c.EngineAgents()[slowEngine].Backend.Throttle(make([]float64, 16), paces)
+	c.EngineAgents()[slowEngine].Backend.SetSlowdowns(make([]float64, 16), paces)
 	harness.Eventually(t, 3*stepsWithin, "it is sound again", func() error { return shows(0) })
 }
 
@@ -217,7 +217,7 @@
 func restartBackend(m *harness.Member) {
 	m.Backend.Kill()
 	m.Backend.Restart()
-	m.Backend.WaitUp()
+	m.Backend.WaitRunning()
 }
 
 // shiftPopularity makes other experts hot at every engine.
@@ -227,7 +227,7 @@
 		tokens[i] = 1000 / float64(1+(i+7*round)%32)
 	}
 	for _, m := range c.EngineAgents() {
-		m.Backend.Popularity(tokens)
+		m.Backend.SetPopularity(tokens)
 	}
 }
 
--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -52,8 +52,8 @@
 	client *http.Client
 }
 
-// callTime bounds one request of a caller.
-const callTime = 60 * time.Second
+// callTimeout bounds one request of a caller.
+const callTimeout = 60 * time.Second
 
 // NewCaller returns a caller that opens a connection for each request, so that
 // nothing below it can send a request again.
@@ -61,14 +61,14 @@
 	return newCaller(key, &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext})
 }
 
-// NewKeepingCaller returns a caller that keeps its connections, as most do.
-func NewKeepingCaller(key string) *Caller {
+// NewKeepAliveCaller returns a caller that keeps its connections, as most do.
+func NewKeepAliveCaller(key string) *Caller {
 	return newCaller(key, &http.Transport{MaxIdleConnsPerHost: 1000})
 }
 
 func newCaller(key string, transport *http.Transport) *Caller {
 	return &Caller{Key: key, client: &http.Client{
-		Timeout:       callTime,
+		Timeout:       callTimeout,
 		Transport:     transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -95,40 +95,40 @@
 	for name, value := range r.Header {
 		request.Header.Set(name, value)
 	}
-	answer, err := c.client.Do(request)
-	return answer, wrap(err, "send")
+	response, err := c.client.Do(request)
+	return response, wrap(err, "send")
 }
 
 // Do sends a request and reads the whole answer. An error means that no whole
 // answer came.
 func (c *Caller) Do(ctx context.Context, address string, r Request) (Reply, error) {
-	answer, err := c.Send(ctx, address, r)
+	response, err := c.Send(ctx, address, r)
 	if err != nil {
 		return Reply{}, err
 	}
-	return readReply(answer)
+	return readReply(response)
 }
 
-func readReply(answer *http.Response) (Reply, error) {
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+func readReply(response *http.Response) (Reply, error) {
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Reply{}, errors.Wrap(err, "answer")
 	}
-	reply := Reply{Status: answer.StatusCode, Header: answer.Header, Body: body, Ran: RanYes}
-	number, name, _ := strings.Cut(answer.Header.Get("Apricothub-Result"), " ")
+	reply := Reply{Status: response.StatusCode, Header: response.Header, Body: body, Ran: RanYes}
+	code, name, _ := strings.Cut(response.Header.Get("Apricothub-Result"), " ")
 	reply.Name = name
-	reply.Code, _ = strconv.Atoi(number)
+	reply.Code, _ = strconv.Atoi(code)
 	if reply.Code == 0 {
 		return reply, nil
 	}
-	var said refusal
-	if err := json.Unmarshal(body, &said); err != nil {
+	var parsed refusal
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return reply, errors.Wrapf(err, "result %d %s without a body that says more: %q", reply.Code, name, body)
 	}
-	reply.Ran = said.Error.Ran
-	reply.Message = said.Error.Message
-	reply.RetryAfter = time.Duration(said.Error.RetryAfterMS) * time.Millisecond
+	reply.Ran = parsed.Error.Ran
+	reply.Message = parsed.Error.Message
+	reply.RetryAfter = time.Duration(parsed.Error.RetryAfterMS) * time.Millisecond
 	return reply, nil
 }
 
@@ -160,8 +160,8 @@
 	ExpiresInMS int64  `json:"expires_in_ms"`
 }
 
-// TakeTicket asks an entry for a ticket of a service.
-func (c *Caller) TakeTicket(ctx context.Context, address, service string) (Ticket, error) {
+// RequestTicket asks an entry for a ticket of a service.
+func (c *Caller) RequestTicket(ctx context.Context, address, service string) (Ticket, error) {
 	var ticket Ticket
 	body, err := json.Marshal(map[string]string{"service": service})
 	if err != nil {
--- a/test/harness/cluster.go
+++ b/test/harness/cluster.go
@@ -26,8 +26,8 @@
 	Service = "labels"
 
 	linkKey = "link-key-of-the-test"
-	// readyTime bounds the wait for a process to serve.
-	readyTime = 15 * time.Second
+	// readyTimeout bounds the wait for a process to serve.
+	readyTimeout = 15 * time.Second
 )
 
 // Spec says what a cluster is made of.
@@ -74,8 +74,8 @@
 	Backend     *Backend
 	BackendLink *Forwarder
 
-	settings Settings
-	file     string
+	settings     Settings
+	settingsFile string
 }
 
 // Cluster is a whole system of processes on loopback.
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// InDomain returns the members of a failure domain.
-func (c *Cluster) InDomain(domain string) []*Member {
+// MembersInDomain returns the members of a failure domain.
+func (c *Cluster) MembersInDomain(domain string) []*Member {
 	var members []*Member
 	for _, m := range c.Members() {
 		if m.Domain == domain {
@@ -179,7 +179,7 @@
 
 func (c *Cluster) newAgent(kind string, i int) *Member {
 	m := c.newMember(fmt.Sprintf("%s-%d", kind, i+1), i)
-	m.Offer = offerOf(kind)
+	m.Offer = offerOfKind(kind)
 	backend := map[string]string{"model": Model, "model-version": "1"}
 	flags := append([]string{"-platform", c.Platform.URL()}, c.EngineFlags...)
 	group := map[string]string{}
@@ -205,8 +205,8 @@
 	return m
 }
 
-// offerOf is what the list of VMs says that a backend server serves.
-func offerOf(kind string) string {
+// offerOfKind is what the list of VMs says that a backend server serves.
+func offerOfKind(kind string) string {
 	if kind == "service" {
 		return "service:" + Service
 	}
@@ -229,40 +229,40 @@
 
 func (c *Cluster) start(m *Member, role string, settings Settings) {
 	m.settings = settings
-	m.file = WriteFile(c.report, c.Dir, m.VM+".ini", settings.String())
+	m.settingsFile = WriteFile(c.report, c.Dir, m.VM+".ini", settings.String())
 	var env []string
 	if role == "entry" {
 		env = c.EntryEnv
 	}
-	m.Process = StartWith(c.report, env, c.Dir, m.VM, c.Bin+"/apricothub", role, "-c", m.file)
+	m.Process = StartWithEnv(c.report, env, c.Dir, m.VM, c.Bin+"/apricothub", role, "-c", m.settingsFile)
 }
 
 // Setting returns one setting of a process.
 func (m *Member) Setting(section, key string) string { return m.settings[section][key] }
 
-// Configure lays settings over those of a process, for its next start.
-func (c *Cluster) Configure(m *Member, settings Settings) {
+// OverrideSettings lays settings over those of a process, for its next start.
+func (c *Cluster) OverrideSettings(m *Member, settings Settings) {
 	c.report.Helper()
 	m.settings = m.settings.With(settings)
-	m.file = WriteFile(c.report, c.Dir, m.VM+".ini", m.settings.String())
+	m.settingsFile = WriteFile(c.report, c.Dir, m.VM+".ini", m.settings.String())
 }
 
 // Ready returns nil once a process may serve.
 func (m *Member) Ready() error {
-	return exchangeBy(quick, http.MethodGet, "http://"+m.Admin+adminapi.PathReady, AdminToken, nil, nil)
+	return doJSONWith(statusClient, http.MethodGet, "http://"+m.Admin+adminapi.PathReady, AdminToken, nil, nil)
 }
 
 // WaitReady waits until a process may serve; one that ends fails the test.
 func (c *Cluster) WaitReady(m *Member) {
 	c.report.Helper()
-	Eventually(c.report, readyTime, m.VM+" is ready", func() error {
-		c.mustRun(m)
+	Eventually(c.report, readyTimeout, m.VM+" is ready", func() error {
+		c.requireRunning(m)
 		return m.Ready()
 	})
 }
 
-// mustRun fails the test when a process has ended.
-func (c *Cluster) mustRun(m *Member) {
+// requireRunning fails the test when a process has ended.
+func (c *Cluster) requireRunning(m *Member) {
 	c.report.Helper()
 	select {
 	case <-m.Ended():
@@ -274,24 +274,24 @@
 // Status returns what a process knows of the system.
 func (m *Member) Status() (adminapi.Status, error) {
 	var status adminapi.Status
-	err := exchangeBy(quick, http.MethodGet, "http://"+m.Admin+adminapi.PathStatus, AdminToken, nil, &status)
+	err := doJSONWith(statusClient, http.MethodGet, "http://"+m.Admin+adminapi.PathStatus, AdminToken, nil, &status)
 	return status, err
 }
 
-// linkedAgents is the number of agents that each entry links to.
-func (c *Cluster) linkedAgents() int {
-	per, _ := strconv.Atoi(c.Spec.Entry["link"]["agents-per-offer"])
-	if per == 0 {
+// agentsPerEntry is the number of agents that each entry links to.
+func (c *Cluster) agentsPerEntry() int {
+	perOffer, _ := strconv.Atoi(c.Spec.Entry["link"]["agents-per-offer"])
+	if perOffer == 0 {
 		return len(c.Agents)
 	}
-	return min(per, c.Spec.Engines) + min(per, c.Spec.Services)
+	return min(perOffer, c.Spec.Engines) + min(perOffer, c.Spec.Services)
 }
 
 // WaitLinked waits until an entry knows that all backend servers that it is to be linked
 // to take work.
 func (c *Cluster) WaitLinked(m *Member) {
 	c.report.Helper()
-	Eventually(c.report, readyTime, m.VM+" is linked to all agents", func() error {
+	Eventually(c.report, readyTimeout, m.VM+" is linked to all agents", func() error {
 		status, err := m.Status()
 		if err != nil {
 			return err
@@ -302,7 +302,7 @@
 				ready++
 			}
 		}
-		if want := c.linkedAgents(); ready < want {
+		if want := c.agentsPerEntry(); ready < want {
 			return errors.Errorf("%d of %d are ready", ready, want)
 		}
 		return nil
@@ -315,12 +315,12 @@
 	uses := WriteFile(c.report, c.Dir, "uses.ini", UsesList)
 	plans := WriteFile(c.report, c.Dir, "plans.ini", PlansList())
 	until := "in-force"
-	if c.linkedAgents() < len(c.Agents) {
+	if c.agentsPerEntry() < len(c.Agents) {
 		// An entry does not hear the agents that it is not linked to.
 		until = "accepted"
 	}
-	Eventually(c.report, readyTime, "the lists are published", func() error {
-		c.mustRun(c.Entries[0])
+	Eventually(c.report, readyTimeout, "the lists are published", func() error {
+		c.requireRunning(c.Entries[0])
 		for list, file := range map[string]string{"uses": uses, "plans": plans} {
 			if out, status := c.Operate("publish", list, file, "-x", until); status != 0 {
 				return errors.Errorf("publish %s: exit status %d: %s", list, status, out)
@@ -330,25 +330,25 @@
 	})
 }
 
-// Logs copies the end of every log into the test's own when the test has failed.
-func (c *Cluster) Logs() {
+// DumpLogs copies the end of every log into the test's own when the test has failed.
+func (c *Cluster) DumpLogs() {
 	for _, m := range c.Members() {
 		c.report.Logf("%s:\n%s", m.Name, m.Tail())
 	}
 }
 
-// KeepDir is the environment variable that names a directory for settings and logs
+// KeepDirEnv is the environment variable that names a directory for settings and logs
 // that outlive the test.
-const KeepDir = "APRICOTHUB_TEST_DIR"
+const KeepDirEnv = "APRICOTHUB_TEST_DIR"
 
-// Dir returns a new directory for one test: below KeepDir when that is set.
-func Dir(report Reporter, name string) string {
+// NewDir returns a new directory for one test: below KeepDir when that is set.
+func NewDir(report Reporter, name string) string {
 	report.Helper()
-	dir, err := os.MkdirTemp(os.Getenv(KeepDir), "apricothub-"+name+"-")
+	dir, err := os.MkdirTemp(os.Getenv(KeepDirEnv), "apricothub-"+name+"-")
 	if err != nil {
 		report.Fatalf("%v", err)
 	}
-	if os.Getenv(KeepDir) == "" {
+	if os.Getenv(KeepDirEnv) == "" {
 		report.Cleanup(func() { _ = os.RemoveAll(dir) })
 	}
 	return dir
--- a/test/harness/forwarder.go
+++ b/test/harness/forwarder.go
@@ -10,28 +10,28 @@
 	"github.com/go-faster/errors"
 )
 
-// anyPort is a free port of loopback.
-const anyPort = "127.0.0.1:0"
+// anyAddress is a free port of loopback.
+const anyAddress = "127.0.0.1:0"
 
 // Forwarder stands between two processes and passes their TCP connections on. Its
 // methods break them in the ways networks do.
 type Forwarder struct {
 	Address string
 
-	listener net.Listener
-	target   string
-	delay    atomic.Int64
-	mu       sync.Mutex
-	refuse   bool
-	swallow  bool
-	mute     bool
-	closed   bool
-	conns    map[*forwarded]bool
+	listener   net.Listener
+	target     string
+	delay      atomic.Int64
+	mu         sync.Mutex
+	refuseNew  bool
+	silenceNew bool
+	muteNew    bool
+	closed     bool
+	conns      map[*forwardedConn]bool
 }
 
-// forwarded is one connection with its two sides.
-type forwarded struct {
-	near, far net.Conn
+// forwardedConn is one connection with its two sides.
+type forwardedConn struct {
+	client, target net.Conn
 	// silent swallows what is sent in both directions, mute what the target sends.
 	silent, mute atomic.Bool
 }
@@ -39,7 +39,7 @@
 // NewForwarder listens on a free address and passes connections on to target.
 func NewForwarder(report Reporter, target string) *Forwarder {
 	report.Helper()
-	return NewForwarderAt(report, anyPort, target)
+	return NewForwarderAt(report, anyAddress, target)
 }
 
 // NewForwarderAt listens at an address and passes connections on to target.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	f := &Forwarder{Address: listener.Addr().String(), listener: listener, target: target, conns: map[*forwarded]bool{}}
+	f := &Forwarder{Address: listener.Addr().String(), listener: listener, target: target, conns: map[*forwardedConn]bool{}}
 	go f.accept()
 	return f, nil
 }
@@ -85,7 +85,7 @@
 // Block closes all present connections and refuses new ones, until Unblock.
 func (f *Forwarder) Block() {
 	f.mu.Lock()
-	f.refuse = true
+	f.refuseNew = true
 	f.mu.Unlock()
 	f.Cut()
 }
@@ -93,7 +93,7 @@
 // Isolate silences all present connections and all new ones, until Unblock.
 func (f *Forwarder) Isolate() {
 	f.mu.Lock()
-	f.swallow = true
+	f.silenceNew = true
 	f.mu.Unlock()
 	f.Silence()
 }
@@ -103,7 +103,7 @@
 func (f *Forwarder) Mute() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mute = true
+	f.muteNew = true
 	for c := range f.conns {
 		c.mute.Store(true)
 	}
@@ -113,7 +113,7 @@
 func (f *Forwarder) Unblock() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuse, f.swallow, f.mute = false, false, false
+	f.refuseNew, f.silenceNew, f.muteNew = false, false, false
 }
 
 // Delay holds back each piece of data in either direction.
@@ -130,46 +130,46 @@
 
 func (f *Forwarder) accept() {
 	for {
-		near, err := f.listener.Accept()
+		client, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		go f.serve(near)
+		go f.serve(client)
 	}
 }
 
-func (f *Forwarder) serve(near net.Conn) {
-	far, err := net.Dial("tcp", f.target)
+func (f *Forwarder) serve(client net.Conn) {
+	target, err := net.Dial("tcp", f.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &forwarded{near: near, far: far}
+	c := &forwardedConn{client: client, target: target}
 	defer c.close()
-	if !f.enter(c) {
+	if !f.register(c) {
 		return
 	}
-	defer f.leave(c)
-	var both sync.WaitGroup
-	both.Go(func() { f.pipe(c, c.near, c.far) })
-	both.Go(func() { f.pipe(c, c.far, c.near) })
-	both.Wait()
+	defer f.unregister(c)
+	var pipes sync.WaitGroup
+	pipes.Go(func() { f.pipe(c, c.client, c.target) })
+	pipes.Go(func() { f.pipe(c, c.target, c.client) })
+	pipes.Wait()
 }
 
-// enter notes a new connection; false when it is refused.
-func (f *Forwarder) enter(c *forwarded) bool {
+// register notes a new connection; false when it is refused.
+func (f *Forwarder) register(c *forwardedConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refuse || f.closed {
+	if f.refuseNew || f.closed {
 		return false
 	}
-	c.silent.Store(f.swallow)
-	c.mute.Store(f.mute)
+	c.silent.Store(f.silenceNew)
+	c.mute.Store(f.muteNew)
 	f.conns[c] = true
 	return true
 }
 
-func (f *Forwarder) leave(c *forwarded) {
+func (f *Forwarder) unregister(c *forwardedConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
@@ -177,27 +177,27 @@
 
 // pipe passes data from one side to the other, and the end of it. A silent
 // connection reads on and passes nothing, so that the sender notices nothing.
-func (f *Forwarder) pipe(c *forwarded, from, to net.Conn) {
+func (f *Forwarder) pipe(c *forwardedConn, source, destination net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buffer)
+		n, err := source.Read(buffer)
 		if d := f.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if c.silent.Load() || from == c.far && c.mute.Load() {
+		if c.silent.Load() || source == c.target && c.mute.Load() {
 			if err != nil {
 				return
 			}
 			continue
 		}
 		if n > 0 {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+			if _, writeErr := destination.Write(buffer[:n]); writeErr != nil {
 				c.close()
 				return
 			}
 		}
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite()
+			_ = destination.(*net.TCPConn).CloseWrite()
 			return
 		}
 		if err != nil {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (c *forwarded) close() {
-	_ = c.near.Close()
-	_ = c.far.Close()
+func (c *forwardedConn) close() {
+	_ = c.client.Close()
+	_ = c.target.Close()
 }
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -28,8 +28,8 @@
 	os.Exit(status)
 }
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEchoServer answers each line with itself.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	return listener.Addr().String()
 }
 
-// hears says whether a connection still answers.
-func hears(conn net.Conn) error {
+// roundTrip says whether a connection still answers.
+func roundTrip(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
@@ -74,41 +74,41 @@
 // Old connections go silent, without an error at either side, while new ones work:
 // what a stateful network box does when it forgets its connections.
 func TestForwarderSilence(t *testing.T) {
-	f := harness.NewForwarder(t, echo(t))
+	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
-	if err := hears(old); err != nil {
+	if err := roundTrip(old); err != nil {
 		t.Fatalf("before: %v", err)
 	}
 	f.Silence()
-	if err := hears(old); !isTimeout(err) {
+	if err := roundTrip(old); !isTimeout(err) {
 		t.Errorf("an old connection ended with %v, want silence", err)
 	}
-	if err := hears(dial(t, f)); err != nil {
+	if err := roundTrip(dial(t, f)); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
 }
 
 // A cut closes what is open; a block refuses new connections too until it ends.
 func TestForwarderCutAndBlock(t *testing.T) {
-	f := harness.NewForwarder(t, echo(t))
+	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
-	if err := hears(old); err != nil {
+	if err := roundTrip(old); err != nil {
 		t.Fatalf("before: %v", err)
 	}
 	f.Cut()
-	if err := hears(old); err == nil || isTimeout(err) {
+	if err := roundTrip(old); err == nil || isTimeout(err) {
 		t.Errorf("a cut connection: %v, want it closed", err)
 	}
 	f.Block()
-	if err := hears(dial(t, f)); err == nil || isTimeout(err) {
+	if err := roundTrip(dial(t, f)); err == nil || isTimeout(err) {
 		t.Errorf("a blocked connection: %v, want it closed", err)
 	}
 	f.Unblock()
-	if err := hears(dial(t, f)); err != nil {
+	if err := roundTrip(dial(t, f)); err != nil {
 		t.Errorf("after the block: %v", err)
 	}
 	f.Isolate()
-	if err := hears(dial(t, f)); !isTimeout(err) {
+	if err := roundTrip(dial(t, f)); !isTimeout(err) {
 		t.Errorf("an isolated connection ended with %v, want silence", err)
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	s.Kill()
 	s.Restart()
-	s.WaitUp()
+	s.WaitRunning()
 	if got := len(s.Ledger()); got != 0 {
 		t.Errorf("ledger has %d runs after a restart, want none", got)
 	}
@@ -157,13 +157,13 @@
 // closes in place of an answer.
 func TestCallerSendsOnce(t *testing.T) {
 	s := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "labels", "service")}
-	s.Behave(service.Behaviour{CloseAfterRead: true})
-	for _, caller := range []*harness.Caller{harness.NewCaller(""), harness.NewKeepingCaller("")} {
+	s.SetBehaviour(service.Behaviour{CloseAfterRead: true})
+	for _, caller := range []*harness.Caller{harness.NewCaller(""), harness.NewKeepAliveCaller("")} {
 		if _, err := caller.Do(t.Context(), s.Address, harness.PushRequest("", "cut")); err == nil {
 			t.Error("an answer came over a cut connection")
 		}
 	}
-	s.Behave(service.Behaviour{Redirect: true})
+	s.SetBehaviour(service.Behaviour{Redirect: true})
 	if reply, err := harness.NewCaller("").Do(t.Context(), s.Address, harness.PushRequest("", "redirected")); err != nil || reply.Status != 307 {
 		t.Errorf("redirect: %+v, %v", reply, err)
 	}
@@ -210,7 +210,7 @@
 	if r := e.Record(); r.Cold || r.HighWaterCold != 1 {
 		t.Fatalf("after one request: %+v, want warm with a high-water mark of 1", r.State)
 	}
-	together := func(n int) (whole int) {
+	runConcurrently := func(n int) (whole int) {
 		done := make(chan bool, n)
 		for range n {
 			go func() {
@@ -225,11 +225,11 @@
 		}
 		return whole
 	}
-	if whole := together(6); whole != 6 {
+	if whole := runConcurrently(6); whole != 6 {
 		t.Errorf("warm: %d of 6 whole", whole)
 	}
 	e.TurnCold(0)
-	if whole := together(3); whole != 0 {
+	if whole := runConcurrently(3); whole != 0 {
 		t.Errorf("cold: %d of 3 whole, want it to fall over", whole)
 	}
 	if r := e.Record(); r.Overloads != 1 || r.HighWaterCold != 3 {
--- a/test/harness/keyed.go
+++ b/test/harness/keyed.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// PressKey presses a push under a key of the caller's own until an answer settles it,
+// PushWithKey presses a push under a key of the caller's own until an answer settles it,
 // through one address after another, beginning at a given one. It never takes another
 // key: what became of the first is what the caller wants to know.
-func (c *Caller) PressKey(ctx context.Context, addresses []string, begin int, key, call string) Outcome {
-	out := Outcome{Call: call, Ticket: key, Ran: RanUnknown}
+func (c *Caller) PushWithKey(ctx context.Context, addresses []string, firstAddress int, key, call string) Outcome {
+	outcome := Outcome{Call: call, Ticket: key, Ran: RanUnknown}
 	for ctx.Err() == nil {
-		press := Press{Begin: time.Now()}
-		reply, err := c.Push(ctx, addresses[(begin+out.Tries)%len(addresses)], key, call)
-		press.End = time.Now()
-		out.Tries++
+		attempt := PushAttempt{Begin: time.Now()}
+		reply, err := c.Push(ctx, addresses[(firstAddress+outcome.AttemptCount)%len(addresses)], key, call)
+		attempt.End = time.Now()
+		outcome.AttemptCount++
 		if err != nil {
-			out.Last = err.Error()
-			out.Presses = append(out.Presses, press)
-			waitRetry(ctx, nil)
+			outcome.LastMessage = err.Error()
+			outcome.Attempts = append(outcome.Attempts, attempt)
+			waitBackoff(ctx, nil)
 			continue
 		}
-		press.Ran = reply.Ran
-		out.Presses = append(out.Presses, press)
-		out.Code, out.Last = reply.Code, reply.Name+" "+reply.Message
-		if out.settle(reply) {
-			return out
+		attempt.Ran = reply.Ran
+		outcome.Attempts = append(outcome.Attempts, attempt)
+		outcome.Code, outcome.LastMessage = reply.Code, reply.Name+" "+reply.Message
+		if outcome.settle(reply) {
+			return outcome
 		}
-		waitRetry(ctx, &reply)
+		waitBackoff(ctx, &reply)
 	}
-	return out
+	return outcome
 }
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -21,11 +21,11 @@
 	Tokens int
 	// Pushes makes each caller push prices in place of streaming completions.
 	Pushes bool
-	// Keep lets callers keep their connections.
-	Keep bool
-	// Patience bounds how long a caller tries one request; 0 means 20 s.
-	Patience time.Duration
-	Seed     uint64
+	// KeepAlive lets callers keep their connections.
+	KeepAlive bool
+	// RequestTimeout bounds how long a caller tries one request; 0 means 20 s.
+	RequestTimeout time.Duration
+	Seed           uint64
 }
 
 // LoadResult is what all callers of a load saw.
@@ -34,8 +34,8 @@
 	Whole int
 	// Refusals counts refusals by result name; the caller then tried again.
 	Refusals map[string]int
-	// Samples tell of the first refusals where and when.
-	Samples []string
+	// RefusalSamples tell of the first refusals where and when.
+	RefusalSamples []string
 	// Cut lists answers that broke and connections that failed.
 	Cut []string
 	// Wrong lists answers whose text is not what the engine made.
@@ -64,13 +64,13 @@
 
 // StartLoad lets callers send requests until Stop.
 func (c *Cluster) StartLoad(spec LoadSpec) *Load {
-	if spec.Patience == 0 {
-		spec.Patience = 20 * time.Second
+	if spec.RequestTimeout == 0 {
+		spec.RequestTimeout = 20 * time.Second
 	}
 	l := &Load{cluster: c, spec: spec, stop: make(chan struct{})}
 	l.result.Refusals = map[string]int{}
 	for i := range spec.Callers {
-		l.callers.Go(func() { l.call(i) })
+		l.callers.Go(func() { l.runCaller(i) })
 	}
 	return l
 }
@@ -89,29 +89,29 @@
 	return l.result.Whole
 }
 
-// user is one caller of a load with the addresses it was told.
-type user struct {
+// loadCaller is one caller of a load with the addresses it was told.
+type loadCaller struct {
 	*Caller
 	load      *Load
-	number    int
+	index     int
 	random    *rand.Rand
 	addresses AddressList
-	asked     time.Time
+	fetchedAt time.Time
 }
 
-func (l *Load) call(number int) {
-	u := &user{load: l, number: number, random: rand.New(rand.NewPCG(l.spec.Seed, uint64(number)))}
-	u.Caller = NewCaller(Key)
-	if l.spec.Keep {
-		u.Caller = NewKeepingCaller(Key)
+func (l *Load) runCaller(index int) {
+	c := &loadCaller{load: l, index: index, random: rand.New(rand.NewPCG(l.spec.Seed, uint64(index)))}
+	c.Caller = NewCaller(Key)
+	if l.spec.KeepAlive {
+		c.Caller = NewKeepAliveCaller(Key)
 	}
-	for n := 0; !l.stopped(l.spec.Pause); n++ {
-		u.request(n)
+	for n := 0; !l.waitOrStopped(l.spec.Pause); n++ {
+		c.request(n)
 	}
 }
 
-// stopped waits between requests and returns true when the load is to end.
-func (l *Load) stopped(wait time.Duration) bool {
+// waitOrStopped waits between requests and returns true when the load is to end.
+func (l *Load) waitOrStopped(wait time.Duration) bool {
 	select {
 	case <-l.stop:
 		return true
@@ -126,51 +126,51 @@
 }
 
 // request sends one request until it is answered whole or patience ends.
-func (u *user) request(n int) {
+func (c *loadCaller) request(n int) {
 	begin := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), u.load.spec.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), c.load.spec.RequestTimeout)
 	defer cancel()
-	name := fmt.Sprintf("caller %d request %d", u.number, n)
-	if u.load.spec.Pushes {
-		u.push(ctx, fmt.Sprintf("call-%d-%d-%d", u.load.spec.Seed, u.number, n))
+	name := fmt.Sprintf("caller %d request %d", c.index, n)
+	if c.load.spec.Pushes {
+		c.push(ctx, fmt.Sprintf("call-%d-%d-%d", c.load.spec.Seed, c.index, n))
 		return
 	}
-	p := Prompt{Text: name, Seed: int64(u.load.spec.Seed), Tokens: u.load.spec.Tokens}
+	p := Prompt{Text: name, Seed: int64(c.load.spec.Seed), Tokens: c.load.spec.Tokens}
 	var got Streamed
 	for ctx.Err() == nil {
-		err := u.try(ctx, p, &got)
+		err := c.streamOnce(ctx, p, &got)
 		if got.Whole {
-			u.load.whole(time.Since(begin))
+			c.load.recordWhole(time.Since(begin))
 			return
 		}
 		if err != nil {
-			u.load.cut(name + ": " + err.Error())
-			u.asked = time.Time{}
+			c.load.recordCut(name + ": " + err.Error())
+			c.fetchedAt = time.Time{}
 		}
 		if got.Refused != nil && !retryable(got.Refused) {
 			return // Told for good that this answer will not come.
 		}
-		waitRetry(ctx, got.Refused)
+		waitBackoff(ctx, got.Refused)
 	}
-	u.load.failed(name)
+	c.load.recordFailed(name)
 }
 
-// try streams once; an error is something that a caller must not see.
-func (u *user) try(ctx context.Context, p Prompt, got *Streamed) error {
-	address, err := u.pick(ctx)
+// streamOnce streams once; an error is something that a caller must not see.
+func (c *loadCaller) streamOnce(ctx context.Context, p Prompt, got *Streamed) error {
+	address, err := c.pickAddress(ctx)
 	if err != nil {
 		return err
 	}
-	err = u.Stream(ctx, address, p, got, nil)
+	err = c.Stream(ctx, address, p, got, nil)
 	if !strings.HasPrefix(p.Want(), got.Text) || got.Whole && got.Text != p.Want() {
-		u.load.wrong(fmt.Sprintf("%s: %d bytes, whole %v, want %d: %q", p.Text, len(got.Text), got.Whole, len(p.Want()), got.Text))
+		c.load.recordWrong(fmt.Sprintf("%s: %d bytes, whole %v, want %d: %q", p.Text, len(got.Text), got.Whole, len(p.Want()), got.Text))
 	}
 	if err != nil {
 		return err
 	}
 	if got.Refused != nil {
-		u.load.refused(got.Refused.Name, address)
-		u.asked = time.Time{}
+		c.load.recordRefusal(got.Refused.Name, address)
+		c.fetchedAt = time.Time{}
 		if !retryable(got.Refused) {
 			return errors.Errorf("%d %s %s", got.Refused.Code, got.Refused.Name, got.Refused.Message)
 		}
@@ -179,84 +179,84 @@
 	return nil
 }
 
-func (u *user) push(ctx context.Context, call string) {
+func (c *loadCaller) push(ctx context.Context, call string) {
 	begin := time.Now()
 	var addresses []string
-	for _, m := range u.load.cluster.Entries {
+	for _, m := range c.load.cluster.Entries {
 		addresses = append(addresses, m.Public)
 	}
-	u.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	out := u.PushOnce(ctx, addresses, call, u.number%2 == 0)
-	u.load.mu.Lock()
-	defer u.load.mu.Unlock()
-	u.load.result.Outcomes = append(u.load.result.Outcomes, out)
-	if out.Ran == RanYes {
-		u.load.result.Whole++
-		u.load.result.Slowest = max(u.load.result.Slowest, time.Since(begin))
+	c.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	outcome := c.PushWithTicket(ctx, addresses, call, c.index%2 == 0)
+	c.load.mu.Lock()
+	defer c.load.mu.Unlock()
+	c.load.result.Outcomes = append(c.load.result.Outcomes, outcome)
+	if outcome.Ran == RanYes {
+		c.load.result.Whole++
+		c.load.result.Slowest = max(c.load.result.Slowest, time.Since(begin))
 	}
 }
 
-// pick returns one of the addresses told, asking again when they are too old. It
+// pickAddress returns one of the addresses told, asking again when they are too old. It
 // asks entries in random order, as a caller would that knows all of them by name.
-func (u *user) pick(ctx context.Context) (string, error) {
+func (c *loadCaller) pickAddress(ctx context.Context) (string, error) {
 	var err error
-	keep := time.Duration(u.addresses.KeepMS) * time.Millisecond
-	if time.Since(u.asked) > keep {
-		for _, i := range u.random.Perm(len(u.load.cluster.Entries)) {
-			asked := time.Now()
+	keep := time.Duration(c.addresses.KeepMS) * time.Millisecond
+	if time.Since(c.fetchedAt) > keep {
+		for _, i := range c.random.Perm(len(c.load.cluster.Entries)) {
+			fetchedAt := time.Now()
 			var list AddressList
-			list, err = u.Addresses(ctx, u.load.cluster.Entries[i].Public)
+			list, err = c.Addresses(ctx, c.load.cluster.Entries[i].Public)
 			if err == nil && len(list.Addresses) > 0 {
-				u.addresses, u.asked = list, asked
+				c.addresses, c.fetchedAt = list, fetchedAt
 				break
 			}
 		}
 	}
-	if len(u.addresses.Addresses) == 0 {
+	if len(c.addresses.Addresses) == 0 {
 		return "", errors.Wrap(err, "no addresses")
 	}
 	sum := 0.0
-	for _, a := range u.addresses.Addresses {
+	for _, a := range c.addresses.Addresses {
 		sum += a.Weight
 	}
-	at := u.random.Float64() * sum
-	for _, a := range u.addresses.Addresses {
-		if at -= a.Weight; at < 0 {
+	point := c.random.Float64() * sum
+	for _, a := range c.addresses.Addresses {
+		if point -= a.Weight; point < 0 {
 			return a.Address, nil
 		}
 	}
-	return u.addresses.Addresses[0].Address, nil
+	return c.addresses.Addresses[0].Address, nil
 }
 
-func (l *Load) whole(took time.Duration) {
+func (l *Load) recordWhole(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Whole++
 	l.result.Slowest = max(l.result.Slowest, took)
 }
 
-func (l *Load) cut(what string) {
+func (l *Load) recordCut(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Cut = append(l.result.Cut, what)
 }
 
-func (l *Load) wrong(what string) {
+func (l *Load) recordWrong(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Wrong = append(l.result.Wrong, what)
 }
 
-func (l *Load) refused(name, address string) {
+func (l *Load) recordRefusal(name, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Refusals[name]++
-	if len(l.result.Samples) < maxSamples {
-		l.result.Samples = append(l.result.Samples, fmt.Sprintf("%s by %s at %s", name, address, time.Now().UTC().Format("15:04:05.000")))
+	if len(l.result.RefusalSamples) < maxSamples {
+		l.result.RefusalSamples = append(l.result.RefusalSamples, fmt.Sprintf("%s by %s at %s", name, address, time.Now().UTC().Format("15:04:05.000")))
 	}
 }
 
-func (l *Load) failed(name string) {
+func (l *Load) recordFailed(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Failed = append(l.result.Failed, name)
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -15,12 +15,12 @@
 // every process; its exit status comes over the channel.
 func (c *Cluster) MarkOut(domain string) (time.Time, <-chan int) {
 	c.report.Helper()
-	ended := make(chan int, 1)
+	exitStatus := make(chan int, 1)
 	go func() {
 		_, status := c.Operate("mark", "domain", domain, "out", "-w", "8s")
-		ended <- status
+		exitStatus <- status
 	}()
-	Eventually(c.report, readyTime, "the mark is applied", func() error {
+	Eventually(c.report, readyTimeout, "the mark is applied", func() error {
 		status, err := c.Entries[0].Status()
 		if err != nil {
 			return err
@@ -32,11 +32,11 @@
 		}
 		return errors.New("no such mark")
 	})
-	return time.Now(), ended
+	return time.Now(), exitStatus
 }
 
-// Leave says in the list of VMs that a VM is about to go.
-func (c *Cluster) Leave(m *Member) {
+// MarkLeaving says in the list of VMs that a VM is about to go.
+func (c *Cluster) MarkLeaving(m *Member) {
 	vm := platform.VM{ID: m.VM, Role: "backend", FailureDomain: m.Domain, Link: m.Link, Public: m.Public, State: "leaving", Offer: m.Offer}
 	if m.Public != "" {
 		vm.Role = "entry"
@@ -52,8 +52,8 @@
 
 // OperateAt runs an operator command against one member.
 func (c *Cluster) OperateAt(m *Member, args ...string) (string, int) {
-	all := append([]string{args[0], "-a", m.Admin, "-t", AdminToken}, args[1:]...)
-	out, err := exec.Command(c.Bin+"/apricothub", all...).CombinedOutput()
+	commandArgs := append([]string{args[0], "-a", m.Admin, "-t", AdminToken}, args[1:]...)
+	out, err := exec.Command(c.Bin+"/apricothub", commandArgs...).CombinedOutput()
 	var exit *exec.ExitError
 	switch {
 	case err == nil:
--- a/test/harness/ports.go
+++ b/test/harness/ports.go
@@ -16,8 +16,8 @@
 	blockSize = 100
 )
 
-// block is the block in use. The listeners stay open until the process ends.
-var block struct {
+// portBlock is the block in use. The listeners stay open until the process ends.
+var portBlock struct {
 	sync.Mutex
 	owners     []net.Listener
 	next, last int
@@ -27,14 +27,14 @@
 // process or another.
 func Address(report Reporter) string {
 	report.Helper()
-	block.Lock()
-	defer block.Unlock()
+	portBlock.Lock()
+	defer portBlock.Unlock()
 	for range lastPort - firstPort {
-		if block.next == block.last && !claimBlock() {
+		if portBlock.next == portBlock.last && !claimBlock() {
 			break
 		}
-		address := loopback(block.next)
-		block.next++
+		address := loopback(portBlock.next)
+		portBlock.next++
 		if listener, err := net.Listen("tcp", address); err == nil {
 			_ = listener.Close()
 			return address
@@ -50,8 +50,8 @@
 		first := firstPort + i*blockSize
 		owner, err := net.Listen("tcp", loopback(first))
 		if err == nil {
-			block.owners = append(block.owners, owner)
-			block.next, block.last = first+1, first+blockSize
+			portBlock.owners = append(portBlock.owners, owner)
+			portBlock.next, portBlock.last = first+1, first+blockSize
 			return true
 		}
 	}
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -33,25 +33,25 @@
 	bin    string
 	args   []string
 	env    []string
-	// out takes what the process writes in place of LogFile, unless it is nil.
-	out   *os.File
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
+	// output takes what the process writes in place of LogFile, unless it is nil.
+	output *os.File
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	ended  chan struct{}
 }
 
-// stopTime bounds the wait for a process that was told to end.
-const stopTime = 40 * time.Second
+// terminateTimeout bounds the wait for a process that was told to end.
+const terminateTimeout = 40 * time.Second
 
 // Start starts a process whose output goes to a file in dir. The process is killed
 // when the test ends, and by the kernel when the test process dies.
 func Start(report Reporter, dir, name, bin string, args ...string) *Process {
 	report.Helper()
-	return StartWith(report, nil, dir, name, bin, args...)
+	return StartWithEnv(report, nil, dir, name, bin, args...)
 }
 
-// StartWith is Start with further variables of the environment.
-func StartWith(report Reporter, env []string, dir, name, bin string, args ...string) *Process {
+// StartWithEnv is Start with further variables of the environment.
+func StartWithEnv(report Reporter, env []string, dir, name, bin string, args ...string) *Process {
 	report.Helper()
 	p := &Process{Name: name, LogFile: filepath.Join(dir, name+".log"), report: report, bin: bin, args: args, env: env}
 	p.Restart()
@@ -59,11 +59,11 @@
 	return p
 }
 
-// StartInto is Start with further variables of the environment and all output to out, as a
+// StartWithOutput is Start with further variables of the environment and all output to out, as a
 // pipe that nobody reads.
-func StartInto(report Reporter, out *os.File, env []string, name, bin string, args ...string) *Process {
+func StartWithOutput(report Reporter, output *os.File, env []string, name, bin string, args ...string) *Process {
 	report.Helper()
-	p := &Process{Name: name, report: report, bin: bin, args: args, env: env, out: out}
+	p := &Process{Name: name, report: report, bin: bin, args: args, env: env, output: output}
 	p.Restart()
 	report.Cleanup(p.Kill)
 	return p
@@ -72,18 +72,18 @@
 // Restart starts the process again, as a new process with no memory.
 func (p *Process) Restart() {
 	p.report.Helper()
-	out := p.out
-	if out == nil {
+	output := p.output
+	if output == nil {
 		file, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			p.report.Fatalf("%s: %v", p.Name, err)
 		}
 		defer file.Close()
-		out = file
+		output = file
 	}
 	cmd := exec.Command(p.bin, p.args...)
 	cmd.Env = append(os.Environ(), p.env...)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout, cmd.Stderr = output, output
 	cmd.SysProcAttr = dieWithParent()
 	if err := cmd.Start(); err != nil {
 		p.report.Fatalf("%s: %v", p.Name, err)
@@ -147,8 +147,8 @@
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(stopTime):
-		p.report.Fatalf("%s has not stopped %s after SIGTERM", p.Name, stopTime)
+	case <-time.After(terminateTimeout):
+		p.report.Fatalf("%s has not stopped %s after SIGTERM", p.Name, terminateTimeout)
 	}
 	return cmd.ProcessState.ExitCode()
 }
@@ -156,8 +156,8 @@
 // Tail returns the end of what the process wrote.
 func (p *Process) Tail() string {
 	data, _ := os.ReadFile(p.LogFile)
-	const most = 2000
-	return string(data[max(0, len(data)-most):])
+	const maxBytes = 2000
+	return string(data[max(0, len(data)-maxBytes):])
 }
 
 // Eventually waits until check returns nil, and fails the test with its last error
--- a/test/harness/process_linux.go
+++ b/test/harness/process_linux.go
@@ -12,10 +12,10 @@
 }
 
 const (
-	// stopWait bounds the wait until a process stands still, stopLook is the time between two
+	// stopTimeout bounds the wait until a process stands still, stopLook is the time between two
 	// looks.
-	stopWait = 2 * time.Second
-	stopLook = 200 * time.Microsecond
+	stopTimeout      = 2 * time.Second
+	stopPollInterval = 200 * time.Microsecond
 
 	// pPID, wStopped, wNoHang and wNoWait are P_PID, WSTOPPED, WNOHANG and WNOWAIT of waitid.
 	pPID     = 1
@@ -31,7 +31,7 @@
 // Load: a busy machine. Harm prevented: a thread that is on another processor goes on for a
 // moment after the signal was sent, and a process that the test takes for paused answers.
 func awaitStopped(pid int) {
-	for end := time.Now().Add(stopWait); time.Now().Before(end); time.Sleep(stopLook) {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(stopPollInterval) {
 		var info [siginfoSize / 4]int32
 		_, _, errno := syscall.Syscall6(syscall.SYS_WAITID, pPID, uintptr(pid), uintptr(unsafe.Pointer(&info[0])),
 			wStopped|wNoHang|wNoWait, 0, 0)
--- a/test/harness/program.go
+++ b/test/harness/program.go
@@ -13,8 +13,8 @@
 	cleanup []func()
 }
 
-// stopped carries a call of Fatalf out of the program's function.
-type stopped struct{ error }
+// fatalError carries a call of Fatalf out of the program's function.
+type fatalError struct{ error }
 
 // RunProgram calls f with a Reporter that prints to out, then cleans up. It returns
 // what Fatalf was called with.
@@ -25,7 +25,7 @@
 			p.cleanup[i]()
 		}
 		caught := recover()
-		if s, ok := caught.(stopped); ok {
+		if s, ok := caught.(fatalError); ok {
 			err = s.error
 		} else if caught != nil {
 			panic(caught)
@@ -42,7 +42,9 @@
 func (p *Program) Logf(format string, args ...any) { fmt.Fprintf(p.out, format+"\n", args...) }
 
 // Fatalf ends the program's function.
-func (p *Program) Fatalf(format string, args ...any) { panic(stopped{errors.Errorf(format, args...)}) }
+func (p *Program) Fatalf(format string, args ...any) {
+	panic(fatalError{errors.Errorf(format, args...)})
+}
 
 // Cleanup notes what to do at the end, last first.
 func (p *Program) Cleanup(f func()) { p.cleanup = append(p.cleanup, f) }
--- a/test/harness/retry.go
+++ b/test/harness/retry.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	maxTries = 40
-	// retryPause is the wait before another try where no Retry-After is given.
-	retryPause = 50 * time.Millisecond
-	// longestPause bounds what a caller in a test waits for.
-	longestPause = 500 * time.Millisecond
+	maxAttempts = 40
+	// defaultBackoff is the wait before another try where no Retry-After is given.
+	defaultBackoff = 50 * time.Millisecond
+	// maxBackoff bounds what a caller in a test waits for.
+	maxBackoff = 500 * time.Millisecond
 )
 
 // retryable says that the request has not run and may be sent again.
 func retryable(r *Reply) bool {
-	return r.Ran == RanNo && (r.Status == 0 || comeBack(r))
+	return r.Ran == RanNo && (r.Status == 0 || isToldToRetry(r))
 }
 
-func waitRetry(ctx context.Context, refused *Reply) {
-	wait := retryPause
+func waitBackoff(ctx context.Context, refused *Reply) {
+	wait := defaultBackoff
 	if refused != nil && refused.RetryAfter > 0 {
-		wait = min(refused.RetryAfter, longestPause)
+		wait = min(refused.RetryAfter, maxBackoff)
 	}
 	select {
 	case <-time.After(wait):
@@ -32,8 +32,8 @@
 	}
 }
 
-// Press is one request under a ticket. Ran is "" when no whole answer came.
-type Press struct {
+// PushAttempt is one request under a ticket. Ran is "" when no whole answer came.
+type PushAttempt struct {
 	Begin, End time.Time
 	Ran        string
 }
@@ -43,54 +43,54 @@
 	Call   string
 	Ticket string
 	// Ran is "yes", "no" or "unknown".
-	Ran   string
-	Code  int
-	Tries int
-	// Presses are the requests under the ticket, in order.
-	Presses []Press
-	// Last is the last answer or error, for messages.
-	Last string
+	Ran          string
+	Code         int
+	AttemptCount int
+	// Attempts are the requests under the ticket, in order.
+	Attempts []PushAttempt
+	// LastMessage is the last answer or error, for messages.
+	LastMessage string
 }
 
-// PushOnce takes a ticket and pushes with it through one address after another
+// PushWithTicket takes a ticket and pushes with it through one address after another
 // until an answer settles what became of it. An error before there is a ticket
 // means that nothing was sent. A trusting caller takes the first "not run" for the
 // end; another one goes on where it is told when to come back.
-func (c *Caller) PushOnce(ctx context.Context, addresses []string, call string, trusting bool) Outcome {
-	out := Outcome{Call: call, Ran: RanNo}
-	for try := 0; out.Ticket == ""; try++ {
-		if try == maxTries || ctx.Err() != nil {
-			return out
+func (c *Caller) PushWithTicket(ctx context.Context, addresses []string, call string, acceptNotRun bool) Outcome {
+	outcome := Outcome{Call: call, Ran: RanNo}
+	for ticketAttempt := 0; outcome.Ticket == ""; ticketAttempt++ {
+		if ticketAttempt == maxAttempts || ctx.Err() != nil {
+			return outcome
 		}
-		ticket, err := c.TakeTicket(ctx, addresses[try%len(addresses)], Service)
+		ticket, err := c.RequestTicket(ctx, addresses[ticketAttempt%len(addresses)], Service)
 		if err != nil {
-			out.Last = err.Error()
-			waitRetry(ctx, nil)
+			outcome.LastMessage = err.Error()
+			waitBackoff(ctx, nil)
 		}
-		out.Ticket = ticket.Ticket
+		outcome.Ticket = ticket.Ticket
 	}
-	out.Ran = RanUnknown
-	for out.Tries < maxTries && ctx.Err() == nil {
-		press := Press{Begin: time.Now()}
-		reply, err := c.Push(ctx, addresses[out.Tries%len(addresses)], out.Ticket, call)
-		press.End = time.Now()
+	outcome.Ran = RanUnknown
+	for outcome.AttemptCount < maxAttempts && ctx.Err() == nil {
+		attempt := PushAttempt{Begin: time.Now()}
+		reply, err := c.Push(ctx, addresses[outcome.AttemptCount%len(addresses)], outcome.Ticket, call)
+		attempt.End = time.Now()
 		if err == nil {
-			press.Ran = reply.Ran
+			attempt.Ran = reply.Ran
 		}
-		out.Presses = append(out.Presses, press)
-		out.Tries++
+		outcome.Attempts = append(outcome.Attempts, attempt)
+		outcome.AttemptCount++
 		if err != nil {
-			out.Last = err.Error()
-			waitRetry(ctx, nil)
+			outcome.LastMessage = err.Error()
+			waitBackoff(ctx, nil)
 			continue
 		}
-		out.Code, out.Last = reply.Code, reply.Name+" "+reply.Message
-		if out.settle(reply) || trusting && reply.Ran == RanNo {
-			return out
+		outcome.Code, outcome.LastMessage = reply.Code, reply.Name+" "+reply.Message
+		if outcome.settle(reply) || acceptNotRun && reply.Ran == RanNo {
+			return outcome
 		}
-		waitRetry(ctx, &reply)
+		waitBackoff(ctx, &reply)
 	}
-	return out
+	return outcome
 }
 
 // settle notes what an answer says; true when no further try can change it.
@@ -107,11 +107,11 @@
 		return true
 	}
 	o.Ran = reply.Ran
-	return !comeBack(&reply)
+	return !isToldToRetry(&reply)
 }
 
-// comeBack says that the caller is told to press again: under the same ticket that is
+// isToldToRetry says that the caller is told to press again: under the same ticket that is
 // safe whether the request has run or not.
-func comeBack(r *Reply) bool {
+func isToldToRetry(r *Reply) bool {
 	return r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
 }
--- a/test/harness/standins.go
+++ b/test/harness/standins.go
@@ -15,23 +15,23 @@
 	"github.com/apricothub/apricothub/internal/standin/service"
 )
 
-// controlTime bounds one request to a stand-in or an admin address.
-const controlTime = 10 * time.Second
+// controlTimeout bounds one request to a stand-in or an admin address.
+const controlTimeout = 10 * time.Second
 
-// control does not keep connections, so that a restarted process is reached.
-var control = &http.Client{Timeout: controlTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// controlClient does not keep connections, so that a restarted process is reached.
+var controlClient = &http.Client{Timeout: controlTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// quick is control for those who look at processes that may be paused.
-var quick = &http.Client{Timeout: quickTime, Transport: control.Transport}
+// statusClient is control for those who look at processes that may be paused.
+var statusClient = &http.Client{Timeout: statusTimeout, Transport: controlClient.Transport}
 
-const quickTime = 500 * time.Millisecond
+const statusTimeout = 500 * time.Millisecond
 
-// exchange sends in as JSON (nothing when nil) and reads the answer into out.
-func exchange(method, url, token string, in, out any) error {
-	return exchangeBy(control, method, url, token, in, out)
+// doJSON sends in as JSON (nothing when nil) and reads the answer into out.
+func doJSON(method, url, token string, in, out any) error {
+	return doJSONWith(controlClient, method, url, token, in, out)
 }
 
-func exchangeBy(client *http.Client, method, url, token string, in, out any) error {
+func doJSONWith(client *http.Client, method, url, token string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -45,17 +45,17 @@
 		return errors.Wrap(err, url)
 	}
 	request.Header.Set("Authorization", "Bearer "+token)
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return errors.Wrap(err, url)
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return errors.Wrap(err, url)
 	}
-	if answer.StatusCode/100 != 2 {
-		return errors.Errorf("%s: %s: %s", url, answer.Status, data)
+	if response.StatusCode/100 != 2 {
+		return errors.Errorf("%s: %s: %s", url, response.Status, data)
 	}
 	if out == nil {
 		return nil
@@ -83,26 +83,26 @@
 	address := Address(report)
 	args := append([]string{kind, "-listen", address}, flags...)
 	s := &StandIn{Process: Start(report, dir, name, bin+"/standin", args...), Address: address}
-	s.WaitUp()
+	s.WaitRunning()
 	return s
 }
 
-// WaitUp waits until the stand-in answers.
-func (s *StandIn) WaitUp() {
+// WaitRunning waits until the stand-in answers.
+func (s *StandIn) WaitRunning() {
 	s.report.Helper()
 	paths := map[string]string{"platform": "/vms", "engine": "/engine/running", "service": "/control/ledger"}
-	Eventually(s.report, controlTime, s.Name+" answers", func() error {
-		return exchange(http.MethodGet, s.URL()+paths[s.args[0]], "", nil, nil)
+	Eventually(s.report, controlTimeout, s.Name+" answers", func() error {
+		return doJSON(http.MethodGet, s.URL()+paths[s.args[0]], "", nil, nil)
 	})
 }
 
 // URL is the base URL.
 func (s *StandIn) URL() string { return "http://" + s.Address }
 
-// must fails the test when a control of a stand-in does not work.
-func (s *StandIn) must(method, path string, in, out any) {
+// mustDo fails the test when a control of a stand-in does not work.
+func (s *StandIn) mustDo(method, path string, in, out any) {
 	s.report.Helper()
-	if err := exchange(method, s.URL()+path, "", in, out); err != nil {
+	if err := doJSON(method, s.URL()+path, "", in, out); err != nil {
 		s.report.Fatalf("%s: %v", s.Name, err)
 	}
 }
@@ -110,46 +110,46 @@
 // Platform is the platform stand-in.
 type Platform struct{ *StandIn }
 
-// LogMode sets how the log behaves: "up", "down", "slow" or "lose_answers".
-func (p Platform) LogMode(mode string, delay time.Duration) {
+// SetLogMode sets how the log behaves: "up", "down", "slow" or "lose_answers".
+func (p Platform) SetLogMode(mode string, delay time.Duration) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/log", platform.Control{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
+	p.mustDo(http.MethodPost, "/control/log", platform.Control{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
 }
 
-// Retain keeps only the newest records of the log; -1 for all.
-func (p Platform) Retain(records int64) {
+// SetRetention keeps only the newest records of the log; -1 for all.
+func (p Platform) SetRetention(records int64) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/retention", platform.Control{Records: records}, nil)
+	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Records: records}, nil)
 }
 
-// RetainKeys is Retain for the stream of keys alone.
-func (p Platform) RetainKeys(records int64) {
+// SetKeyRetention is Retain for the stream of keys alone.
+func (p Platform) SetKeyRetention(records int64) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/retention", platform.Control{Stream: "keys", Records: records}, nil)
+	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Stream: "keys", Records: records}, nil)
 }
 
-// VMsLag sets the lag of the list of VMs.
-func (p Platform) VMsLag(lag time.Duration) {
+// SetVMsLag sets the lag of the list of VMs.
+func (p Platform) SetVMsLag(lag time.Duration) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/vms_lag", platform.Control{MS: lag.Milliseconds()}, nil)
+	p.mustDo(http.MethodPost, "/control/vms_lag", platform.Control{MS: lag.Milliseconds()}, nil)
 }
 
 // PutVM adds or replaces one VM in the list.
 func (p Platform) PutVM(vm platform.VM) {
 	p.report.Helper()
-	p.must(http.MethodPut, "/control/vms", platform.VMChange{Put: &vm}, nil)
+	p.mustDo(http.MethodPut, "/control/vms", platform.VMChange{Put: &vm}, nil)
 }
 
 // DeleteVM takes one VM from the list.
 func (p Platform) DeleteVM(id string) {
 	p.report.Helper()
-	p.must(http.MethodPut, "/control/vms", platform.VMChange{Delete: id}, nil)
+	p.mustDo(http.MethodPut, "/control/vms", platform.VMChange{Delete: id}, nil)
 }
 
 // VMs returns the list of VMs as processes see it.
 func (p Platform) VMs() ([]platform.VM, error) {
 	var list platform.VMChange
-	err := exchange(http.MethodGet, p.URL()+"/vms", "", nil, &list)
+	err := doJSON(http.MethodGet, p.URL()+"/vms", "", nil, &list)
 	return list.VMs, err
 }
 
@@ -157,7 +157,7 @@
 func (p Platform) Steps(group string) platform.FabricRecord {
 	p.report.Helper()
 	var record platform.FabricRecord
-	p.must(http.MethodGet, "/fabric/"+group+"/record", nil, &record)
+	p.mustDo(http.MethodGet, "/fabric/"+group+"/record", nil, &record)
 	return record
 }
 
@@ -168,21 +168,21 @@
 func (b Backend) Ledger() []service.Run {
 	b.report.Helper()
 	var ledger []service.Run
-	b.must(http.MethodGet, "/control/ledger", nil, &ledger)
+	b.mustDo(http.MethodGet, "/control/ledger", nil, &ledger)
 	return ledger
 }
 
-// Behave sets what a plain service does with calls.
-func (b Backend) Behave(behaviour service.Behaviour) {
+// SetBehaviour sets what a plain service does with calls.
+func (b Backend) SetBehaviour(behaviour service.Behaviour) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/behaviour", behaviour, nil)
+	b.mustDo(http.MethodPost, "/control/behaviour", behaviour, nil)
 }
 
 // Record returns an engine's own record.
 func (b Backend) Record() engine.Record {
 	b.report.Helper()
 	var record engine.Record
-	b.must(http.MethodGet, "/control/record", nil, &record)
+	b.mustDo(http.MethodGet, "/control/record", nil, &record)
 	return record
 }
 
@@ -190,37 +190,37 @@
 func (b Backend) Held() engine.Held {
 	b.report.Helper()
 	var held engine.Held
-	b.must(http.MethodGet, "/engine/version", nil, &held)
+	b.mustDo(http.MethodGet, "/engine/version", nil, &held)
 	return held
 }
 
 // Order gives an engine an order past its agent, and returns the error that the engine
 // answers with.
 func (b Backend) Order(order engine.LoadOrder) error {
-	return exchange(http.MethodPost, b.URL()+"/engine/orders", "", order, nil)
+	return doJSON(http.MethodPost, b.URL()+"/engine/orders", "", order, nil)
 }
 
 // TurnCold turns a warm engine cold without a word. What begins within the grace
 // is still borne.
 func (b Backend) TurnCold(grace time.Duration) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/cold", map[string]any{"grace_ms": grace.Milliseconds()}, nil)
+	b.mustDo(http.MethodPost, "/control/cold", map[string]any{"grace_ms": grace.Milliseconds()}, nil)
 }
 
-// Popularity sets how many tokens each expert gets in a second.
-func (b Backend) Popularity(tokens []float64) {
+// SetPopularity sets how many tokens each expert gets in a second.
+func (b Backend) SetPopularity(tokens []float64) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens}, nil)
+	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens}, nil)
 }
 
-// Throttle makes the engine's ranks slower, each by its pace, and sets the popularity.
-func (b Backend) Throttle(tokens, paces []float64) {
+// SetSlowdowns makes the engine's ranks slower, each by its pace, and sets the popularity.
+func (b Backend) SetSlowdowns(tokens, slowdowns []float64) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens, Paces: paces}, nil)
+	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens, Paces: slowdowns}, nil)
 }
 
-// Runs counts the runs of each call in a ledger.
-func Runs(ledger []service.Run) map[string]int {
+// CountRuns counts the runs of each call in a ledger.
+func CountRuns(ledger []service.Run) map[string]int {
 	runs := map[string]int{}
 	for _, run := range ledger {
 		runs[run.Key]++
--- a/test/harness/stream.go
+++ b/test/harness/stream.go
@@ -72,47 +72,47 @@
 
 // Stream asks for a streamed answer, or goes on with one after got.LastID. It adds
 // to got until the stream ends; each is called after each event.
-func (c *Caller) Stream(ctx context.Context, address string, p Prompt, got *Streamed, each func()) error {
+func (c *Caller) Stream(ctx context.Context, address string, p Prompt, got *Streamed, onEvent func()) error {
 	got.Refused = nil
-	answer, err := c.Send(ctx, address, p.request(true, got.LastID))
+	response, err := c.Send(ctx, address, p.request(true, got.LastID))
 	if err != nil {
 		return err
 	}
-	if !strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
-		reply, err := readReply(answer)
+	if !strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
+		reply, err := readReply(response)
 		got.Refused = &reply
 		return err
 	}
-	defer answer.Body.Close()
-	events := bufio.NewReader(answer.Body)
+	defer response.Body.Close()
+	events := bufio.NewReader(response.Body)
 	for {
 		event, err := readEvent(events)
 		if err != nil {
 			return err
 		}
-		if done, err := got.take(event); done || err != nil {
+		if done, err := got.add(event); done || err != nil {
 			return err
 		}
-		if each != nil {
-			each()
+		if onEvent != nil {
+			onEvent()
 		}
 	}
 }
 
-// StreamOn streams an answer, going on through the next address whenever a stream
+// StreamWithRetry streams an answer, going on through the next address whenever a stream
 // ends before its closing marker, until it is whole or an entry refuses it for good.
-func (c *Caller) StreamOn(ctx context.Context, addresses []string, p Prompt, each func()) (Streamed, error) {
+func (c *Caller) StreamWithRetry(ctx context.Context, addresses []string, p Prompt, onEvent func()) (Streamed, error) {
 	var got Streamed
 	var err error
-	for try := range maxTries {
-		err = c.Stream(ctx, addresses[try%len(addresses)], p, &got, each)
+	for attempt := range maxAttempts {
+		err = c.Stream(ctx, addresses[attempt%len(addresses)], p, &got, onEvent)
 		if got.Whole || got.Refused != nil && !retryable(got.Refused) || ctx.Err() != nil {
 			return got, err
 		}
 		if got.Refused != nil {
 			err = errors.Errorf("%d %s %s", got.Refused.Code, got.Refused.Name, got.Refused.Message)
 		}
-		waitRetry(ctx, got.Refused)
+		waitBackoff(ctx, got.Refused)
 	}
 	return got, wrap(err, "gave up")
 }
@@ -146,8 +146,8 @@
 	}
 }
 
-// take adds one event; done when it is the last one.
-func (s *Streamed) take(event sseEvent) (done bool, err error) {
+// add adds one event; done when it is the last one.
+func (s *Streamed) add(event sseEvent) (done bool, err error) {
 	if event.id != "" {
 		s.LastID = event.id
 	}
@@ -155,9 +155,9 @@
 		s.Whole = true
 		return true, nil
 	}
-	var said refusal
-	if json.Unmarshal([]byte(event.data), &said) == nil && said.Error.Code != 0 {
-		s.Refused = &Reply{Code: said.Error.Code, Name: said.Error.Name, Message: said.Error.Message, Ran: said.Error.Ran}
+	var parsed refusal
+	if json.Unmarshal([]byte(event.data), &parsed) == nil && parsed.Error.Code != 0 {
+		s.Refused = &Reply{Code: parsed.Error.Code, Name: parsed.Error.Name, Message: parsed.Error.Message, Ran: parsed.Error.Ran}
 		return true, nil
 	}
 	var c chunk
--- a/test/harness/usage.go
+++ b/test/harness/usage.go
@@ -48,16 +48,16 @@
 		return nil, errors.Wrap(err, "metrics")
 	}
 	request.Header.Set("Authorization", "Bearer "+AdminToken)
-	answer, err := control.Do(request)
+	response, err := controlClient.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "metrics")
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	values := map[string]float64{}
 	for {
 		var name string
 		var value float64
-		if _, err := fmt.Fscan(answer.Body, &name, &value); err != nil {
+		if _, err := fmt.Fscan(response.Body, &name, &value); err != nil {
 			return values, nil
 		}
 		values[name] = value
--- a/test/harness/view.go
+++ b/test/harness/view.go
@@ -22,13 +22,13 @@
 	cut     bool
 	frozen  []byte
 	links   map[string]*Forwarder
-	asked   Asked
+	counts  RequestCounts
 }
 
-// Asked counts what one process has asked of the platform.
-type Asked struct {
-	// Reads are reads of the log, Lists of the list of VMs, Appends to the log.
-	Reads, Lists, Appends int
+// RequestCounts counts what one process has asked of the platform.
+type RequestCounts struct {
+	// LogReads are reads of the log, ListReads of the list of VMs, LogAppends to the log.
+	LogReads, ListReads, LogAppends int
 	// ReadBytes and ListBytes are those of the answers' bodies.
 	ReadBytes, ListBytes int
 	// ListSize is the body of the newest whole list.
@@ -71,11 +71,11 @@
 	}
 }
 
-// Asked returns what this process has asked so far.
-func (v *View) Asked() Asked {
+// RequestCounts returns what this process has asked so far.
+func (v *View) RequestCounts() RequestCounts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.asked
+	return v.counts
 }
 
 // count notes one answered request.
@@ -84,16 +84,16 @@
 	defer v.mu.Unlock()
 	switch {
 	case r.URL.Path == "/vms":
-		v.asked.Lists++
-		v.asked.ListBytes += bytes
+		v.counts.ListReads++
+		v.counts.ListBytes += bytes
 		if bytes > 0 {
-			v.asked.ListSize = bytes
+			v.counts.ListSize = bytes
 		}
 	case r.Method == http.MethodPost:
-		v.asked.Appends++
+		v.counts.LogAppends++
 	default:
-		v.asked.Reads++
-		v.asked.ReadBytes += bytes
+		v.counts.LogReads++
+		v.counts.ReadBytes += bytes
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 	for i, vm := range list {
 		if v.links[vm.ID] == nil {
-			link, err := newForwarder(anyPort, vm.Link)
+			link, err := newForwarder(anyAddress, vm.Link)
 			if err != nil {
 				continue // The process sees the plain address: no fault can be put there.
 			}
@@ -143,13 +143,13 @@
 	case r.URL.Path == "/vms" && frozen != nil:
 		_, _ = w.Write(frozen)
 	case r.URL.Path == "/vms":
-		v.list(w, r)
+		v.serveList(w, r)
 	default:
-		v.pass(w, r)
+		v.forward(w, r)
 	}
 }
 
-func (v *View) list(w http.ResponseWriter, r *http.Request) {
+func (v *View) serveList(w http.ResponseWriter, r *http.Request) {
 	list, err := v.cluster.Platform.VMs()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -163,18 +163,18 @@
 // viewTransport sends each request on its own connection and never twice.
 var viewTransport = &http.Transport{DisableKeepAlives: true}
 
-func (v *View) pass(w http.ResponseWriter, r *http.Request) {
+func (v *View) forward(w http.ResponseWriter, r *http.Request) {
 	request, err := http.NewRequestWithContext(r.Context(), r.Method, v.cluster.Platform.URL()+r.URL.RequestURI(), r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	answer, err := viewTransport.RoundTrip(request)
+	response, err := viewTransport.RoundTrip(request)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer answer.Body.Close()
-	w.WriteHeader(answer.StatusCode)
-	n, err := io.Copy(w, answer.Body)
+	defer response.Body.Close()
+	w.WriteHeader(response.StatusCode)
+	n, err := io.Copy(w, response.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/test/harness/watch.go
+++ b/test/harness/watch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// watchStep is the time between two looks at all processes.
-const watchStep = 50 * time.Millisecond
+// watchInterval is the time between two looks at all processes.
+const watchInterval = 50 * time.Millisecond
 
 // Watch looks at what every process shows of the lists, until Stop.
 type Watch struct {
@@ -15,9 +15,9 @@
 	stop    chan struct{}
 	watcher sync.WaitGroup
 
-	newest   map[string]int64
-	problems []string
-	looks    int
+	newest     map[string]int64
+	violations []string
+	checks     int
 }
 
 // StartWatch begins to watch that no ready process ever shows an older version of
@@ -29,8 +29,8 @@
 			select {
 			case <-w.stop:
 				return
-			case <-time.After(watchStep):
-				w.look()
+			case <-time.After(watchInterval):
+				w.check()
 			}
 		}
 	})
@@ -39,23 +39,23 @@
 
 // Stop ends the watch and returns what it saw that must not be, and the number of
 // answers it looked at.
-func (w *Watch) Stop() (problems []string, looks int) {
+func (w *Watch) Stop() (violations []string, checks int) {
 	close(w.stop)
 	w.watcher.Wait()
-	return w.problems, w.looks
+	return w.violations, w.checks
 }
 
-func (w *Watch) look() {
+func (w *Watch) check() {
 	for _, m := range w.cluster.Members() {
 		status, err := m.Status()
 		if err != nil || !status.Process.Ready {
 			continue
 		}
-		w.looks++
+		w.checks++
 		for _, list := range status.Lists {
 			key := m.VM + " " + list.Name
 			if list.Offset < w.newest[key] {
-				w.problems = append(w.problems, fmt.Sprintf("%s shows offset %d after %d", key, list.Offset, w.newest[key]))
+				w.violations = append(w.violations, fmt.Sprintf("%s shows offset %d after %d", key, list.Offset, w.newest[key]))
 			}
 			w.newest[key] = max(w.newest[key], list.Offset)
 		}
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -60,11 +60,11 @@
 	t.Helper()
 	spec.Bin = bin
 	spec.Domains = domains
-	spec.Dir = harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-"))
+	spec.Dir = harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-"))
 	c := harness.StartCluster(t, spec)
 	t.Cleanup(func() {
 		if t.Failed() {
-			c.Logs()
+			c.DumpLogs()
 		}
 	})
 	return c
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -22,7 +22,7 @@
 func runs(c *harness.Cluster) map[string]int {
 	all := map[string]int{}
 	for _, m := range c.ServiceAgents() {
-		for call, n := range harness.Runs(m.Backend.Ledger()) {
+		for call, n := range harness.CountRuns(m.Backend.Ledger()) {
 			all[call] += n
 		}
 	}
@@ -102,7 +102,7 @@
 	t.Helper()
 	var history []porcupine.Operation
 	for client, out := range outcomes {
-		for _, press := range out.Presses {
+		for _, press := range out.Attempts {
 			op := porcupine.Operation{ClientId: client, Input: out.Ticket, Output: press.Ran}
 			op.Call, op.Return = press.Begin.UnixNano(), press.End.UnixNano()
 			if press.Ran == "" || press.Ran == harness.RanUnknown {
@@ -135,7 +135,7 @@
 	const seed = 11
 	c := start(t, harness.Spec{Entries: 3, Services: 3})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 40})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 40})
 	}
 	load := c.StartLoad(harness.LoadSpec{Callers: 12, Pushes: true, Pause: 5 * time.Millisecond, Seed: seed})
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -203,10 +203,10 @@
 	t.Parallel()
 	c := start(t, harness.Spec{Entries: 3, Services: 2})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 300})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 300})
 	}
 	caller := harness.NewCaller(harness.Key)
-	ticket, err := caller.TakeTicket(t.Context(), c.Entries[0].Public, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), c.Entries[0].Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,15 +259,15 @@
 		for _, mode := range []service.Behaviour{{CloseAfterRead: true}, {Redirect: true}} {
 			for _, ticketed := range []bool{false, true} {
 				call := fmt.Sprintf("%d-%s-%v-%v", i, r.Method, mode.Redirect, ticketed)
-				backend.Behave(service.Behaviour{})
+				backend.SetBehaviour(service.Behaviour{})
 				if reply, err := caller.LookUp(t.Context(), address, "x", "before-"+call); err != nil || reply.Status != http.StatusOK {
 					t.Fatalf("look-up: %d %s, %v", reply.Code, reply.Name, err)
 				}
-				backend.Behave(mode)
+				backend.SetBehaviour(mode)
 				sent := harness.Request{Method: r.Method, Path: "/services/" + harness.Service + r.Path, Body: r.Body}
 				sent.Header = map[string]string{"X-Call": call}
 				if ticketed {
-					ticket, err := caller.TakeTicket(t.Context(), address, harness.Service)
+					ticket, err := caller.RequestTicket(t.Context(), address, harness.Service)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/test/ownkey_bench_test.go
+++ b/test/ownkey_bench_test.go
@@ -77,9 +77,9 @@
 		b.Run(fmt.Sprintf("%d-a-second", rate), func(b *testing.B) {
 			spec := harness.Spec{Bin: bin, Domains: domains, Dir: b.TempDir(), Entries: 3, Services: 3, Direct: true}
 			c := harness.StartCluster(b, spec)
-			caller := harness.NewKeepingCaller(harness.Key)
+			caller := harness.NewKeepAliveCaller(harness.Key)
 			ticketed := &kindOfPush{key: func(ctx context.Context, c *harness.Cluster, caller *harness.Caller, n int) (string, error) {
-				ticket, err := caller.TakeTicket(ctx, c.Entries[n%len(c.Entries)].Public, harness.Service)
+				ticket, err := caller.RequestTicket(ctx, c.Entries[n%len(c.Entries)].Public, harness.Service)
 				return ticket.Ticket, err
 			}}
 			keyed := &kindOfPush{key: func(_ context.Context, _ *harness.Cluster, _ *harness.Caller, n int) (string, error) {
--- a/test/ownkey_test.go
+++ b/test/ownkey_test.go
@@ -33,9 +33,9 @@
 	t.Parallel()
 	c := start(t, harness.Spec{Entries: 3, Services: 3})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 300})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 300})
 	}
-	c.Platform.LogMode("slow", 100*time.Millisecond) // So that all append before one has read.
+	c.Platform.SetLogMode("slow", 100*time.Millisecond) // So that all append before one has read.
 	caller := harness.NewCaller(harness.Key)
 	const presses = 30
 	bodies := make([]string, presses)
@@ -79,7 +79,7 @@
 	if reply, err := caller.Do(t.Context(), address, keyed("known", "known")); err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("with the log up: %d %s %s, %v", reply.Code, reply.Name, reply.Message, err)
 	}
-	c.Platform.LogMode("down", 0)
+	c.Platform.SetLogMode("down", 0)
 	time.Sleep(time.Second) // Longer than an entry waits between looks at the stream.
 	for call, tc := range map[string]struct {
 		request harness.Request
@@ -95,7 +95,7 @@
 			t.Errorf("%s: %d %s, ran %s, retry after %v, took %v, %v", call, reply.Code, reply.Name, reply.Ran, reply.RetryAfter, took, err)
 		}
 	}
-	ticket, err := caller.TakeTicket(t.Context(), address, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), address, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 			t.Errorf("%s during the outage: %d %s, %v", call, reply.Code, reply.Name, err)
 		}
 	}
-	c.Platform.LogMode("up", 0)
+	c.Platform.SetLogMode("up", 0)
 	harness.Eventually(t, 5*time.Second, "the key is bound after the outage", func() error {
 		reply, err := caller.Do(t.Context(), c.Entries[1].Public, keyed("first", "first"))
 		if err == nil && reply.Status != http.StatusOK {
@@ -132,8 +132,8 @@
 	if reply, err := caller.Do(t.Context(), old.Public, keyed("ran", "ran")); err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("%d %s %s, %v", reply.Code, reply.Name, reply.Message, err)
 	}
-	c.Platform.RetainKeys(0)
-	c.Platform.RetainKeys(-1)
+	c.Platform.SetKeyRetention(0)
+	c.Platform.SetKeyRetention(-1)
 	fresh.Kill()
 	fresh.Restart()
 	c.WaitReady(fresh)
@@ -168,7 +168,7 @@
 	const seed, copies, pushers = 5, 3, 12
 	c := start(t, harness.Spec{Entries: 3, Services: 3})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 20})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 20})
 	}
 	var stop atomic.Bool
 	var mu sync.Mutex
@@ -184,7 +184,7 @@
 					pressing.Go(func() {
 						ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 						defer cancel()
-						out := caller.PressKey(ctx, publics(c), i, "key of "+call, call)
+						out := caller.PushWithKey(ctx, publics(c), i, "key of "+call, call)
 						mu.Lock()
 						outcomes = append(outcomes, out)
 						mu.Unlock()
@@ -199,7 +199,7 @@
 		keysFault(c, random)
 		time.Sleep(time.Duration(200+random.IntN(300)) * time.Millisecond)
 	}
-	c.Platform.LogMode("up", 0)
+	c.Platform.SetLogMode("up", 0)
 	for _, m := range c.Members() {
 		c.WaitReady(m)
 	}
@@ -235,17 +235,17 @@
 		entry.Kill()
 		entry.Restart()
 	case 1:
-		c.Platform.LogMode("down", 0)
+		c.Platform.SetLogMode("down", 0)
 		time.Sleep(500 * time.Millisecond)
-		c.Platform.LogMode("up", 0)
+		c.Platform.SetLogMode("up", 0)
 	case 2:
-		c.Platform.LogMode("lose_answers", 0)
+		c.Platform.SetLogMode("lose_answers", 0)
 		time.Sleep(500 * time.Millisecond)
-		c.Platform.LogMode("up", 0)
+		c.Platform.SetLogMode("up", 0)
 	case 3:
-		c.Platform.LogMode("slow", 150*time.Millisecond)
+		c.Platform.SetLogMode("slow", 150*time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
-		c.Platform.LogMode("up", 0)
+		c.Platform.SetLogMode("up", 0)
 	case 4:
 		entry.View.Cut(true)
 		time.Sleep(400 * time.Millisecond)
--- a/test/site_test.go
+++ b/test/site_test.go
@@ -56,7 +56,7 @@
 // startSiteAs is startSite for a site with links that can be broken.
 func startSiteAs(t *testing.T, spec siteSpec) *site {
 	t.Helper()
-	s := &site{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
+	s := &site{t: t, dir: harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
 	s.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range domains {
 		place := fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, MapAddress: spec.serverLink}
@@ -70,7 +70,7 @@
 			store = spec.doorLink(store)
 		}
 		entry := fakeplatform.Entry{VM: g.vm, IP: g.ip, FailureDomain: domains[i%len(domains)], Store: store, Seeds: seeds}
-		g.Process = harness.StartWith(t, []string{entry.WriteSettings(t, s.dir)}, s.dir, g.vm, bin+"/apricothub", "gateway")
+		g.Process = harness.StartWithEnv(t, []string{entry.WriteSettings(t, s.dir)}, s.dir, g.vm, bin+"/apricothub", "gateway")
 		s.gateways = append(s.gateways, g)
 		seeds = append(seeds, g.ip)
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -97,9 +97,9 @@
 }
 
 func (s *soak) log(mode string, delay time.Duration) {
-	s.Platform.LogMode(mode, delay)
+	s.Platform.SetLogMode(mode, delay)
 	time.Sleep(pauseTime)
-	s.Platform.LogMode("up", 0)
+	s.Platform.SetLogMode("up", 0)
 }
 
 func restart(m *harness.Member) {
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	for name, n := range r.Refusals {
 		if name != "DRAINING" {
-			t.Errorf("%d requests refused as %s: %q", n, name, r.Samples)
+			t.Errorf("%d requests refused as %s: %q", n, name, r.RefusalSamples)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 func TestRollingStopOfAllEntries(t *testing.T) {
 	t.Parallel()
 	c := start(t, stopSpec(3))
-	load := c.StartLoad(harness.LoadSpec{Callers: inFlight, Tokens: 30, Keep: true, Seed: 12})
+	load := c.StartLoad(harness.LoadSpec{Callers: inFlight, Tokens: 30, KeepAlive: true, Seed: 12})
 	time.Sleep(2 * time.Second)
 	for _, m := range c.Entries {
 		stops(t, m)
@@ -99,7 +99,7 @@
 	spec.EngineFlags = []string{"-cold", "0", "-full", "3000", "-token", "400ms"}
 	spec.Agent = harness.Settings{"backend": {"cold-limit": "3000", "full-limit": "3000"}}
 	c := start(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: thousands, Tokens: 10, Keep: true, Patience: time.Minute, Seed: 15})
+	load := c.StartLoad(harness.LoadSpec{Callers: thousands, Tokens: 10, KeepAlive: true, RequestTimeout: time.Minute, Seed: 15})
 	time.Sleep(3 * time.Second)
 	for _, m := range []*harness.Member{c.EngineAgents()[0], c.Entries[1]} {
 		stops(t, m)
@@ -116,7 +116,7 @@
 	t.Parallel()
 	c := start(t, harness.Spec{Entries: 3, Services: 2, Entry: keepShort})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 50})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 50})
 	}
 	load := c.StartLoad(harness.LoadSpec{Callers: 24, Pushes: true, Pause: 5 * time.Millisecond, Seed: 14})
 	time.Sleep(time.Second)
@@ -147,7 +147,7 @@
 	spec.Entries = 2
 	spec.Entry = harness.Settings{"policy": {"address-keep-ms": "500"}}
 	c := start(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: 40, Tokens: 10, Keep: true, Seed: 16})
+	load := c.StartLoad(harness.LoadSpec{Callers: 40, Tokens: 10, KeepAlive: true, Seed: 16})
 	former := c.Entries[0].Setting("link", "key")
 	for _, keys := range []map[string]string{
 		{"other-key": newLinkKey},
@@ -155,7 +155,7 @@
 		{"key": newLinkKey, "other-key": ""},
 	} {
 		for _, m := range append(c.EngineAgents(), c.Entries...) {
-			c.Configure(m, harness.Settings{"link": keys})
+			c.OverrideSettings(m, harness.Settings{"link": keys})
 			stops(t, m)
 			m.Restart()
 			c.WaitReady(m)
@@ -168,7 +168,7 @@
 	noneCut(t, r)
 	refusedOnlyByStops(t, r)
 	late := c.EngineAgents()[0]
-	c.Configure(late, harness.Settings{"link": {"key": former}})
+	c.OverrideSettings(late, harness.Settings{"link": {"key": former}})
 	late.Kill()
 	late.Restart()
 	c.WaitReady(late) // It has read the log; that makes it no member.
--- a/test/subset_stop_test.go
+++ b/test/subset_stop_test.go
@@ -25,7 +25,7 @@
 	long(t)
 	t.Parallel()
 	c := start(t, fewLinks(3, 1))
-	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, Keep: true, Seed: 31})
+	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, KeepAlive: true, Seed: 31})
 	time.Sleep(time.Second)
 	agent := c.EngineAgents()[0]
 	stops(t, agent)
@@ -48,7 +48,7 @@
 	long(t)
 	t.Parallel()
 	c := start(t, fewLinks(4, 2))
-	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, Keep: true, Seed: 32})
+	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, KeepAlive: true, Seed: 32})
 	time.Sleep(time.Second)
 	for _, agent := range c.EngineAgents()[:2] {
 		stops(t, agent)
@@ -64,7 +64,7 @@
 	long(t)
 	t.Parallel()
 	c := start(t, fewLinks(3, 1))
-	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, Keep: true, Seed: 34})
+	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, KeepAlive: true, Seed: 34})
 	time.Sleep(time.Second)
 	c.MarkOut(c.EngineAgents()[0].Domain)
 	time.Sleep(2 * time.Second)
@@ -81,7 +81,7 @@
 		t.Run(strconv.Itoa(linked)+" linked", func(t *testing.T) {
 			t.Parallel()
 			c := start(t, fewLinks(1, linked))
-			load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, Keep: true, Seed: 35})
+			load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, KeepAlive: true, Seed: 35})
 			time.Sleep(time.Second)
 			agent := c.EngineAgents()[0]
 			stops(t, agent)
@@ -94,7 +94,7 @@
 			noneCut(t, r)
 			for name, n := range r.Refusals {
 				if name != "NO_BACKEND" {
-					t.Errorf("%d refused as %s: %q", n, name, r.Samples)
+					t.Errorf("%d refused as %s: %q", n, name, r.RefusalSamples)
 				}
 			}
 			if r.Refusals["NO_BACKEND"] == 0 || r.Whole == before {
@@ -112,7 +112,7 @@
 	long(t)
 	t.Parallel()
 	c := start(t, fewLinks(3, 1))
-	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, Keep: true, Seed: 33})
+	load := c.StartLoad(harness.LoadSpec{Callers: 100, Tokens: 20, KeepAlive: true, Seed: 33})
 	time.Sleep(1300 * time.Millisecond)
 	c.EngineAgents()[0].Kill()
 	time.Sleep(3 * time.Second)
@@ -121,7 +121,7 @@
 	t.Logf("%d whole, slowest %s, refusals %v", r.Whole, r.Slowest.Round(time.Millisecond), r.Refusals)
 	broken := r.Refusals["ANSWER_BROKEN"]
 	if len(r.Refusals) > 1 || len(r.Cut) > broken || len(r.Failed) > 0 {
-		t.Errorf("refusals %v at %q, %d cut, %d never answered", r.Refusals, r.Samples, len(r.Cut), len(r.Failed))
+		t.Errorf("refusals %v at %q, %d cut, %d never answered", r.Refusals, r.RefusalSamples, len(r.Cut), len(r.Failed))
 	}
 	if broken == 0 {
 		t.Error("no answer was under way at the agent: the test shows nothing")
--- a/test/subset_test.go
+++ b/test/subset_test.go
@@ -51,7 +51,7 @@
 	if len(own) != 2 {
 		t.Fatalf("%s is linked to %q, want two agents", near.VM, own)
 	}
-	ticket, err := caller.TakeTicket(t.Context(), near.Public, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), near.Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if n := runs(c)["far"]; n != 1 {
 		t.Errorf("the push ran %d times, want once", n)
 	}
-	unused, err := caller.TakeTicket(t.Context(), near.Public, harness.Service)
+	unused, err := caller.RequestTicket(t.Context(), near.Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 // pressAll takes a ticket through one entry and presses it through all at once, most of
 // them not linked to its agent. It returns one outcome for each press.
 func pressAll(ctx context.Context, caller *harness.Caller, addresses []string, call string) []harness.Outcome {
-	ticket, err := caller.TakeTicket(ctx, addresses[0], harness.Service)
+	ticket, err := caller.RequestTicket(ctx, addresses[0], harness.Service)
 	if err != nil {
 		return nil
 	}
@@ -97,14 +97,14 @@
 	var presses sync.WaitGroup
 	for i, address := range addresses {
 		presses.Go(func() {
-			press := harness.Press{Begin: time.Now()}
+			press := harness.PushAttempt{Begin: time.Now()}
 			reply, err := caller.Push(ctx, address, ticket.Ticket, call)
 			press.End = time.Now()
-			out := harness.Outcome{Call: call, Ticket: ticket.Ticket, Ran: harness.RanUnknown, Code: reply.Code, Last: reply.Name}
+			out := harness.Outcome{Call: call, Ticket: ticket.Ticket, Ran: harness.RanUnknown, Code: reply.Code, LastMessage: reply.Name}
 			if err == nil {
 				press.Ran, out.Ran = reply.Ran, reply.Ran
 			}
-			out.Presses = []harness.Press{press}
+			out.Attempts = []harness.PushAttempt{press}
 			outcomes[i] = out
 		})
 	}
@@ -122,7 +122,7 @@
 	const seed = 21
 	c := start(t, harness.Spec{Entries: 3, Services: 6, Entry: subsets, Agent: subsets})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 40})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 40})
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var mu sync.Mutex
--- a/test/truth_test.go
+++ b/test/truth_test.go
@@ -17,7 +17,7 @@
 	c := start(t, harness.Spec{Entries: 3, Services: 1})
 	caller := harness.NewCaller(harness.Key)
 	agent := c.ServiceAgents()[0]
-	ticket, err := caller.TakeTicket(t.Context(), c.Entries[0].Public, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), c.Entries[0].Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
