--- a/test/fakeplatform/caller.go
+++ b/test/fakeplatform/caller.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// CallerKey is the key of team north.
+// CallerKey is the API key of team north.
 const CallerKey = "key-1"
 
-// Send sends a request to the entry with an IP, and returns the status once the whole answer is
-// there; zero for none.
+// Send sends a request to the entry at ip and returns the HTTP status after reading the whole
+// response, or 0 if there is no whole response.
 func Send(client *http.Client, ip, path, id string) int {
 	return SendTo(client, net.JoinHostPort(ip, PortCallers), path, id)
 }
 
-// SendTo sends a request to an address, as Ask does.
+// SendTo is Send for an address with a port.
 func SendTo(client *http.Client, address, path, id string) int {
 	req, err := NewRequest(address, path, id)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return resp.StatusCode
 }
 
-// Resolve asks the entry with an IP where to connect; none when it does not answer.
+// Resolve asks the entry at ip which addresses to connect to. It returns nil if the entry does not
+// answer.
 func Resolve(client *http.Client, ip string) []string {
 	resp, err := client.Get("http://" + net.JoinHostPort(ip, PortDirectory) + "/apricothub/resolve?name=h.example")
 	if err != nil {
@@ -50,7 +51,7 @@
 	return answer.Addresses
 }
 
-// NewRequest makes a request of team north to an address.
+// NewRequest returns a POST request of team north to an address.
 func NewRequest(address, path, id string) (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("x"))
 	if err != nil {
@@ -63,7 +64,7 @@
 	return req, nil
 }
 
-// IsReady says whether the entry at an address takes new connections.
+// IsReady reports whether the readiness endpoint of the entry at ip returns 200.
 func IsReady(ip string) bool {
 	resp, err := http.Get("http://" + net.JoinHostPort(ip, PortReadiness) + "/apricothub/readyz")
 	if err != nil {
--- a/test/fakeplatform/group.go
+++ b/test/fakeplatform/group.go
@@ -14,59 +14,62 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// PortEngine is where an engine takes requests, orders and questions, on its own IP.
+// PortEngine is the port of every engine, for requests, orders and queries. Each engine has its
+// own IP.
 const PortEngine = "9000"
 
 const (
-	// passInterval is the time between two passes of a group that nobody holds.
+	// passInterval is the time between two passes of a group that no rank holds.
 	passInterval = 5 * time.Millisecond
-	// copyTime is how long a rank takes to copy what a version adds.
+	// copyTime is how long a rank takes to copy the experts that a map version adds.
 	copyTime = 40 * time.Millisecond
 )
 
-// GroupShape says what a group of engines is like.
+// GroupShape is the size of a group of engines and of its expert maps.
 type GroupShape struct {
-	// Ranks hold Experts on Places each; a version may add Spare experts to a rank.
+	// Ranks is the number of ranks, which together hold Experts experts, up to Places on each.
+	// A map version may add up to Spare experts to a rank.
 	Ranks, Experts, Places, Spare int
-	// PopularityShiftPasses is the number of passes after which another expert is the popular one; zero for
-	// never.
+	// PopularityShiftPasses is the number of passes after which the next expert becomes the
+	// popular one; 0 for never.
 	PopularityShiftPasses int64
 }
 
-// OrderFaults is what may come of an order, each as a part of all orders.
+// OrderFaults sets which fractions of all orders are affected by which fault.
 type OrderFaults struct {
-	// LostAnswers answers are not given, though the order is carried out. Delayed orders are carried
-	// out up to Latest later, and not answered.
+	// LostAnswers is the fraction of orders that are carried out but not answered. Delayed is the
+	// fraction carried out up to MaxDelay later and not answered.
 	LostAnswers, Delayed float64
 	MaxDelay             time.Duration
 }
 
-// Group is a lock-step group of engines on sockets, each at an IP of its own. It begins a pass
-// each few ms, and notes each one that begins with two maps or lacks an expert.
+// Group is a lock-step group of fake engines, each listening on its own IP. It begins a pass every
+// passInterval and records a fault for each pass that begins with two maps or lacks an expert.
 type Group struct {
 	Shape GroupShape
-	// EngineAddresses are their addresses, by rank.
+	// EngineAddresses are the addresses of the engines, by rank.
 	EngineAddresses []string
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	ranks []*rank
-	// step is the last pass begun in this epoch, passes their number in all.
+	// step is the last pass begun in this epoch; passes counts the passes of all epochs.
 	epoch, step, passes int64
 	crashed             bool
 	orderFaults         OrderFaults
-	// usedVersions are the versions in use so far in any epoch, orders those carried out by kind.
+	// usedVersions are the map versions used in any epoch; orderCounts counts the orders carried
+	// out, by kind.
 	usedVersions map[int64]bool
 	orderCounts  map[string]int
 	faults       []string
-	// paused are the ranks whose VM stands still; woken is signalled when one is back.
+	// paused tells which ranks' VMs are paused; resumed is signalled when one resumes.
 	paused  []bool
 	resumed *sync.Cond
 	runs    []Run
 	stopped atomic.Bool
 }
 
-// NewGroup starts a group that stops with the test.
+// NewGroup starts a group that stops at the end of the test.
 func NewGroup(report harness.Reporter, shape GroupShape, seed uint64) *Group {
 	report.Helper()
 	g := &Group{
@@ -99,7 +102,7 @@
 	return g
 }
 
-// initialMap gives the experts to the ranks in turn.
+// initialMap assigns the experts to the ranks round robin.
 func (g *Group) initialMap() expertMap {
 	m := make(expertMap, g.Shape.Ranks)
 	for e := range g.Shape.Experts {
@@ -113,7 +116,7 @@
 	address := net.JoinHostPort(NewLoopbackIP(), PortEngine)
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		report.Fatalf("engine: %v", err)
+		report.Fatalf("listen for an engine: %v", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /apricothub/report", func(w http.ResponseWriter, _ *http.Request) { g.serveReport(w, index) })
@@ -164,7 +167,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"step": g.step, "epoch": g.epoch, "counts": r.counts})
 }
 
-// serveOrder carries an order out: now, now without an answer, or late without one.
+// serveOrder carries an order out: at once, at once without an answer, or delayed without an
+// answer.
 func (g *Group) serveOrder(w http.ResponseWriter, req *http.Request, index int) {
 	var order Order
 	if err := json.NewDecoder(req.Body).Decode(&order); err != nil {
@@ -192,16 +196,16 @@
 	w.WriteHeader(status)
 }
 
-// SetOrderFaults sets what may come of orders from now on.
+// SetOrderFaults sets the faults of all further orders.
 func (g *Group) SetOrderFaults(faults OrderFaults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.orderFaults = faults
 }
 
-// Crash ends one rank, and with it the group's work, until it has formed again in a new epoch:
-// with its first map, and nothing prepared, armed or held. The rank that ended has forgotten
-// which fencing numbers it saw.
+// Crash crashes one rank, which stops the whole group for formingTime. The group then forms anew in
+// a new epoch, with its initial map and nothing prepared, armed or held. The crashed rank has lost
+// its fence and its token counts.
 func (g *Group) Crash(index int, formingTime time.Duration) {
 	g.mu.Lock()
 	g.crashed = true
@@ -222,8 +226,8 @@
 	}
 }
 
-// Hold has a rank hold the group some passes ahead, as an order of a coordinator that is gone
-// did. It returns the pass.
+// Hold makes a rank hold the group at the pass that is ahead passes from now, like a leftover order
+// of a coordinator that no longer runs. It returns the number of that pass.
 func (g *Group) Hold(index int, ahead int64) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -232,22 +236,22 @@
 	return step
 }
 
-// GroupState is how a group stands.
+// GroupState is a snapshot of a group.
 type GroupState struct {
-	// Passes begun so far in all epochs, and the last one of this epoch.
+	// Passes counts the passes begun in all epochs; Step is the last pass of this epoch.
 	Passes, Step int64
-	// Version is in use; Versions is the number of versions that were.
+	// Version is the map version in use; Versions counts the versions used so far.
 	Version  int64
 	Versions int
-	// Replicas is the number of ranks that hold the expert that was popular at the start.
+	// Replicas is the number of ranks that hold the expert that is popular at the start.
 	Replicas int
-	// Orders are those carried out, by kind.
+	// Orders counts the orders carried out, by kind.
 	Orders map[string]int
-	// Faults are the passes that began with two maps, or without an expert.
+	// Faults describes the passes that began with two maps or without an expert.
 	Faults []string
 }
 
-// State returns how the group stands.
+// State returns a snapshot of the group.
 func (g *Group) State() GroupState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -267,7 +271,8 @@
 	return s
 }
 
-// EngineService is the service of a group's engines, as the configuration says it.
+// EngineService returns the configuration of a service whose backend servers are the group's
+// engines.
 func (g *Group) EngineService(name string) Service {
 	return Service{Name: name, HealthPath: "/healthz", Engine: &EngineShape{
 		Concurrency: 12, Sets: 1, Experts: g.Shape.Experts, Places: g.Shape.Places, Spare: g.Shape.Spare,
@@ -280,7 +285,7 @@
 	s.RegisterEngines(g.EngineAddresses, service, domains)
 }
 
-// RegisterEngines registers engines, by rank, at addresses under a service.
+// RegisterEngines registers engines under a service; addresses are in order of rank.
 func (s *Store) RegisterEngines(addresses []string, service string, domains []string) {
 	for index, address := range addresses {
 		s.registerAs(service, fmt.Sprintf("e-%d", index), address, Registration{FailureDomain: domains[index%len(domains)], Concurrency: 12}, "ready")
--- a/test/fakeplatform/rank.go
+++ b/test/fakeplatform/rank.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// rank is one engine of a group. It does as it is ordered, and compares nothing with others.
-// The group's lock guards it.
+// rank is one engine of a group. It carries out orders without checking them against the other
+// ranks. Guarded by the group's lock.
 type rank struct {
-	// version is the map in use, prepared the one whose copy is complete, copying the one
-	// whose copy is complete at copied; highestVersion is the highest that it has had.
+	// version is the map version in use, prepared the one whose copy is complete, and copying the
+	// one whose copy completes at copyDoneAt. highestVersion is the highest version ever prepared
+	// in this epoch.
 	version, prepared, copying, highestVersion int64
 	copyDoneAt                                 time.Time
-	// maps are the whole maps by version, of all ranks and with this rank's own experts.
+	// maps are the maps of all ranks, by version.
 	maps map[int64]expertMap
-	// armed is the version to change to and the pass to do it with, held the pass that does
-	// not begin.
+	// armed is the version to change to and the pass to change at; held is the pass that must not
+	// begin.
 	armed *armed
 	held  *int64
-	// fence is the highest that it has seen.
+	// fence is the highest fence seen; orders with a lower one are refused.
 	fence int64
-	// counts are how often requests chose each expert; born is when the engine started.
+	// counts are the tokens routed to each expert; incarnation counts the starts of the engine.
 	counts      []int64
 	incarnation int64
 }
@@ -32,24 +33,24 @@
 	Step    int64 `json:"step"`
 }
 
-// expertMap is the experts of each rank; all layers are one set.
+// expertMap holds the experts of each rank. All layers form one layer set.
 type expertMap [][]int32
 
-// Order is an order as an engine gets it.
+// Order is an order as an engine receives it.
 type Order struct {
 	Op                          string
 	Version, Step, Epoch, Fence int64
 	Map                         []expertMap
 }
 
-// reset is what a new epoch does to a rank.
+// reset returns a rank to the initial map at the start of a new epoch.
 func (r *rank) reset(initial expertMap) {
 	r.version, r.prepared, r.copying, r.highestVersion = 0, 0, 0, 0
 	r.maps = map[int64]expertMap{0: initial}
 	r.armed, r.held = nil, nil
 }
 
-// carryOut carries an order out and returns the status of the answer.
+// carryOut carries an order out and returns the HTTP status of the answer.
 func (g *Group) carryOut(index int, o Order) int {
 	r := g.ranks[index]
 	if o.Fence < r.fence {
@@ -95,7 +96,7 @@
 	return true
 }
 
-// completeCopy completes a copy whose time has come.
+// completeCopy marks the version being copied as prepared once copyDoneAt has passed.
 func (r *rank) completeCopy() {
 	if r.copying != 0 && !time.Now().Before(r.copyDoneAt) {
 		r.prepared, r.copying = r.copying, 0
@@ -146,7 +147,8 @@
 	return true
 }
 
-// beginPass begins the next pass, unless a rank holds the group, and notes two maps in it.
+// beginPass begins the next pass unless a rank holds the group. It records a fault if two ranks use
+// different maps or if no rank holds some expert.
 func (g *Group) beginPass() {
 	for _, r := range g.ranks {
 		r.completeCopy()
@@ -171,7 +173,8 @@
 	}
 }
 
-// countTokens counts what the requests of one pass choose: half of all tokens go to one expert.
+// countTokens adds the tokens of one pass: each expert gets baseTokens, and the popular one
+// popularTokens more, about half of all tokens in a group of 16 experts.
 func (g *Group) countTokens(r *rank) {
 	const baseTokens, popularTokens = 10, 150
 	for e := range r.counts {
@@ -180,7 +183,7 @@
 	r.counts[g.popularExpert()] += popularTokens
 }
 
-// popularExpert is the expert that gets half of all tokens.
+// popularExpert returns the expert that currently gets about half of all tokens.
 func (g *Group) popularExpert() int64 {
 	const popularAtStart = 5
 	if g.Shape.PopularityShiftPasses == 0 {
@@ -189,7 +192,7 @@
 	return (popularAtStart + g.passes/g.Shape.PopularityShiftPasses) % int64(g.Shape.Experts)
 }
 
-// countHeldExperts is the number of experts that some rank holds.
+// countHeldExperts returns the number of experts held by at least one rank.
 func (g *Group) countHeldExperts() int {
 	experts := make(map[int32]bool)
 	for index, r := range g.ranks {
--- a/test/fakeplatform/server.go
+++ b/test/fakeplatform/server.go
@@ -12,20 +12,20 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// ReceivedRequest is one request as a backend server got it.
+// ReceivedRequest is a request as a backend server received it.
 type ReceivedRequest struct {
 	Request *http.Request
 	Body    string
-	// FirstOnConn says that it is the first one on its connection.
+	// FirstOnConn is true for the first request on a connection.
 	FirstOnConn bool
 }
 
-// Server is a backend server on a socket of its own: answer writes what it likes, and
-// returns whether the connection stays.
+// Server is a fake backend server. Its handler writes raw bytes to the connection, so that a test
+// can send broken responses.
 type Server struct {
 	registration Registration
 	listener     net.Listener
-	// address is the registered one.
+	// address is the registered address, which may differ from the listener's.
 	address  string
 	handler  Handler
 	mu       sync.Mutex
@@ -33,26 +33,27 @@
 	conns    []net.Conn
 }
 
-// Handler answers one request, and returns whether the connection stays.
+// Handler answers one request and returns whether the connection stays open.
 type Handler func(s ReceivedRequest, conn net.Conn) bool
 
-// Registration says what a backend server registers itself as.
+// Registration is what a backend server registers about itself.
 type Registration struct {
 	ID, FailureDomain string
-	// Concurrency is the number of requests that it works on at once.
+	// Concurrency is the number of requests that the server handles at once.
 	Concurrency int
-	// MapAddress makes the address that it registers in place of its own; nil for none.
+	// MapAddress returns the address to register in place of the listener's, such as that of a
+	// forwarder. Nil registers the listener's address.
 	MapAddress func(address string) string
-	// DiscardRequests says that it keeps no record of its requests, for long runs.
+	// DiscardRequests keeps no record of the requests, to save memory in long runs.
 	DiscardRequests bool
 }
 
-// Serve starts a backend server of service app in failure domain a, and registers it.
+// Serve starts a backend server of service app in failure domain a and registers it.
 func (s *Store) Serve(report harness.Reporter, id string, handler Handler) *Server {
 	return s.ServeAt(report, Registration{ID: id, FailureDomain: "a", Concurrency: 4}, handler)
 }
 
-// ServeAt starts a backend server of service app, and registers it.
+// ServeAt starts a backend server of service app and registers it.
 func (s *Store) ServeAt(report harness.Reporter, registration Registration, handler Handler) *Server {
 	report.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +78,7 @@
 	return f
 }
 
-// Register registers a backend server anew, in a state such as ready or draining.
+// Register registers a backend server again, in a state such as ready or draining.
 func (s *Store) Register(f *Server, state string) {
 	s.registerAs("app", f.registration.ID, f.address, f.registration, state)
 }
@@ -120,8 +121,8 @@
 	f.requests = append(f.requests, s)
 }
 
-// Kill ends the server as a crash does: it takes no connection more, and those that stand
-// break off. Its registration stays.
+// Kill stops the server like a crash: it closes the listener and all connections, and the
+// registration stays.
 func (f *Server) Kill() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -131,50 +132,51 @@
 	}
 }
 
-// ID is the name under which the server is registered.
+// ID returns the name under which the server is registered.
 func (f *Server) ID() string { return f.registration.ID }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (f *Server) Address() string { return f.listener.Addr().String() }
 
-// Requests returns the requests so far.
+// Requests returns the requests received so far.
 func (f *Server) Requests() []ReceivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]ReceivedRequest(nil), f.requests...)
 }
 
-// Refuse answers that the request has not run and will not.
+// Refuse is a Handler that answers 503 with Not-Executed: the request has not run and will not.
 func Refuse(s ReceivedRequest, conn net.Conn) bool {
 	_, err := io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: "+s.ID()+
 		"\r\nNot-Executed: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-// ID is the id of the caller's attempt, ResumeAfter that of the last event that it has of a
-// stream.
-func (s ReceivedRequest) ID() string          { return s.Request.Header.Get("Attempt-Id") }
+// ID returns the id of the caller's attempt.
+func (s ReceivedRequest) ID() string { return s.Request.Header.Get("Attempt-Id") }
+
+// ResumeAfter returns the id of the last event of a stream that the caller has received.
 func (s ReceivedRequest) ResumeAfter() string { return s.Request.Header.Get("Last-Event-Id") }
 
-// WholeResponse is an answer with a body and the server's signature.
+// WholeResponse returns a complete HTTP response with a body and the server's signature.
 func WholeResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nUpstream-Signature: sig\r\nContent-Type: text/plain\r\nKeep-Alive: timeout=30\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// Echo answers with the request's id.
+// Echo is a Handler that answers with the id of the request.
 func Echo(s ReceivedRequest, conn net.Conn) bool {
 	_, _ = io.WriteString(conn, WholeResponse(s.ID(), "answer to "+s.ID()))
 	return true
 }
 
-// StreamHead begins a stream in chunks.
+// StreamHead returns the status line and headers of a chunked event stream.
 func StreamHead(s ReceivedRequest) string {
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.Request.Header.Get("Attempt-Id") +
 		"\r\nUpstream-Signature: sig\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// Chunk is one chunk of a stream.
+// Chunk returns text as one HTTP chunk.
 func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// Event is one event of a stream.
+// Event returns one server-sent event.
 func Event(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
--- a/test/fakeplatform/settings.go
+++ b/test/fakeplatform/settings.go
@@ -11,29 +11,29 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Loopback addresses that are given out: their second number from firstSecondOctet on, one of secondOctets,
-// their third and fourth from 1 on.
+// Range of the loopback addresses that NewLoopbackIP returns: 127.x.y.z with x in
+// [firstSecondOctet, firstSecondOctet+secondOctets) and y, z in [1, hostsPerOctet].
 const (
 	firstSecondOctet = 64
 	secondOctets     = 190
 	hostsPerOctet    = 250
 )
 
-// assignedIPs counts the addresses that this process has given out.
+// assignedIPs counts the addresses that NewLoopbackIP has returned in this process.
 var assignedIPs atomic.Int32
 
-// NewLoopbackIP returns a loopback address that was not given out before, so that each process of a
-// test has one of its own.
+// NewLoopbackIP returns a loopback address that it has not returned before, so that each process of
+// a test has its own.
 //
-// Its net is that of this process by its id. Two runs of tests on one machine, as of two
-// checkouts, would otherwise take the same addresses; the entries of one then do not start,
-// and its callers talk to those of the other.
+// The second and third octets depend on the process id. Otherwise two test runs on one machine, for
+// example of two checkouts, would use the same addresses: the entries of one run would fail to
+// start, and its callers would talk to the entries of the other.
 func NewLoopbackIP() string {
 	pid, n := os.Getpid(), int(assignedIPs.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", firstSecondOctet+pid%secondOctets, 1+(pid/secondOctets+n/hostsPerOctet)%hostsPerOctet, 1+n%hostsPerOctet)
 }
 
-// Ports of the processes, the same on each address.
+// Ports of the processes, the same on every address.
 const (
 	PortCallers   = "8001"
 	PortReadiness = "8002"
@@ -42,7 +42,7 @@
 	PortPeers     = 7340
 )
 
-// Entry is what the settings of an entry say.
+// Entry holds the settings of an entry.
 type Entry struct {
 	VM, IP, FailureDomain string
 	// Store is the address of the platform's store.
@@ -51,22 +51,22 @@
 	Seeds []string
 }
 
-// RankAgent is what the settings of the process beside an engine say.
+// RankAgent holds the settings of a rank agent.
 type RankAgent struct {
 	VM, FailureDomain string
-	// Engine is the engine's address, whose IP is the VM's.
+	// Engine is the address of the engine; its IP is also the VM's.
 	Engine string
 	// Store is the address of the platform's store.
 	Store string
 }
 
-// WriteSettings writes the settings file of a rank agent, and returns the environment variable
-// that names it to the process.
+// WriteSettings writes the settings file of a rank agent and returns the environment variable
+// (NAME=value) that points the process to it.
 func (a RankAgent) WriteSettings(report harness.Reporter, dir string) string {
 	report.Helper()
 	ip, _, err := net.SplitHostPort(a.Engine)
 	if err != nil {
-		report.Fatalf("settings: %v", err)
+		report.Fatalf("address of the engine: %v", err)
 	}
 	return writeSettings(report, dir, a.VM, fmt.Sprintf(`node-name=%s
 ip=%s
@@ -77,8 +77,8 @@
 `, a.VM, ip, a.FailureDomain, PortPeers, a.Store, a.Engine))
 }
 
-// WriteSettings writes the settings file of an entry, and returns the environment variable
-// that names it to the process.
+// WriteSettings writes the settings file of an entry and returns the environment variable
+// (NAME=value) that points the process to it.
 func (e Entry) WriteSettings(report harness.Reporter, dir string) string {
 	report.Helper()
 	return writeSettings(report, dir, e.VM, e.settings())
@@ -88,7 +88,7 @@
 	report.Helper()
 	path := filepath.Join(dir, vm+".settings")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		report.Fatalf("settings: %v", err)
+		report.Fatalf("write settings: %v", err)
 	}
 	return "APRICOTHUB_CONFIG=" + path
 }
--- a/test/fakeplatform/store.go
+++ b/test/fakeplatform/store.go
@@ -1,5 +1,5 @@
-// Package fakeplatform stands in for the users' platform in tests: its store, and backend
-// servers that answer as a test says.
+// Package fakeplatform is a fake of the users' platform for tests: its store, backend servers with
+// handlers that a test supplies, and lock-step groups of engines.
 package fakeplatform
 
 import (
@@ -20,16 +20,17 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Store is the platform's store, as far as an entry uses it: a log for each keyed topic.
+// Store is a fake of the platform's store, as far as entries use it: one log of key-value records
+// per topic.
 type Store struct {
 	*httptest.Server
 	mu     sync.Mutex
 	topics map[string][][2]string
-	// firstOffsets are the offsets from which on topics keep their records for readers.
+	// firstOffsets are the lowest offsets still readable, by topic.
 	firstOffsets map[string]int
 }
 
-// NewStore starts a store that stops with the test.
+// NewStore starts a store that stops at the end of the test.
 func NewStore(report harness.Reporter) *Store {
 	s := &Store{topics: make(map[string][][2]string), firstOffsets: make(map[string]int)}
 	s.Server = httptest.NewServer(s.handler(func() bool { return false }))
@@ -37,7 +38,8 @@
 	return s
 }
 
-// handler serves the store's calls; shut ends reads that wait.
+// handler serves the store's HTTP calls. Reads that wait for records end with 503 once
+// isUnavailable returns true.
 func (s *Store) handler(isUnavailable func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /apricothub/log-read", func(w http.ResponseWriter, r *http.Request) { s.read(w, r, isUnavailable) })
@@ -46,17 +48,17 @@
 	return mux
 }
 
-// Endpoint is another address of the store. It counts the calls, and turns callers away while it
-// is shut.
+// Endpoint is a further address of the store, for one process. It counts the calls and answers 503
+// while Unavailable is set.
 type Endpoint struct {
 	Address     string
 	Unavailable atomic.Bool
 	Calls       atomic.Int64
-	// InFlight are the calls under way.
+	// InFlight counts the calls in flight.
 	InFlight atomic.Int64
 }
 
-// NewEndpoint opens another address of the store.
+// NewEndpoint starts a further address of the store.
 func (s *Store) NewEndpoint(report harness.Reporter) *Endpoint {
 	e := &Endpoint{}
 	handler := s.handler(e.Unavailable.Load)
@@ -75,15 +77,15 @@
 	return e
 }
 
-// Put appends a record; an empty value takes its key away.
+// Put appends a record; an empty value deletes the key.
 func (s *Store) Put(topic, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics[topic] = append(s.topics[topic], [2]string{key, value})
 }
 
-// Truncate drops the history of all topics: a reader that is behind must read the newest record of
-// each key anew.
+// Truncate drops the history of all topics. A reader that is behind gets 410 Gone and must read the
+// newest record of each key instead.
 func (s *Store) Truncate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,10 +156,10 @@
 	_, _ = fmt.Fprintf(w, `{"offset":%d,"end":%d}`, len(s.topics[topic])-1, len(s.topics[topic]))
 }
 
-// Address is where the store listens.
+// Address returns the address that the store listens on.
 func (s *Store) Address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Route is one route of the configuration that tests write.
+// Route is a route in a published configuration.
 type Route struct {
 	Name     string  `json:"name"`
 	Host     string  `json:"host"`
@@ -169,7 +171,7 @@
 	Service  string  `json:"service"`
 }
 
-// Routes are one route of each kind, and one with a short timeout.
+// Routes returns one route of each kind, and one with a short timeout.
 func Routes() []Route {
 	return []Route{
 		{"push", "h.example", "/push/", "non_idempotent", 5000, 3, false, "app"},
@@ -180,19 +182,19 @@
 	}
 }
 
-// Service is one service of the configuration that tests write.
+// Service is a service in a published configuration.
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"health-path"`
-	// ColdPerS is the number of requests a second that a cold backend server bears, ColdStartS
-	// how long it stays cold.
+	// ColdPerS is the number of requests per second that a cold backend server can handle;
+	// ColdStartS is how many seconds it stays cold.
 	ColdPerS   float64 `json:"cold-per-s,omitempty"`
 	ColdStartS float64 `json:"cold-start-s,omitempty"`
-	// Engine is what its engines are like; nil for a service without.
+	// Engine describes the engines of the service; nil if it has none.
 	Engine *EngineShape `json:"engine,omitempty"`
 }
 
-// EngineShape is what the configuration says of the engines of a service.
+// EngineShape is the part of a published configuration that describes the engines of a service.
 type EngineShape struct {
 	Concurrency   int     `json:"concurrency"`
 	Sets          int     `json:"sets"`
--- a/test/fakeplatform/stream.go
+++ b/test/fakeplatform/stream.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// engineEvents is the number of events of a whole stream of an engine, eventEach the time
-	// between two.
+	// engineEvents is the number of events in a whole stream of an engine; eventInterval is the
+	// time between two events.
 	engineEvents  = 20
 	eventInterval = 20 * time.Millisecond
 )
 
-// Run is one request that an engine began to work on.
+// Run is a request that an engine has started.
 type Run struct {
 	Request   string
 	Rank      int
 	StartedAt time.Time
 }
 
-// EngineEvent is one event of an engine's stream for a path.
+// EngineEvent returns event n of an engine's stream for a path.
 func EngineEvent(path string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: part %d for %s\n\n", n, n, path)
 }
 
-// EngineStream is the whole stream of an engine for a path.
+// EngineStream returns the whole stream of an engine for a path.
 func EngineStream(path string) string {
 	text := ""
 	for n := range engineEvents {
@@ -37,12 +37,12 @@
 	return text
 }
 
-// PauseVM has the VM of a rank stand still until Wake: its engine takes connections and requests
-// in, as its kernel does, and neither works nor answers.
+// PauseVM pauses the VM of a rank until ResumeVM. Its engine still accepts connections and
+// requests, as the kernel does for a paused process, but neither runs nor answers them.
 func (g *Group) PauseVM(index int) { g.setPaused(index, true) }
 
-// ResumeVM ends Sleep. The engine begins the requests that it had taken in, also those whose
-// connections have ended meanwhile.
+// ResumeVM ends PauseVM. The engine starts the requests that arrived meanwhile, including those
+// whose connections have closed since.
 func (g *Group) ResumeVM(index int) { g.setPaused(index, false) }
 
 func (g *Group) setPaused(index int, paused bool) {
@@ -52,7 +52,7 @@
 	g.resumed.Broadcast()
 }
 
-// waitResumed waits until the VM of a rank does not stand still.
+// waitResumed blocks while the VM of a rank is paused.
 func (g *Group) waitResumed(index int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,14 +61,14 @@
 	}
 }
 
-// isRunning says that the group works on since an epoch.
+// isRunning reports whether the group has run without a crash since an epoch began.
 func (g *Group) isRunning(epoch int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.epoch == epoch && !g.crashed
 }
 
-// Runs are the requests that engines began to work on.
+// Runs returns the requests that engines have started, in order.
 func (g *Group) Runs() []Run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
