--- a/test/harness/forwarder.go
+++ b/test/harness/forwarder.go
@@ -18,15 +18,15 @@
 type Forwarder struct {
 	Address string
 
-	listener   net.Listener
-	target     string
-	delay      atomic.Int64
-	mu         sync.Mutex
-	refuseNew  bool
-	silenceNew bool
-	muteNew    bool
-	closed     bool
-	conns      map[*forwardedConn]bool
+	listener      net.Listener
+	targetAddress string
+	delay         atomic.Int64
+	mu            sync.Mutex
+	refuseNew     bool
+	silenceNew    bool
+	muteNew       bool
+	closed        bool
+	conns         map[*forwardedConn]bool
 }
 
 // forwardedConn is one connection with its two sides.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	f := &Forwarder{Address: listener.Addr().String(), listener: listener, target: target, conns: map[*forwardedConn]bool{}}
+	f := &Forwarder{Address: listener.Addr().String(), listener: listener, targetAddress: target, conns: map[*forwardedConn]bool{}}
 	go f.accept()
 	return f, nil
 }
@@ -139,7 +139,7 @@
 }
 
 func (f *Forwarder) serve(client net.Conn) {
-	target, err := net.Dial("tcp", f.target)
+	target, err := net.Dial("tcp", f.targetAddress)
 	if err != nil {
 		_ = client.Close()
 		return
