--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -14,20 +14,20 @@
 	"github.com/go-faster/errors"
 )
 
-// What an answer says about whether its request ran.
+// Values of Reply.Ran: whether the request ran, as the answer states it.
 const (
 	RanYes     = "yes"
 	RanNo      = "no"
 	RanUnknown = "unknown"
 )
 
-// Reply is a whole answer to a caller.
+// Reply is a complete answer to a caller.
 type Reply struct {
 	Status int
-	// Code and Name are those of Apricothub-Result.
+	// Code and Name are those of the Apricothub-Result header; 0 and "" without one.
 	Code int
 	Name string
-	// Ran is what the answer says; an answer of the backend server says "yes".
+	// Ran is the value stated in a refusal, or RanYes for an answer of the backend server.
 	Ran        string
 	Message    string
 	RetryAfter time.Duration
@@ -35,7 +35,7 @@
 	Body       []byte
 }
 
-// refusal is the body of an answer that apricothub itself makes.
+// refusal is the JSON body of an answer that apricothub itself generates.
 type refusal struct {
 	Error struct {
 		Code         int    `json:"code"`
@@ -46,22 +46,22 @@
 	} `json:"error"`
 }
 
-// Caller is a customer's program. It never sends a request twice by itself.
+// Caller is a customer's client. It never retries a request by itself.
 type Caller struct {
 	Key    string
 	client *http.Client
 }
 
-// callTimeout bounds one request of a caller.
+// callTimeout limits one request of a caller.
 const callTimeout = 60 * time.Second
 
-// NewCaller returns a caller that opens a connection for each request, so that
-// nothing below it can send a request again.
+// NewCaller returns a caller that opens a connection for each request, so that the HTTP transport
+// cannot retry a request.
 func NewCaller(key string) *Caller {
 	return newCaller(key, &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext})
 }
 
-// NewKeepAliveCaller returns a caller that keeps its connections, as most do.
+// NewKeepAliveCaller returns a caller that reuses its connections, like most HTTP clients.
 func NewKeepAliveCaller(key string) *Caller {
 	return newCaller(key, &http.Transport{MaxIdleConnsPerHost: 1000})
 }
@@ -74,7 +74,7 @@
 	}}
 }
 
-// Request is one request of a caller.
+// Request is a request of a caller.
 type Request struct {
 	Method string
 	Path   string
@@ -82,13 +82,13 @@
 	Body   string
 }
 
-// Send sends a request to an address and returns the open answer.
+// Send sends a request to an address and returns the response with its body unread.
 func (c *Caller) Send(ctx context.Context, address string, r Request) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.Path, strings.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
-	request.GetBody = nil // Nothing can send the body again.
+	request.GetBody = nil // Without GetBody the transport cannot send the body again.
 	if c.Key != "" {
 		request.Header.Set("Authorization", "Bearer "+c.Key)
 	}
@@ -99,8 +99,8 @@
 	return response, wrap(err, "send")
 }
 
-// Do sends a request and reads the whole answer. An error means that no whole
-// answer came.
+// Do sends a request and reads the whole answer. It returns an error if the answer is missing or
+// incomplete.
 func (c *Caller) Do(ctx context.Context, address string, r Request) (Reply, error) {
 	response, err := c.Send(ctx, address, r)
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	var parsed refusal
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return reply, errors.Wrapf(err, "result %d %s without a body that says more: %q", reply.Code, name, body)
+		return reply, errors.Wrapf(err, "result %d %s has a body that is not a refusal: %q", reply.Code, name, body)
 	}
 	reply.Ran = parsed.Error.Ran
 	reply.Message = parsed.Error.Message
@@ -132,7 +132,7 @@
 	return reply, nil
 }
 
-// AddressList is what an entry tells callers about which entries to use.
+// AddressList is an entry's answer about which entries callers should use.
 type AddressList struct {
 	Addresses []struct {
 		Address string  `json:"address"`
@@ -141,7 +141,7 @@
 	KeepMS int64 `json:"keep_ms"`
 }
 
-// Addresses asks an entry which addresses to use.
+// Addresses asks an entry which entries to use.
 func (c *Caller) Addresses(ctx context.Context, address string) (AddressList, error) {
 	var list AddressList
 	reply, err := c.Do(ctx, address, Request{Method: http.MethodGet, Path: "/v1/addresses"})
@@ -154,13 +154,13 @@
 	return list, wrap(json.Unmarshal(reply.Body, &list), "addresses")
 }
 
-// Ticket is the right to one run of a request.
+// Ticket permits one run of a request.
 type Ticket struct {
 	Ticket      string `json:"ticket"`
 	ExpiresInMS int64  `json:"expires_in_ms"`
 }
 
-// RequestTicket asks an entry for a ticket of a service.
+// RequestTicket asks an entry for a ticket for a service.
 func (c *Caller) RequestTicket(ctx context.Context, address, service string) (Ticket, error) {
 	var ticket Ticket
 	body, err := json.Marshal(map[string]string{"service": service})
@@ -177,12 +177,12 @@
 	return ticket, wrap(json.Unmarshal(reply.Body, &ticket), "ticket")
 }
 
-// Push pushes a price under a ticket; call names the push in the ledger.
+// Push sends a price update under a ticket. The service's ledger records it under the name call.
 func (c *Caller) Push(ctx context.Context, address, ticket, call string) (Reply, error) {
 	return c.Do(ctx, address, PushRequest(ticket, call))
 }
 
-// PushRequest is a push of a price, which must not run twice.
+// PushRequest returns a request for a price update, which must not run twice.
 func PushRequest(ticket, call string) Request {
 	r := Request{
 		Method: http.MethodPost,
@@ -196,7 +196,7 @@
 	return r
 }
 
-// LookUp looks a label up, which may be repeated.
+// LookUp looks a label up. The request is repeatable.
 func (c *Caller) LookUp(ctx context.Context, address, label, call string) (Reply, error) {
 	return c.Do(ctx, address, Request{
 		Method: http.MethodGet,
@@ -205,5 +205,5 @@
 	})
 }
 
-// trimmed is data without the white space around it.
+// trimmed returns data without the white space around it.
 func trimmed(data []byte) string { return string(bytes.TrimSpace(data)) }
--- a/test/harness/cluster.go
+++ b/test/harness/cluster.go
@@ -14,63 +14,63 @@
 )
 
 const (
-	// AdminToken is the operators' token of all processes.
+	// AdminToken is the operators' token for all processes.
 	AdminToken = "operator-token-of-the-test"
-	// Key is the key of the customer bluebonnet.
+	// Key is the API key of the customer bluebonnet.
 	Key = "bluebonnet-key"
-	// OtherKey is the key of the customer lakeshore.
+	// OtherKey is the API key of the customer lakeshore.
 	OtherKey = "lakeshore-key"
-	// Model is the model of the engines.
+	// Model is the model that all engines serve.
 	Model = "price-writer"
-	// Service is the plain service.
+	// Service is the service that all plain services offer.
 	Service = "labels"
 
 	linkKey = "link-key-of-the-test"
-	// readyTimeout bounds the wait for a process to serve.
+	// readyTimeout limits the wait for a process to become ready.
 	readyTimeout = 15 * time.Second
 )
 
-// Spec says what a cluster is made of.
+// Spec describes the processes of a cluster.
 type Spec struct {
 	// Bin is the directory of the binaries.
 	Bin string
-	// Dir is where settings and logs go; it must exist.
+	// Dir is an existing directory for settings and logs.
 	Dir string
-	// Domains are the failure domains; VMs are spread over them in turn.
+	// Domains are the failure domains; VMs are assigned to them round robin.
 	Domains []string
 	Entries int
-	// Engines and Services are numbers of backend servers, each with its agent.
+	// Engines and Services are the numbers of backend servers, each with its own agent.
 	Engines  int
 	Services int
-	// EngineFlags are further flags of each engine.
+	// EngineFlags are additional flags of each engine.
 	EngineFlags []string
-	// Entry and Agent are further settings of each process.
+	// Entry and Agent are additional settings of each entry and each agent.
 	Entry Settings
 	Agent Settings
-	// Group, when named, makes one group of all engines, with Ranks on each.
+	// Group, if not empty, is the name of one group of all engines, with Ranks ranks on each.
 	Group string
 	Ranks int
-	// Direct leaves out the forwarders between processes: for measurements, in which
-	// no link is to break and the test process must not stand in the way.
+	// Direct connects processes without forwarders, for measurements: no link is broken, and
+	// traffic must not pass through the test process.
 	Direct bool
-	// EntryEnv holds further variables of the environment of entries.
+	// EntryEnv holds additional environment variables of entries.
 	EntryEnv []string
 }
 
-// Member is an entry or an agent with what belongs to it.
+// Member is an entry or an agent, with its addresses, settings and backend server.
 type Member struct {
 	*Process
 	VM     string
 	Domain string
-	// Link, Admin and Public are its addresses; Public only of an entry.
+	// Link, Admin and Public are the addresses of the process. Only an entry has a Public one.
 	Link   string
 	Admin  string
 	Public string
-	// Offer is what the list of VMs says that an agent's backend server serves.
+	// Offer is the model or service of an agent's backend server in the list of VMs.
 	Offer string
 	// View is the platform as this process sees it.
 	View *View
-	// Backend stands behind an agent, BackendLink between the two.
+	// Backend is the backend server of an agent; BackendLink forwards between the two.
 	Backend     *Backend
 	BackendLink *Forwarder
 
@@ -78,7 +78,7 @@
 	settingsFile string
 }
 
-// Cluster is a whole system of processes on loopback.
+// Cluster is a complete system of processes on loopback.
 type Cluster struct {
 	Spec
 	Platform Platform
@@ -88,8 +88,8 @@
 	report Reporter
 }
 
-// StartCluster starts the stand-ins, then all entries and agents, publishes the
-// two lists, and waits until everything is ready.
+// StartCluster starts the stand-ins, all entries and all agents, publishes the lists of uses and
+// plans, and waits until every process is ready and linked.
 func StartCluster(report Reporter, spec Spec) *Cluster {
 	report.Helper()
 	c := &Cluster{Spec: spec, report: report}
@@ -124,7 +124,7 @@
 // ServiceAgents returns the agents of plain services.
 func (c *Cluster) ServiceAgents() []*Member { return c.Agents[c.Spec.Engines:] }
 
-// Member returns the member on a VM.
+// Member returns the member on a VM; the test fails if there is none.
 func (c *Cluster) Member(vm string) *Member {
 	for _, m := range c.Members() {
 		if m.VM == vm {
@@ -156,7 +156,7 @@
 	}
 }
 
-// settings returns what entries and agents have in common.
+// settings returns the settings that entries and agents have in common.
 func (c *Cluster) settings(m *Member) Settings {
 	return Settings{
 		"self":     {"vm": m.VM, "failure-domain": m.Domain},
@@ -205,7 +205,7 @@
 	return m
 }
 
-// offerOfKind is what the list of VMs says that a backend server serves.
+// offerOfKind returns the offer in the list of VMs of an engine or a plain service.
 func offerOfKind(kind string) string {
 	if kind == "service" {
 		return "service:" + Service
@@ -237,22 +237,22 @@
 	m.Process = StartWithEnv(c.report, env, c.Dir, m.VM, c.Bin+"/apricothub", role, "-c", m.settingsFile)
 }
 
-// Setting returns one setting of a process.
+// Setting returns the value of one setting.
 func (m *Member) Setting(section, key string) string { return m.settings[section][key] }
 
-// OverrideSettings lays settings over those of a process, for its next start.
+// OverrideSettings replaces settings of a process; they apply at its next start.
 func (c *Cluster) OverrideSettings(m *Member, settings Settings) {
 	c.report.Helper()
 	m.settings = m.settings.With(settings)
 	m.settingsFile = WriteFile(c.report, c.Dir, m.VM+".ini", m.settings.String())
 }
 
-// Ready returns nil once a process may serve.
+// Ready returns nil if the process reports that it is ready.
 func (m *Member) Ready() error {
 	return doJSONWith(statusClient, http.MethodGet, "http://"+m.Admin+adminapi.PathReady, AdminToken, nil, nil)
 }
 
-// WaitReady waits until a process may serve; one that ends fails the test.
+// WaitReady waits until a process is ready. The test fails if the process exits.
 func (c *Cluster) WaitReady(m *Member) {
 	c.report.Helper()
 	Eventually(c.report, readyTimeout, m.VM+" is ready", func() error {
@@ -261,24 +261,24 @@
 	})
 }
 
-// requireRunning fails the test when a process has ended.
+// requireRunning fails the test if a process has exited.
 func (c *Cluster) requireRunning(m *Member) {
 	c.report.Helper()
 	select {
 	case <-m.Ended():
-		c.report.Fatalf("%s has ended: %s", m.VM, m.Tail())
+		c.report.Fatalf("%s has exited: %s", m.VM, m.Tail())
 	default:
 	}
 }
 
-// Status returns what a process knows of the system.
+// Status returns the process's view of the system, from its admin API.
 func (m *Member) Status() (adminapi.Status, error) {
 	var status adminapi.Status
 	err := doJSONWith(statusClient, http.MethodGet, "http://"+m.Admin+adminapi.PathStatus, AdminToken, nil, &status)
 	return status, err
 }
 
-// agentsPerEntry is the number of agents that each entry links to.
+// agentsPerEntry returns the number of agents that each entry links to.
 func (c *Cluster) agentsPerEntry() int {
 	perOffer, _ := strconv.Atoi(c.Spec.Entry["link"]["agents-per-offer"])
 	if perOffer == 0 {
@@ -287,8 +287,8 @@
 	return min(perOffer, c.Spec.Engines) + min(perOffer, c.Spec.Services)
 }
 
-// WaitLinked waits until an entry knows that all backend servers that it is to be linked
-// to take work.
+// WaitLinked waits until an entry reports that all backend servers it should be linked to accept
+// work.
 func (c *Cluster) WaitLinked(m *Member) {
 	c.report.Helper()
 	Eventually(c.report, readyTimeout, m.VM+" is linked to all agents", func() error {
@@ -303,20 +303,21 @@
 			}
 		}
 		if want := c.agentsPerEntry(); ready < want {
-			return errors.Errorf("%d of %d are ready", ready, want)
+			return errors.Errorf("%d of %d backend servers accept work", ready, want)
 		}
 		return nil
 	})
 }
 
-// publish publishes the two lists once the first entry answers operators.
+// publish publishes the lists of uses and plans, retrying until the first entry's admin API
+// answers.
 func (c *Cluster) publish() {
 	c.report.Helper()
 	uses := WriteFile(c.report, c.Dir, "uses.ini", UsesList)
 	plans := WriteFile(c.report, c.Dir, "plans.ini", PlansList())
 	until := "in-force"
 	if c.agentsPerEntry() < len(c.Agents) {
-		// An entry does not hear the agents that it is not linked to.
+		// An entry receives no acknowledgement from agents that it is not linked to.
 		until = "accepted"
 	}
 	Eventually(c.report, readyTimeout, "the lists are published", func() error {
@@ -330,18 +331,19 @@
 	})
 }
 
-// DumpLogs copies the end of every log into the test's own when the test has failed.
+// DumpLogs copies the end of each process's log into the test log, for failed tests.
 func (c *Cluster) DumpLogs() {
 	for _, m := range c.Members() {
 		c.report.Logf("%s:\n%s", m.Name, m.Tail())
 	}
 }
 
-// KeepDirEnv is the environment variable that names a directory for settings and logs
-// that outlive the test.
+// KeepDirEnv is the environment variable that names a directory in which settings and logs are kept
+// after the test.
 const KeepDirEnv = "APRICOTHUB_TEST_DIR"
 
-// NewDir returns a new directory for one test: below KeepDir when that is set.
+// NewDir creates a directory for one test. It is removed at the end of the test unless KeepDirEnv
+// is set; then it is created below that directory and kept.
 func NewDir(report Reporter, name string) string {
 	report.Helper()
 	dir, err := os.MkdirTemp(os.Getenv(KeepDirEnv), "apricothub-"+name+"-")
--- a/test/harness/forwarder.go
+++ b/test/harness/forwarder.go
@@ -10,11 +10,11 @@
 	"github.com/go-faster/errors"
 )
 
-// anyAddress is a free port of loopback.
+// anyAddress makes the kernel choose a free loopback port.
 const anyAddress = "127.0.0.1:0"
 
-// Forwarder stands between two processes and passes their TCP connections on. Its
-// methods break them in the ways networks do.
+// Forwarder forwards TCP connections between two processes. Its methods break them in the ways that
+// networks do.
 type Forwarder struct {
 	Address string
 
@@ -29,20 +29,20 @@
 	conns         map[*forwardedConn]bool
 }
 
-// forwardedConn is one connection with its two sides.
+// forwardedConn is a forwarded connection with its two sides.
 type forwardedConn struct {
 	client, target net.Conn
-	// silent swallows what is sent in both directions, mute what the target sends.
+	// silent drops all data in both directions; mute drops all data from the target.
 	silent, mute atomic.Bool
 }
 
-// NewForwarder listens on a free address and passes connections on to target.
+// NewForwarder listens on a free address and forwards connections to target.
 func NewForwarder(report Reporter, target string) *Forwarder {
 	report.Helper()
 	return NewForwarderAt(report, anyAddress, target)
 }
 
-// NewForwarderAt listens at an address and passes connections on to target.
+// NewForwarderAt listens on an address and forwards connections to target.
 func NewForwarderAt(report Reporter, address, target string) *Forwarder {
 	report.Helper()
 	f, err := newForwarder(address, target)
@@ -63,8 +63,8 @@
 	return f, nil
 }
 
-// Silence makes all present connections swallow what is sent over them, in both
-// directions and for good; neither side sees them close. New ones work.
+// Silence drops all further data on the existing connections, in both directions and for good;
+// neither side sees them close. New connections work.
 func (f *Forwarder) Silence() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Cut closes all present connections. New ones work.
+// Cut closes the existing connections. New connections work.
 func (f *Forwarder) Cut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Block closes all present connections and refuses new ones, until Unblock.
+// Block closes the existing connections and refuses new ones until Unblock.
 func (f *Forwarder) Block() {
 	f.mu.Lock()
 	f.refuseNew = true
@@ -90,7 +90,7 @@
 	f.Cut()
 }
 
-// Isolate silences all present connections and all new ones, until Unblock.
+// Isolate silences the existing connections, and new ones until Unblock.
 func (f *Forwarder) Isolate() {
 	f.mu.Lock()
 	f.silenceNew = true
@@ -98,8 +98,8 @@
 	f.Silence()
 }
 
-// Mute swallows what the target sends over present and new connections, until Unblock: what is
-// sent to it arrives, and no answer comes back.
+// Mute drops all data from the target on existing connections, and on new ones until Unblock:
+// requests arrive, but no answer comes back.
 func (f *Forwarder) Mute() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,17 +109,17 @@
 	}
 }
 
-// Unblock lets new connections work again.
+// Unblock ends Block, Isolate and Mute for new connections.
 func (f *Forwarder) Unblock() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refuseNew, f.silenceNew, f.muteNew = false, false, false
 }
 
-// Delay holds back each piece of data in either direction.
+// Delay delays each chunk of data by d, in both directions.
 func (f *Forwarder) Delay(d time.Duration) { f.delay.Store(int64(d)) }
 
-// Close ends the forwarder and its connections.
+// Close stops the forwarder and closes its connections.
 func (f *Forwarder) Close() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -156,7 +156,7 @@
 	pipes.Wait()
 }
 
-// register notes a new connection; false when it is refused.
+// register adds a new connection; it returns false if new connections are refused.
 func (f *Forwarder) register(c *forwardedConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,8 +175,8 @@
 	delete(f.conns, c)
 }
 
-// pipe passes data from one side to the other, and the end of it. A silent
-// connection reads on and passes nothing, so that the sender notices nothing.
+// pipe copies data and the end of the stream from source to destination. A silent connection keeps
+// reading and drops the data, so that the sender sees neither an error nor a full buffer.
 func (f *Forwarder) pipe(c *forwardedConn, source, destination net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -28,7 +28,7 @@
 	os.Exit(status)
 }
 
-// startEchoServer answers each line with itself.
+// startEchoServer starts a server that sends all data back, and returns its address.
 func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,8 @@
 	return listener.Addr().String()
 }
 
-// roundTrip says whether a connection still answers.
+// roundTrip sends one byte to the echo server and returns an error unless a byte comes back in
+// time.
 func roundTrip(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if _, err := conn.Write([]byte("x")); err != nil {
@@ -71,8 +72,9 @@
 	return ok && timeout.Timeout()
 }
 
-// Old connections go silent, without an error at either side, while new ones work:
-// what a stateful network box does when it forgets its connections.
+// Guards against a forwarder whose Silence closes connections or affects new ones. It must behave
+// like a stateful firewall that has lost its connection table: existing connections drop all data
+// without an error on either side, new ones work.
 func TestForwarderSilence(t *testing.T) {
 	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
@@ -88,7 +90,8 @@
 	}
 }
 
-// A cut closes what is open; a block refuses new connections too until it ends.
+// Cut closes existing connections; Block also refuses new ones until Unblock; Isolate drops the
+// data of new ones without closing them.
 func TestForwarderCutAndBlock(t *testing.T) {
 	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
@@ -113,8 +116,8 @@
 	}
 }
 
-// A paused process answers nothing and then goes on; a killed one starts again with
-// no memory.
+// A paused process answers nothing until it continues; a process restarted after a kill has lost
+// its state.
 func TestProcessFaults(t *testing.T) {
 	dir := t.TempDir()
 	s := harness.Backend{StandIn: harness.StartStandIn(t, bin, dir, "labels", "service")}
@@ -137,7 +140,7 @@
 	}
 	s.Continue()
 	if err := <-answered; err != nil {
-		t.Errorf("after the pause: %v", err)
+		t.Errorf("after Continue: %v", err)
 	}
 	if got := len(s.Ledger()); got != 2 {
 		t.Errorf("ledger has %d runs, want 2", got)
@@ -153,8 +156,8 @@
 	}
 }
 
-// A caller counts each run of its call once in the ledger, also when the service
-// closes in place of an answer.
+// Guards against a caller whose transport retries: each call is recorded once in the ledger, also
+// when the service closes the connection instead of answering, or redirects.
 func TestCallerSendsOnce(t *testing.T) {
 	s := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "labels", "service")}
 	s.SetBehaviour(service.Behaviour{CloseAfterRead: true})
@@ -172,8 +175,8 @@
 	}
 }
 
-// The caller's text is what the engine makes, byte for byte, whole or streamed, and
-// a stream that was cut goes on after the last event.
+// The text that a caller receives is the text that the engine generates, byte for byte, whether
+// complete or streamed. A stream cut in the middle ends with an error.
 func TestCallerReadsCompletions(t *testing.T) {
 	e := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "engine", "engine", "-token", "1ms")}
 	caller := harness.NewCaller("")
@@ -198,8 +201,9 @@
 	}
 }
 
-// A cold engine falls over under more than it can bear and counts it; what runs
-// when it turns cold without a word is spared.
+// A cold engine crashes under more requests than it can handle and counts the overload. Without
+// this, tests of the cold start could not detect an overload. Requests in flight when the engine
+// turns cold without notice do not count.
 func TestEngineInColdStart(t *testing.T) {
 	e := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "engine", "engine", "-token", "10ms", "-warm-after", "1", "-fall", "100ms")}
 	caller := harness.NewCaller("")
@@ -226,11 +230,11 @@
 		return whole
 	}
 	if whole := runConcurrently(6); whole != 6 {
-		t.Errorf("warm: %d of 6 whole", whole)
+		t.Errorf("warm: %d of 6 answers are whole, want all", whole)
 	}
 	e.TurnCold(0)
 	if whole := runConcurrently(3); whole != 0 {
-		t.Errorf("cold: %d of 3 whole, want it to fall over", whole)
+		t.Errorf("cold: %d of 3 answers are whole, want none: the engine must crash under the overload", whole)
 	}
 	if r := e.Record(); r.Overloads != 1 || r.HighWaterCold != 3 {
 		t.Errorf("record %+v, want 1 overload at 3", r.State)
--- a/test/harness/keyed.go
+++ b/test/harness/keyed.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// PushWithKey presses a push under a key of the caller's own until an answer settles it,
-// through one address after another, beginning at a given one. It never takes another
-// key: what became of the first is what the caller wants to know.
+// PushWithKey sends a push under the caller's own key until an answer is final. It goes through the
+// addresses in turn, beginning with the one at index firstAddress. It never changes the key, since
+// the caller wants the outcome of the first attempt.
 func (c *Caller) PushWithKey(ctx context.Context, addresses []string, firstAddress int, key, call string) Outcome {
 	outcome := Outcome{Call: call, Ticket: key, Ran: RanUnknown}
 	for ctx.Err() == nil {
--- a/test/harness/lists.go
+++ b/test/harness/lists.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// UsesList is the list of what plans may use.
+// UsesList is the content of the list of uses: what each plan may use.
 const UsesList = `[plan standard]
 models = price-writer
 services = labels
@@ -24,11 +24,11 @@
 version = 1
 `
 
-// PlansList is the list of customers' plans.
+// PlansList returns the content of the list of customers' plans.
 func PlansList() string { return PlansListWith(1000) }
 
-// PlansListWith is the list of plans with another burst for the customer lakeshore,
-// so that versions differ.
+// PlansListWith returns the list of plans with a given burst for the customer lakeshore, so that
+// versions of the list differ.
 func PlansListWith(burst int) string {
 	return `[customer bluebonnet]
 key-sha256 = ` + keySum(Key) + `
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -11,40 +11,40 @@
 	"github.com/go-faster/errors"
 )
 
-// LoadSpec says what a load is made of.
+// LoadSpec describes a load.
 type LoadSpec struct {
-	// Callers is the number of callers, each with one request at a time.
+	// Callers is the number of callers, each of which sends one request at a time.
 	Callers int
-	// Pause is the wait between a caller's requests.
+	// Pause is the time between two requests of a caller.
 	Pause time.Duration
-	// Tokens is the length of each streamed answer.
+	// Tokens is the length of each streamed answer in tokens.
 	Tokens int
-	// Pushes makes each caller push prices in place of streaming completions.
+	// Pushes makes the callers push prices instead of streaming completions.
 	Pushes bool
-	// KeepAlive lets callers keep their connections.
+	// KeepAlive lets callers reuse their connections.
 	KeepAlive bool
-	// RequestTimeout bounds how long a caller tries one request; 0 means 20 s.
+	// RequestTimeout limits how long a caller retries one request; 0 means 20 s.
 	RequestTimeout time.Duration
 	Seed           uint64
 }
 
-// LoadResult is what all callers of a load saw.
+// LoadResult is what all callers of a load observed.
 type LoadResult struct {
-	// Whole counts requests with a whole and right answer.
+	// Whole counts requests with a complete and correct answer.
 	Whole int
-	// Refusals counts refusals by result name; the caller then tried again.
+	// Refusals counts refusals by result name, including those that the caller retried.
 	Refusals map[string]int
-	// RefusalSamples tell of the first refusals where and when.
+	// RefusalSamples lists the address and time of the first refusals.
 	RefusalSamples []string
-	// Cut lists answers that broke and connections that failed.
+	// Cut lists answers that broke off, failed connections and refusals that forbid a retry.
 	Cut []string
-	// Wrong lists answers whose text is not what the engine made.
+	// Wrong lists answers whose text differs from what the engine generates.
 	Wrong []string
-	// Failed lists requests that were never answered whole.
+	// Failed lists requests without a complete answer within RequestTimeout.
 	Failed []string
-	// Outcomes are those of pushes.
+	// Outcomes are the outcomes of pushes.
 	Outcomes []Outcome
-	// Slowest is the longest time from first try to whole answer.
+	// Slowest is the longest time from the first attempt to a complete answer.
 	Slowest time.Duration
 }
 
@@ -59,10 +59,10 @@
 	result LoadResult
 }
 
-// maxSamples bounds the refusals told in full.
+// maxSamples limits RefusalSamples.
 const maxSamples = 8
 
-// StartLoad lets callers send requests until Stop.
+// StartLoad starts callers that send requests until Stop.
 func (c *Cluster) StartLoad(spec LoadSpec) *Load {
 	if spec.RequestTimeout == 0 {
 		spec.RequestTimeout = 20 * time.Second
@@ -75,21 +75,21 @@
 	return l
 }
 
-// Stop lets the callers end their last requests and returns what they saw.
+// Stop waits until the callers have finished their current requests and returns the result.
 func (l *Load) Stop() LoadResult {
 	close(l.stop)
 	l.callers.Wait()
 	return l.result
 }
 
-// Whole returns the number of whole answers so far.
+// Whole returns the number of complete answers so far.
 func (l *Load) Whole() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.result.Whole
 }
 
-// loadCaller is one caller of a load with the addresses it was told.
+// loadCaller is one caller of a load, with the address list that it fetched.
 type loadCaller struct {
 	*Caller
 	load      *Load
@@ -110,7 +110,7 @@
 	}
 }
 
-// waitOrStopped waits between requests and returns true when the load is to end.
+// waitOrStopped waits between two requests; it returns true once Stop has been called.
 func (l *Load) waitOrStopped(wait time.Duration) bool {
 	select {
 	case <-l.stop:
@@ -125,7 +125,7 @@
 	}
 }
 
-// request sends one request until it is answered whole or patience ends.
+// request retries one request until it has a complete answer, a final refusal or a timeout.
 func (c *loadCaller) request(n int) {
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), c.load.spec.RequestTimeout)
@@ -148,14 +148,14 @@
 			c.fetchedAt = time.Time{}
 		}
 		if got.Refused != nil && !retryable(got.Refused) {
-			return // Told for good that this answer will not come.
+			return // The refusal is final.
 		}
 		waitBackoff(ctx, got.Refused)
 	}
 	c.load.recordFailed(name)
 }
 
-// streamOnce streams once; an error is something that a caller must not see.
+// streamOnce makes one attempt. It returns an error for failures that callers must not see.
 func (c *loadCaller) streamOnce(ctx context.Context, p Prompt, got *Streamed) error {
 	address, err := c.pickAddress(ctx)
 	if err != nil {
@@ -196,8 +196,9 @@
 	}
 }
 
-// pickAddress returns one of the addresses told, asking again when they are too old. It
-// asks entries in random order, as a caller would that knows all of them by name.
+// pickAddress returns a random address from the fetched list, by weight, and fetches the list anew
+// once it has expired. It asks the entries in random order, like a caller that resolves one DNS
+// name to all of them.
 func (c *loadCaller) pickAddress(ctx context.Context) (string, error) {
 	var err error
 	keep := time.Duration(c.addresses.KeepMS) * time.Millisecond
@@ -213,7 +214,7 @@
 		}
 	}
 	if len(c.addresses.Addresses) == 0 {
-		return "", errors.Wrap(err, "no addresses")
+		return "", errors.Wrap(err, "no entry returned an address list")
 	}
 	sum := 0.0
 	for _, a := range c.addresses.Addresses {
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/internal/standin/platform"
 )
 
-// MarkOut marks a failure domain out and returns when the first entry has applied
-// the mark. The operators' command goes on in the background, since it waits for
-// every process; its exit status comes over the channel.
+// MarkOut marks a failure domain as out and returns once the first entry has applied the mark. The
+// operator command continues in the background, since it waits for every process; its exit status
+// is sent on the channel.
 func (c *Cluster) MarkOut(domain string) (time.Time, <-chan int) {
 	c.report.Helper()
 	exitStatus := make(chan int, 1)
@@ -30,12 +30,12 @@
 				return nil
 			}
 		}
-		return errors.New("no such mark")
+		return errors.New("the first entry has no such mark")
 	})
 	return time.Now(), exitStatus
 }
 
-// MarkLeaving says in the list of VMs that a VM is about to go.
+// MarkLeaving sets the state of a VM in the list of VMs to leaving.
 func (c *Cluster) MarkLeaving(m *Member) {
 	vm := platform.VM{ID: m.VM, Role: "backend", FailureDomain: m.Domain, Link: m.Link, Public: m.Public, State: "leaving", Offer: m.Offer}
 	if m.Public != "" {
@@ -44,13 +44,13 @@
 	c.Platform.PutVM(vm)
 }
 
-// Operate runs an operator command against the first entry and returns its output
-// and exit status.
+// Operate runs an operator command against the first entry and returns its output and exit status,
+// or -1 if it did not run.
 func (c *Cluster) Operate(args ...string) (string, int) {
 	return c.OperateAt(c.Entries[0], args...)
 }
 
-// OperateAt runs an operator command against one member.
+// OperateAt is Operate against a given member.
 func (c *Cluster) OperateAt(m *Member, args ...string) (string, int) {
 	commandArgs := append([]string{args[0], "-a", m.Admin, "-t", AdminToken}, args[1:]...)
 	out, err := exec.Command(c.Bin+"/apricothub", commandArgs...).CombinedOutput()
@@ -64,7 +64,7 @@
 	return err.Error(), -1
 }
 
-// MustOperate is Operate for commands that have to work.
+// MustOperate is Operate, but fails the test unless the exit status is 0.
 func (c *Cluster) MustOperate(args ...string) string {
 	c.report.Helper()
 	out, status := c.Operate(args...)
--- a/test/harness/ports.go
+++ b/test/harness/ports.go
@@ -7,24 +7,25 @@
 	"sync"
 )
 
-// Ports come from below the range that the kernel takes outgoing ports from, in
-// blocks. A block belongs to the test process that listens on its first port: two
-// test processes on one machine never hand out the same port.
+// Ports are below the kernel's range of ephemeral ports and allocated in blocks. A block belongs to
+// the test process that listens on its first port, so that two test processes on one machine never
+// return the same port.
 const (
 	firstPort = 10000
 	lastPort  = 32000
 	blockSize = 100
 )
 
-// portBlock is the block in use. The listeners stay open until the process ends.
+// portBlock is the block in use. owners are the listeners on the first ports of the claimed blocks;
+// they stay open until the process exits.
 var portBlock struct {
 	sync.Mutex
 	owners     []net.Listener
 	next, last int
 }
 
-// Address returns a free loopback address that no other call returns, in this
-// process or another.
+// Address returns a free loopback address that no other call returns, in this process or in another
+// one.
 func Address(report Reporter) string {
 	report.Helper()
 	portBlock.Lock()
@@ -40,11 +41,11 @@
 			return address
 		}
 	}
-	report.Fatalf("no free port")
+	report.Fatalf("no free port left in the range for tests")
 	return ""
 }
 
-// claimBlock takes a block that no other process has; the lock is held.
+// claimBlock claims a block that no other process owns. The caller holds the lock.
 func claimBlock() bool {
 	for _, i := range rand.Perm((lastPort - firstPort) / blockSize) {
 		first := firstPort + i*blockSize
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -1,6 +1,6 @@
-// Package harness starts the processes of apricothub and the stand-ins around it
-// on loopback, breaks them and the connections between them, and plays callers
-// that record what they saw. Tests and the demonstration are built on it.
+// Package harness starts the processes of apricothub and its stand-ins on loopback, injects faults
+// into them and their connections, and runs callers that record what they observe. Tests,
+// measurements and the demo are built on it.
 package harness
 
 import (
@@ -14,8 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Reporter is the part of testing.TB that the harness needs. Fatalf must not
-// return.
+// Reporter is the part of testing.TB that the harness needs. Fatalf must not return.
 type Reporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -23,34 +22,34 @@
 	Cleanup(func())
 }
 
-// Process is one process that the harness started.
+// Process is a process started by the harness.
 type Process struct {
 	Name string
-	// LogFile holds all that the process wrote.
+	// LogFile is the file that holds the output of the process.
 	LogFile string
 
 	report Reporter
 	bin    string
 	args   []string
 	env    []string
-	// output takes what the process writes in place of LogFile, unless it is nil.
+	// output, if not nil, receives the output of the process instead of LogFile.
 	output *os.File
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	ended  chan struct{}
 }
 
-// terminateTimeout bounds the wait for a process that was told to end.
+// terminateTimeout limits the wait for a process to exit after SIGTERM.
 const terminateTimeout = 40 * time.Second
 
-// Start starts a process whose output goes to a file in dir. The process is killed
-// when the test ends, and by the kernel when the test process dies.
+// Start starts a process whose output goes to a file in dir. The process is killed at the end of
+// the test, or on Linux by the kernel if the test process dies.
 func Start(report Reporter, dir, name, bin string, args ...string) *Process {
 	report.Helper()
 	return StartWithEnv(report, nil, dir, name, bin, args...)
 }
 
-// StartWithEnv is Start with further variables of the environment.
+// StartWithEnv is Start with additional environment variables.
 func StartWithEnv(report Reporter, env []string, dir, name, bin string, args ...string) *Process {
 	report.Helper()
 	p := &Process{Name: name, LogFile: filepath.Join(dir, name+".log"), report: report, bin: bin, args: args, env: env}
@@ -59,8 +58,8 @@
 	return p
 }
 
-// StartWithOutput is Start with further variables of the environment and all output to out, as a
-// pipe that nobody reads.
+// StartWithOutput is StartWithEnv with all output going to a given file, such as a pipe that nobody
+// reads.
 func StartWithOutput(report Reporter, output *os.File, env []string, name, bin string, args ...string) *Process {
 	report.Helper()
 	p := &Process{Name: name, report: report, bin: bin, args: args, env: env, output: output}
@@ -69,7 +68,7 @@
 	return p
 }
 
-// Restart starts the process again, as a new process with no memory.
+// Restart starts the process again; the new process has no state of the old one.
 func (p *Process) Restart() {
 	p.report.Helper()
 	output := p.output
@@ -98,49 +97,48 @@
 	}()
 }
 
-// current returns the running command and the channel closed at its end.
+// current returns the current command and the channel that is closed when it exits.
 func (p *Process) current() (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.ended
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int {
 	cmd, _ := p.current()
 	return cmd.Process.Pid
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed once the process has exited.
 func (p *Process) Ended() <-chan struct{} {
 	_, ended := p.current()
 	return ended
 }
 
-// Signal sends a signal; one that has ended gets none.
+// Signal sends a signal. It does nothing if the process has exited.
 func (p *Process) Signal(sig syscall.Signal) {
 	cmd, _ := p.current()
 	_ = cmd.Process.Signal(sig)
 }
 
-// Pause stops the process in the middle of whatever it does (SIGSTOP), and returns when it
-// stands still.
+// Pause pauses the process with SIGSTOP and returns once all its threads have stopped (on Linux).
 func (p *Process) Pause() {
 	p.Signal(syscall.SIGSTOP)
 	awaitStopped(p.PID())
 }
 
-// Continue lets a paused process go on (SIGCONT).
+// Continue resumes a paused process with SIGCONT.
 func (p *Process) Continue() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once (SIGKILL) and waits until it is gone.
+// Kill kills the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.Ended()
 }
 
-// Terminate asks for a planned stop (SIGTERM) and returns the exit status. A
-// process that does not end in 40 s fails the test.
+// Terminate requests a graceful shutdown with SIGTERM and returns the exit status. The test fails
+// if the process has not exited after 40 s.
 func (p *Process) Terminate() int {
 	p.report.Helper()
 	cmd, ended := p.current()
@@ -148,20 +146,20 @@
 	select {
 	case <-ended:
 	case <-time.After(terminateTimeout):
-		p.report.Fatalf("%s has not stopped %s after SIGTERM", p.Name, terminateTimeout)
+		p.report.Fatalf("%s has not exited %s after SIGTERM", p.Name, terminateTimeout)
 	}
 	return cmd.ProcessState.ExitCode()
 }
 
-// Tail returns the end of what the process wrote.
+// Tail returns the last 2000 bytes of the log file.
 func (p *Process) Tail() string {
 	data, _ := os.ReadFile(p.LogFile)
 	const maxBytes = 2000
 	return string(data[max(0, len(data)-maxBytes):])
 }
 
-// Eventually waits until check returns nil, and fails the test with its last error
-// when that takes longer than limit. It returns the time it took.
+// Eventually calls check until it returns nil, and returns the time that this took. The test fails
+// with the last error once that exceeds limit.
 func Eventually(report Reporter, limit time.Duration, what string, check func() error) time.Duration {
 	report.Helper()
 	begin := time.Now()
--- a/test/harness/process_linux.go
+++ b/test/harness/process_linux.go
@@ -6,14 +6,14 @@
 	"unsafe"
 )
 
-// dieWithParent lets the kernel kill a child when the test process dies.
+// dieWithParent makes the kernel kill a child when the test process dies.
 func dieWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
 
 const (
-	// stopTimeout bounds the wait until a process stands still, stopLook is the time between two
-	// looks.
+	// stopTimeout limits the wait for a process to stop after SIGSTOP; stopPollInterval is the
+	// time between two checks.
 	stopTimeout      = 2 * time.Second
 	stopPollInterval = 200 * time.Microsecond
 
@@ -22,14 +22,14 @@
 	wStopped = 2
 	wNoHang  = 1
 	wNoWait  = 0x01000000
-	// siginfoSize is the size of siginfo_t, bytes.
+	// siginfoSize is the size of siginfo_t in bytes.
 	siginfoSize = 128
 )
 
-// awaitStopped waits until all threads of a child stand still.
+// awaitStopped waits until all threads of a child have stopped.
 //
-// Load: a busy machine. Harm prevented: a thread that is on another processor goes on for a
-// moment after the signal was sent, and a process that the test takes for paused answers.
+// On a busy machine, a thread on another processor runs on for a moment after SIGSTOP has been
+// sent. Without the wait, a process that the test considers paused could still answer.
 func awaitStopped(pid int) {
 	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(stopPollInterval) {
 		var info [siginfoSize / 4]int32
--- a/test/harness/process_other.go
+++ b/test/harness/process_other.go
@@ -4,8 +4,9 @@
 
 import "syscall"
 
-// dieWithParent has nothing to offer here: children end by the test's clean-up.
+// dieWithParent returns nil: only Linux can kill a child when its parent dies. Elsewhere children
+// are killed by the clean-up of the test.
 func dieWithParent() *syscall.SysProcAttr { return nil }
 
-// awaitStopped has nothing to ask here.
+// awaitStopped does nothing: the check is implemented for Linux only.
 func awaitStopped(int) {}
--- a/test/harness/retry.go
+++ b/test/harness/retry.go
@@ -10,13 +10,13 @@
 
 const (
 	maxAttempts = 40
-	// defaultBackoff is the wait before another try where no Retry-After is given.
+	// defaultBackoff is the wait before a retry if the answer has no Retry-After.
 	defaultBackoff = 50 * time.Millisecond
-	// maxBackoff bounds what a caller in a test waits for.
+	// maxBackoff limits the Retry-After that a caller in a test obeys, to keep tests short.
 	maxBackoff = 500 * time.Millisecond
 )
 
-// retryable says that the request has not run and may be sent again.
+// retryable reports whether the request has not run and may be retried.
 func retryable(r *Reply) bool {
 	return r.Ran == RanNo && (r.Status == 0 || isToldToRetry(r))
 }
@@ -32,30 +32,30 @@
 	}
 }
 
-// PushAttempt is one request under a ticket. Ran is "" when no whole answer came.
+// PushAttempt is one request under a ticket or key. Ran is "" without a complete answer.
 type PushAttempt struct {
 	Begin, End time.Time
 	Ran        string
 }
 
-// Outcome is what a caller knows of a push in the end.
+// Outcome is what a caller finally knows about a push.
 type Outcome struct {
 	Call   string
 	Ticket string
-	// Ran is "yes", "no" or "unknown".
+	// Ran is RanYes, RanNo or RanUnknown.
 	Ran          string
 	Code         int
 	AttemptCount int
-	// Attempts are the requests under the ticket, in order.
+	// Attempts are the requests under the ticket or key, in order.
 	Attempts []PushAttempt
-	// LastMessage is the last answer or error, for messages.
+	// LastMessage describes the last answer or error, for test failures.
 	LastMessage string
 }
 
-// PushWithTicket takes a ticket and pushes with it through one address after another
-// until an answer settles what became of it. An error before there is a ticket
-// means that nothing was sent. A trusting caller takes the first "not run" for the
-// end; another one goes on where it is told when to come back.
+// PushWithTicket requests a ticket and pushes with it, through the addresses in turn, until an
+// answer is final. An error before there is a ticket means that nothing was sent. With
+// acceptNotRun, the caller stops at the first answer that the request has not run; without it, the
+// caller also retries such answers if they ask for a retry.
 func (c *Caller) PushWithTicket(ctx context.Context, addresses []string, call string, acceptNotRun bool) Outcome {
 	outcome := Outcome{Call: call, Ran: RanNo}
 	for ticketAttempt := 0; outcome.Ticket == ""; ticketAttempt++ {
@@ -93,7 +93,7 @@
 	return outcome
 }
 
-// settle notes what an answer says; true when no further try can change it.
+// settle records what an answer states; it returns true if no retry can change the outcome.
 func (o *Outcome) settle(reply Reply) bool {
 	switch api.ResultCode(reply.Code) {
 	case api.ResultCode_OK, api.ResultCode_RAN_ANSWER_GONE:
@@ -110,8 +110,8 @@
 	return !isToldToRetry(&reply)
 }
 
-// isToldToRetry says that the caller is told to press again: under the same ticket that is
-// safe whether the request has run or not.
+// isToldToRetry reports whether the answer asks for a retry. Under the same ticket, a retry is safe
+// whether the request has run or not.
 func isToldToRetry(r *Reply) bool {
 	return r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
 }
--- a/test/harness/settings.go
+++ b/test/harness/settings.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Settings is an INI file: sections with keys.
+// Settings is the content of an INI file: values by section and key.
 type Settings map[string]map[string]string
 
-// With returns a copy with other settings laid over; an empty value takes a key out.
+// With returns a copy overridden by other settings; an empty value removes a key.
 func (s Settings) With(other Settings) Settings {
 	merged := Settings{}
 	for _, layer := range []Settings{s, other} {
@@ -26,7 +26,7 @@
 	return merged
 }
 
-// String is the text of the file.
+// String returns the text of the file.
 func (s Settings) String() string {
 	var text strings.Builder
 	for _, section := range slices.Sorted(maps.Keys(s)) {
--- a/test/harness/standins.go
+++ b/test/harness/standins.go
@@ -15,22 +15,23 @@
 	"github.com/apricothub/apricothub/internal/standin/service"
 )
 
-// controlTimeout bounds one request to a stand-in or an admin address.
+// controlTimeout limits one request to a stand-in or an admin address.
 const controlTimeout = 10 * time.Second
 
-// controlClient does not keep connections, so that a restarted process is reached.
+// controlClient opens a connection for each request, so that it reaches a restarted process.
 var controlClient = &http.Client{Timeout: controlTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// statusClient is control for those who look at processes that may be paused.
+// statusClient is controlClient with a short timeout, for processes that may be paused.
 var statusClient = &http.Client{Timeout: statusTimeout, Transport: controlClient.Transport}
 
 const statusTimeout = 500 * time.Millisecond
 
-// doJSON sends in as JSON (nothing when nil) and reads the answer into out.
+// doJSON sends in as JSON (no body if nil) and decodes the response into out, unless out is nil.
 func doJSON(method, url, token string, in, out any) error {
 	return doJSONWith(controlClient, method, url, token, in, out)
 }
 
+// doJSONWith is doJSON with a given client.
 func doJSONWith(client *http.Client, method, url, token string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -63,7 +64,7 @@
 	return wrap(json.Unmarshal(data, out), url)
 }
 
-// wrap adds a text to an error and leaves nil as it is; errors.Wrap does not.
+// wrap adds context to an error and returns nil for nil, unlike errors.Wrap of go-faster/errors.
 func wrap(err error, text string) error {
 	if err == nil {
 		return nil
@@ -71,13 +72,13 @@
 	return errors.Wrap(err, text)
 }
 
-// StandIn is a running stand-in.
+// StandIn is a stand-in process.
 type StandIn struct {
 	*Process
 	Address string
 }
 
-// StartStandIn starts a subcommand of standin and waits until it answers.
+// StartStandIn starts a subcommand of the standin command and waits until it answers.
 func StartStandIn(report Reporter, bin, dir, name, kind string, flags ...string) *StandIn {
 	report.Helper()
 	address := Address(report)
@@ -96,10 +97,10 @@
 	})
 }
 
-// URL is the base URL.
+// URL returns the base URL.
 func (s *StandIn) URL() string { return "http://" + s.Address }
 
-// mustDo fails the test when a control of a stand-in does not work.
+// mustDo sends a control request and fails the test on an error.
 func (s *StandIn) mustDo(method, path string, in, out any) {
 	s.report.Helper()
 	if err := doJSON(method, s.URL()+path, "", in, out); err != nil {
@@ -107,53 +108,53 @@
 	}
 }
 
-// Platform is the platform stand-in.
+// Platform is the stand-in for the platform.
 type Platform struct{ *StandIn }
 
-// SetLogMode sets how the log behaves: "up", "down", "slow" or "lose_answers".
+// SetLogMode sets the mode of the log: "up", "down", "slow" (with delay) or "lose_answers".
 func (p Platform) SetLogMode(mode string, delay time.Duration) {
 	p.report.Helper()
 	p.mustDo(http.MethodPost, "/control/log", platform.Control{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
 }
 
-// SetRetention keeps only the newest records of the log; -1 for all.
+// SetRetention limits the log to the newest records; -1 keeps all.
 func (p Platform) SetRetention(records int64) {
 	p.report.Helper()
 	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Records: records}, nil)
 }
 
-// SetKeyRetention is Retain for the stream of keys alone.
+// SetKeyRetention is SetRetention for the stream of keys alone.
 func (p Platform) SetKeyRetention(records int64) {
 	p.report.Helper()
 	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Stream: "keys", Records: records}, nil)
 }
 
-// SetVMsLag sets the lag of the list of VMs.
+// SetVMsLag sets how far the list of VMs lags behind changes.
 func (p Platform) SetVMsLag(lag time.Duration) {
 	p.report.Helper()
 	p.mustDo(http.MethodPost, "/control/vms_lag", platform.Control{MS: lag.Milliseconds()}, nil)
 }
 
-// PutVM adds or replaces one VM in the list.
+// PutVM adds or replaces a VM in the list of VMs.
 func (p Platform) PutVM(vm platform.VM) {
 	p.report.Helper()
 	p.mustDo(http.MethodPut, "/control/vms", platform.VMChange{Put: &vm}, nil)
 }
 
-// DeleteVM takes one VM from the list.
+// DeleteVM removes a VM from the list of VMs.
 func (p Platform) DeleteVM(id string) {
 	p.report.Helper()
 	p.mustDo(http.MethodPut, "/control/vms", platform.VMChange{Delete: id}, nil)
 }
 
-// VMs returns the list of VMs as processes see it.
+// VMs returns the list of VMs that processes currently get.
 func (p Platform) VMs() ([]platform.VM, error) {
 	var list platform.VMChange
 	err := doJSON(http.MethodGet, p.URL()+"/vms", "", nil, &list)
 	return list.VMs, err
 }
 
-// Steps returns the record of a group's steps.
+// Steps returns the record of a group's steps kept by the platform stand-in.
 func (p Platform) Steps(group string) platform.FabricRecord {
 	p.report.Helper()
 	var record platform.FabricRecord
@@ -164,7 +165,7 @@
 // Backend is an engine or a plain service.
 type Backend struct{ *StandIn }
 
-// Ledger returns every run of every call of a plain service.
+// Ledger returns the runs of all calls of a plain service.
 func (b Backend) Ledger() []service.Run {
 	b.report.Helper()
 	var ledger []service.Run
@@ -172,13 +173,13 @@
 	return ledger
 }
 
-// SetBehaviour sets what a plain service does with calls.
+// SetBehaviour sets how a plain service handles calls.
 func (b Backend) SetBehaviour(behaviour service.Behaviour) {
 	b.report.Helper()
 	b.mustDo(http.MethodPost, "/control/behaviour", behaviour, nil)
 }
 
-// Record returns an engine's own record.
+// Record returns what an engine has recorded about its own load.
 func (b Backend) Record() engine.Record {
 	b.report.Helper()
 	var record engine.Record
@@ -186,7 +187,7 @@
 	return record
 }
 
-// Held returns what an engine has loaded by orders.
+// Held returns what an engine has loaded on orders.
 func (b Backend) Held() engine.Held {
 	b.report.Helper()
 	var held engine.Held
@@ -194,32 +195,31 @@
 	return held
 }
 
-// Order gives an engine an order past its agent, and returns the error that the engine
-// answers with.
+// Order sends an order to an engine directly, bypassing its agent, and returns the engine's error.
 func (b Backend) Order(order engine.LoadOrder) error {
 	return doJSON(http.MethodPost, b.URL()+"/engine/orders", "", order, nil)
 }
 
-// TurnCold turns a warm engine cold without a word. What begins within the grace
-// is still borne.
+// TurnCold makes a warm engine cold without any notice to its agent. Requests that begin within the
+// grace period do not count as overload.
 func (b Backend) TurnCold(grace time.Duration) {
 	b.report.Helper()
 	b.mustDo(http.MethodPost, "/control/cold", map[string]any{"grace_ms": grace.Milliseconds()}, nil)
 }
 
-// SetPopularity sets how many tokens each expert gets in a second.
+// SetPopularity sets the number of tokens per second for each expert.
 func (b Backend) SetPopularity(tokens []float64) {
 	b.report.Helper()
 	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens}, nil)
 }
 
-// SetSlowdowns makes the engine's ranks slower, each by its pace, and sets the popularity.
+// SetSlowdowns sets the slowdown of each of the engine's ranks, and the popularity of the experts.
 func (b Backend) SetSlowdowns(tokens, slowdowns []float64) {
 	b.report.Helper()
 	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens, Paces: slowdowns}, nil)
 }
 
-// CountRuns counts the runs of each call in a ledger.
+// CountRuns returns the number of runs of each call in a ledger.
 func CountRuns(ledger []service.Run) map[string]int {
 	runs := map[string]int{}
 	for _, run := range ledger {
--- a/test/harness/stream.go
+++ b/test/harness/stream.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/internal/standin/engine"
 )
 
-// Prompt is a completion that a caller asks for.
+// Prompt is a completion request of a caller.
 type Prompt struct {
 	Text   string
 	Seed   int64
@@ -21,7 +21,7 @@
 	Header map[string]string
 }
 
-// Want is the text that the engine makes for the prompt.
+// Want returns the text that the engine generates for the prompt.
 func (p Prompt) Want() string { return engine.Text(p.Text, p.Seed, p.Tokens) }
 
 func (p Prompt) request(stream bool, lastID string) Request {
@@ -38,26 +38,26 @@
 	return r
 }
 
-// Streamed is what a caller has of a streamed answer.
+// Streamed is what a caller has received of a streamed answer.
 type Streamed struct {
 	Text   string
 	LastID string
 	// Events counts the events with text.
 	Events int
-	// Whole is true when the closing marker came.
+	// Whole is true once the closing marker has been received.
 	Whole bool
-	// Refused is the answer in place of a stream, or the error event in it.
+	// Refused is the answer received instead of a stream, or the error event in the stream.
 	Refused *Reply
 }
 
-// chunk is the part of a completion chunk that a caller uses.
+// chunk is the part of a completion or completion chunk that a caller uses.
 type chunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
-// Complete asks for a whole answer.
+// Complete requests a completion as one answer and returns its text.
 func (c *Caller) Complete(ctx context.Context, address string, p Prompt) (string, Reply, error) {
 	reply, err := c.Do(ctx, address, p.request(false, ""))
 	if err != nil || reply.Status != http.StatusOK {
@@ -70,8 +70,8 @@
 	return answer.Choices[0].Text, reply, nil
 }
 
-// Stream asks for a streamed answer, or goes on with one after got.LastID. It adds
-// to got until the stream ends; each is called after each event.
+// Stream requests a streamed completion, or resumes one after got.LastID. It adds to got until the
+// stream ends, and calls onEvent, if not nil, after each event.
 func (c *Caller) Stream(ctx context.Context, address string, p Prompt, got *Streamed, onEvent func()) error {
 	got.Refused = nil
 	response, err := c.Send(ctx, address, p.request(true, got.LastID))
@@ -99,8 +99,8 @@
 	}
 }
 
-// StreamWithRetry streams an answer, going on through the next address whenever a stream
-// ends before its closing marker, until it is whole or an entry refuses it for good.
+// StreamWithRetry streams a completion. It resumes at the next address whenever a stream ends
+// without its closing marker, until the answer is complete or an entry's refusal is final.
 func (c *Caller) StreamWithRetry(ctx context.Context, addresses []string, p Prompt, onEvent func()) (Streamed, error) {
 	var got Streamed
 	var err error
@@ -114,10 +114,10 @@
 		}
 		waitBackoff(ctx, got.Refused)
 	}
-	return got, wrap(err, "gave up")
+	return got, wrap(err, "no attempts left")
 }
 
-// sseEvent is one server-sent event.
+// sseEvent is a server-sent event.
 type sseEvent struct {
 	id, name, data string
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-// add adds one event; done when it is the last one.
+// add adds one event; done is true if it is the last one.
 func (s *Streamed) add(event sseEvent) (done bool, err error) {
 	if event.id != "" {
 		s.LastID = event.id
--- a/test/harness/usage.go
+++ b/test/harness/usage.go
@@ -12,16 +12,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Usage is what a process has used of the machine so far. It is read from /proc;
-// elsewhere it stays zero.
+// Usage is the resource usage of a process. It is read from /proc; on systems without /proc it is
+// zero.
 type Usage struct {
-	// CPU is the processor time of all threads, user and system.
+	// CPU is the CPU time of all current threads, user and system.
 	CPU time.Duration
-	// Resident is the memory resident now, bytes.
+	// Resident is the resident memory in bytes.
 	Resident int64
 }
 
-// Usage returns what the process has used.
+// Usage returns the resource usage of the process.
 func (p *Process) Usage() Usage {
 	var u Usage
 	root := fmt.Sprintf("/proc/%d/", p.PID())
@@ -41,7 +41,7 @@
 	return u
 }
 
-// Metrics returns the numbers that a process shows operators.
+// Metrics returns the metrics from the admin address of a process.
 func (m *Member) Metrics() (map[string]float64, error) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+m.Admin+"/metrics", nil)
 	if err != nil {
--- a/test/harness/view.go
+++ b/test/harness/view.go
@@ -11,9 +11,9 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// View is the platform as one process sees it. It passes requests on and shows the
-// links of other VMs through forwarders of that process's own, so that a test can
-// break each link by itself.
+// View is a proxy through which one process reaches the platform. It forwards requests, and in the
+// list of VMs replaces the link addresses of other VMs by forwarders used by this process alone, so
+// that a test can break each link separately.
 type View struct {
 	*httptest.Server
 
@@ -25,13 +25,14 @@
 	counts  RequestCounts
 }
 
-// RequestCounts counts what one process has asked of the platform.
+// RequestCounts counts the requests of one process to the platform.
 type RequestCounts struct {
-	// LogReads are reads of the log, ListReads of the list of VMs, LogAppends to the log.
+	// LogReads counts reads of the log, ListReads reads of the list of VMs, LogAppends appends to
+	// the log.
 	LogReads, ListReads, LogAppends int
-	// ReadBytes and ListBytes are those of the answers' bodies.
+	// ReadBytes and ListBytes are the total sizes of the response bodies of log and list reads.
 	ReadBytes, ListBytes int
-	// ListSize is the body of the newest whole list.
+	// ListSize is the body size of the last complete list.
 	ListSize int
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// Cut makes the platform unreachable for this process, or reachable again.
+// Cut makes the platform unreachable for this process, or reachable again if cut is false.
 func (v *View) Cut(cut bool) {
 	v.mu.Lock()
 	v.cut = cut
@@ -60,7 +61,7 @@
 	}
 }
 
-// Freeze keeps showing this process the list of VMs as it is now, or stops that.
+// Freeze makes this process get the current list of VMs until Freeze(false), whatever changes.
 func (v *View) Freeze(frozen bool) {
 	list, err := v.cluster.Platform.VMs()
 	v.mu.Lock()
@@ -71,14 +72,14 @@
 	}
 }
 
-// RequestCounts returns what this process has asked so far.
+// RequestCounts returns the counts of this process's requests so far.
 func (v *View) RequestCounts() RequestCounts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.counts
 }
 
-// count notes one answered request.
+// count counts one answered request.
 func (v *View) count(r *http.Request, bytes int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -97,14 +98,14 @@
 	}
 }
 
-// Link returns the forwarder between this process and a VM's link address.
+// Link returns the forwarder from this process to a VM's link address.
 func (v *View) Link(vm string) *Forwarder {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.links[vm]
 }
 
-// Links returns all forwarders between this process and others that it dials.
+// Links returns the forwarders from this process to all other VMs.
 func (v *View) Links() []*Forwarder {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -115,7 +116,7 @@
 	return all
 }
 
-// rewrite puts forwarders in place of link addresses; the lock is held.
+// rewrite replaces link addresses by forwarders. The caller holds the lock.
 func (v *View) rewrite(list []platform.VM) []platform.VM {
 	if v.cluster.Direct {
 		return list
@@ -124,7 +125,7 @@
 		if v.links[vm.ID] == nil {
 			link, err := newForwarder(anyAddress, vm.Link)
 			if err != nil {
-				continue // The process sees the plain address: no fault can be put there.
+				continue // The process gets the real address; a test cannot break this link.
 			}
 			v.links[vm.ID] = link
 		}
@@ -160,7 +161,7 @@
 	v.count(r, web.AnswerTagged(w, r, shown))
 }
 
-// viewTransport sends each request on its own connection and never twice.
+// viewTransport opens a connection for each request, so that it never retries one.
 var viewTransport = &http.Transport{DisableKeepAlives: true}
 
 func (v *View) forward(w http.ResponseWriter, r *http.Request) {
--- a/test/harness/watch.go
+++ b/test/harness/watch.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// watchInterval is the time between two looks at all processes.
+// watchInterval is the time between two checks of all processes.
 const watchInterval = 50 * time.Millisecond
 
-// Watch looks at what every process shows of the lists, until Stop.
+// Watch checks the versions of the lists on all processes until Stop.
 type Watch struct {
 	cluster *Cluster
 	stop    chan struct{}
@@ -20,8 +20,8 @@
 	checks     int
 }
 
-// StartWatch begins to watch that no ready process ever shows an older version of
-// a list than its VM has shown before, in this process or in one it replaced.
+// StartWatch starts to check that no ready process reports an older version of a list than was
+// reported before on the same VM, by this process or by one that it replaced.
 func (c *Cluster) StartWatch() *Watch {
 	w := &Watch{cluster: c, stop: make(chan struct{}), newest: map[string]int64{}}
 	w.watcher.Go(func() {
@@ -37,8 +37,7 @@
 	return w
 }
 
-// Stop ends the watch and returns what it saw that must not be, and the number of
-// answers it looked at.
+// Stop ends the watch and returns the violations and the number of status answers checked.
 func (w *Watch) Stop() (violations []string, checks int) {
 	close(w.stop)
 	w.watcher.Wait()
@@ -55,7 +54,7 @@
 		for _, list := range status.Lists {
 			key := m.VM + " " + list.Name
 			if list.Offset < w.newest[key] {
-				w.violations = append(w.violations, fmt.Sprintf("%s shows offset %d after %d", key, list.Offset, w.newest[key]))
+				w.violations = append(w.violations, fmt.Sprintf("%s is at offset %d after %d", key, list.Offset, w.newest[key]))
 			}
 			w.newest[key] = max(w.newest[key], list.Offset)
 		}
