--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -61,25 +61,25 @@
 	c := flaggy.NewSubcommand("engine")
 	c.Description = "A model engine."
 	config := engine.Config{
-		Listen: "127.0.0.1:0",
-		Token:  5 * time.Millisecond,
-		Full:   32,
-		Cold:   engine.ColdConfig{Limit: 2, WarmAfter: 8, Fall: time.Second},
-		Ranks:  engine.RankConfig{Step: 5 * time.Millisecond},
+		Listen:    "127.0.0.1:0",
+		TokenTime: 5 * time.Millisecond,
+		FullLimit: 32,
+		Cold:      engine.ColdConfig{Limit: 2, RequestsUntilWarm: 8, CrashTime: time.Second},
+		Ranks:     engine.RankConfig{MinStepTime: 5 * time.Millisecond},
 	}
 	c.String(&config.Listen, "", "listen", "Address to listen on.")
 	c.String(&config.Platform, "", "platform", "Base URL of the platform.")
-	c.Duration(&config.Token, "", "token", "Time of one token when warm.")
-	c.Int(&config.Full, "", "full", "Requests that run at once when warm; others wait.")
+	c.Duration(&config.TokenTime, "", "token", "Time of one token when warm.")
+	c.Int(&config.FullLimit, "", "full", "Requests that run at once when warm; others wait.")
 	c.Bool(&config.CheckFence, "", "check-fence", "Refuses orders with an old fencing number.")
 	c.Int(&config.Cold.Limit, "", "cold", "Requests borne at once in cold start; 0 for never cold.")
-	c.Int(&config.Cold.WarmAfter, "", "warm-after", "Completed requests that warm it up.")
-	c.Duration(&config.Cold.Fall, "", "fall", "How long everything fails after an overload.")
+	c.Int(&config.Cold.RequestsUntilWarm, "", "warm-after", "Completed requests that warm it up.")
+	c.Duration(&config.Cold.CrashTime, "", "fall", "How long everything fails after an overload.")
 	c.String(&config.Ranks.Group, "", "group", "Group of the ranks; empty for none.")
-	c.Int(&config.Ranks.First, "", "first-rank", "First rank of the engine.")
+	c.Int(&config.Ranks.FirstRank, "", "first-rank", "First rank of the engine.")
 	c.Int(&config.Ranks.Ranks, "", "ranks", "Number of ranks of the engine.")
-	c.Int(&config.Ranks.Size, "", "group-size", "Number of ranks of the whole group.")
-	c.Duration(&config.Ranks.Step, "", "step", "Least time of one step.")
+	c.Int(&config.Ranks.GroupSize, "", "group-size", "Number of ranks of the whole group.")
+	c.Duration(&config.Ranks.MinStepTime, "", "step", "Least time of one step.")
 	return command{c, func(logger log.Logger) error { return engine.Run(config, logger) }}
 }
 
@@ -88,7 +88,7 @@
 	c.Description = "A plain service with a ledger."
 	listen := "127.0.0.1:0"
 	c.String(&listen, "", "listen", "Address to listen on.")
-	return command{c, func(logger log.Logger) error { return service.Main(listen, logger) }}
+	return command{c, func(logger log.Logger) error { return service.Serve(listen, logger) }}
 }
 
 func demoCommand() command {
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// limit is the time that the whole demonstration may take.
-	limit = 60 * time.Second
-	// domainOut is the failure domain that is marked out and in again.
-	domainOut = "b"
-	// outTime is the time after a mark from which no new work may arrive.
-	outTime = 3 * time.Second
+	// timeLimit is the time that the whole demonstration may take.
+	timeLimit = 60 * time.Second
+	// markedDomain is the failure domain that is marked out and in again.
+	markedDomain = "b"
+	// markEffectTime is the time after a mark from which no new work may arrive.
+	markEffectTime = 3 * time.Second
 )
 
 // step is one step; it returns what to print.
@@ -35,8 +35,8 @@
 	{"stream a completion", (*demo).streamCompletion},
 	{"look up a label", (*demo).lookUp},
 	{"push a price twice with one ticket", (*demo).pushTwice},
-	{"mark failure domain " + domainOut + " out", (*demo).markOut},
-	{"mark failure domain " + domainOut + " in", (*demo).markIn},
+	{"mark failure domain " + markedDomain + " out", (*demo).markOut},
+	{"mark failure domain " + markedDomain + " in", (*demo).markIn},
 	{"stop an entry under load", (*demo).stopEntry},
 }
 
@@ -50,8 +50,8 @@
 	caller  *harness.Caller
 }
 
-// failed carries a failure of the harness out of a step.
-type failed struct{ error }
+// stepFailure carries a failure of the harness out of a step.
+type stepFailure struct{ error }
 
 // Helper does nothing; demo is a harness.Reporter.
 func (d *demo) Helper() {}
@@ -60,7 +60,7 @@
 func (d *demo) Logf(format string, args ...any) { fmt.Fprintf(d.out, "    "+format+"\n", args...) }
 
 // Fatalf ends the step.
-func (d *demo) Fatalf(format string, args ...any) { panic(failed{errors.Errorf(format, args...)}) }
+func (d *demo) Fatalf(format string, args ...any) { panic(stepFailure{errors.Errorf(format, args...)}) }
 
 // Cleanup notes what to do at the end, last first.
 func (d *demo) Cleanup(f func()) { d.cleanup = append(d.cleanup, f) }
@@ -68,11 +68,11 @@
 // Run runs all steps with the binaries in bin and returns true if all worked.
 func Run(bin string, out io.Writer) bool {
 	d := &demo{out: out, bin: bin, caller: harness.NewCaller(harness.Key)}
-	defer d.end()
+	defer d.runCleanup()
 	begin := time.Now()
 	for i, s := range steps {
 		from := time.Now()
-		result, err := d.try(s)
+		result, err := d.runStep(s)
 		took := time.Since(from).Round(time.Millisecond)
 		if err != nil {
 			fmt.Fprintf(out, "%d. %s: FAILED after %s: %v\n", i+1, s.name, took, err)
@@ -82,23 +82,23 @@
 		fmt.Fprintf(out, "%d. %s: ok in %s: %s\n", i+1, s.name, took, result)
 	}
 	took := time.Since(begin).Round(time.Millisecond)
-	if took > limit {
-		fmt.Fprintf(out, "demo: FAILED: all steps worked but took %s, more than %s.\n", took, limit)
+	if took > timeLimit {
+		fmt.Fprintf(out, "demo: FAILED: all steps worked but took %s, more than %s.\n", took, timeLimit)
 		return false
 	}
 	fmt.Fprintf(out, "demo: all %d steps worked in %s.\n", len(steps), took)
 	return true
 }
 
-func (d *demo) end() {
+func (d *demo) runCleanup() {
 	for i := range d.cleanup {
 		d.cleanup[len(d.cleanup)-1-i]()
 	}
 }
 
-func (d *demo) try(s step) (result string, err error) {
+func (d *demo) runStep(s step) (result string, err error) {
 	defer func() {
-		if f, ok := recover().(failed); ok {
+		if f, ok := recover().(stepFailure); ok {
 			err = f.error
 		}
 	}()
@@ -130,11 +130,11 @@
 	if len(list.Addresses) != len(d.cluster.Entries) {
 		return "", errors.Errorf("%d addresses, want %d", len(list.Addresses), len(d.cluster.Entries))
 	}
-	var told []string
+	var addresses []string
 	for _, a := range list.Addresses {
-		told = append(told, a.Address)
+		addresses = append(addresses, a.Address)
 	}
-	return fmt.Sprintf("%s, to keep for %d ms", strings.Join(told, " "), list.KeepMS), nil
+	return fmt.Sprintf("%s, to keep for %d ms", strings.Join(addresses, " "), list.KeepMS), nil
 }
 
 func (d *demo) streamCompletion() (string, error) {
@@ -184,14 +184,14 @@
 	return "both answered 200, through two entries; the ledger shows 1 run", nil
 }
 
-// outEngine is the engine in the failure domain that is marked out.
-func (d *demo) outEngine() *harness.Member {
+// markedEngine is the engine in the failure domain that is marked out.
+func (d *demo) markedEngine() *harness.Member {
 	for _, m := range d.cluster.EngineAgents() {
-		if m.Domain == domainOut {
+		if m.Domain == markedDomain {
 			return m
 		}
 	}
-	d.Fatalf("no engine in failure domain %s", domainOut)
+	d.Fatalf("no engine in failure domain %s", markedDomain)
 	return nil
 }
 
@@ -199,29 +199,29 @@
 	load := d.cluster.StartLoad(harness.LoadSpec{Callers: 4, Tokens: 20, Pause: 20 * time.Millisecond, Seed: 1})
 	time.Sleep(time.Second)
 	from := time.Now()
-	d.cluster.MustOperate("mark", "domain", domainOut, "out")
+	d.cluster.MustOperate("mark", "domain", markedDomain, "out")
 	took := time.Since(from)
-	time.Sleep(outTime)
-	before := len(d.outEngine().Backend.Record().Arrivals)
+	time.Sleep(markEffectTime)
+	before := len(d.markedEngine().Backend.Record().Arrivals)
 	time.Sleep(time.Second)
-	after := len(d.outEngine().Backend.Record().Arrivals)
+	after := len(d.markedEngine().Backend.Record().Arrivals)
 	result := load.Stop()
 	if after != before {
-		return "", errors.Errorf("%d requests arrived after %s", after-before, outTime)
+		return "", errors.Errorf("%d requests arrived after %s", after-before, markEffectTime)
 	}
 	if len(result.Cut)+len(result.Failed)+len(result.Wrong) > 0 {
 		return "", errors.Errorf("cut %q, failed %q, wrong %q", result.Cut, result.Failed, result.Wrong)
 	}
 	return fmt.Sprintf("confirmed in %s; nothing new arrived there %s later; %d requests answered whole, none cut",
-		took.Round(time.Millisecond), outTime, result.Whole), nil
+		took.Round(time.Millisecond), markEffectTime, result.Whole), nil
 }
 
 func (d *demo) markIn() (string, error) {
 	load := d.cluster.StartLoad(harness.LoadSpec{Callers: 4, Tokens: 20, Pause: 20 * time.Millisecond, Seed: 2})
-	before := len(d.outEngine().Backend.Record().Arrivals)
-	d.cluster.MustOperate("mark", "domain", domainOut, "in")
+	before := len(d.markedEngine().Backend.Record().Arrivals)
+	d.cluster.MustOperate("mark", "domain", markedDomain, "in")
 	took := harness.Eventually(d, 10*time.Second, "new work arrives", func() error {
-		if len(d.outEngine().Backend.Record().Arrivals) == before {
+		if len(d.markedEngine().Backend.Record().Arrivals) == before {
 			return errors.New("nothing has arrived")
 		}
 		return nil
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -53,62 +53,62 @@
 	FinishReason string   `json:"finish_reason,omitempty"`
 }
 
-func (e *engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	request := completionRequest{MaxTokens: 16}
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
-		web.Answer(w, nil, web.Refuse(http.StatusBadRequest, err.Error()))
+		web.Respond(w, nil, web.Refuse(http.StatusBadRequest, err.Error()))
 		return
 	}
 	id := r.Header.Get("X-Request-Id")
 	if id == "" {
 		id = rand.Text()
 	}
-	j := e.start(id, request)
+	j := e.startJob(id, request)
 	switch {
 	case j == nil:
-		web.Answer(w, nil, web.Refuse(http.StatusServiceUnavailable, refused))
+		web.Respond(w, nil, web.Refuse(http.StatusServiceUnavailable, outcomeRefused))
 	case request.Stream:
-		j.stream(w, r)
+		j.writeStream(w, r)
 	default:
-		j.answer(w)
+		j.writeWhole(w)
 	}
 }
 
-// answer sends the whole text when all tokens are made.
-func (j *job) answer(w http.ResponseWriter) {
+// writeWhole sends the whole text when all tokens are made.
+func (j *job) writeWhole(w http.ResponseWriter) {
 	<-j.ended
-	made, outcome := j.progress()
-	if outcome != whole {
-		web.Answer(w, nil, web.Refuse(http.StatusInternalServerError, outcome))
+	generated, outcome := j.progress()
+	if outcome != outcomeWhole {
+		web.Respond(w, nil, web.Refuse(http.StatusInternalServerError, outcome))
 		return
 	}
-	web.Answer(w, j.completion(Text(j.request.prompt(), j.request.Seed, made), "length"), nil)
+	web.Respond(w, j.completion(CompletionText(j.request.prompt(), j.request.Seed, generated), "length"), nil)
 }
 
-// stream sends each token as it is made. A stream that fails is cut and has no
+// writeStream sends each token as it is made. A writeStream that fails is cut and has no
 // closing marker.
-func (j *job) stream(w http.ResponseWriter, r *http.Request) {
+func (j *job) writeStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	sent := 0
 	for outcome := ""; outcome == ""; {
 		_ = http.NewResponseController(w).Flush()
-		made := sent
-		err := j.Until(r.Context(), func() bool {
-			made, outcome = j.made, j.outcome
-			return made > sent || outcome != ""
+		generated := sent
+		err := j.WaitUntil(r.Context(), func() bool {
+			generated, outcome = j.generated, j.outcome
+			return generated > sent || outcome != ""
 		})
-		if err != nil || outcome != "" && outcome != whole {
+		if err != nil || outcome != "" && outcome != outcomeWhole {
 			panic(http.ErrAbortHandler)
 		}
-		for ; sent < made; sent++ {
-			event(w, j.completion(Token(j.request.prompt(), j.request.Seed, sent), ""))
+		for ; sent < generated; sent++ {
+			writeEvent(w, j.completion(CompletionToken(j.request.prompt(), j.request.Seed, sent), ""))
 		}
 	}
-	event(w, j.completion("", "length"))
+	writeEvent(w, j.completion("", "length"))
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func event(w http.ResponseWriter, c completion) {
+func writeEvent(w http.ResponseWriter, c completion) {
 	data, _ := json.Marshal(c)
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 }
@@ -116,35 +116,35 @@
 // completion makes the shape that was asked for: text or chat, whole or a chunk.
 func (j *job) completion(text, finish string) completion {
 	c := completion{ID: j.id, Object: "text_completion", Model: j.request.Model}
-	chosen := choice{Text: text, FinishReason: finish}
-	said := &message{"assistant", text}
+	first := choice{Text: text, FinishReason: finish}
+	content := &message{"assistant", text}
 	switch chat := len(j.request.Messages) > 0; {
 	case chat && j.request.Stream:
-		c.Object, chosen.Delta = "chat.completion.chunk", said
+		c.Object, first.Delta = "chat.completion.chunk", content
 	case chat:
-		c.Object, chosen.Message = "chat.completion", said
+		c.Object, first.Message = "chat.completion", content
 	}
-	c.Choices = []choice{chosen}
+	c.Choices = []choice{first}
 	return c
 }
 
-// words are the tokens. Some hold more than one byte a letter, so that a cut in
+// vocabulary are the tokens. Some hold more than one byte a letter, so that a cut in
 // the middle of one shows.
-var words = strings.Fields("fresh Käse offer today 50% “half” price ¼ pound naïve tag store " +
+var vocabulary = strings.Fields("fresh Käse offer today 50% “half” price ¼ pound naïve tag store " +
 	"week perch fry Friday €2.49 only while it lasts now and aisle")
 
-// Token returns the i-th token, from 0, of the answer to a prompt and a seed.
-func Token(prompt string, seed int64, i int) string {
+// CompletionToken returns the i-th token, from 0, of the answer to a prompt and a seed.
+func CompletionToken(prompt string, seed int64, i int) string {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%d %d %s %d", seed, i, prompt, i)
-	return " " + words[hash.Sum64()>>32%uint64(len(words))]
+	return " " + vocabulary[hash.Sum64()>>32%uint64(len(vocabulary))]
 }
 
-// Text returns the whole answer to a prompt and a seed.
-func Text(prompt string, seed int64, tokens int) string {
+// CompletionText returns the whole answer to a prompt and a seed.
+func CompletionText(prompt string, seed int64, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(Token(prompt, seed, i))
+		text.WriteString(CompletionToken(prompt, seed, i))
 	}
 	return text.String()
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// prefill is the time before the first token, besides its own.
-	prefill = 5 * time.Millisecond
-	// coldFactor makes tokens slower in cold start.
-	coldFactor = 6
-	// loadLagMS is the age of load reports.
-	loadLagMS = 200
+	// prefillTime is the time before the first token, besides its own.
+	prefillTime = 5 * time.Millisecond
+	// coldSlowdown makes tokens slower in cold start.
+	coldSlowdown = 6
+	// loadReportIntervalMS is the age of load reports.
+	loadReportIntervalMS = 200
 )
 
 // Config holds the flags of an engine.
@@ -28,24 +28,24 @@
 	Listen string
 	// Platform is the base URL of the weight store and the fabric.
 	Platform string
-	// Token is the time of one token when warm.
-	Token time.Duration
-	// Full is the number of requests that run at once when warm; others wait.
-	Full int
+	// TokenTime is the time of one token when warm.
+	TokenTime time.Duration
+	// FullLimit is the number of requests that run at once when warm; others wait.
+	FullLimit int
 	// CheckFence refuses orders with an old fencing number.
 	CheckFence bool
 	Cold       ColdConfig
 	Ranks      RankConfig
 }
 
-// Load is the answer of GET /engine/load. Cold stays false when the engine turns
+// LoadReport is the answer of GET /engine/load. Cold stays false when the engine turns
 // cold without a word.
-type Load struct {
-	Running int   `json:"running"`
-	Waiting int   `json:"waiting"`
-	Full    int   `json:"full"`
-	Cold    bool  `json:"cold"`
-	AtMS    int64 `json:"at_ms"`
+type LoadReport struct {
+	Running   int   `json:"running"`
+	Waiting   int   `json:"waiting"`
+	FullLimit int   `json:"full"`
+	Cold      bool  `json:"cold"`
+	AtMS      int64 `json:"at_ms"`
 }
 
 // Arrival is one request that has reached the engine. Outcome is "" while it runs,
@@ -61,14 +61,14 @@
 // Record is the answer of GET /control/record.
 type Record struct {
 	State
-	Arrivals []Arrival `json:"arrivals"`
-	Loads    []Loaded  `json:"loads"`
+	Arrivals []Arrival       `json:"arrivals"`
+	Loads    []CompletedLoad `json:"loads"`
 	// Maps are the expert maps loaded, in order.
 	Maps []MapOrder `json:"maps"`
 }
 
-// target names a request, or says how long a cold engine's caches last.
-type target struct {
+// controlRequest names a request, or says how long a cold engine's caches last.
+type controlRequest struct {
 	ID      string `json:"id"`
 	GraceMS int64  `json:"grace_ms"`
 }
@@ -79,18 +79,18 @@
 }
 
 type engine struct {
-	web.Watched
-	config     Config
-	warmth     *warmth
-	slots      chan struct{}
-	orders     *orders
-	ranks      *ranks
-	popularity popularity
-	jobs       map[string]*job
-	arrivals   []Arrival
-	load       Load
-	held       Held
-	loads      []Loaded
+	web.Monitor
+	config         Config
+	coldStart      *coldStart
+	slots          chan struct{}
+	orderState     *orderState
+	ranks          *ranks
+	popularity     popularity
+	jobs           map[string]*job
+	arrivals       []Arrival
+	loadReport     LoadReport
+	heldWeights    HeldWeights
+	completedLoads []CompletedLoad
 }
 
 // Run serves until the process is told to stop.
@@ -98,54 +98,54 @@
 	cold := config.Cold.Limit > 0
 	e := &engine{
 		config:     config,
-		warmth:     &warmth{config: config.Cold, State: State{Cold: cold}, fell: make(chan struct{})},
-		slots:      make(chan struct{}, config.Full),
-		orders:     newOrders(config.CheckFence),
+		coldStart:  &coldStart{config: config.Cold, State: State{Cold: cold}, crashed: make(chan struct{})},
+		slots:      make(chan struct{}, config.FullLimit),
+		orderState: newOrderState(config.CheckFence),
 		ranks:      newRanks(config.Ranks, config.Platform),
 		jobs:       map[string]*job{},
-		load:       Load{Full: config.Full, Cold: cold},
-		popularity: popularity{ranks: make([]RankCount, config.Ranks.Ranks), at: time.Now()},
+		loadReport: LoadReport{FullLimit: config.FullLimit, Cold: cold},
+		popularity: popularity{ranks: make([]RankTotals, config.Ranks.Ranks), updatedAt: time.Now()},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", e.complete)
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("GET /engine/load", web.Get(e.showLoad))
-	mux.HandleFunc("GET /engine/running", web.Get(e.showRunning))
-	mux.HandleFunc("POST /engine/cancel", web.Set(e.cancel))
-	mux.HandleFunc("GET /engine/version", web.Get(e.showHeld))
-	mux.HandleFunc("POST /engine/orders", web.Call(e.carryOut))
-	mux.HandleFunc("GET /engine/experts", web.Get(e.popularity.count))
-	mux.HandleFunc("POST /control/experts", web.Set(e.popularity.set))
-	mux.HandleFunc("GET /engine/map", web.Call(e.showMap))
-	mux.HandleFunc("POST /engine/map/load", web.Call(e.loadMap))
-	mux.HandleFunc("POST /engine/map/give", web.Call(e.giveMap))
-	mux.HandleFunc("POST /control/cold", web.Set(func(t target) { e.warmth.turnCold(web.Millis(t.GraceMS)) }))
-	mux.HandleFunc("GET /control/record", web.Get(e.showRecord))
+	mux.HandleFunc("POST /v1/completions", e.handleCompletion)
+	mux.HandleFunc("POST /v1/chat/completions", e.handleCompletion)
+	mux.HandleFunc("GET /engine/load", web.GetHandler(e.showLoad))
+	mux.HandleFunc("GET /engine/running", web.GetHandler(e.showRunning))
+	mux.HandleFunc("POST /engine/cancel", web.SetHandler(e.cancel))
+	mux.HandleFunc("GET /engine/version", web.GetHandler(e.showHeldWeights))
+	mux.HandleFunc("POST /engine/orders", web.JSONHandler(e.loadWeights))
+	mux.HandleFunc("GET /engine/experts", web.GetHandler(e.popularity.advance))
+	mux.HandleFunc("POST /control/experts", web.SetHandler(e.popularity.set))
+	mux.HandleFunc("GET /engine/map", web.JSONHandler(e.showMap))
+	mux.HandleFunc("POST /engine/map/load", web.JSONHandler(e.loadMap))
+	mux.HandleFunc("POST /engine/map/give", web.JSONHandler(e.giveMap))
+	mux.HandleFunc("POST /control/cold", web.SetHandler(func(t controlRequest) { e.coldStart.turnCold(web.Millis(t.GraceMS)) }))
+	mux.HandleFunc("GET /control/record", web.GetHandler(e.showRecord))
 	if config.Ranks.Group != "" {
-		go e.ranks.run()
+		go e.ranks.runSteps()
 	}
-	srv := &http.Server{Handler: mux, ConnContext: e.orders.connContext, ConnState: e.orders.connState}
+	srv := &http.Server{Handler: mux, ConnContext: e.orderState.connContext, ConnState: e.orderState.connState}
 	return web.Serve(config.Listen, srv, logger)
 }
 
 // showLoad answers with the report made last, and makes a new one when it is old.
-func (e *engine) showLoad() (shown Load) {
-	e.Do(func() {
-		shown = e.load
-		if now := web.NowMS(); now-shown.AtMS >= loadLagMS {
-			state := e.warmth.now()
-			e.load.AtMS = now
-			e.load.Running = len(e.slots)
-			e.load.Waiting = max(0, state.Running-e.load.Running)
-			e.load.Cold = shown.Cold && state.Cold
+func (e *engine) showLoad() (report LoadReport) {
+	e.WithLock(func() {
+		report = e.loadReport
+		if now := web.NowMS(); now-report.AtMS >= loadReportIntervalMS {
+			state := e.coldStart.snapshot()
+			e.loadReport.AtMS = now
+			e.loadReport.Running = len(e.slots)
+			e.loadReport.Waiting = max(0, state.Running-e.loadReport.Running)
+			e.loadReport.Cold = report.Cold && state.Cold
 		}
 	})
-	return shown
+	return report
 }
 
 func (e *engine) showRunning() runningIDs {
 	running := runningIDs{IDs: []string{}}
-	e.Do(func() {
+	e.WithLock(func() {
 		for id, j := range e.jobs {
 			if _, outcome := j.progress(); outcome == "" {
 				running.IDs = append(running.IDs, id)
@@ -156,9 +156,9 @@
 }
 
 // cancel ends a request and returns when it has ended.
-func (e *engine) cancel(t target) {
+func (e *engine) cancel(t controlRequest) {
 	var j *job
-	e.Do(func() { j = e.jobs[t.ID] })
+	e.WithLock(func() { j = e.jobs[t.ID] })
 	if j != nil {
 		j.cancel()
 		<-j.ended
@@ -166,9 +166,9 @@
 }
 
 func (e *engine) showRecord() (record Record) {
-	e.Do(func() {
-		record.State, record.Arrivals, record.Loads = e.warmth.now(), slices.Clone(e.arrivals), slices.Clone(e.loads)
+	e.WithLock(func() {
+		record.State, record.Arrivals, record.Loads = e.coldStart.snapshot(), slices.Clone(e.arrivals), slices.Clone(e.completedLoads)
 	})
-	e.ranks.Do(func() { record.Maps = slices.Clone(e.ranks.maps) })
+	e.ranks.WithLock(func() { record.Maps = slices.Clone(e.ranks.maps) })
 	return record
 }
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -9,61 +9,61 @@
 
 // Outcomes of a request.
 const (
-	whole     = "whole"
-	cancelled = "cancelled"
-	fallen    = "fallen"
-	refused   = "refused"
+	outcomeWhole     = "whole"
+	outcomeCancelled = "cancelled"
+	outcomeCrashed   = "fallen"
+	outcomeRefused   = "refused"
 )
 
 // job is one request as the engine runs it. It goes on when its caller has gone:
 // only a cancel ends it early.
 type job struct {
-	web.Watched
-	id      string
-	request completionRequest
-	work    work
-	ctx     context.Context
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	made    int
-	outcome string
+	web.Monitor
+	id        string
+	request   completionRequest
+	running   runningRequest
+	ctx       context.Context
+	cancel    context.CancelFunc
+	ended     chan struct{}
+	generated int
+	outcome   string
 }
 
 // progress returns the tokens made, and the outcome once there is one.
-func (j *job) progress() (made int, outcome string) {
-	j.Do(func() { made, outcome = j.made, j.outcome })
-	return made, outcome
+func (j *job) progress() (generated int, outcome string) {
+	j.WithLock(func() { generated, outcome = j.generated, j.outcome })
+	return generated, outcome
 }
 
-// start takes a request and begins to run it; nil while fallen over.
-func (e *engine) start(id string, request completionRequest) *job {
-	taken, ok := e.warmth.begin()
-	arrival := Arrival{ID: id, BeginMS: web.NowMS(), Cold: e.warmth.now().Cold}
+// startJob takes a request and begins to run it; nil while fallen over.
+func (e *engine) startJob(id string, request completionRequest) *job {
+	started, ok := e.coldStart.begin()
+	arrival := Arrival{ID: id, BeginMS: web.NowMS(), Cold: e.coldStart.snapshot().Cold}
 	if !ok {
-		arrival.Outcome = refused
-		e.Do(func() { e.arrivals = append(e.arrivals, arrival) })
+		arrival.Outcome = outcomeRefused
+		e.WithLock(func() { e.arrivals = append(e.arrivals, arrival) })
 		return nil
 	}
-	j := &job{id: id, request: request, work: taken, ended: make(chan struct{})}
+	j := &job{id: id, request: request, running: started, ended: make(chan struct{})}
 	j.ctx, j.cancel = context.WithCancel(context.Background())
-	e.Do(func() {
-		go e.run(j, len(e.arrivals))
+	e.WithLock(func() {
+		go e.runJob(j, len(e.arrivals))
 		e.arrivals = append(e.arrivals, arrival)
 		e.jobs[id] = j
 	})
 	return j
 }
 
-func (e *engine) run(j *job, arrival int) {
+func (e *engine) runJob(j *job, arrival int) {
 	defer close(j.ended)
 	defer j.cancel()
 	outcome := e.generate(j)
-	e.warmth.end(j.work, outcome == whole)
-	e.Do(func() {
+	e.coldStart.end(j.running, outcome == outcomeWhole)
+	e.WithLock(func() {
 		e.arrivals[arrival].EndMS = web.NowMS()
 		e.arrivals[arrival].Outcome = outcome
 	})
-	j.Do(func() { j.outcome = outcome })
+	j.WithLock(func() { j.outcome = outcome })
 }
 
 // generate makes the tokens one after another and returns the outcome.
@@ -72,24 +72,24 @@
 	case e.slots <- struct{}{}:
 		defer func() { <-e.slots }()
 	case <-j.ctx.Done():
-		return cancelled
-	case <-j.work.fell:
-		return fallen
+		return outcomeCancelled
+	case <-j.running.crashed:
+		return outcomeCrashed
 	}
-	wait := e.config.Token + prefill
+	wait := e.config.TokenTime + prefillTime
 	for range j.request.MaxTokens {
-		if e.warmth.now().Cold {
-			wait *= coldFactor
+		if e.coldStart.snapshot().Cold {
+			wait *= coldSlowdown
 		}
 		select {
 		case <-time.After(wait):
-			j.Do(func() { j.made++ })
-			wait = e.config.Token
+			j.WithLock(func() { j.generated++ })
+			wait = e.config.TokenTime
 		case <-j.ctx.Done():
-			return cancelled
-		case <-j.work.fell:
-			return fallen
+			return outcomeCancelled
+		case <-j.running.crashed:
+			return outcomeCrashed
 		}
 	}
-	return whole
+	return outcomeWhole
 }
--- a/internal/standin/engine/loads.go
+++ b/internal/standin/engine/loads.go
@@ -7,9 +7,9 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// weightBytes is the size of a model's and of an adapter's weights: half a second's
+// weightSetBytes is the size of a model's and of an adapter's weights: half a second's
 // reading by one engine alone.
-const weightBytes = 32 << 20
+const weightSetBytes = 32 << 20
 
 // LoadOrder is the body of POST /engine/orders.
 type LoadOrder struct {
@@ -20,46 +20,46 @@
 	Adapter string `json:"adapter"`
 }
 
-// Held is the answer of GET /engine/version.
-type Held struct {
+// HeldWeights is the answer of GET /engine/version.
+type HeldWeights struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// Loaded is one order carried out; Running is the work under way when it came.
-type Loaded struct {
+// CompletedLoad is one order carried out; Running is the work under way when it came.
+type CompletedLoad struct {
 	LoadOrder
 	Running int   `json:"running"`
 	BeginMS int64 `json:"begin_ms"`
 	EndMS   int64 `json:"end_ms"`
 }
 
-func (e *engine) showHeld() (held Held) {
-	e.Do(func() { held = Held{e.held.Version, slices.Clone(e.held.Adapters)} })
+func (e *engine) showHeldWeights() (held HeldWeights) {
+	e.WithLock(func() { held = HeldWeights{e.heldWeights.Version, slices.Clone(e.heldWeights.Adapters)} })
 	return held
 }
 
-// carryOut loads a version, which lets go of the adapters, or one adapter.
-func (e *engine) carryOut(r *http.Request, order LoadOrder) (web.None, error) {
-	if err := e.orders.obey(r, order.Fence); err != nil {
-		return web.None{}, err
+// loadWeights loads a version, which lets go of the adapters, or one adapter.
+func (e *engine) loadWeights(r *http.Request, order LoadOrder) (web.NoBody, error) {
+	if err := e.orderState.acceptOrder(r, order.Fence); err != nil {
+		return web.NoBody{}, err
 	}
-	done := Loaded{LoadOrder: order, Running: e.warmth.now().Running, BeginMS: web.NowMS()}
-	if err := e.ranks.fetch(order.Model, weightBytes); err != nil {
-		return web.None{}, err
+	load := CompletedLoad{LoadOrder: order, Running: e.coldStart.snapshot().Running, BeginMS: web.NowMS()}
+	if err := e.ranks.fetchWeights(order.Model, weightSetBytes); err != nil {
+		return web.NoBody{}, err
 	}
-	done.EndMS = web.NowMS()
-	e.Do(func() {
-		e.loads = append(e.loads, done)
+	load.EndMS = web.NowMS()
+	e.WithLock(func() {
+		e.completedLoads = append(e.completedLoads, load)
 		if order.Kind == "load_adapter" {
-			e.held.Adapters = append(e.held.Adapters, order.Adapter)
+			e.heldWeights.Adapters = append(e.heldWeights.Adapters, order.Adapter)
 			return
 		}
-		e.held = Held{Version: order.Version}
+		e.heldWeights = HeldWeights{Version: order.Version}
 		if e.config.Cold.Limit > 0 {
-			e.warmth.turnCold(0)
-			e.load.Cold = true
+			e.coldStart.turnCold(0)
+			e.loadReport.Cold = true
 		}
 	})
-	return web.None{}, nil
+	return web.NoBody{}, nil
 }
--- a/internal/standin/engine/ranks.go
+++ b/internal/standin/engine/ranks.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// pastSteps is how far back the ranges given are told.
-	pastSteps = 64
-	// fabricRetry is the wait after the fabric did not answer.
-	fabricRetry = 20 * time.Millisecond
-	// firstMap is the map version loaded at the start.
-	firstMap = 1
+	// retainedPastSteps is how far back the ranges given are told.
+	retainedPastSteps = 64
+	// fabricRetryInterval is the wait after the fabric did not answer.
+	fabricRetryInterval = 20 * time.Millisecond
+	// initialMap is the map version loaded at the start.
+	initialMap = 1
 )
 
 // RankConfig places the engine's ranks in a group.
 type RankConfig struct {
-	Group string
-	First int
-	Ranks int
-	Size  int
-	// Step is the least time of one step.
-	Step time.Duration
+	Group     string
+	FirstRank int
+	Ranks     int
+	GroupSize int
+	// MinStepTime is the least time of one step.
+	MinStepTime time.Duration
 }
 
 // StepRange says that the steps from Start up to but without End run under a map.
@@ -44,13 +44,13 @@
 
 // MapState is the answer of GET /engine/map. Step is the next one to run.
 type MapState struct {
-	Group     string      `json:"group"`
-	FirstRank int         `json:"first_rank"`
-	Ranks     int         `json:"ranks"`
-	Loaded    []uint64    `json:"loaded"`
-	Given     []StepRange `json:"given"`
-	Step      uint64      `json:"step"`
-	Links     int         `json:"links"`
+	Group       string      `json:"group"`
+	FirstRank   int         `json:"first_rank"`
+	Ranks       int         `json:"ranks"`
+	Loaded      []uint64    `json:"loaded"`
+	Given       []StepRange `json:"given"`
+	Step        uint64      `json:"step"`
+	Connections int         `json:"links"`
 	// Fence is the highest one seen; 0 when fences are not checked.
 	Fence uint64 `json:"fence"`
 }
@@ -66,7 +66,7 @@
 
 // ranks runs the steps that it was given and no other.
 type ranks struct {
-	web.Watched
+	web.Monitor
 	config   RankConfig
 	platform string
 	state    MapState
@@ -74,33 +74,33 @@
 }
 
 func newRanks(config RankConfig, platform string) *ranks {
-	state := MapState{Group: config.Group, FirstRank: config.First, Ranks: config.Ranks}
-	state.Loaded, state.Given = []uint64{firstMap}, []StepRange{}
+	state := MapState{Group: config.Group, FirstRank: config.FirstRank, Ranks: config.Ranks}
+	state.Loaded, state.Given = []uint64{initialMap}, []StepRange{}
 	return &ranks{config: config, platform: platform, state: state}
 }
 
-// fetch takes weights from the weight store, at the store's rate.
-func (r *ranks) fetch(name string, size int64) error {
+// fetchWeights takes weights from the weight store, at the store's rate.
+func (r *ranks) fetchWeights(name string, size int64) error {
 	answer, err := http.Get(fmt.Sprintf("%s/weights/%s?bytes=%d", r.platform, name, size))
 	if err != nil {
 		return errors.Wrap(err, "weight store")
 	}
 	defer answer.Body.Close()
-	got, err := io.Copy(io.Discard, answer.Body)
-	if err != nil || got != size {
-		return errors.Errorf("weights cut short: %d of %d bytes", got, size)
+	received, err := io.Copy(io.Discard, answer.Body)
+	if err != nil || received != size {
+		return errors.Errorf("weights cut short: %d of %d bytes", received, size)
 	}
 	return nil
 }
 
-// lay puts a range over the others and lets go of those long past.
-func (r *ranks) lay(g StepRange) {
-	kept := []StepRange{g}
+// overlay puts a range over the others and lets go of those long past.
+func (r *ranks) overlay(added StepRange) {
+	kept := []StepRange{added}
 	for _, old := range r.state.Given {
-		if end := min(old.End, g.Start); old.Start < end && end+pastSteps > r.state.Step {
+		if end := min(old.End, added.Start); old.Start < end && end+retainedPastSteps > r.state.Step {
 			kept = append(kept, StepRange{old.Start, end, old.Map})
 		}
-		if start := max(old.Start, g.End); start < old.End {
+		if start := max(old.Start, added.End); start < old.End {
 			kept = append(kept, StepRange{start, old.End, old.Map})
 		}
 	}
@@ -108,38 +108,38 @@
 	r.state.Given = kept
 }
 
-// next waits until the next step was given and returns it with its map.
-func (r *ranks) next() platform.Arrival {
-	a := platform.Arrival{Size: r.config.Size}
-	a.FirstRank, a.Ranks = r.config.First, r.config.Ranks
-	_ = r.Until(context.Background(), func() bool {
+// waitNextStep waits until the waitNextStep step was given and returns it with its map.
+func (r *ranks) waitNextStep() platform.Arrival {
+	a := platform.Arrival{Size: r.config.GroupSize}
+	a.FirstRank, a.Ranks = r.config.FirstRank, r.config.Ranks
+	_ = r.WaitUntil(context.Background(), func() bool {
 		a.Step = r.state.Step
-		at := slices.IndexFunc(r.state.Given, func(g StepRange) bool { return g.Start <= a.Step && a.Step < g.End })
-		if at >= 0 {
-			a.Map = r.state.Given[at].Map
+		index := slices.IndexFunc(r.state.Given, func(g StepRange) bool { return g.Start <= a.Step && a.Step < g.End })
+		if index >= 0 {
+			a.Map = r.state.Given[index].Map
 		}
-		return at >= 0
+		return index >= 0
 	})
 	return a
 }
 
-// run goes from step to step, in lock-step with the other ranks of the group.
-func (r *ranks) run() {
-	for !r.meet(http.MethodGet, "record?last=0", nil) {
-		time.Sleep(fabricRetry)
+// runSteps goes from step to step, in lock-step with the other ranks of the group.
+func (r *ranks) runSteps() {
+	for !r.callFabric(http.MethodGet, "record?last=0", nil) {
+		time.Sleep(fabricRetryInterval)
 	}
 	for {
-		arrival, _ := json.Marshal(r.next())
-		if !r.meet(http.MethodPost, "arrive", arrival) {
-			time.Sleep(fabricRetry)
+		arrival, _ := json.Marshal(r.waitNextStep())
+		if !r.callFabric(http.MethodPost, "arrive", arrival) {
+			time.Sleep(fabricRetryInterval)
 		}
-		time.Sleep(r.config.Step)
+		time.Sleep(r.config.MinStepTime)
 	}
 }
 
-// meet asks the fabric and moves to the group's next step.
-func (r *ranks) meet(method, what string, body []byte) bool {
-	url := r.platform + "/fabric/" + r.config.Group + "/" + what
+// callFabric asks the fabric and moves to the group's next step.
+func (r *ranks) callFabric(method, path string, body []byte) bool {
+	url := r.platform + "/fabric/" + r.config.Group + "/" + path
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -149,52 +149,52 @@
 		return false
 	}
 	defer answer.Body.Close()
-	var group platform.FabricRecord
-	if answer.StatusCode != http.StatusOK || json.NewDecoder(answer.Body).Decode(&group) != nil {
+	var record platform.FabricRecord
+	if answer.StatusCode != http.StatusOK || json.NewDecoder(answer.Body).Decode(&record) != nil {
 		return false
 	}
-	r.Do(func() { r.state.Step = group.Next })
+	r.WithLock(func() { r.state.Step = record.Next })
 	return true
 }
 
 // showMap answers only when the connections of earlier givers were seen closed: an
 // order of theirs that was still on its way counts among the ranges given.
-func (e *engine) showMap(r *http.Request, _ web.None) (state MapState, err error) {
-	links, err := e.orders.alone(r)
-	e.ranks.Do(func() {
+func (e *engine) showMap(r *http.Request, _ web.NoBody) (state MapState, err error) {
+	connections, err := e.orderState.waitExclusive(r)
+	e.ranks.WithLock(func() {
 		state = e.ranks.state
 		state.Loaded = slices.Clone(state.Loaded)
 	})
-	state.Links = links
-	state.Fence = e.orders.highest()
+	state.Connections = connections
+	state.Fence = e.orderState.highestFence()
 	return state, err
 }
 
-func (e *engine) loadMap(_ *http.Request, load MapOrder) (web.None, error) {
-	err := e.ranks.fetch(fmt.Sprint("map-", load.Version), load.Bytes)
-	e.ranks.Do(func() {
-		if err == nil && !slices.Contains(e.ranks.state.Loaded, load.Version) {
-			e.ranks.state.Loaded = append(e.ranks.state.Loaded, load.Version)
-			e.ranks.maps = append(e.ranks.maps, load)
+func (e *engine) loadMap(_ *http.Request, order MapOrder) (web.NoBody, error) {
+	err := e.ranks.fetchWeights(fmt.Sprint("map-", order.Version), order.Bytes)
+	e.ranks.WithLock(func() {
+		if err == nil && !slices.Contains(e.ranks.state.Loaded, order.Version) {
+			e.ranks.state.Loaded = append(e.ranks.state.Loaded, order.Version)
+			e.ranks.maps = append(e.ranks.maps, order)
 		}
 	})
-	return web.None{}, err
+	return web.NoBody{}, err
 }
 
 // giveMap takes ranges; a newer one stands over the steps of older ones. Maps that
 // are not loaded are refused.
-func (e *engine) giveMap(r *http.Request, give MapOrder) (_ web.None, err error) {
-	if err := e.orders.obey(r, give.Fence); err != nil {
-		return web.None{}, err
+func (e *engine) giveMap(r *http.Request, order MapOrder) (_ web.NoBody, err error) {
+	if err := e.orderState.acceptOrder(r, order.Fence); err != nil {
+		return web.NoBody{}, err
 	}
-	e.ranks.Do(func() {
-		for _, g := range give.Ranges {
+	e.ranks.WithLock(func() {
+		for _, g := range order.Ranges {
 			if !slices.Contains(e.ranks.state.Loaded, g.Map) {
 				err = web.Refuse(http.StatusConflict, fmt.Sprintf("map %d is not loaded", g.Map))
 				return
 			}
-			e.ranks.lay(g)
+			e.ranks.overlay(g)
 		}
 	})
-	return web.None{}, err
+	return web.NoBody{}, err
 }
--- a/internal/standin/platform/fabric.go
+++ b/internal/standin/platform/fabric.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// recordedSteps bounds the steps kept for each group.
-const recordedSteps = 4096
+// maxRecordedSteps bounds the steps kept for each group.
+const maxRecordedSteps = 4096
 
 // RankMap says which map a range of ranks ran in a step.
 type RankMap struct {
@@ -34,49 +34,49 @@
 // FabricRecord is the answer of GET /fabric/{group}/record. Mixed counts the steps
 // that ran with more than one map. An arrival is answered with Next alone.
 type FabricRecord struct {
-	Next  uint64 `json:"next"`
-	Mixed int    `json:"mixed"`
-	Steps []Step `json:"steps,omitempty"`
+	Next       uint64 `json:"next"`
+	MixedSteps int    `json:"mixed"`
+	Steps      []Step `json:"steps,omitempty"`
 }
 
-// meeting is the lock-step of one group.
-type meeting struct {
+// stepBarrier is the lock-step of one group.
+type stepBarrier struct {
 	FabricRecord
 	arrived []RankMap
 }
 
 type fabric struct {
-	web.Watched
-	groups map[string]*meeting
+	web.Monitor
+	barriers map[string]*stepBarrier
 }
 
-// group returns the meeting of the group in the path; the lock is held.
-func (f *fabric) group(r *http.Request) *meeting {
+// barrier returns the meeting of the barrier in the path; the lock is held.
+func (f *fabric) barrier(r *http.Request) *stepBarrier {
 	name := r.PathValue("group")
-	if f.groups[name] == nil {
-		f.groups[name] = &meeting{}
+	if f.barriers[name] == nil {
+		f.barriers[name] = &stepBarrier{}
 	}
-	return f.groups[name]
+	return f.barriers[name]
 }
 
 // arrive holds the ranks until all ranks of the group have arrived. Ranks that die
 // while they wait have not taken part: their arrival is withdrawn.
 func (f *fabric) arrive(r *http.Request, a Arrival) (answer FabricRecord, err error) {
 	a.AtMS = web.NowMS()
-	f.Do(func() {
-		if m := f.group(r); a.Step == m.Next {
+	f.WithLock(func() {
+		if m := f.barrier(r); a.Step == m.Next {
 			m.withdraw(a.FirstRank)
 			m.arrived = append(m.arrived, a.RankMap)
-			m.finish(a.Size)
+			m.finishStep(a.Size)
 		}
 	})
-	err = f.Until(r.Context(), func() bool {
-		answer.Next = f.group(r).Next
+	err = f.WaitUntil(r.Context(), func() bool {
+		answer.Next = f.barrier(r).Next
 		return answer.Next != a.Step
 	})
 	if err != nil {
-		f.Do(func() {
-			if m := f.group(r); a.Step == m.Next {
+		f.WithLock(func() {
+			if m := f.barrier(r); a.Step == m.Next {
 				m.withdraw(a.FirstRank)
 			}
 		})
@@ -84,12 +84,12 @@
 	return answer, err
 }
 
-func (m *meeting) withdraw(firstRank int) {
+func (m *stepBarrier) withdraw(firstRank int) {
 	m.arrived = slices.DeleteFunc(m.arrived, func(a RankMap) bool { return a.FirstRank == firstRank })
 }
 
-// finish closes the step when all ranks of the group have arrived.
-func (m *meeting) finish(size int) {
+// finishStep closes the step when all ranks of the group have arrived.
+func (m *stepBarrier) finishStep(size int) {
 	ranks := 0
 	maps := map[uint64]bool{}
 	for _, a := range m.arrived {
@@ -100,17 +100,17 @@
 		return
 	}
 	if len(maps) > 1 {
-		m.Mixed++
+		m.MixedSteps++
 	}
 	m.Steps = append(m.Steps, Step{m.Next, m.arrived})
-	m.Steps = m.Steps[max(0, len(m.Steps)-recordedSteps):]
+	m.Steps = m.Steps[max(0, len(m.Steps)-maxRecordedSteps):]
 	m.Next++
 	m.arrived = nil
 }
 
-func (f *fabric) record(r *http.Request, _ web.None) (record FabricRecord, _ error) {
-	f.Do(func() { record = f.group(r).FabricRecord })
-	last := int(web.Number(r, "last", recordedSteps))
+func (f *fabric) record(r *http.Request, _ web.NoBody) (record FabricRecord, _ error) {
+	f.WithLock(func() { record = f.barrier(r).FabricRecord })
+	last := int(web.QueryInt(r, "last", maxRecordedSteps))
 	record.Steps = record.Steps[max(0, len(record.Steps)-last):]
 	return record, nil
 }
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -23,18 +23,18 @@
 
 // recordLog is the append-only log. Records below first have expired.
 type recordLog struct {
-	web.Watched
-	mode    string
-	delay   time.Duration
-	first   int64
-	keep    int64
-	records [][]byte
+	web.Monitor
+	mode       string
+	delay      time.Duration
+	first      int64
+	maxRecords int64
+	records    [][]byte
 }
 
-// pass takes the time that the mode says and fails in an outage.
-func (l *recordLog) pass() (mode string, err error) {
+// delayOrFail takes the time that the mode says and fails in an outage.
+func (l *recordLog) delayOrFail() (mode string, err error) {
 	var delay time.Duration
-	l.Do(func() { mode, delay = l.mode, l.delay })
+	l.WithLock(func() { mode, delay = l.mode, l.delay })
 	time.Sleep(delay)
 	if mode == "down" {
 		err = web.Refuse(http.StatusServiceUnavailable, "the log is down")
@@ -44,18 +44,18 @@
 
 // expire lets go of the oldest records; the lock is held.
 func (l *recordLog) expire() {
-	if over := int64(len(l.records)) - l.keep; l.keep >= 0 && over > 0 {
-		l.records = l.records[over:]
-		l.first += over
+	if excess := int64(len(l.records)) - l.maxRecords; l.maxRecords >= 0 && excess > 0 {
+		l.records = l.records[excess:]
+		l.first += excess
 	}
 }
 
 func (l *recordLog) append(_ *http.Request, data []byte) (answer record, err error) {
-	mode, err := l.pass()
+	mode, err := l.delayOrFail()
 	if err != nil {
 		return answer, err
 	}
-	l.Do(func() {
+	l.WithLock(func() {
 		answer.Offset = l.first + int64(len(l.records))
 		l.records = append(l.records, data)
 		l.expire()
@@ -66,16 +66,16 @@
 	return answer, nil
 }
 
-func (l *recordLog) read(r *http.Request, _ web.None) (p page, err error) {
-	if _, err := l.pass(); err != nil {
+func (l *recordLog) read(r *http.Request, _ web.NoBody) (p page, err error) {
+	if _, err := l.delayOrFail(); err != nil {
 		return p, err
 	}
-	from, limit := web.Number(r, "from", 0), web.Number(r, "limit", 1000)
-	ctx, cancel := context.WithTimeout(r.Context(), web.Millis(web.Number(r, "wait_ms", 0)))
+	from, limit := web.QueryInt(r, "from", 0), web.QueryInt(r, "limit", 1000)
+	ctx, cancel := context.WithTimeout(r.Context(), web.Millis(web.QueryInt(r, "wait_ms", 0)))
 	defer cancel()
 	down := false
-	_ = l.Until(ctx, func() bool {
-		p, down = l.page(from, limit), l.mode == "down"
+	_ = l.WaitUntil(ctx, func() bool {
+		p, down = l.readPage(from, limit), l.mode == "down"
 		return down || from != p.Next
 	})
 	switch {
@@ -87,8 +87,8 @@
 	return p, nil
 }
 
-// page returns the records from an offset on; the lock is held.
-func (l *recordLog) page(from, limit int64) page {
+// readPage returns the records from an offset on; the lock is held.
+func (l *recordLog) readPage(from, limit int64) page {
 	p := page{First: l.first, Next: l.first + int64(len(l.records)), Records: []record{}}
 	for offset := max(from, l.first); offset < min(p.Next, from+limit); offset++ {
 		p.Records = append(p.Records, record{offset, l.records[offset-l.first]})
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// weightChunk is the unit in which the weight store sends, in bytes.
-	weightChunk = 64 << 10
-	// weightRate bounds the weight store over all readers, in bytes a second.
-	weightRate = 64 << 20
+	// weightChunkBytes is the unit in which the weight store sends, in bytes.
+	weightChunkBytes = 64 << 10
+	// weightBytesPerSecond bounds the weight store over all readers, in bytes a second.
+	weightBytesPerSecond = 64 << 20
 )
 
 // VM is one line of the list of VMs.
@@ -42,9 +42,9 @@
 	Delete string `json:"delete,omitempty"`
 }
 
-// Control is the body of the other controls, each with fields of its own. Those of the
+// ControlRequest is the body of the other controls, each with fields of its own. Those of the
 // log are for one stream, or for the configuration's and all others.
-type Control struct {
+type ControlRequest struct {
 	Stream  string `json:"stream,omitempty"`
 	Mode    string `json:"mode,omitempty"`
 	DelayMS int64  `json:"delay_ms,omitempty"`
@@ -52,50 +52,50 @@
 	MS      int64  `json:"ms,omitempty"`
 }
 
-// version is the list of VMs as it stood from one moment on.
-type version struct {
-	since time.Time
-	vms   []VM
+// vmListVersion is the list of VMs as it stood from one moment on.
+type vmListVersion struct {
+	validFrom time.Time
+	vms       []VM
 }
 
 // vmList keeps all versions, so that an old one can be shown.
 type vmList struct {
-	web.Watched
+	web.Monitor
 	lag      time.Duration
-	versions []version
+	versions []vmListVersion
 }
 
 // Run serves until the process is told to stop.
 func Run(listen string, logger log.Logger) error {
 	streams := newStreams()
-	vms := &vmList{versions: []version{{vms: []VM{}}}}
-	fabric := &fabric{groups: map[string]*meeting{}}
-	weights := rate.NewLimiter(weightRate, weightChunk)
+	vms := &vmList{versions: []vmListVersion{{vms: []VM{}}}}
+	fabric := &fabric{barriers: map[string]*stepBarrier{}}
+	weights := rate.NewLimiter(weightBytesPerSecond, weightChunkBytes)
 
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /log/records", web.Call(streams.append))
-	mux.HandleFunc("GET /log/records", web.Call(streams.read))
-	mux.HandleFunc("POST /log/streams/{stream}/records", web.Call(streams.append))
-	mux.HandleFunc("GET /log/streams/{stream}/records", web.Call(streams.read))
+	mux.HandleFunc("POST /log/records", web.JSONHandler(streams.append))
+	mux.HandleFunc("GET /log/records", web.JSONHandler(streams.read))
+	mux.HandleFunc("POST /log/streams/{stream}/records", web.JSONHandler(streams.append))
+	mux.HandleFunc("GET /log/streams/{stream}/records", web.JSONHandler(streams.read))
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, r *http.Request) {
-		web.AnswerTagged(w, r, vms.list())
+		web.RespondWithETag(w, r, vms.visible())
 	})
-	mux.HandleFunc("POST /fabric/{group}/arrive", web.Call(fabric.arrive))
-	mux.HandleFunc("GET /fabric/{group}/record", web.Call(fabric.record))
+	mux.HandleFunc("POST /fabric/{group}/arrive", web.JSONHandler(fabric.arrive))
+	mux.HandleFunc("GET /fabric/{group}/record", web.JSONHandler(fabric.record))
 	mux.HandleFunc("GET /weights/{name}", func(w http.ResponseWriter, r *http.Request) {
 		sendWeights(w, r, weights)
 	})
-	mux.HandleFunc("PUT /control/vms", web.Set(vms.change))
-	mux.HandleFunc("POST /control/vms_lag", web.Set(func(c Control) {
-		vms.Do(func() { vms.lag = web.Millis(c.MS) })
+	mux.HandleFunc("PUT /control/vms", web.SetHandler(vms.change))
+	mux.HandleFunc("POST /control/vms_lag", web.SetHandler(func(c ControlRequest) {
+		vms.WithLock(func() { vms.lag = web.Millis(c.MS) })
 	}))
-	mux.HandleFunc("POST /control/log", web.Set(streams.setMode))
-	mux.HandleFunc("POST /control/retention", web.Set(streams.setRetention))
+	mux.HandleFunc("POST /control/log", web.SetHandler(streams.setMode))
+	mux.HandleFunc("POST /control/retention", web.SetHandler(streams.setRetention))
 	return web.Serve(listen, &http.Server{Handler: mux}, logger)
 }
 
 func (l *vmList) change(c VMChange) {
-	l.Do(func() {
+	l.WithLock(func() {
 		if c.VMs == nil {
 			c.VMs = slices.Clone(l.versions[len(l.versions)-1].vms)
 		}
@@ -106,14 +106,14 @@
 		if c.Put != nil {
 			c.VMs = append(c.VMs, *c.Put)
 		}
-		l.versions = append(l.versions, version{time.Now(), c.VMs})
+		l.versions = append(l.versions, vmListVersion{time.Now(), c.VMs})
 	})
 }
 
-func (l *vmList) list() (shown VMChange) {
-	l.Do(func() {
+func (l *vmList) visible() (shown VMChange) {
+	l.WithLock(func() {
 		for i, v := range l.versions {
-			if i == 0 || time.Since(v.since) >= l.lag {
+			if i == 0 || time.Since(v.validFrom) >= l.lag {
 				shown.VMs = v.vms
 			}
 		}
@@ -122,9 +122,9 @@
 }
 
 func sendWeights(w http.ResponseWriter, r *http.Request, limiter *rate.Limiter) {
-	var chunk [weightChunk]byte
-	for left := web.Number(r, "bytes", weightChunk); left > 0; left -= weightChunk {
-		n := min(left, weightChunk)
+	var chunk [weightChunkBytes]byte
+	for left := web.QueryInt(r, "bytes", weightChunkBytes); left > 0; left -= weightChunkBytes {
+		n := min(left, weightChunkBytes)
 		if limiter.WaitN(r.Context(), int(n)) != nil {
 			return
 		}
--- a/internal/standin/platform/streams.go
+++ b/internal/standin/platform/streams.go
@@ -11,12 +11,12 @@
 type streams struct {
 	mu     sync.Mutex
 	byName map[string]*recordLog
-	// all is what the controls last said for all streams, also those to come.
-	all Control
+	// defaults is what the controls last said for defaults streams, also those to come.
+	defaults ControlRequest
 }
 
 func newStreams() *streams {
-	return &streams{byName: make(map[string]*recordLog), all: Control{Records: -1}}
+	return &streams{byName: make(map[string]*recordLog), defaults: ControlRequest{Records: -1}}
 }
 
 // stream returns a stream, which begins with its first use.
@@ -25,14 +25,14 @@
 	defer s.mu.Unlock()
 	l := s.byName[name]
 	if l == nil {
-		l = &recordLog{mode: s.all.Mode, delay: web.Millis(s.all.DelayMS), keep: s.all.Records}
+		l = &recordLog{mode: s.defaults.Mode, delay: web.Millis(s.defaults.DelayMS), maxRecords: s.defaults.Records}
 		s.byName[name] = l
 	}
 	return l
 }
 
-// chosen returns the streams that a control is for.
-func (s *streams) chosen(c Control) []*recordLog {
+// selected returns the streams that a control is for.
+func (s *streams) selected(c ControlRequest) []*recordLog {
 	if c.Stream != "" {
 		return []*recordLog{s.stream(c.Stream)}
 	}
@@ -49,30 +49,30 @@
 	return s.stream(r.PathValue("stream")).append(r, data)
 }
 
-func (s *streams) read(r *http.Request, none web.None) (page, error) {
+func (s *streams) read(r *http.Request, none web.NoBody) (page, error) {
 	return s.stream(r.PathValue("stream")).read(r, none)
 }
 
-func (s *streams) setMode(c Control) {
+func (s *streams) setMode(c ControlRequest) {
 	if c.Stream == "" {
 		s.mu.Lock()
-		s.all.Mode, s.all.DelayMS = c.Mode, c.DelayMS
+		s.defaults.Mode, s.defaults.DelayMS = c.Mode, c.DelayMS
 		s.mu.Unlock()
 	}
-	for _, l := range s.chosen(c) {
-		l.Do(func() { l.mode, l.delay = c.Mode, web.Millis(c.DelayMS) })
+	for _, l := range s.selected(c) {
+		l.WithLock(func() { l.mode, l.delay = c.Mode, web.Millis(c.DelayMS) })
 	}
 }
 
-func (s *streams) setRetention(c Control) {
+func (s *streams) setRetention(c ControlRequest) {
 	if c.Stream == "" {
 		s.mu.Lock()
-		s.all.Records = c.Records
+		s.defaults.Records = c.Records
 		s.mu.Unlock()
 	}
-	for _, l := range s.chosen(c) {
-		l.Do(func() {
-			l.keep = c.Records
+	for _, l := range s.selected(c) {
+		l.WithLock(func() {
+			l.maxRecords = c.Records
 			l.expire()
 		})
 	}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -16,9 +16,9 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// Run is one line of the ledger: one run of one call.
-type Run struct {
-	N       int    `json:"n"`
+// LedgerLine is one line of the ledger: one run of one call.
+type LedgerLine struct {
+	Number  int    `json:"n"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	ID      string `json:"id"`
@@ -38,43 +38,43 @@
 
 // Answer is the body of each answer.
 type Answer struct {
-	N      int    `json:"n"`
+	Number int    `json:"n"`
 	Label  string `json:"label"`
 	Price  string `json:"price"`
 	Pushes int    `json:"pushes"`
 }
 
 type plainService struct {
-	web.Watched
+	web.Monitor
 	behaviour Behaviour
-	ledger    []Run
+	ledger    []LedgerLine
 	labels    map[string]Answer
 }
 
-// Main serves until the process is told to stop.
-func Main(listen string, logger log.Logger) error {
-	s := &plainService{ledger: []Run{}, labels: map[string]Answer{}}
+// Serve serves until the process is told to stop.
+func Serve(listen string, logger log.Logger) error {
+	s := &plainService{ledger: []LedgerLine{}, labels: map[string]Answer{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/", s.call)
-	mux.HandleFunc("GET /control/ledger", web.Get(func() (ledger []Run) {
-		s.Do(func() { ledger = slices.Clone(s.ledger) })
+	mux.HandleFunc("/", s.handleCall)
+	mux.HandleFunc("GET /control/ledger", web.GetHandler(func() (ledger []LedgerLine) {
+		s.WithLock(func() { ledger = slices.Clone(s.ledger) })
 		return ledger
 	}))
-	mux.HandleFunc("POST /control/behaviour", web.Set(func(b Behaviour) {
-		s.Do(func() { s.behaviour = b })
+	mux.HandleFunc("POST /control/behaviour", web.SetHandler(func(b Behaviour) {
+		s.WithLock(func() { s.behaviour = b })
 	}))
 	return web.Serve(listen, &http.Server{Handler: mux}, logger)
 }
 
-func (s *plainService) call(w http.ResponseWriter, r *http.Request) {
-	web.Call(func(r *http.Request, body []byte) (Answer, error) {
-		n, b := s.begin(r, body)
-		time.Sleep(web.Millis(b.DelayMS))
-		answer := s.finish(n, r, body)
+func (s *plainService) handleCall(w http.ResponseWriter, r *http.Request) {
+	web.JSONHandler(func(r *http.Request, body []byte) (Answer, error) {
+		index, behaviour := s.recordStart(r, body)
+		time.Sleep(web.Millis(behaviour.DelayMS))
+		answer := s.execute(index, r, body)
 		switch {
-		case b.CloseAfterRead:
+		case behaviour.CloseAfterRead:
 			panic(http.ErrAbortHandler) // Cuts the connection: the call has run, its answer is lost.
-		case b.Redirect:
+		case behaviour.Redirect:
 			w.Header().Set("Location", "/redirected"+r.URL.Path)
 			return answer, web.Refusal{Status: http.StatusTemporaryRedirect, Body: answer}
 		}
@@ -82,10 +82,10 @@
 	})(w, r)
 }
 
-// begin enters the call in the ledger before anything else can happen to it.
-func (s *plainService) begin(r *http.Request, body []byte) (n int, b Behaviour) {
+// recordStart enters the call in the ledger before anything else can happen to it.
+func (s *plainService) recordStart(r *http.Request, body []byte) (index int, behaviour Behaviour) {
 	sum := sha256.Sum256(body)
-	run := Run{
+	line := LedgerLine{
 		Method:  r.Method,
 		Path:    r.URL.Path,
 		ID:      r.Header.Get("X-Request-Id"),
@@ -93,26 +93,26 @@
 		Body:    hex.EncodeToString(sum[:]),
 		BeginMS: web.NowMS(),
 	}
-	s.Do(func() {
-		n, b = len(s.ledger), s.behaviour
-		run.N = n + 1
-		s.ledger = append(s.ledger, run)
+	s.WithLock(func() {
+		index, behaviour = len(s.ledger), s.behaviour
+		line.Number = index + 1
+		s.ledger = append(s.ledger, line)
 	})
-	return n, b
+	return index, behaviour
 }
 
-// finish does what the call asks for: a push changes a label, all else looks one up.
-func (s *plainService) finish(n int, r *http.Request, body []byte) (answer Answer) {
+// execute does what the call asks for: a push changes a label, all else looks one up.
+func (s *plainService) execute(index int, r *http.Request, body []byte) (answer Answer) {
 	push := Answer{Label: strings.TrimPrefix(r.URL.Path, "/labels/")}
-	pushes := r.URL.Path == "/push" && json.Unmarshal(body, &push) == nil
-	s.Do(func() {
-		s.ledger[n].EndMS = web.NowMS()
-		if pushes {
+	isPush := r.URL.Path == "/push" && json.Unmarshal(body, &push) == nil
+	s.WithLock(func() {
+		s.ledger[index].EndMS = web.NowMS()
+		if isPush {
 			push.Pushes = s.labels[push.Label].Pushes + 1
 			s.labels[push.Label] = push
 		}
 		answer = s.labels[push.Label]
 	})
-	answer.Label, answer.N = push.Label, n+1
+	answer.Label, answer.Number = push.Label, index+1
 	return answer
 }
--- a/internal/standin/web/tag.go
+++ b/internal/standin/web/tag.go
@@ -7,19 +7,19 @@
 	"net/http"
 )
 
-// AnswerTagged sends an answer with a tag of its contents, or no contents to one who has
+// RespondWithETag sends an answer with a tag of its contents, or no contents to one who has
 // them. It returns the bytes sent of the body.
-func AnswerTagged(w http.ResponseWriter, r *http.Request, out any) int {
-	data, err := json.Marshal(out)
+func RespondWithETag(w http.ResponseWriter, r *http.Request, body any) int {
+	data, err := json.Marshal(body)
 	if err != nil {
-		Answer(w, nil, err)
+		Respond(w, nil, err)
 		return 0
 	}
 	sum := sha256.Sum256(data)
-	tag := `"` + hex.EncodeToString(sum[:8]) + `"`
-	w.Header().Set("ETag", tag)
+	etag := `"` + hex.EncodeToString(sum[:8]) + `"`
+	w.Header().Set("ETag", etag)
 	w.Header().Set("Content-Type", "application/json")
-	if r.Header.Get("If-None-Match") == tag {
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return 0
 	}
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -17,10 +17,10 @@
 	"github.com/oklog/run"
 )
 
-const shutdownTime = 5 * time.Second
+const shutdownTimeout = 5 * time.Second
 
-// None stands for no body.
-type None struct{}
+// NoBody stands for no body.
+type NoBody struct{}
 
 // Refusal is an error that is answered with a status and a body.
 type Refusal struct {
@@ -30,13 +30,13 @@
 
 func (r Refusal) Error() string { return http.StatusText(r.Status) }
 
-// text is the body of a refusal with a sentence.
-type text struct {
+// errorBody is the body of a refusal with a sentence.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
 // Refuse returns a Refusal with a sentence.
-func Refuse(status int, sentence string) error { return Refusal{status, text{sentence}} }
+func Refuse(status int, message string) error { return Refusal{status, errorBody{message}} }
 
 // Serve answers requests on addr until SIGTERM or SIGINT, then lets open requests
 // end within 5 s.
@@ -49,7 +49,7 @@
 	var group run.Group
 	group.Add(run.SignalHandler(context.Background(), syscall.SIGTERM, syscall.SIGINT))
 	group.Add(func() error { return srv.Serve(listener) }, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = srv.Shutdown(ctx)
 	})
@@ -59,9 +59,9 @@
 	return err
 }
 
-// Call makes a handler of a function from a request and its body to an answer.
+// JSONHandler makes a handler of a function from a request and its body to an answer.
 // Bodies are JSON; a body that the function takes as []byte is left as it is.
-func Call[In, Out any](f func(*http.Request, In) (Out, error)) http.HandlerFunc {
+func JSONHandler[In, Out any](f func(*http.Request, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		data, err := io.ReadAll(r.Body)
@@ -71,45 +71,45 @@
 			err = json.Unmarshal(data, &in)
 		}
 		if err != nil {
-			Answer(w, nil, Refuse(http.StatusBadRequest, err.Error()))
+			Respond(w, nil, Refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
 		out, err := f(r, in)
-		Answer(w, out, err)
+		Respond(w, out, err)
 	}
 }
 
-// Set makes a handler that takes a body and has nothing to answer.
-func Set[In any](f func(In)) http.HandlerFunc {
-	return Call(func(_ *http.Request, in In) (None, error) {
+// SetHandler makes a handler that takes a body and has nothing to answer.
+func SetHandler[In any](f func(In)) http.HandlerFunc {
+	return JSONHandler(func(_ *http.Request, in In) (NoBody, error) {
 		f(in)
-		return None{}, nil
+		return NoBody{}, nil
 	})
 }
 
-// Get makes a handler that only answers.
-func Get[Out any](f func() Out) http.HandlerFunc {
-	return Call(func(*http.Request, None) (Out, error) { return f(), nil })
+// GetHandler makes a handler that only answers.
+func GetHandler[Out any](f func() Out) http.HandlerFunc {
+	return JSONHandler(func(*http.Request, NoBody) (Out, error) { return f(), nil })
 }
 
-// Answer sends an answer, or an error in its place.
-func Answer(w http.ResponseWriter, out any, err error) {
+// Respond sends an answer, or an error in its place.
+func Respond(w http.ResponseWriter, body any, err error) {
 	status := http.StatusOK
 	if refusal := (Refusal{}); errors.As(err, &refusal) {
-		status, out = refusal.Status, refusal.Body
+		status, body = refusal.Status, refusal.Body
 	} else if err != nil {
-		status, out = http.StatusBadGateway, text{err.Error()}
+		status, body = http.StatusBadGateway, errorBody{err.Error()}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(out)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Number returns a number of the query, or otherwise.
-func Number(r *http.Request, name string, otherwise int64) int64 {
+// QueryInt returns a number of the query, or otherwise.
+func QueryInt(r *http.Request, name string, fallback int64) int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
@@ -120,14 +120,14 @@
 // Millis turns milliseconds into a duration.
 func Millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Watched is a lock for a state that others wait on. Its zero value is ready.
-type Watched struct {
+// Monitor is a lock for a state that others wait on. Its zero value is ready.
+type Monitor struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// Do looks at the state or changes it, and lets those who wait look again.
-func (w *Watched) Do(f func()) {
+// WithLock looks at the state or changes it, and lets those who wait look again.
+func (w *Monitor) WithLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
@@ -137,8 +137,8 @@
 	}
 }
 
-// Until looks at the state, once and again after each change, until f returns true.
-func (w *Watched) Until(ctx context.Context, f func() bool) error {
+// WaitUntil looks at the state, once and again after each change, until f returns true.
+func (w *Monitor) WaitUntil(ctx context.Context, f func() bool) error {
 	for {
 		w.mu.Lock()
 		done := f()
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -36,9 +36,9 @@
 func bears(t *testing.T, m *harness.Member, when string) {
 	t.Helper()
 	r := m.Backend.Record()
-	if r.HighWaterCold > coldLimit || r.Overloads > 0 {
+	if r.MaxRunningCold > coldLimit || r.Overloads > 0 {
 		t.Errorf("%s: %s had %d at once while cold, want at most %d; it fell over %d times",
-			when, m.VM, r.HighWaterCold, coldLimit, r.Overloads)
+			when, m.VM, r.MaxRunningCold, coldLimit, r.Overloads)
 		logFall(t, r.Arrivals)
 	}
 }
--- a/test/group_test.go
+++ b/test/group_test.go
@@ -44,8 +44,8 @@
 // checkOneMap looks at what the ranks themselves have recorded.
 func checkOneMap(t *testing.T, c *harness.Cluster) {
 	t.Helper()
-	if record := c.Platform.Steps(groupName); record.Mixed != 0 {
-		t.Errorf("%d of %d steps ran with more than one map", record.Mixed, record.Next)
+	if record := c.Platform.Steps(groupName); record.MixedSteps != 0 {
+		t.Errorf("%d of %d steps ran with more than one map", record.MixedSteps, record.Next)
 	}
 }
 
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -207,7 +207,7 @@
 	if _, _, err := caller.Complete(t.Context(), e.Address, p); err != nil {
 		t.Fatal(err)
 	}
-	if r := e.Record(); r.Cold || r.HighWaterCold != 1 {
+	if r := e.Record(); r.Cold || r.MaxRunningCold != 1 {
 		t.Fatalf("after one request: %+v, want warm with a high-water mark of 1", r.State)
 	}
 	together := func(n int) (whole int) {
@@ -232,7 +232,7 @@
 	if whole := together(3); whole != 0 {
 		t.Errorf("cold: %d of 3 whole, want it to fall over", whole)
 	}
-	if r := e.Record(); r.Overloads != 1 || r.HighWaterCold != 3 {
+	if r := e.Record(); r.Overloads != 1 || r.MaxRunningCold != 3 {
 		t.Errorf("record %+v, want 1 overload at 3", r.State)
 	}
 }
--- a/test/harness/standins.go
+++ b/test/harness/standins.go
@@ -113,25 +113,25 @@
 // LogMode sets how the log behaves: "up", "down", "slow" or "lose_answers".
 func (p Platform) LogMode(mode string, delay time.Duration) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/log", platform.Control{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
+	p.must(http.MethodPost, "/control/log", platform.ControlRequest{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
 }
 
 // Retain keeps only the newest records of the log; -1 for all.
 func (p Platform) Retain(records int64) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/retention", platform.Control{Records: records}, nil)
+	p.must(http.MethodPost, "/control/retention", platform.ControlRequest{Records: records}, nil)
 }
 
 // RetainKeys is Retain for the stream of keys alone.
 func (p Platform) RetainKeys(records int64) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/retention", platform.Control{Stream: "keys", Records: records}, nil)
+	p.must(http.MethodPost, "/control/retention", platform.ControlRequest{Stream: "keys", Records: records}, nil)
 }
 
 // VMsLag sets the lag of the list of VMs.
 func (p Platform) VMsLag(lag time.Duration) {
 	p.report.Helper()
-	p.must(http.MethodPost, "/control/vms_lag", platform.Control{MS: lag.Milliseconds()}, nil)
+	p.must(http.MethodPost, "/control/vms_lag", platform.ControlRequest{MS: lag.Milliseconds()}, nil)
 }
 
 // PutVM adds or replaces one VM in the list.
@@ -165,9 +165,9 @@
 type Backend struct{ *StandIn }
 
 // Ledger returns every run of every call of a plain service.
-func (b Backend) Ledger() []service.Run {
+func (b Backend) Ledger() []service.LedgerLine {
 	b.report.Helper()
-	var ledger []service.Run
+	var ledger []service.LedgerLine
 	b.must(http.MethodGet, "/control/ledger", nil, &ledger)
 	return ledger
 }
@@ -187,9 +187,9 @@
 }
 
 // Held returns what an engine has loaded by orders.
-func (b Backend) Held() engine.Held {
+func (b Backend) Held() engine.HeldWeights {
 	b.report.Helper()
-	var held engine.Held
+	var held engine.HeldWeights
 	b.must(http.MethodGet, "/engine/version", nil, &held)
 	return held
 }
@@ -210,17 +210,17 @@
 // Popularity sets how many tokens each expert gets in a second.
 func (b Backend) Popularity(tokens []float64) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens}, nil)
+	b.must(http.MethodPost, "/control/experts", engine.ExpertTokens{Tokens: tokens}, nil)
 }
 
 // Throttle makes the engine's ranks slower, each by its pace, and sets the popularity.
 func (b Backend) Throttle(tokens, paces []float64) {
 	b.report.Helper()
-	b.must(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens, Paces: paces}, nil)
+	b.must(http.MethodPost, "/control/experts", engine.ExpertTokens{Tokens: tokens, Slowdowns: paces}, nil)
 }
 
 // Runs counts the runs of each call in a ledger.
-func Runs(ledger []service.Run) map[string]int {
+func Runs(ledger []service.LedgerLine) map[string]int {
 	runs := map[string]int{}
 	for _, run := range ledger {
 		runs[run.Key]++
--- a/test/harness/stream.go
+++ b/test/harness/stream.go
@@ -22,7 +22,7 @@
 }
 
 // Want is the text that the engine makes for the prompt.
-func (p Prompt) Want() string { return engine.Text(p.Text, p.Seed, p.Tokens) }
+func (p Prompt) Want() string { return engine.CompletionText(p.Text, p.Seed, p.Tokens) }
 
 func (p Prompt) request(stream bool, lastID string) Request {
 	body, _ := json.Marshal(map[string]any{
--- a/test/harness/view.go
+++ b/test/harness/view.go
@@ -157,7 +157,7 @@
 	v.mu.Lock()
 	shown := platform.VMChange{VMs: v.rewrite(list)}
 	v.mu.Unlock()
-	v.count(r, web.AnswerTagged(w, r, shown))
+	v.count(r, web.RespondWithETag(w, r, shown))
 }
 
 // viewTransport sends each request on its own connection and never twice.
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -23,11 +23,11 @@
 }
 
 // loadsOf returns the orders that the engines carried out, in order of their begin.
-func loadsOf(c *harness.Cluster) (all []engine.Loaded) {
+func loadsOf(c *harness.Cluster) (all []engine.CompletedLoad) {
 	for _, m := range c.EngineAgents() {
 		all = append(all, m.Backend.Record().Loads...)
 	}
-	slices.SortFunc(all, func(a, b engine.Loaded) int { return cmp.Compare(a.BeginMS, b.BeginMS) })
+	slices.SortFunc(all, func(a, b engine.CompletedLoad) int { return cmp.Compare(a.BeginMS, b.BeginMS) })
 	return all
 }
 
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -191,8 +191,8 @@
 		bears(t, m, fmt.Sprintf("seed %d", seed))
 	}
 	steps := s.Platform.Steps(s.Group)
-	if steps.Mixed > 0 {
-		t.Errorf("%d of %d steps ran with more than one map", steps.Mixed, steps.Next)
+	if steps.MixedSteps > 0 {
+		t.Errorf("%d of %d steps ran with more than one map", steps.MixedSteps, steps.Next)
 	}
 	t.Logf("seed %d: faults %v", seed, s.counts)
 	t.Logf("streams: %d whole, %d cut, %d never whole, refusals %v; pushes %v; %d steps",
