--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -13,28 +13,28 @@
 	"github.com/apricothub/apricothub/decide/shift"
 )
 
-// decisions measures time and allocations of each decision by size.
-func decisions() string {
-	t := table{head: []string{"decision", "size", "ns", "allocations"}}
+// measureDecisions measures time and allocations of each decision by size.
+func measureDecisions() string {
+	t := markdownTable{head: []string{"decision", "size", "ns", "allocations"}}
 	for _, n := range []int{15, 370, 3700} {
 		size := fmt.Sprintf("%d backend servers", n)
-		cost(&t, "place: Pick, Started, Ended", size, placement(n, false))
-		cost(&t, "place: the same, prefix known", size, placement(n, true))
-		cost(&t, "place: Report", size, reports(n))
+		addCost(&t, "place: Pick, Started, Ended", size, pickServer(n, false))
+		addCost(&t, "place: the same, prefix known", size, pickServer(n, true))
+		addCost(&t, "place: Report", size, recordReport(n))
 	}
 	for _, n := range []int{10, 7300} {
 		size := fmt.Sprintf("%d customers", n)
-		cost(&t, "admit: Offer and Done, room free", size, admission(n, false))
-		cost(&t, "admit: Offer, Done and Next, saturated", size, admission(n, true))
-		cost(&t, "queue: Push and Pop, 16 waiting", size, queueing(n))
+		addCost(&t, "admit: Offer and Done, room free", size, admitRequest(n, false))
+		addCost(&t, "admit: Offer, Done and Next, saturated", size, admitRequest(n, true))
+		addCost(&t, "queue: Push and Pop, 16 waiting", size, pushAndPop(n))
 	}
-	cost(&t, "cold: TryStart, Observe, Done", "1 backend server", limiting())
-	cost(&t, "shift: Weight", "12 failure domains", shifting())
+	addCost(&t, "cold: TryStart, Observe, Done", "1 backend server", limitColdServer())
+	addCost(&t, "shift: Weight", "12 failure domains", shiftWeight())
 	return "Sequential, one core, mean of some hundred thousand decisions.\n\n" + t.String()
 }
 
-// cost times a decision and counts its allocations.
-func cost(t *table, name, size string, decide func(i int)) {
+// addCost times a decision and counts its allocations.
+func addCost(t *markdownTable, name, size string, decide func(i int)) {
 	const warmUp, runs = 20000, 300000
 	for i := range warmUp {
 		decide(i)
@@ -51,9 +51,9 @@
 	t.add(name, size, fmt.Sprint(took.Nanoseconds()/runs), fmt.Sprintf("%.2f", allocations))
 }
 
-func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func vms(n int) []place.Server {
+func newServers(n int) []place.Server {
 	servers := make([]place.Server, n)
 	for i := range servers {
 		servers[i] = place.Server{
@@ -64,41 +64,41 @@
 	return servers
 }
 
-func placement(n int, prefixes bool) func(int) {
-	rng := random()
+func pickServer(n int, withPrefix bool) func(int) {
+	rng := newRand()
 	table := place.NewTable(rng, place.Config{})
-	servers := vms(n)
+	servers := newServers(n)
 	table.SetServers(servers)
 	for _, s := range servers {
 		table.Report(s.VM, 0, place.Report{Limit: 32, FullLimit: 32, Running: rng.IntN(24), WorkTime: time.Second})
 	}
-	flight := make([]string, 4*n)
+	inFlight := make([]string, 4*n)
 	return func(i int) {
 		now := time.Duration(i) * time.Microsecond
 		req := place.Request{Offer: "model:m"}
-		if prefixes {
+		if withPrefix {
 			req.Prefix = uint64(i%1000) + 1
 		}
-		at := i % len(flight)
-		if flight[at] != "" {
-			table.Ended(flight[at], now, place.Outcome{Latency: time.Second})
+		slot := i % len(inFlight)
+		if inFlight[slot] != "" {
+			table.Ended(inFlight[slot], now, place.Outcome{Latency: time.Second})
 		}
-		flight[at], _ = table.Pick(now, req)
-		table.Started(flight[at], now)
+		inFlight[slot], _ = table.Pick(now, req)
+		table.Started(inFlight[slot], now)
 	}
 }
 
-func reports(n int) func(int) {
-	rng := random()
+func recordReport(n int) func(int) {
+	rng := newRand()
 	table := place.NewTable(rng, place.Config{})
-	servers := vms(n)
+	servers := newServers(n)
 	table.SetServers(servers)
 	return func(i int) {
 		table.Report(servers[i%n].VM, time.Duration(i), place.Report{Limit: 32, FullLimit: 32, Running: rng.IntN(40)})
 	}
 }
 
-func admission(n int, saturated bool) func(int) {
+func admitRequest(n int, saturated bool) func(int) {
 	a := admit.New(admit.Config{MaxQueue: 1 << 16, MaxWait: time.Hour})
 	plans := []admit.PlanShare{{Name: "gold", Share: 3}, {Name: "basic", Share: 1}}
 	customers := make([]admit.CustomerShare, n)
@@ -128,15 +128,15 @@
 	}
 	return func(i int) {
 		offer(i)
-		at := i % len(running)
-		a.Done(0, running[at], time.Millisecond)
+		slot := i % len(running)
+		a.Done(0, running[slot], time.Millisecond)
 		for _, r := range a.Next(0) {
-			running[at] = r.ID
+			running[slot] = r.ID
 		}
 	}
 }
 
-func queueing(n int) func(int) {
+func pushAndPop(n int) func(int) {
 	q := queue.New(17)
 	names := make([]string, n)
 	for i := range names {
@@ -154,7 +154,7 @@
 	}
 }
 
-func limiting() func(int) {
+func limitColdServer() func(int) {
 	l := cold.New(cold.Config{ColdLimit: 2, FullLimit: 32}, 0)
 	return func(i int) {
 		now := time.Duration(i) * time.Millisecond
@@ -164,7 +164,7 @@
 	}
 }
 
-func shifting() func(int) {
+func shiftWeight() func(int) {
 	s := shift.New(shift.Config{})
 	names := make([]string, 12)
 	for i := range names {
--- a/cmd/measure/load.go
+++ b/cmd/measure/load.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/decide/loadtest"
 )
 
-// underLoad measures what callers see in each scenario.
-func underLoad() string {
+// measureLoad measures what callers see in each scenario.
+func measureLoad() string {
 	policies := []loadtest.Policy{loadtest.CurrentPolicy(), loadtest.SecondVersionPolicy(), loadtest.FirstVersionPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy()}
 	var b strings.Builder
 	b.WriteString("8 entries, 12 backend servers, 10 customers, deadlines of 10 s (30 s for the mix of sizes); virtual time, " +
@@ -20,7 +20,7 @@
 }
 
 func scenarioTable(s loadtest.Scenario, policies []loadtest.Policy) string {
-	t := table{head: []string{
+	t := markdownTable{head: []string{
 		"policy", "in time", "of others", "refused / late / failed", "goodput/s", "first token p50 / p95 / p99 (ms)",
 		"between tokens p95 (ms)", "time to refusal p95 (ms)", "work wasted (s)", "cold overloads", "falls",
 	}}
@@ -32,10 +32,10 @@
 		others.Subtract(r.Outcome(loadtest.GreedyCustomer, from, to))
 		cost := r.Cost()
 		t.add(
-			p.Name, percent(all), percent(others),
+			p.Name, formatInTime(all), formatInTime(others),
 			fmt.Sprintf("%d / %d / %d of %d", all.Refused, all.Late, all.Failed, all.Requests),
 			fmt.Sprintf("%.0f", r.Goodput(from, to)),
-			fmt.Sprintf("%d / %d / %d", quantile(all, 0.5), quantile(all, 0.95), quantile(all, 0.99)),
+			fmt.Sprintf("%d / %d / %d", firstTokenQuantileMs(all, 0.5), firstTokenQuantileMs(all, 0.95), firstTokenQuantileMs(all, 0.99)),
 			fmt.Sprint(loadtest.Quantile(all.TimePerToken, 0.95).Milliseconds()),
 			fmt.Sprint(loadtest.Quantile(all.TimeToRefusal, 0.95).Milliseconds()),
 			fmt.Sprintf("%.0f", cost.WastedTime.Seconds()), fmt.Sprint(cost.Overloads), fmt.Sprint(cost.Crashes),
@@ -44,6 +44,6 @@
 	return t.String()
 }
 
-func quantile(o loadtest.Outcome, q float64) int64 {
+func firstTokenQuantileMs(o loadtest.Outcome, q float64) int64 {
 	return loadtest.Quantile(o.TimeToFirstToken, q).Milliseconds()
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -12,23 +12,23 @@
 
 // measures are the subcommands, each of which makes the text of one section.
 var measures = []measure{
-	{name: "domains", help: "Service while a failure domain leaves and returns", run: domains},
-	{name: "domains-plot", help: "The same as an SVG", run: domainsPlot, whole: true},
-	{name: "load", help: "Outcomes for callers in bursts, skew, saturation and faults", run: underLoad},
-	{name: "skew", help: "Step-time skew and the cost of rebalancing", run: skew},
-	{name: "decisions", help: "Time and allocations of each decision", run: decisions},
-	{name: "slopes", help: "What one more of each costs, for docs/CAPACITY.md", run: capacity},
-	{name: "subsets", help: "Links, bytes and answers with subsets of links, for docs/design/subsetting.md", run: links},
-	{name: "logs", help: "What the log of a gateway costs its callers", run: logCost},
-	{name: "overhead", help: "What the way through entry and agent costs", run: way},
+	{name: "domains", help: "Service while a failure domain leaves and returns", run: measureDomains},
+	{name: "domains-plot", help: "The same as an SVG", run: plotDomains, isWholeFile: true},
+	{name: "load", help: "Outcomes for callers in bursts, skew, saturation and faults", run: measureLoad},
+	{name: "skew", help: "Step-time skew and the cost of rebalancing", run: measureSkew},
+	{name: "decisions", help: "Time and allocations of each decision", run: measureDecisions},
+	{name: "slopes", help: "What one more of each costs, for docs/CAPACITY.md", run: measureSlopes},
+	{name: "subsets", help: "Links, bytes and answers with subsets of links, for docs/design/subsetting.md", run: measureSubsets},
+	{name: "logs", help: "What the log of a gateway costs its callers", run: measureLogs},
+	{name: "overhead", help: "What the way through entry and agent costs", run: measureOverhead},
 }
 
 // measure is one subcommand.
 type measure struct {
 	name, help string
 	run        func() string
-	// whole says that the text is a file of its own and not a section of one.
-	whole bool
+	// isWholeFile says that the text is a file of its own and not a section of one.
+	isWholeFile bool
 }
 
 func main() {
@@ -47,7 +47,7 @@
 		if !commands[i].Used {
 			continue
 		}
-		if err := m.put(m.run(), into); err != nil {
+		if err := m.write(m.run(), into); err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
 			os.Exit(1)
 		}
@@ -56,12 +56,12 @@
 	flaggy.ShowHelpAndExit("Name a measure.")
 }
 
-func (m measure) put(text, into string) error {
+func (m measure) write(text, into string) error {
 	if into == "" {
 		fmt.Print(text)
 		return nil
 	}
-	if !m.whole {
+	if !m.isWholeFile {
 		page, err := os.ReadFile(into)
 		if err != nil {
 			return errors.Wrap(err, "read page")
--- a/cmd/measure/markdown.go
+++ b/cmd/measure/markdown.go
@@ -7,15 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// table is a Markdown table.
-type table struct {
+// markdownTable is a Markdown markdownTable.
+type markdownTable struct {
 	head []string
 	rows [][]string
 }
 
-func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
+func (t *markdownTable) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-func (t *table) String() string {
+func (t *markdownTable) String() string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
 	line(t.head)
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -12,13 +12,13 @@
 
 // plotted is the time of a move that the plot shows.
 const (
-	plotFrom = leaveAt - 10*time.Second
-	plotTo   = afterUntil - 20*time.Second
+	plotFrom  = leaveAt - 10*time.Second
+	plotUntil = afterUntil - 20*time.Second
 )
 
-// domainsPlot draws the answers in time of each second while a failure domain leaves
+// plotDomains draws the answers in time of each second while a failure domain leaves
 // by mark and returns, as SVG.
-func domainsPlot() string {
+func plotDomains() string {
 	graph := chart.Chart{
 		Width:      900,
 		Height:     400,
@@ -39,10 +39,10 @@
 
 // goodputSeries plays one move and counts the answers in time over 2 s.
 func goodputSeries(p loadtest.Policy) chart.ContinuousSeries {
-	r := playMove(p, loads[0], moves[0], seeds[0])
+	r := simulateDeparture(p, loadLevels[0], departures[0], seeds[0])
 	line := chart.ContinuousSeries{Name: p.Name, Style: chart.Style{StrokeWidth: 2}}
 	const window = 2 * time.Second
-	for at := plotFrom; at < plotTo; at += time.Second {
+	for at := plotFrom; at < plotUntil; at += time.Second {
 		line.XValues = append(line.XValues, at.Seconds())
 		line.YValues = append(line.YValues, r.Goodput(at-window/2, at+window/2))
 	}
--- a/cmd/measure/processes.go
+++ b/cmd/measure/processes.go
@@ -10,38 +10,38 @@
 	"github.com/apricothub/apricothub/internal/measure/subsets"
 )
 
-// binaries is where `make build` puts the programs.
-const binaries = "bin"
+// binDir is where `make build` puts the programs.
+const binDir = "bin"
 
-// capacity measures the slopes of docs/CAPACITY.md at real processes.
-func capacity() string {
-	measured, err := slopes.Measure(binaries, os.Stderr)
-	fatal(err)
+// measureSlopes measures the slopes of docs/CAPACITY.md at real processes.
+func measureSlopes() string {
+	measured, err := slopes.Measure(binDir, os.Stderr)
+	exitOnError(err)
 	return measured.Report()
 }
 
-// way measures what the way through entry and agent costs at real processes.
-func way() string {
-	text, err := overhead.Measure(binaries, os.Stderr)
-	fatal(err)
+// measureOverhead measures what the measureOverhead through entry and agent costs at real processes.
+func measureOverhead() string {
+	text, err := overhead.Measure(binDir, os.Stderr)
+	exitOnError(err)
 	return text
 }
 
-// links measures subsets of links on and off at real processes.
-func links() string {
-	text, err := subsets.Measure(binaries, os.Stderr)
-	fatal(err)
+// measureSubsets measures subsets of measureSubsets on and off at real processes.
+func measureSubsets() string {
+	text, err := subsets.Measure(binDir, os.Stderr)
+	exitOnError(err)
 	return text
 }
 
-// logCost measures what a gateway's log costs at real processes.
-func logCost() string {
-	text, err := logs.Measure(binaries, os.Stderr)
-	fatal(err)
+// measureLogs measures what a gateway's log costs at real processes.
+func measureLogs() string {
+	text, err := logs.Measure(binDir, os.Stderr)
+	exitOnError(err)
 	return text
 }
 
-func fatal(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
--- a/cmd/measure/skew.go
+++ b/cmd/measure/skew.go
@@ -17,25 +17,25 @@
 	rankCount    = 256
 	slotsPerRank = 2
 	// tokensPerStep are the expert assignments of one step: 4,096 for each rank.
-	tokensPerStep = rankCount * 4096
-	stepTime      = 64 * time.Millisecond
-	observeEvery  = 16 // steps
-	zipfExponent  = 0.8
+	tokensPerStep   = rankCount * 4096
+	stepTime        = 64 * time.Millisecond
+	observeInterval = 16 // steps
+	zipfExponent    = 0.8
 	// expertBytes is the size of one expert's weights, loadRate the rate of the
 	// weight store for the whole group.
 	expertBytes = 44 << 20
 	loadRate    = 4 << 30
 )
 
-// drift is how popularity moves: at returns the popularity at a time. Long ones are
+// driftPattern is how popularity moves: at returns the popularity at a time. Long ones are
 // simulated by some of their steps: one every so often.
-type drift struct {
-	name  string
-	lasts time.Duration
-	every time.Duration
-	at    func(t time.Duration) []float64
-	// pace is how slow each rank is; nil for all alike.
-	pace func(t time.Duration) []float64
+type driftPattern struct {
+	name           string
+	duration       time.Duration
+	sampleInterval time.Duration
+	popularity     func(t time.Duration) []float64
+	// slowdowns is how slow each rank is; nil for all alike.
+	slowdowns func(t time.Duration) []float64
 }
 
 // zipf returns popularity by rank of popularity, most popular first.
@@ -52,30 +52,30 @@
 	return p
 }
 
-// swapLasts is the time of the run in whose middle the hottest experts change.
-const swapLasts = 10 * time.Minute
+// shiftRunTime is the time of the run in whose middle the hottest experts change.
+const shiftRunTime = 10 * time.Minute
 
-// drifts returns the three patterns, each with its own seeded order of experts.
-func drifts() []drift {
+// driftPatterns returns the three patterns, each with its own seeded order of experts.
+func driftPatterns() []driftPattern {
 	base := zipf(zipfExponent)
 	rng := rand.New(rand.NewPCG(1, 1))
 	order, other := rng.Perm(experts), rng.Perm(experts)
-	mix := func(a, b []int, part float64) []float64 {
+	mix := func(a, b []int, fraction float64) []float64 {
 		p := make([]float64, experts)
 		for i := range base {
-			p[a[i]] += (1 - part) * base[i]
-			p[b[i]] += part * base[i]
+			p[a[i]] += (1 - fraction) * base[i]
+			p[b[i]] += fraction * base[i]
 		}
 		return p
 	}
 	drifting := func(t time.Duration) []float64 {
 		return mix(order, other, float64(t)/float64(time.Hour))
 	}
-	return []drift{
+	return []driftPattern{
 		{"slow drift", time.Hour, time.Second / 4, drifting, nil},
-		{"swap of the hottest", swapLasts, stepTime, func(t time.Duration) []float64 {
+		{"swap of the hottest", shiftRunTime, stepTime, func(t time.Duration) []float64 {
 			swapped := slices.Clone(order)
-			if t >= swapLasts/2 {
+			if t >= shiftRunTime/2 {
 				for i := range 8 {
 					swapped[i], swapped[128+i] = swapped[128+i], swapped[i]
 				}
@@ -85,72 +85,72 @@
 		{"daily cycle", 24 * time.Hour, 4 * time.Second, func(t time.Duration) []float64 {
 			return mix(order, other, 0.5-0.5*math.Cos(2*math.Pi*float64(t)/float64(24*time.Hour)))
 		}, nil},
-		{throttledName, swapLasts, stepTime, drifting, throttled},
+		{throttledRankName, shiftRunTime, stepTime, drifting, throttledSlowdowns},
 	}
 }
 
-// throttledName is the drift in which one rank becomes slower in the middle of the run.
-const throttledName = "one rank 1.3 times slower"
+// throttledRankName is the drift in which one rank becomes slower in the middle of the run.
+const throttledRankName = "one rank 1.3 times slower"
 
 const (
-	throttledRank = 17
-	throttledPace = 1.3
+	throttledRank     = 17
+	throttledSlowdown = 1.3
 )
 
-func throttled(t time.Duration) []float64 {
-	pace := make([]float64, rankCount)
-	for rank := range pace {
-		pace[rank] = 1
+func throttledSlowdowns(t time.Duration) []float64 {
+	slowdowns := make([]float64, rankCount)
+	for rank := range slowdowns {
+		slowdowns[rank] = 1
 	}
-	if t >= swapLasts/2 {
-		pace[throttledRank] = throttledPace
+	if t >= shiftRunTime/2 {
+		slowdowns[throttledRank] = throttledSlowdown
 	}
-	return pace
+	return slowdowns
 }
 
-// paceNoise is the standard deviation of a measured rank's time.
-const paceNoise = 0.02
+// timeNoise is the standard deviation of a measured rank's time.
+const timeNoise = 0.02
 
 // rankWork is what the ranks report of a step, with noise.
 func rankWork(rng *rand.Rand, p *balance.Placement, demand balance.Demand) []balance.RankWork {
 	tokens, times := p.Loads(demand.Popularity), p.Times(demand)
 	work := make([]balance.RankWork, len(tokens))
 	for rank := range work {
-		noise := 1 + paceNoise*rng.NormFloat64()
+		noise := 1 + timeNoise*rng.NormFloat64()
 		work[rank] = balance.RankWork{Tokens: tokens[rank], Time: time.Duration(times[rank] * noise * float64(time.Microsecond))}
 	}
 	return work
 }
 
-// byPopularity is the own policy without its look at the ranks' times.
-type byPopularity struct{ own }
+// popularityPolicy is the own policy without its look at the ranks' times.
+type popularityPolicy struct{ balancerPolicy }
 
-func (byPopularity) observeRanks([]balance.RankWork) {}
+func (popularityPolicy) observeRanks([]balance.RankWork) {}
 
-// follower decides on placements; the baselines and the product's own.
-type follower interface {
+// placementPolicy decides on placements; the baselines and the product's own.
+type placementPolicy interface {
 	observe(now time.Duration, tokens []float64)
 	observeRanks(ranks []balance.RankWork)
 	decide(now time.Duration) (*balance.Placement, bool)
 }
 
-// static never changes the placement made for the popularity at the start.
-type static struct{}
+// staticPolicy never changes the placement made for the popularity at the start.
+type staticPolicy struct{}
 
-func (static) observe(time.Duration, []float64) {}
+func (staticPolicy) observe(time.Duration, []float64) {}
 
-func (static) observeRanks([]balance.RankWork) {}
+func (staticPolicy) observeRanks([]balance.RankWork) {}
 
-func (static) decide(time.Duration) (*balance.Placement, bool) { return nil, false }
+func (staticPolicy) decide(time.Duration) (*balance.Placement, bool) { return nil, false }
 
-// everyInterval makes the best placement anew in each interval.
-type everyInterval struct {
+// periodicPolicy makes the best placement anew in each interval.
+type periodicPolicy struct {
 	interval time.Duration
 	last     time.Duration
 	tokens   []float64
 }
 
-func (e *everyInterval) observe(_ time.Duration, tokens []float64) {
+func (e *periodicPolicy) observe(_ time.Duration, tokens []float64) {
 	if e.tokens == nil {
 		e.tokens = make([]float64, len(tokens))
 	}
@@ -159,18 +159,18 @@
 	}
 }
 
-func (e *everyInterval) observeRanks([]balance.RankWork) {}
+func (e *periodicPolicy) observeRanks([]balance.RankWork) {}
 
-func (e *everyInterval) decide(now time.Duration) (*balance.Placement, bool) {
+func (e *periodicPolicy) decide(now time.Duration) (*balance.Placement, bool) {
 	if e.tokens == nil || now-e.last < e.interval {
 		return nil, false
 	}
 	e.last = now
-	p, err := balance.PlaceFromScratch(balance.Demand{Popularity: normalised(e.tokens)}, rankCount, slotsPerRank)
+	p, err := balance.PlaceFromScratch(balance.Demand{Popularity: normalise(e.tokens)}, rankCount, slotsPerRank)
 	return p, err == nil
 }
 
-func normalised(tokens []float64) []float64 {
+func normalise(tokens []float64) []float64 {
 	sum := 0.0
 	for _, n := range tokens {
 		sum += n
@@ -182,14 +182,14 @@
 	return p
 }
 
-// own is the product's policy.
-type own struct{ *balance.Balancer }
+// balancerPolicy is the product's policy.
+type balancerPolicy struct{ *balance.Balancer }
 
-func (o own) observe(now time.Duration, tokens []float64) { o.Observe(now, tokens) }
+func (o balancerPolicy) observe(now time.Duration, tokens []float64) { o.Observe(now, tokens) }
 
-func (o own) observeRanks(ranks []balance.RankWork) { o.ObserveRanks(ranks) }
+func (o balancerPolicy) observeRanks(ranks []balance.RankWork) { o.ObserveRanks(ranks) }
 
-func (o own) decide(now time.Duration) (*balance.Placement, bool) { return o.Decide(now) }
+func (o balancerPolicy) decide(now time.Duration) (*balance.Placement, bool) { return o.Decide(now) }
 
 // skewResult is what one run gave.
 type skewResult struct {
@@ -207,28 +207,28 @@
 // A new placement takes effect when its weights are loaded, at the store's rate; while
 // they load, steps run under the old one, and none waits. A rank's time is its
 // tokens, times its pace; the step's is that of the last rank.
-func runSkew(d drift, f follower, start *balance.Placement) skewResult {
+func runSkew(d driftPattern, policy placementPolicy, start *balance.Placement) skewResult {
 	rng, noise := rand.New(rand.NewPCG(7, 7)), rand.New(rand.NewPCG(8, 8))
 	placement := start
 	var next *balance.Placement
-	var effective time.Duration
+	var effectiveAt time.Duration
 	var skews []float64
 	var recent []float64
 	var result skewResult
 	seen := make([]float64, experts)
-	shifted, recovered := d.lasts/2, time.Duration(0)
+	shiftAt, recovered := d.duration/2, time.Duration(0)
 	for step := 0; ; step++ {
-		now := time.Duration(step) * d.every
-		if now >= d.lasts {
+		now := time.Duration(step) * d.sampleInterval
+		if now >= d.duration {
 			break
 		}
-		if next != nil && now >= effective {
+		if next != nil && now >= effectiveAt {
 			placement, next = next, nil
 		}
-		tokens := sampleTokens(rng, d.at(now))
+		tokens := sampleTokens(rng, d.popularity(now))
 		demand := balance.Demand{Popularity: tokens}
-		if d.pace != nil {
-			demand.Slowdowns = d.pace(now)
+		if d.slowdowns != nil {
+			demand.Slowdowns = d.slowdowns(now)
 		}
 		skew := demand.Stretch(placement)
 		skews = append(skews, skew)
@@ -236,25 +236,25 @@
 		for i, n := range tokens {
 			seen[i] += n
 		}
-		if step%observeEvery == 0 {
-			f.observe(now, seen)
+		if step%observeInterval == 0 {
+			policy.observe(now, seen)
 			clear(seen)
-			f.observeRanks(rankWork(noise, placement, demand))
-			if now > shifted && recovered == 0 && slices.Max(recent) < 1.12 {
-				recovered = now - shifted
+			policy.observeRanks(rankWork(noise, placement, demand))
+			if now > shiftAt && recovered == 0 && slices.Max(recent) < 1.12 {
+				recovered = now - shiftAt
 			}
 			recent = recent[:0]
 		}
-		if next != nil || step%observeEvery != 0 {
+		if next != nil || step%observeInterval != 0 {
 			continue
 		}
 		began := time.Now()
-		p, changed := f.decide(now)
+		p, changed := policy.decide(now)
 		result.decision = max(result.decision, time.Since(began))
 		if changed {
 			moves := balance.Moves(placement, p)
 			next = p
-			effective = now + time.Duration(float64(moves)*expertBytes/loadRate*float64(time.Second))
+			effectiveAt = now + time.Duration(float64(moves)*expertBytes/loadRate*float64(time.Second))
 			result.moves += moves
 			result.switches++
 		}
@@ -279,32 +279,32 @@
 	return tokens
 }
 
-func skew() string {
+func measureSkew() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d experts on %d ranks of %d slots, Zipf %.1f, %d assignments a step of %v; an expert has %d MiB, the store gives %d GiB/s.\n",
 		experts, rankCount, slotsPerRank, zipfExponent, tokensPerStep, stepTime, expertBytes>>20, loadRate>>30)
-	fmt.Fprintf(&b, "Skew is the time of the last rank over that of an ideal placement: with ranks all alike, the busiest rank's tokens over the mean. Recovery is the time from the swap, or from when the rank became slower, until a window of %d steps stays under 1.12.\n\n", observeEvery)
+	fmt.Fprintf(&b, "Skew is the time of the last rank over that of an ideal placement: with ranks all alike, the busiest rank's tokens over the mean. Recovery is the time from the swap, or from when the rank became slower, until a window of %d steps stays under 1.12.\n\n", observeInterval)
 	fmt.Fprintf(&b, "| drift | policy | skew p50 | skew p99 | experts moved | GiB loaded | switches | longest step / usual | recovery | slowest decision |\n")
 	fmt.Fprintf(&b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, d := range drifts() {
-		start, err := balance.PlaceFromScratch(balance.Demand{Popularity: d.at(0)}, rankCount, slotsPerRank)
+	for _, d := range driftPatterns() {
+		start, err := balance.PlaceFromScratch(balance.Demand{Popularity: d.popularity(0)}, rankCount, slotsPerRank)
 		if err != nil {
 			return err.Error()
 		}
 		policies := []struct {
-			name string
-			f    follower
+			name   string
+			policy placementPolicy
 		}{
-			{"static map", static{}},
-			{"full rebalance every 5 s", &everyInterval{interval: 5 * time.Second}},
-			{"own, first version", own{balance.New(balance.Config{TriggerSkew: 1.06, TargetSkew: 1.03, MaxRepackMoves: 32, LoadCost: 5 * time.Millisecond}, start, 0)}},
-			{"own, by popularity alone", byPopularity{own{balance.New(balance.Config{}, start, 0)}}},
-			{"own", own{balance.New(balance.Config{}, start, 0)}},
+			{"static map", staticPolicy{}},
+			{"full rebalance every 5 s", &periodicPolicy{interval: 5 * time.Second}},
+			{"own, first version", balancerPolicy{balance.New(balance.Config{TriggerSkew: 1.06, TargetSkew: 1.03, MaxRepackMoves: 32, LoadCost: 5 * time.Millisecond}, start, 0)}},
+			{"own, by popularity alone", popularityPolicy{balancerPolicy{balance.New(balance.Config{}, start, 0)}}},
+			{"own", balancerPolicy{balance.New(balance.Config{}, start, 0)}},
 		}
 		for _, p := range policies {
-			r := runSkew(d, p.f, start)
+			r := runSkew(d, p.policy, start)
 			recovery := "-"
-			if d.lasts == swapLasts {
+			if d.duration == shiftRunTime {
 				recovery = "not within the run"
 				if r.recovery > 0 {
 					recovery = r.recovery.Round(100 * time.Millisecond).String()
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -19,33 +19,33 @@
 
 const (
 	engines = 4
-	// tokens of an answer, and the time of one.
-	tokens    = 64
-	tokenTime = 20 * time.Millisecond
-	// many callers show what a token costs; the engines' pace bounds them, and the
+	// tokensPerAnswer of an answer, and the time of one.
+	tokensPerAnswer = 64
+	tokenTime       = 20 * time.Millisecond
+	// manyCallers callers show what a token costs; the engines' pace bounds them, and the
 	// entry is not saturated.
-	many = 512
-	// few callers, each way, show the way itself, without a wait for a processor.
-	few    = 8
-	warmUp = 2 * time.Second
-	runFor = 6 * time.Second
+	manyCallers = 512
+	// fewCallers callers, each way, show the way itself, without a wait for a processor.
+	fewCallers = 8
+	warmUpTime = 2 * time.Second
+	runTime    = 6 * time.Second
 )
 
-// cores are the GOMAXPROCS of the entry.
-var cores = []int{1, 2, 4}
+// entryCores are the GOMAXPROCS of the entry.
+var entryCores = []int{1, 2, 4}
 
-// way is how a request goes.
-type way int
+// path is how a request goes.
+type path int
 
 const (
-	straight way = iota
-	through
-	ways
+	direct path = iota
+	viaEntry
+	numPaths
 )
 
-// seen is what callers saw on one way.
-type seen struct {
-	first, whole, gap []time.Duration
+// samples is what callers saw on one way.
+type samples struct {
+	firstToken, total, tokenGap []time.Duration
 }
 
 // result is one number of cores of the entry.
@@ -53,20 +53,20 @@
 	cores                 int
 	requests, tokens, cpu float64 // a second, with many callers; cpu in cores
 	agentCPU              float64
-	failed                int // requests without a whole answer
-	light, half           latencies
+	failedRequests        int // requests without a whole answer
+	light, half           pathLatencies
 }
 
-// latencies are those of one load, with as many callers each way.
-type latencies struct {
+// pathLatencies are those of one load, with as many callers each way.
+type pathLatencies struct {
 	callers int
-	seen    [ways]seen
+	byPath  [numPaths]samples
 }
 
 // Measure runs everything with the binaries in bin and returns the section's text.
 func Measure(bin string, log io.Writer) (string, error) {
 	var results []result
-	for _, n := range cores {
+	for _, n := range entryCores {
 		err := harness.RunProgram(log, func(r *harness.Program) { results = append(results, measure(r, bin, n)) })
 		if err != nil {
 			return "", err
@@ -85,76 +85,76 @@
 	})
 	// The entry learns its room a tick after its first links.
 	time.Sleep(time.Second)
-	b := &bench{report: r, cluster: c}
+	b := &bench{reporter: r, cluster: c}
 	res := result{cores: n}
-	full := b.run(many, []way{through})
-	res.requests = float64(len(full.seen[through].whole)) / full.took.Seconds()
-	res.tokens = res.requests * tokens
-	res.cpu, res.agentCPU = full.entryCPU, full.agentCPU
-	res.light = b.both(few)
-	res.half = b.both(many / 2)
-	res.failed = b.failed
+	busy := b.run(manyCallers, []path{viaEntry})
+	res.requests = float64(len(busy.byPath[viaEntry].total)) / busy.duration.Seconds()
+	res.tokens = res.requests * tokensPerAnswer
+	res.cpu, res.agentCPU = busy.entryCPU, busy.agentCPU
+	res.light = b.runBothPaths(fewCallers)
+	res.half = b.runBothPaths(manyCallers / 2)
+	res.failedRequests = b.failedRequests
 	return res
 }
 
 // bench runs callers against one cluster.
 type bench struct {
-	report  harness.Reporter
-	cluster *harness.Cluster
-	failed  int
+	reporter       harness.Reporter
+	cluster        *harness.Cluster
+	failedRequests int
 }
 
-// both lets so many callers go through, and as many straight in the same run, so that
-// both ways meet the same machine.
-func (b *bench) both(callers int) latencies {
-	return latencies{callers: callers, seen: b.run(int(ways)*callers, []way{straight, through}).seen}
+// runBothPaths lets so many callers go through, and as many straight in the same run, so that
+// runBothPaths ways meet the same machine.
+func (b *bench) runBothPaths(callers int) pathLatencies {
+	return pathLatencies{callers: callers, byPath: b.run(int(numPaths)*callers, []path{direct, viaEntry}).byPath}
 }
 
-// outcome is one run.
-type outcome struct {
-	seen               [ways]seen
-	took               time.Duration
+// runResult is one run.
+type runResult struct {
+	byPath             [numPaths]samples
+	duration           time.Duration
 	entryCPU, agentCPU float64
 }
 
 // run lets so many callers send requests, each on the next of the ways in turn.
-func (b *bench) run(callers int, by []way) outcome {
-	var o outcome
+func (b *bench) run(callers int, paths []path) runResult {
+	var result runResult
 	var lock sync.Mutex
 	var group sync.WaitGroup
 	stop := make(chan struct{})
-	begin := time.Now().Add(warmUp)
+	begin := time.Now().Add(warmUpTime)
 	for i := range callers {
 		group.Go(func() {
 			caller := harness.NewKeepingCaller(harness.Key)
 			// Callers do not begin together, or all requests would come in bursts.
-			time.Sleep(warmUp * time.Duration(i) / time.Duration(callers))
-			for n := i; !closed(stop); n++ {
-				w := by[n%len(by)]
-				one, err := b.request(caller, w, n)
+			time.Sleep(warmUpTime * time.Duration(i) / time.Duration(callers))
+			for n := i; !isClosed(stop); n++ {
+				p := paths[n%len(paths)]
+				sample, err := b.request(caller, p, n)
 				lock.Lock()
 				if err != nil {
-					b.failed++
-					if b.failed == 1 {
-						b.report.Logf("the first request to fail: %v", err)
+					b.failedRequests++
+					if b.failedRequests == 1 {
+						b.reporter.Logf("the first request to fail: %v", err)
 					}
 				} else if time.Now().After(begin) {
-					o.seen[w].add(one)
+					result.byPath[p].add(sample)
 				}
 				lock.Unlock()
 			}
 		})
 	}
-	time.Sleep(warmUp)
-	entry, agent, from := b.cpu(b.cluster.Entries), b.cpu(b.cluster.Agents), time.Now()
-	time.Sleep(runFor)
-	o.took = time.Since(from)
-	o.entryCPU = (b.cpu(b.cluster.Entries) - entry).Seconds() / o.took.Seconds()
-	o.agentCPU = (b.cpu(b.cluster.Agents) - agent).Seconds() / o.took.Seconds()
+	time.Sleep(warmUpTime)
+	entry, agent, from := b.cpuTime(b.cluster.Entries), b.cpuTime(b.cluster.Agents), time.Now()
+	time.Sleep(runTime)
+	result.duration = time.Since(from)
+	result.entryCPU = (b.cpuTime(b.cluster.Entries) - entry).Seconds() / result.duration.Seconds()
+	result.agentCPU = (b.cpuTime(b.cluster.Agents) - agent).Seconds() / result.duration.Seconds()
 	lock.Lock()
-	counted := o
-	for w := range counted.seen {
-		counted.seen[w] = o.seen[w].clone()
+	counted := result
+	for p := range counted.byPath {
+		counted.byPath[p] = result.byPath[p].clone()
 	}
 	lock.Unlock()
 	close(stop)
@@ -162,7 +162,7 @@
 	return counted
 }
 
-func closed(stop <-chan struct{}) bool {
+func isClosed(stop <-chan struct{}) bool {
 	select {
 	case <-stop:
 		return true
@@ -171,7 +171,7 @@
 	}
 }
 
-func (b *bench) cpu(members []*harness.Member) time.Duration {
+func (b *bench) cpuTime(members []*harness.Member) time.Duration {
 	var sum time.Duration
 	for _, m := range members {
 		sum += m.Usage().CPU
@@ -180,40 +180,40 @@
 }
 
 // request streams one answer and notes when its events came.
-func (b *bench) request(caller *harness.Caller, w way, n int) (seen, error) {
+func (b *bench) request(caller *harness.Caller, via path, n int) (samples, error) {
 	address := b.cluster.Entries[0].Public
-	if w == straight {
-		address = b.cluster.EngineAgents()[n/int(ways)%engines].Backend.Address
+	if via == direct {
+		address = b.cluster.EngineAgents()[n/int(numPaths)%engines].Backend.Address
 	}
-	p := harness.Prompt{Text: fmt.Sprint("prompt ", n), Tokens: tokens}
-	var one seen
+	prompt := harness.Prompt{Text: fmt.Sprint("prompt ", n), Tokens: tokensPerAnswer}
+	var sample samples
 	var got harness.Streamed
 	begin := time.Now()
 	last := begin
-	err := caller.Stream(context.Background(), address, p, &got, func() {
+	err := caller.Stream(context.Background(), address, prompt, &got, func() {
 		now := time.Now()
 		if last == begin {
-			one.first = append(one.first, now.Sub(begin))
+			sample.firstToken = append(sample.firstToken, now.Sub(begin))
 		} else {
-			one.gap = append(one.gap, now.Sub(last))
+			sample.tokenGap = append(sample.tokenGap, now.Sub(last))
 		}
 		last = now
 	})
 	if err != nil || !got.Whole {
-		return one, errors.Errorf("not whole: %v, refused %v", err, got.Refused != nil)
+		return sample, errors.Errorf("not whole: %v, refused %v", err, got.Refused != nil)
 	}
-	one.whole = append(one.whole, time.Since(begin))
-	return one, nil
+	sample.total = append(sample.total, time.Since(begin))
+	return sample, nil
 }
 
-func (s *seen) add(one seen) {
-	s.first = append(s.first, one.first...)
-	s.whole = append(s.whole, one.whole...)
-	s.gap = append(s.gap, one.gap...)
+func (s *samples) add(sample samples) {
+	s.firstToken = append(s.firstToken, sample.firstToken...)
+	s.total = append(s.total, sample.total...)
+	s.tokenGap = append(s.tokenGap, sample.tokenGap...)
 }
 
-func (s *seen) clone() seen {
-	return seen{first: slices.Clone(s.first), whole: slices.Clone(s.whole), gap: slices.Clone(s.gap)}
+func (s *samples) clone() samples {
+	return samples{firstToken: slices.Clone(s.firstToken), total: slices.Clone(s.total), tokenGap: slices.Clone(s.tokenGap)}
 }
 
 func quantile(values []time.Duration, q float64) time.Duration {
@@ -227,29 +227,29 @@
 func report(results []result) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "Measured on %s: 1 entry, %d engines with agents and all callers on one machine; streams of %d tokens, one each %v. The pace of the engines bounds what %d callers get; the entry is not saturated. At half load half of them go through, and as many again go straight to the engines in the same run. Added is the difference of the quantiles.\n\n",
-		time.Now().UTC().Format("2006-01-02 15:04 UTC"), engines, tokens, tokenTime, many)
+		time.Now().UTC().Format("2006-01-02 15:04 UTC"), engines, tokensPerAnswer, tokenTime, manyCallers)
 	t.WriteString("| GOMAXPROCS of the entry | requests a second, 512 callers | tokens a second | cores of the entry used | tokens a second for each core of the entry | for each core of the agents | failed in all |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range results {
 		fmt.Fprintf(&t, "| %d | %.0f | %.0f | %.2f | %.0f | %.0f | %d |\n",
-			r.cores, r.requests, r.tokens, r.cpu, r.tokens/r.cpu, r.tokens/r.agentCPU, r.failed)
+			r.cores, r.requests, r.tokens, r.cpu, r.tokens/r.cpu, r.tokens/r.agentCPU, r.failedRequests)
 	}
 	t.WriteString("\n| GOMAXPROCS | load | callers each way | | straight p50 | through p50 | straight p99 | through p99 | added p50 | added p99 |\n|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range results {
-		rows(&t, r.cores, "light", r.light)
-		rows(&t, r.cores, "half", r.half)
+		writeRows(&t, r.cores, "light", r.light)
+		writeRows(&t, r.cores, "half", r.half)
 	}
 	return t.String()
 }
 
-func rows(t *strings.Builder, cores int, load string, l latencies) {
-	row := func(what string, of func(seen) []time.Duration) {
-		s, h := of(l.seen[straight]), of(l.seen[through])
-		s50, s99, h50, h99 := quantile(s, 0.5), quantile(s, 0.99), quantile(h, 0.5), quantile(h, 0.99)
+func writeRows(t *strings.Builder, cores int, load string, l pathLatencies) {
+	row := func(what string, latenciesOf func(samples) []time.Duration) {
+		directValues, viaValues := latenciesOf(l.byPath[direct]), latenciesOf(l.byPath[viaEntry])
+		direct50, direct99, via50, via99 := quantile(directValues, 0.5), quantile(directValues, 0.99), quantile(viaValues, 0.5), quantile(viaValues, 0.99)
 		fmt.Fprintf(t, "| %d | %s | %d | %s | %s | %s | %s | %s | %s | %s |\n", cores, load, l.callers, what,
-			ms(s50), ms(h50), ms(s99), ms(h99), ms(h50-s50), ms(h99-s99))
+			ms(direct50), ms(via50), ms(direct99), ms(via99), ms(via50-direct50), ms(via99-direct99))
 	}
-	row("first token", func(s seen) []time.Duration { return s.first })
-	row("between tokens", func(s seen) []time.Duration { return s.gap })
+	row("first token", func(s samples) []time.Duration { return s.firstToken })
+	row("between tokens", func(s samples) []time.Duration { return s.tokenGap })
 }
 
 func ms(d time.Duration) string { return fmt.Sprintf("%.2f ms", float64(d.Microseconds())/1000) }
--- a/internal/measure/slopes/cluster.go
+++ b/internal/measure/slopes/cluster.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	// settle is the wait before a measurement, and quiet its length.
-	settle = 2 * time.Second
-	quiet  = 8 * time.Second
-	// changes is how many marks are published one after another.
-	changes = 16
-	// loadFor is the length of each load, after its callers have begun.
-	loadFor = 8 * time.Second
-	// markWait bounds the wait until a mark is in force.
-	markWait = 9 * time.Second
+	// settleTime is the wait before a measurement, and quiet its length.
+	settleTime = 2 * time.Second
+	idleTime   = 8 * time.Second
+	// numChanges is how many marks are published one after another.
+	numChanges = 16
+	// loadTime is the length of each load, after its callers have begun.
+	loadTime = 8 * time.Second
+	// markTimeout bounds the wait until a mark is in force.
+	markTimeout = 9 * time.Second
 )
 
-// size is one loopback cluster.
-type size struct{ entries, agents int }
+// clusterSize is one loopback cluster.
+type clusterSize struct{ entries, agents int }
 
-// sizes of the clusters: the last has 41 processes.
-var sizes = []size{{2, 4}, {4, 8}, {8, 16}}
+// clusterSizes of the clusters: the last has 41 processes.
+var clusterSizes = []clusterSize{{2, 4}, {4, 8}, {8, 16}}
 
 // sample is what one process has used until a moment.
 type sample struct {
-	cpu      time.Duration
-	resident float64
-	bytes    float64 // of links, both directions
-	asked    harness.Asked
-	answers  float64
-	beats    float64 // heartbeats sent
+	cpu           time.Duration
+	resident      float64
+	bytes         float64 // of links, both directions
+	platformReads harness.Asked
+	answers       float64
+	heartbeats    float64 // heartbeats sent
 }
 
-// node is what one process used in a time without load, for each second.
-type node struct {
-	links    float64
-	peers    float64 // of these, to entries
-	cpu      float64 // cores
-	resident float64
-	bytes    float64
-	beats    float64 // heartbeats sent
-	reads    float64
-	lists    float64
-	readSize float64 // bytes of one answer
-	listSize float64 // bytes of the whole list
+// nodeUsage is what one process used in a time without load, for each second.
+type nodeUsage struct {
+	links      float64
+	peers      float64 // of these, to entries
+	cpu        float64 // cores
+	resident   float64
+	bytes      float64
+	heartbeats float64 // heartbeats sent
+	reads      float64
+	lists      float64
+	readSize   float64 // bytes of one answer
+	listSize   float64 // bytes of the whole list
 }
 
-// quietRun is one cluster without load, and then with changes only.
-type quietRun struct {
-	size
-	entry, agent node
+// idleRun is one cluster without load, and then with changes only.
+type idleRun struct {
+	clusterSize
+	entry, agent nodeUsage
 	inForce      []time.Duration
 	changeBytes  float64 // for each change and link
 	changeCPU    float64 // seconds of an entry for each change
 	appends      float64 // for each change, by all
 }
 
-func spec(r harness.Reporter, bin string, s size) harness.Spec {
+func clusterSpec(r harness.Reporter, bin string, s clusterSize) harness.Spec {
 	platform := map[string]string{"poll-ms": "500"}
 	return harness.Spec{
 		Bin: bin, Dir: harness.Dir(r, "slopes"), Domains: []string{"a", "b", "c"},
@@ -74,132 +74,132 @@
 	}
 }
 
-func take(r harness.Reporter, m *harness.Member) sample {
+func takeSample(r harness.Reporter, m *harness.Member) sample {
 	values, err := m.Metrics()
 	if err != nil {
 		r.Fatalf("%s: %v", m.VM, err)
 	}
 	u := m.Usage()
 	return sample{
-		cpu: u.CPU, resident: float64(u.Resident), asked: m.View.Asked(),
-		bytes:   values["link.bytes.in"] + values["link.bytes.out"],
-		answers: values["entry.answers.whole"],
-		beats:   values["link.heartbeats.out"],
+		cpu: u.CPU, resident: float64(u.Resident), platformReads: m.View.Asked(),
+		bytes:      values["link.bytes.in"] + values["link.bytes.out"],
+		answers:    values["entry.answers.whole"],
+		heartbeats: values["link.heartbeats.out"],
 	}
 }
 
-func takeAll(r harness.Reporter, members []*harness.Member) []sample {
+func takeSamples(r harness.Reporter, members []*harness.Member) []sample {
 	all := make([]sample, len(members))
 	for i, m := range members {
-		all[i] = take(r, m)
+		all[i] = takeSample(r, m)
 	}
 	return all
 }
 
-// mean returns what the members used a second between two samples, on average.
-func mean(before, after []sample, d time.Duration) node {
-	var n node
+// meanUsage returns what the members used a second between two samples, on average.
+func meanUsage(before, after []sample, duration time.Duration) nodeUsage {
+	var n nodeUsage
 	count := float64(len(before))
-	each := count * d.Seconds()
+	processSeconds := count * duration.Seconds()
 	var reads, lists, readBytes float64
 	for i, a := range after {
 		b := before[i]
-		n.cpu += (a.cpu - b.cpu).Seconds() / each
+		n.cpu += (a.cpu - b.cpu).Seconds() / processSeconds
 		n.resident += a.resident / count
-		n.bytes += (a.bytes - b.bytes) / each
-		n.beats += (a.beats - b.beats) / each
-		reads += float64(a.asked.Reads - b.asked.Reads)
-		lists += float64(a.asked.Lists - b.asked.Lists)
-		readBytes += float64(a.asked.ReadBytes - b.asked.ReadBytes)
-		n.listSize += float64(a.asked.ListSize) / count
+		n.bytes += (a.bytes - b.bytes) / processSeconds
+		n.heartbeats += (a.heartbeats - b.heartbeats) / processSeconds
+		reads += float64(a.platformReads.Reads - b.platformReads.Reads)
+		lists += float64(a.platformReads.Lists - b.platformReads.Lists)
+		readBytes += float64(a.platformReads.ReadBytes - b.platformReads.ReadBytes)
+		n.listSize += float64(a.platformReads.ListSize) / count
 	}
-	n.reads, n.lists = reads/each, lists/each
+	n.reads, n.lists = reads/processSeconds, lists/processSeconds
 	n.readSize = readBytes / max(1, reads)
 	return n
 }
 
-// measureQuiet measures a cluster without load, then publishes changes.
-func measureQuiet(r harness.Reporter, c *harness.Cluster, s size) quietRun {
-	time.Sleep(settle)
-	entries, agents := takeAll(r, c.Entries), takeAll(r, c.Agents)
+// measureIdle measures a cluster without load, then publishes changes.
+func measureIdle(r harness.Reporter, c *harness.Cluster, s clusterSize) idleRun {
+	time.Sleep(settleTime)
+	entries, agents := takeSamples(r, c.Entries), takeSamples(r, c.Agents)
 	from := time.Now()
-	time.Sleep(quiet)
-	run := quietRun{size: s}
+	time.Sleep(idleTime)
+	run := idleRun{clusterSize: s}
 	took := time.Since(from)
-	run.entry = mean(entries, takeAll(r, c.Entries), took)
-	run.agent = mean(agents, takeAll(r, c.Agents), took)
+	run.entry = meanUsage(entries, takeSamples(r, c.Entries), took)
+	run.agent = meanUsage(agents, takeSamples(r, c.Agents), took)
 	run.entry.peers = float64(s.entries - 1)
 	run.entry.links = run.entry.peers + float64(s.agents)
 	run.agent.links = float64(s.entries)
-	run.publish(r, c)
+	run.publishChanges(r, c)
 	return run
 }
 
-// publish marks a VM out and in again, one change after another, and waits until
+// publishChanges marks a VM out and in again, one change after another, and waits until
 // each is in force at all processes.
-func (run *quietRun) publish(r harness.Reporter, c *harness.Cluster) {
+func (run *idleRun) publishChanges(r harness.Reporter, c *harness.Cluster) {
 	client, err := adminclient.New(c.Entries[0].Admin, harness.AdminToken)
 	if err != nil {
 		r.Fatalf("%v", err)
 	}
-	before := takeAll(r, c.Entries)
+	before := takeSamples(r, c.Entries)
 	begin := time.Now()
-	for i := range changes {
+	for i := range numChanges {
 		from := time.Now()
 		request := adminapi.MarkRequest{
 			Target: adminapi.TargetVM, Name: "no-such-vm", Out: i%2 == 0, Author: "slopes", ChangeID: "slopes-" + strconv.Itoa(i) + "-" + strconv.FormatInt(from.UnixNano(), 36),
 		}
-		change, err := client.Mark(context.Background(), request, adminapi.InForce, markWait)
+		change, err := client.Mark(context.Background(), request, adminapi.InForce, markTimeout)
 		if err != nil || change.State != adminapi.InForce {
 			r.Fatalf("change %d: %v, %+v", i, err, change)
 		}
 		run.inForce = append(run.inForce, time.Since(from))
 	}
 	took := time.Since(begin)
-	after := takeAll(r, c.Entries)
-	busy := mean(before, after, took)
-	run.changeBytes = (busy.bytes - run.entry.bytes) * took.Seconds() / changes / run.entry.links
-	run.changeCPU = (busy.cpu - run.entry.cpu) * took.Seconds() / changes
+	after := takeSamples(r, c.Entries)
+	busy := meanUsage(before, after, took)
+	run.changeBytes = (busy.bytes - run.entry.bytes) * took.Seconds() / numChanges / run.entry.links
+	run.changeCPU = (busy.cpu - run.entry.cpu) * took.Seconds() / numChanges
 	for i := range after {
-		run.appends += float64(after[i].asked.Appends-before[i].asked.Appends) / changes
+		run.appends += float64(after[i].platformReads.Appends-before[i].platformReads.Appends) / numChanges
 	}
 	slices.Sort(run.inForce)
 }
 
-// busyRun is a cluster under a load of streams.
-type busyRun struct {
+// loadRun is a cluster under a load of streams.
+type loadRun struct {
 	callers, tokens    int
 	requests           float64 // a second
 	entryCPU, agentCPU float64 // cores of all, beyond those without load
 	entryResident      float64 // of all
 	agentResident      float64
 	bytes              float64 // of all entries' links, a second, beyond those without load
-	entryBeats         float64 // heartbeats of all, a second, beyond those without load
-	agentBeats         float64
+	entryHeartbeats    float64 // heartbeats of all, a second, beyond those without load
+	agentHeartbeats    float64
 }
 
-func measureBusy(r harness.Reporter, c *harness.Cluster, q quietRun, callers, tokens int) busyRun {
+func measureLoad(r harness.Reporter, c *harness.Cluster, idle idleRun, callers, tokens int) loadRun {
 	load := c.StartLoad(harness.LoadSpec{Callers: callers, Tokens: tokens, Keep: true, Seed: uint64(callers)})
-	time.Sleep(settle)
-	entries, agents := takeAll(r, c.Entries), takeAll(r, c.Agents)
+	time.Sleep(settleTime)
+	entries, agents := takeSamples(r, c.Entries), takeSamples(r, c.Agents)
 	from := time.Now()
-	time.Sleep(loadFor)
+	time.Sleep(loadTime)
 	took := time.Since(from)
-	entriesAfter, agentsAfter := takeAll(r, c.Entries), takeAll(r, c.Agents)
+	entriesAfter, agentsAfter := takeSamples(r, c.Entries), takeSamples(r, c.Agents)
 	result := load.Stop()
 	if len(result.Cut)+len(result.Failed) > 0 {
 		r.Fatalf("under load: cut %v, failed %v", result.Cut, result.Failed)
 	}
-	e, a := mean(entries, entriesAfter, took), mean(agents, agentsAfter, took)
-	ne, na := float64(len(entries)), float64(len(agents))
-	run := busyRun{callers: callers, tokens: tokens}
+	e, a := meanUsage(entries, entriesAfter, took), meanUsage(agents, agentsAfter, took)
+	numEntries, numAgents := float64(len(entries)), float64(len(agents))
+	run := loadRun{callers: callers, tokens: tokens}
 	for i := range entries {
 		run.requests += (entriesAfter[i].answers - entries[i].answers) / took.Seconds()
 	}
-	run.entryCPU, run.agentCPU = (e.cpu-q.entry.cpu)*ne, (a.cpu-q.agent.cpu)*na
-	run.entryResident, run.agentResident = e.resident*ne, a.resident*na
-	run.bytes = (e.bytes - q.entry.bytes) * ne
-	run.entryBeats, run.agentBeats = (e.beats-q.entry.beats)*ne, (a.beats-q.agent.beats)*na
+	run.entryCPU, run.agentCPU = (e.cpu-idle.entry.cpu)*numEntries, (a.cpu-idle.agent.cpu)*numAgents
+	run.entryResident, run.agentResident = e.resident*numEntries, a.resident*numAgents
+	run.bytes = (e.bytes - idle.entry.bytes) * numEntries
+	run.entryHeartbeats, run.agentHeartbeats = (e.heartbeats-idle.entry.heartbeats)*numEntries, (a.heartbeats-idle.agent.heartbeats)*numAgents
 	return run
 }
 
@@ -212,25 +212,25 @@
 }
 
 func measureGroup(r harness.Reporter, bin string, agents int) groupRun {
-	s := spec(r, bin, size{1, agents})
+	s := clusterSpec(r, bin, clusterSize{1, agents})
 	s.Group, s.Ranks = "g", 8
 	s.EngineFlags = append(s.EngineFlags, "-step", "64ms")
 	c := harness.StartCluster(r, s)
 	harness.Eventually(r, 20*time.Second, "steps go on", func() error {
 		if c.Platform.Steps(s.Group).Next < 20 {
-			return errStalled
+			return errNoSteps
 		}
 		return nil
 	})
-	time.Sleep(settle)
-	before := takeAll(r, c.Agents)
+	time.Sleep(settleTime)
+	before := takeSamples(r, c.Agents)
 	from := time.Now()
-	time.Sleep(quiet)
-	after := takeAll(r, c.Agents)
+	time.Sleep(idleTime)
+	after := takeSamples(r, c.Agents)
 	took := time.Since(from)
-	first := mean(before[:1], after[:1], took)
+	coordinator := meanUsage(before[:1], after[:1], took)
 	for _, m := range c.Members() {
 		m.Kill()
 	}
-	return groupRun{others: float64(agents - 1), bytes: first.bytes, cpu: first.cpu, resident: first.resident}
+	return groupRun{others: float64(agents - 1), bytes: coordinator.bytes, cpu: coordinator.cpu, resident: coordinator.resident}
 }
--- a/internal/measure/slopes/decisions.go
+++ b/internal/measure/slopes/decisions.go
@@ -9,61 +9,61 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// decisions holds processor time in this process, seconds.
-type decisions struct {
-	heard  map[int]float64 // taking one heartbeat, by members heard, while the log answers
-	change float64         // applying one change with 7,300 customers
-	load   float64         // loading a snapshot with 7,300 customers
-	list   float64         // parsing a list of 4,190 VMs
+// decisionTimes holds processor time in this process, seconds.
+type decisionTimes struct {
+	heartbeat map[int]float64 // taking one heartbeat, by members heard, while the log answers
+	change    float64         // applying one change with 7,300 customers
+	snapshot  float64         // loading a snapshot with 7,300 customers
+	vmList    float64         // parsing a list of 4,190 VMs
 }
 
 const (
 	customersAtSize = 7300
 	entriesAtSize   = 490
-	workersAtSize   = 3700
-	membersAtSize   = entriesAtSize + workersAtSize
+	agentsAtSize    = 3700
+	membersAtSize   = entriesAtSize + agentsAtSize
 )
 
-// heardSizes are the numbers of members that have been heard, smallest first.
-var heardSizes = []int{24, entriesAtSize, membersAtSize}
+// heardMemberCounts are the numbers of members that have been heard, smallest first.
+var heardMemberCounts = []int{24, entriesAtSize, membersAtSize}
 
-func measureDecisions() decisions {
-	d := decisions{heard: map[int]float64{}}
-	for _, n := range heardSizes {
-		d.heard[n] = heartbeats(n)
+func measureDecisions() decisionTimes {
+	d := decisionTimes{heartbeat: map[int]float64{}}
+	for _, n := range heardMemberCounts {
+		d.heartbeat[n] = timeHeartbeat(n)
 	}
-	f := foldOf(customersAtSize, 1)
-	d.change = timed(50, func(int) {
-		data := markRecord(f)
+	f := newFold(customersAtSize, 1)
+	d.change = meanSeconds(50, func(int) {
+		data := customerChange(f)
 		if err := f.Apply(f.Applied()+1, data); err != nil {
 			panic(err)
 		}
 		f.View()
 	})
 	snapshot := f.Snapshot()
-	d.load = timed(5, func(int) {
+	d.snapshot = meanSeconds(5, func(int) {
 		if err := config.NewFold().Load(snapshot); err != nil {
 			panic(err)
 		}
 	})
-	list := listOf(membersAtSize)
-	d.list = timed(5, func(int) { parse(list) })
+	list := vmListJSON(membersAtSize)
+	d.vmList = meanSeconds(5, func(int) { parseVMs(list) })
 	return d
 }
 
-// heartbeats returns the seconds that one heartbeat takes a process that hears n
+// timeHeartbeat returns the seconds that one heartbeat takes a process that hears n
 // members, each five times a second, and asks for its state after each, while the log
 // answers.
-func heartbeats(n int) float64 {
-	t := trackerOf(n)
+func timeHeartbeat(n int) float64 {
+	t := newTracker(n)
 	knowledge := heartbeat().GetHeartbeat().GetKnowledge()
 	names := make([]string, n)
 	for i := range names {
-		names[i] = name("vm", i)
+		names[i] = indexedName("vm", i)
 	}
 	now := time.Second
-	return timed(5*n, func(i int) {
-		now += time.Duration(float64(time.Second) / (todayBeat * float64(n)))
+	return meanSeconds(5*n, func(i int) {
+		now += time.Duration(float64(time.Second) / (idleHeartbeatRate * float64(n)))
 		t.ConfirmTail(now)
 		t.HandleKnowledge(names[i%n], now, knowledge, 1<<20)
 		t.State(now)
@@ -71,20 +71,20 @@
 	})
 }
 
-// markRecord changes one customer.
-func markRecord(f *config.Fold) []byte {
-	set := customers(1)
+// customerChange changes one customer.
+func customerChange(f *config.Fold) []byte {
+	set := customerSections(1)
 	set[0].GetCustomer().Burst = 1 + f.Applied()%1000
 	change := &api.ListChange{List: api.ListName_LIST_PLANS, Base: f.View().ListOffset(api.ListName_LIST_PLANS), Set: set}
-	data, err := proto.Marshal(&api.Record{ChangeId: name("change", int(f.Applied())), Body: &api.Record_List{List: change}})
+	data, err := proto.Marshal(&api.Record{ChangeId: indexedName("change", int(f.Applied())), Body: &api.Record_List{List: change}})
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-// timed returns the seconds of one call, the mean of n.
-func timed(n int, f func(i int)) float64 {
+// meanSeconds returns the seconds of one call, the mean of n.
+func meanSeconds(n int, f func(i int)) float64 {
 	from := time.Now()
 	for i := range n {
 		f(i)
--- a/internal/measure/slopes/fit.go
+++ b/internal/measure/slopes/fit.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// fit returns the coefficients that explain y by the columns of x with the least
+// leastSquares returns the coefficients that explain y by the columns of x with the least
 // squares of what is left, by the normal equations. A column that says nothing
 // gets zero.
-func fit(x [][]float64, y []float64) []float64 {
+func leastSquares(x [][]float64, y []float64) []float64 {
 	n := len(x[0])
 	m := make([][]float64, n)
 	for i := range m {
@@ -28,13 +28,13 @@
 // eliminate solves the equations in place.
 func eliminate(m [][]float64) {
 	for i := range m {
-		best := i
+		pivotRow := i
 		for r := i + 1; r < len(m); r++ {
-			if math.Abs(m[r][i]) > math.Abs(m[best][i]) {
-				best = r
+			if math.Abs(m[r][i]) > math.Abs(m[pivotRow][i]) {
+				pivotRow = r
 			}
 		}
-		m[i], m[best] = m[best], m[i]
+		m[i], m[pivotRow] = m[pivotRow], m[i]
 		pivot := m[i][i]
 		if math.Abs(pivot) < 1e-12 {
 			m[i][len(m)] = 0
@@ -55,12 +55,12 @@
 	}
 }
 
-// line returns the base and the slope of y over x.
-func line(x, y []float64) (base, slope float64) {
+// fitLine returns the base and the slope of y over x.
+func fitLine(x, y []float64) (base, slope float64) {
 	rows := make([][]float64, len(x))
 	for i := range x {
 		rows[i] = []float64{1, x[i]}
 	}
-	c := fit(rows, y)
+	c := leastSquares(rows, y)
 	return c[0], c[1]
 }
--- a/internal/measure/slopes/fit_test.go
+++ b/internal/measure/slopes/fit_test.go
@@ -14,7 +14,7 @@
 			y[i] += c * row[j]
 		}
 	}
-	for j, got := range fit(x, y) {
+	for j, got := range leastSquares(x, y) {
 		if math.Abs(got-want[j]) > 1e-6 {
 			t.Errorf("coefficient %d is %v, want %v", j, got, want[j])
 		}
@@ -22,7 +22,7 @@
 }
 
 func TestLine(t *testing.T) {
-	base, slope := line([]float64{1, 2, 4}, []float64{12, 14, 18})
+	base, slope := fitLine([]float64{1, 2, 4}, []float64{12, 14, 18})
 	if math.Abs(base-10) > 1e-6 || math.Abs(slope-2) > 1e-6 {
 		t.Errorf("got %v + %v x", base, slope)
 	}
--- a/internal/measure/slopes/slopes.go
+++ b/internal/measure/slopes/slopes.go
@@ -13,27 +13,27 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-var errStalled = errors.New("the group does not step")
+var errNoSteps = errors.New("the group does not step")
 
 // Slopes holds all that was measured.
 type Slopes struct {
-	memory memory
-	cpu    decisions
-	quiet  []quietRun
-	busy   []busyRun
-	groups []groupRun
-	took   time.Duration
-	at     time.Time
+	memory    heapPerUnit
+	cpu       decisionTimes
+	idle      []idleRun
+	underLoad []loadRun
+	groups    []groupRun
+	duration  time.Duration
+	startedAt time.Time
 }
 
 // Measure measures everything with the binaries in bin.
 func Measure(bin string, log io.Writer) (*Slopes, error) {
-	s := &Slopes{at: time.Now().UTC()}
+	s := &Slopes{startedAt: time.Now().UTC()}
 	s.memory = measureMemory()
 	s.cpu = measureDecisions()
-	for i, n := range sizes {
-		last := i == len(sizes)-1
-		if err := harness.RunProgram(log, func(r *harness.Program) { s.cluster(r, bin, n, last) }); err != nil {
+	for i, n := range clusterSizes {
+		last := i == len(clusterSizes)-1
+		if err := harness.RunProgram(log, func(r *harness.Program) { s.measureCluster(r, bin, n, last) }); err != nil {
 			return nil, err
 		}
 	}
@@ -45,19 +45,19 @@
 			return nil, err
 		}
 	}
-	s.took = time.Since(s.at)
+	s.duration = time.Since(s.startedAt)
 	return s, nil
 }
 
-// cluster measures one cluster; the last one also under load.
-func (s *Slopes) cluster(r harness.Reporter, bin string, n size, load bool) {
-	c := harness.StartCluster(r, spec(r, bin, n))
-	q := measureQuiet(r, c, n)
-	s.quiet = append(s.quiet, q)
-	if !load {
+// measureCluster measures one measureCluster; the last one also under load.
+func (s *Slopes) measureCluster(r harness.Reporter, bin string, size clusterSize, withLoad bool) {
+	c := harness.StartCluster(r, clusterSpec(r, bin, size))
+	idle := measureIdle(r, c, size)
+	s.idle = append(s.idle, idle)
+	if !withLoad {
 		return
 	}
 	for _, l := range []struct{ callers, tokens int }{{64, 16}, {64, 64}, {256, 64}} {
-		s.busy = append(s.busy, measureBusy(r, c, q, l.callers, l.tokens))
+		s.underLoad = append(s.underLoad, measureLoad(r, c, idle, l.callers, l.tokens))
 	}
 }
--- a/internal/measure/slopes/trial_test.go
+++ b/internal/measure/slopes/trial_test.go
@@ -21,37 +21,37 @@
 	}
 	clusters := make([]*harness.Cluster, len(bins))
 	for i, bin := range bins {
-		s := spec(b, bin, size{entries: 4, agents: 8})
+		s := clusterSpec(b, bin, clusterSize{entries: 4, agents: 8})
 		s.Dir = b.TempDir()
 		clusters[i] = harness.StartCluster(b, s)
 	}
 	for b.Loop() {
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		compare(b, "idle", bins, clusters)
 		for _, c := range clusters {
 			c.StartLoad(harness.LoadSpec{Callers: 8, Tokens: 64, Keep: true, Seed: 1})
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		compare(b, "busy", bins, clusters)
 	}
 }
 
-func compare(b *testing.B, what string, bins []string, clusters []*harness.Cluster) {
+func compare(b *testing.B, phase string, bins []string, clusters []*harness.Cluster) {
 	var entries, agents [][]sample
 	from := time.Now()
 	for _, c := range clusters {
-		entries, agents = append(entries, takeAll(b, c.Entries)), append(agents, takeAll(b, c.Agents))
+		entries, agents = append(entries, takeSamples(b, c.Entries)), append(agents, takeSamples(b, c.Agents))
 	}
-	time.Sleep(quiet)
+	time.Sleep(idleTime)
 	took := time.Since(from)
 	for i, c := range clusters {
-		entriesAfter := takeAll(b, c.Entries)
-		e, a := mean(entries[i], entriesAfter, took), mean(agents[i], takeAll(b, c.Agents), took)
+		entriesAfter := takeSamples(b, c.Entries)
+		e, a := meanUsage(entries[i], entriesAfter, took), meanUsage(agents[i], takeSamples(b, c.Agents), took)
 		answers := 0.0
 		for j := range entriesAfter {
 			answers += entriesAfter[j].answers - entries[i][j].answers
 		}
 		b.Logf("%s %s: entry %.2f m, %.0f B/s; agent %.2f m, %.0f B/s; %.1f answers/s",
-			what, bins[i], 1000*e.cpu, e.bytes, 1000*a.cpu, a.bytes, answers/took.Seconds())
+			phase, bins[i], 1000*e.cpu, e.bytes, 1000*a.cpu, a.bytes, answers/took.Seconds())
 	}
 }
