--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin plays the platform, the engines and the plain services in
+// Command standin runs the stand-ins for the platform, the engines and the plain services, for
 // demonstrations and tests. It is never shipped.
 package main
 
@@ -17,7 +17,7 @@
 	"github.com/apricothub/apricothub/internal/standin/service"
 )
 
-// command is one subcommand with what it runs.
+// command is a subcommand and the function that it runs.
 type command struct {
 	*flaggy.Subcommand
 	run func(log.Logger) error
@@ -41,7 +41,7 @@
 		logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
 		logger = log.With(logger, "ts", log.DefaultTimestampUTC, "part", c.Name)
 		if err := c.run(logger); err != nil {
-			_ = logger.Log("msg", "ended", "err", err)
+			_ = logger.Log("msg", "The stand-in failed.", "err", err)
 			os.Exit(1)
 		}
 		return
@@ -70,16 +70,16 @@
 	c.String(&config.Listen, "", "listen", "Address to listen on.")
 	c.String(&config.Platform, "", "platform", "Base URL of the platform.")
 	c.Duration(&config.TokenTime, "", "token", "Time of one token when warm.")
-	c.Int(&config.FullLimit, "", "full", "Requests that run at once when warm; others wait.")
-	c.Bool(&config.CheckFence, "", "check-fence", "Refuses orders with an old fencing number.")
-	c.Int(&config.Cold.Limit, "", "cold", "Requests borne at once in cold start; 0 for never cold.")
-	c.Int(&config.Cold.RequestsUntilWarm, "", "warm-after", "Completed requests that warm it up.")
-	c.Duration(&config.Cold.CrashTime, "", "fall", "How long everything fails after an overload.")
+	c.Int(&config.FullLimit, "", "full", "Requests that run concurrently; others wait.")
+	c.Bool(&config.CheckFence, "", "check-fence", "Refuses orders with an outdated fencing number.")
+	c.Int(&config.Cold.Limit, "", "cold", "Concurrent requests that a cold engine can handle; 0 for never cold.")
+	c.Int(&config.Cold.RequestsUntilWarm, "", "warm-after", "Completed requests after which the engine is warm.")
+	c.Duration(&config.Cold.CrashTime, "", "fall", "How long all requests fail after an overload.")
 	c.String(&config.Ranks.Group, "", "group", "Group of the ranks; empty for none.")
 	c.Int(&config.Ranks.FirstRank, "", "first-rank", "First rank of the engine.")
 	c.Int(&config.Ranks.Ranks, "", "ranks", "Number of ranks of the engine.")
 	c.Int(&config.Ranks.GroupSize, "", "group-size", "Number of ranks of the whole group.")
-	c.Duration(&config.Ranks.MinStepTime, "", "step", "Least time of one step.")
+	c.Duration(&config.Ranks.MinStepTime, "", "step", "Minimum time of one step.")
 	return command{c, func(logger log.Logger) error { return engine.Run(config, logger) }}
 }
 
@@ -93,7 +93,7 @@
 
 func demoCommand() command {
 	c := flaggy.NewSubcommand("demo")
-	c.Description = "Runs the whole path as separate processes and says if it worked."
+	c.Description = "Runs the whole system as separate processes and reports whether it worked."
 	bin := "bin"
 	c.String(&bin, "", "bin", "Directory of the binaries.")
 	return command{c, func(log.Logger) error {
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole path as separate processes on loopback and says,
-// step by step, whether it worked. `make demo` calls it.
+// Package demo runs the whole system as separate processes on loopback and reports for each step
+// whether it worked. It implements `make demo`.
 package demo
 
 import (
@@ -15,7 +15,7 @@
 )
 
 const (
-	// timeLimit is the time that the whole demonstration may take.
+	// timeLimit is the maximum time of the whole demonstration.
 	timeLimit = 60 * time.Second
 	// markedDomain is the failure domain that is marked out and in again.
 	markedDomain = "b"
@@ -23,7 +23,7 @@
 	markEffectTime = 3 * time.Second
 )
 
-// step is one step; it returns what to print.
+// step is one step of the demonstration. run returns the text to print.
 type step struct {
 	name string
 	run  func(*demo) (string, error)
@@ -40,7 +40,7 @@
 	{"stop an entry under load", (*demo).stopEntry},
 }
 
-// demo is the running demonstration.
+// demo is a running demonstration. It implements harness.Reporter.
 type demo struct {
 	out     io.Writer
 	bin     string
@@ -50,22 +50,22 @@
 	caller  *harness.Caller
 }
 
-// stepFailure carries a failure of the harness out of a step.
+// stepFailure is the panic value that carries a failure of the harness out of a step.
 type stepFailure struct{ error }
 
-// Helper does nothing; demo is a harness.Reporter.
+// Helper does nothing; harness.Reporter requires it.
 func (d *demo) Helper() {}
 
-// Logf prints a line.
+// Logf prints a formatted line.
 func (d *demo) Logf(format string, args ...any) { fmt.Fprintf(d.out, "    "+format+"\n", args...) }
 
-// Fatalf ends the step.
+// Fatalf aborts the step with an error.
 func (d *demo) Fatalf(format string, args ...any) { panic(stepFailure{errors.Errorf(format, args...)}) }
 
-// Cleanup notes what to do at the end, last first.
+// Cleanup registers a function to run at the end, in reverse order of registration.
 func (d *demo) Cleanup(f func()) { d.cleanup = append(d.cleanup, f) }
 
-// Run runs all steps with the binaries in bin and returns true if all worked.
+// Run runs all steps with the binaries in bin and reports whether all worked.
 func Run(bin string, out io.Writer) bool {
 	d := &demo{out: out, bin: bin, caller: harness.NewCaller(harness.Key)}
 	defer d.runCleanup()
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%d processes over 3 failure domains are ready", 1+len(d.cluster.Entries)+2*len(d.cluster.Agents)), nil
 }
 
-// entry returns the address of one entry.
+// entry returns the public address of an entry.
 func (d *demo) entry(i int) string { return d.cluster.Entries[i].Public }
 
 func (d *demo) askAddresses() (string, error) {
@@ -128,7 +128,7 @@
 		return "", err
 	}
 	if len(list.Addresses) != len(d.cluster.Entries) {
-		return "", errors.Errorf("%d addresses, want %d", len(list.Addresses), len(d.cluster.Entries))
+		return "", errors.Errorf("got %d addresses, want %d", len(list.Addresses), len(d.cluster.Entries))
 	}
 	var addresses []string
 	for _, a := range list.Addresses {
@@ -147,7 +147,7 @@
 		return "", errors.Errorf("refused: %d %s %s", got.Refused.Code, got.Refused.Name, got.Refused.Message)
 	}
 	if !got.Whole || got.Text != p.Want() {
-		return "", errors.Errorf("got %q, the engine made %q", got.Text, p.Want())
+		return "", errors.Errorf("got %q, want the text of the engine %q", got.Text, p.Want())
 	}
 	return fmt.Sprintf("%d bytes in %d events, the same as the engine made:%s", len(got.Text), got.Events, got.Text), nil
 }
@@ -158,7 +158,7 @@
 		return "", err
 	}
 	if reply.Status != 200 {
-		return "", errors.Errorf("%d %d %s %s", reply.Status, reply.Code, reply.Name, reply.Message)
+		return "", errors.Errorf("look-up failed: status %d, code %d %s: %s", reply.Status, reply.Code, reply.Name, reply.Message)
 	}
 	return strings.TrimSpace(string(reply.Body)), nil
 }
@@ -175,7 +175,7 @@
 			return "", err
 		}
 		if reply.Status != 200 || reply.Ran != harness.RanYes {
-			return "", errors.Errorf("push %d: %d %d %s %s", i+1, reply.Status, reply.Code, reply.Name, reply.Message)
+			return "", errors.Errorf("push %d failed: status %d, code %d %s: %s", i+1, reply.Status, reply.Code, reply.Name, reply.Message)
 		}
 	}
 	if runs := harness.Runs(d.cluster.ServiceAgents()[0].Backend.Ledger())[call]; runs != 1 {
@@ -184,7 +184,7 @@
 	return "both answered 200, through two entries; the ledger shows 1 run", nil
 }
 
-// markedEngine is the engine in the failure domain that is marked out.
+// markedEngine returns the engine in the marked failure domain.
 func (d *demo) markedEngine() *harness.Member {
 	for _, m := range d.cluster.EngineAgents() {
 		if m.Domain == markedDomain {
@@ -207,7 +207,7 @@
 	after := len(d.markedEngine().Backend.Record().Arrivals)
 	result := load.Stop()
 	if after != before {
-		return "", errors.Errorf("%d requests arrived after %s", after-before, markEffectTime)
+		return "", errors.Errorf("%d requests arrived more than %s after the mark", after-before, markEffectTime)
 	}
 	if len(result.Cut)+len(result.Failed)+len(result.Wrong) > 0 {
 		return "", errors.Errorf("cut %q, failed %q, wrong %q", result.Cut, result.Failed, result.Wrong)
@@ -222,7 +222,7 @@
 	d.cluster.MustOperate("mark", "domain", markedDomain, "in")
 	took := harness.Eventually(d, 10*time.Second, "new work arrives", func() error {
 		if len(d.markedEngine().Backend.Record().Arrivals) == before {
-			return errors.New("nothing has arrived")
+			return errors.New("no request has arrived")
 		}
 		return nil
 	})
--- a/internal/standin/engine/cold.go
+++ b/internal/standin/engine/cold.go
@@ -6,18 +6,19 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// ColdConfig sets how a cold engine behaves.
+// ColdConfig sets the behaviour of an engine in cold start.
 type ColdConfig struct {
-	// Limit is the number of requests borne at once in cold start; 0 for never cold.
+	// Limit is the number of concurrent requests that a cold engine can handle; 0 for an engine
+	// that is never cold.
 	Limit int
-	// RequestsUntilWarm is the number of completed requests that warm it up.
+	// RequestsUntilWarm is the number of completed requests after which the engine is warm.
 	RequestsUntilWarm int
-	// CrashTime is how long everything fails after an overload.
+	// CrashTime is how long all requests fail after an overload.
 	CrashTime time.Duration
 }
 
-// State is the engine's own record of its work. Spared counts the requests that it
-// bears although it turned cold under them.
+// State is the engine's own count of its work. Exempt is the number of running requests that don't
+// count toward the cold limit, as the engine turned cold while they ran or shortly before.
 type State struct {
 	Cold           bool `json:"cold"`
 	Running        int  `json:"running"`
@@ -27,7 +28,8 @@
 	Completed      int  `json:"completed"`
 }
 
-// coldStart counts the work of an engine and lets it fall over.
+// coldStart counts the running requests of an engine and makes it crash when a cold engine is
+// overloaded.
 type coldStart struct {
 	web.Monitor
 	State
@@ -39,14 +41,14 @@
 	crashed       chan struct{}
 }
 
-// runningRequest is one running request. fell is closed when the engine falls over under it.
+// runningRequest is a request that the engine runs. crashed is closed when the engine crashes.
 type runningRequest struct {
 	crashed    <-chan struct{}
 	generation int
 }
 
-// begin takes one request, or returns false while the engine is fallen over. A
-// request past the limit makes a cold engine fall over.
+// begin starts a request, or returns false while the engine is crashed. A request beyond the limit
+// makes a cold engine crash.
 func (w *coldStart) begin() (started runningRequest, ok bool) {
 	w.WithLock(func() {
 		now := time.Now()
@@ -74,7 +76,7 @@
 	return started, ok
 }
 
-// end gives up one request; completed ones warm the engine.
+// end removes a request. Completed requests warm up the engine.
 func (w *coldStart) end(ended runningRequest, completed bool) {
 	w.WithLock(func() {
 		w.Running--
@@ -90,8 +92,8 @@
 	})
 }
 
-// turnCold turns the engine cold. What runs now is spared, and what begins within
-// the grace is borne too: caches empty over a moment and not at once.
+// turnCold turns the engine cold. Requests that are running or start within the grace period are
+// exempt from the cold limit, since real caches empty over time and not at once.
 func (w *coldStart) turnCold(grace time.Duration) {
 	w.WithLock(func() {
 		w.Cold = true
@@ -102,7 +104,7 @@
 	})
 }
 
-// snapshot returns the record as it stands.
+// snapshot returns a copy of the current state.
 func (w *coldStart) snapshot() (state State) {
 	w.WithLock(func() { state = w.State })
 	return state
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -11,7 +11,7 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// completionRequest is the body of both completion interfaces.
+// completionRequest is the body of both completion endpoints.
 type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -21,13 +21,13 @@
 	Stream    bool      `json:"stream"`
 }
 
-// message is one message of a chat.
+// message is a chat message.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// prompt is the text that the answer is made from: messages one a line.
+// prompt returns the text that determines the answer, with one chat message per line.
 func (r *completionRequest) prompt() string {
 	text := r.Prompt
 	for _, m := range r.Messages {
@@ -36,7 +36,7 @@
 	return text
 }
 
-// completion is an answer, or one chunk of a streamed one.
+// completion is an answer, or one chunk of a streamed answer.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -74,7 +74,7 @@
 	}
 }
 
-// writeWhole sends the whole text when all tokens are made.
+// writeWhole sends the whole answer once all tokens are generated.
 func (j *job) writeWhole(w http.ResponseWriter) {
 	<-j.ended
 	generated, outcome := j.progress()
@@ -85,8 +85,8 @@
 	web.Respond(w, j.completion(CompletionText(j.request.prompt(), j.request.Seed, generated), "length"), nil)
 }
 
-// writeStream sends each token as it is made. A writeStream that fails is cut and has no
-// closing marker.
+// writeStream sends each token as it is generated. If the request fails, the connection is closed
+// without the final [DONE] event.
 func (j *job) writeStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	sent := 0
@@ -113,7 +113,7 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 }
 
-// completion makes the shape that was asked for: text or chat, whole or a chunk.
+// completion builds the object that was requested: text or chat, a whole answer or a chunk.
 func (j *job) completion(text, finish string) completion {
 	c := completion{ID: j.id, Object: "text_completion", Model: j.request.Model}
 	first := choice{Text: text, FinishReason: finish}
@@ -128,12 +128,12 @@
 	return c
 }
 
-// vocabulary are the tokens. Some hold more than one byte a letter, so that a cut in
-// the middle of one shows.
+// vocabulary holds the tokens. Some contain multi-byte characters, so that tests notice a cut
+// inside one.
 var vocabulary = strings.Fields("fresh Käse offer today 50% “half” price ¼ pound naïve tag store " +
 	"week perch fry Friday €2.49 only while it lasts now and aisle")
 
-// CompletionToken returns the i-th token, from 0, of the answer to a prompt and a seed.
+// CompletionToken returns the i-th token, counted from 0, of the answer to a prompt and a seed.
 func CompletionToken(prompt string, seed int64, i int) string {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%d %d %s %d", seed, i, prompt, i)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,6 @@
-// Package engine plays a model engine: completions with a text that tests can
-// compute, cold start, lagging load reports, and ranks in lock-step on an expert map
-// that take orders with and without fencing checks.
-// docs/STANDINS.md describes its HTTP interface.
+// Package engine is the stand-in for a model engine: completions whose text tests can compute, cold
+// start, delayed load reports, and ranks that run in lock-step on expert maps and take orders with
+// or without a check of their fences. docs/STANDINS.md describes its HTTP interface.
 package engine
 
 import (
@@ -15,11 +14,12 @@
 )
 
 const (
-	// prefillTime is the time before the first token, besides its own.
+	// prefillTime is added to the time of the first token.
 	prefillTime = 5 * time.Millisecond
-	// coldSlowdown makes tokens slower in cold start.
+	// coldSlowdown multiplies the time per token in cold start.
 	coldSlowdown = 6
-	// loadReportIntervalMS is the age of load reports.
+	// loadReportIntervalMS is the minimum time between two load reports. A query returns the report
+	// made before it, so reports lag.
 	loadReportIntervalMS = 200
 )
 
@@ -28,18 +28,18 @@
 	Listen string
 	// Platform is the base URL of the weight store and the fabric.
 	Platform string
-	// TokenTime is the time of one token when warm.
+	// TokenTime is the time per token of a warm engine.
 	TokenTime time.Duration
-	// FullLimit is the number of requests that run at once when warm; others wait.
+	// FullLimit is the number of requests that run concurrently; others wait.
 	FullLimit int
-	// CheckFence refuses orders with an old fencing number.
+	// CheckFence makes the engine refuse orders with an outdated fence.
 	CheckFence bool
 	Cold       ColdConfig
 	Ranks      RankConfig
 }
 
-// LoadReport is the answer of GET /engine/load. Cold stays false when the engine turns
-// cold without a word.
+// LoadReport is the response of GET /engine/load. Cold stays false when a control request turns a
+// warm engine cold: that engine does not report it.
 type LoadReport struct {
 	Running   int   `json:"running"`
 	Waiting   int   `json:"waiting"`
@@ -48,8 +48,8 @@
 	AtMS      int64 `json:"at_ms"`
 }
 
-// Arrival is one request that has reached the engine. Outcome is "" while it runs,
-// then "whole", "cancelled", "fallen" or "refused".
+// Arrival is a request that has reached the engine. Outcome is empty while it runs, then "whole",
+// "cancelled", "fallen" or "refused".
 type Arrival struct {
 	ID      string `json:"id"`
 	BeginMS int64  `json:"begin_ms"`
@@ -58,22 +58,22 @@
 	Outcome string `json:"outcome"`
 }
 
-// Record is the answer of GET /control/record.
+// Record is the response of GET /control/record.
 type Record struct {
 	State
 	Arrivals []Arrival       `json:"arrivals"`
 	Loads    []CompletedLoad `json:"loads"`
-	// Maps are the expert maps loaded, in order.
+	// Maps holds the loaded expert maps in the order of loading.
 	Maps []MapOrder `json:"maps"`
 }
 
-// controlRequest names a request, or says how long a cold engine's caches last.
+// controlRequest names a request to cancel, or says how long a cold engine's caches last.
 type controlRequest struct {
 	ID      string `json:"id"`
 	GraceMS int64  `json:"grace_ms"`
 }
 
-// runningIDs is the answer of GET /engine/running.
+// runningIDs is the response of GET /engine/running.
 type runningIDs struct {
 	IDs []string `json:"ids"`
 }
@@ -93,7 +93,7 @@
 	completedLoads []CompletedLoad
 }
 
-// Run serves until the process is told to stop.
+// Run serves until the process receives SIGTERM or SIGINT.
 func Run(config Config, logger log.Logger) error {
 	cold := config.Cold.Limit > 0
 	e := &engine{
@@ -128,7 +128,7 @@
 	return web.Serve(config.Listen, srv, logger)
 }
 
-// showLoad answers with the report made last, and makes a new one when it is old.
+// showLoad returns the last load report and makes a new one if that is old.
 func (e *engine) showLoad() (report LoadReport) {
 	e.WithLock(func() {
 		report = e.loadReport
@@ -155,7 +155,7 @@
 	return running
 }
 
-// cancel ends a request and returns when it has ended.
+// cancel cancels a request and waits until it has ended.
 func (e *engine) cancel(t controlRequest) {
 	var j *job
 	e.WithLock(func() { j = e.jobs[t.ID] })
--- a/internal/standin/engine/experts.go
+++ b/internal/standin/engine/experts.go
@@ -7,29 +7,30 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// ExpertTokens is how many tokens each expert has had, or gets each second.
+// ExpertTokens holds the tokens routed to each expert: the totals in a response, the rates per
+// second in a control request.
 type ExpertTokens struct {
 	Tokens []float64 `json:"tokens"`
-	// Slowdowns are, when set, how much longer than usual each rank of the engine takes.
+	// Slowdowns, if set, are each rank's time per token relative to a typical rank.
 	Slowdowns []float64 `json:"paces,omitempty"`
-	// Ranks are the engine's own, when shown.
+	// Ranks, in responses, are the totals of the engine's ranks.
 	Ranks []RankTotals `json:"ranks,omitempty"`
 }
 
-// RankTotals is how many tokens a rank has had, and how long it took for them.
+// RankTotals is the number of tokens that a rank has processed and the time that it took.
 type RankTotals struct {
 	Tokens  float64 `json:"tokens"`
 	Seconds float64 `json:"seconds"`
 }
 
-// rankTokensPerSecond is how many tokens each rank gets in a second, typicalTokenTime how long a usual
-// rank takes for one.
+// rankTokensPerSecond is the number of tokens that each rank gets in a second. typicalTokenTime is
+// the time that a typical rank takes for one.
 const (
 	rankTokensPerSecond = 10_000.0
 	typicalTokenTime    = 10 * time.Microsecond
 )
 
-// popularity plays the routing of tokens to experts: each gets its tokens a second.
+// popularity simulates the routing of tokens to experts at fixed rates.
 type popularity struct {
 	web.Monitor
 	rates, counts []float64
@@ -63,7 +64,7 @@
 	return experts
 }
 
-// advanceRanks counts what the ranks did in some seconds.
+// advanceRanks adds the work of the ranks in that many seconds to their totals.
 func (p *popularity) advanceRanks(seconds float64) {
 	for i := range p.ranks {
 		slowdown := 1.0
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -15,8 +15,8 @@
 	outcomeRefused   = "refused"
 )
 
-// job is one request as the engine runs it. It goes on when its caller has gone:
-// only a cancel ends it early.
+// job is a completion request in the engine. It continues when its caller disconnects; only a
+// cancel request ends it early.
 type job struct {
 	web.Monitor
 	id        string
@@ -29,13 +29,14 @@
 	outcome   string
 }
 
-// progress returns the tokens made, and the outcome once there is one.
+// progress returns the number of generated tokens, and the outcome once the job has ended.
 func (j *job) progress() (generated int, outcome string) {
 	j.WithLock(func() { generated, outcome = j.generated, j.outcome })
 	return generated, outcome
 }
 
-// startJob takes a request and begins to run it; nil while fallen over.
+// startJob accepts a request and runs it in the background. It returns nil while the engine is
+// crashed.
 func (e *engine) startJob(id string, request completionRequest) *job {
 	started, ok := e.coldStart.begin()
 	arrival := Arrival{ID: id, BeginMS: web.NowMS(), Cold: e.coldStart.snapshot().Cold}
@@ -66,7 +67,7 @@
 	j.WithLock(func() { j.outcome = outcome })
 }
 
-// generate makes the tokens one after another and returns the outcome.
+// generate produces the tokens one by one and returns the outcome.
 func (e *engine) generate(j *job) string {
 	select {
 	case e.slots <- struct{}{}:
--- a/internal/standin/engine/loads.go
+++ b/internal/standin/engine/loads.go
@@ -7,8 +7,8 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// weightSetBytes is the size of a model's and of an adapter's weights: half a second's
-// reading by one engine alone.
+// weightSetBytes is the size of the weights of a model or an adapter. One engine alone reads them
+// in half a second.
 const weightSetBytes = 32 << 20
 
 // LoadOrder is the body of POST /engine/orders.
@@ -20,13 +20,15 @@
 	Adapter string `json:"adapter"`
 }
 
-// HeldWeights is the answer of GET /engine/version.
+// HeldWeights is the response of GET /engine/version: the model version and the adapters that are
+// loaded.
 type HeldWeights struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// CompletedLoad is one order carried out; Running is the work under way when it came.
+// CompletedLoad is an order that was carried out. Running is the number of running requests when it
+// arrived.
 type CompletedLoad struct {
 	LoadOrder
 	Running int   `json:"running"`
@@ -39,7 +41,7 @@
 	return held
 }
 
-// loadWeights loads a version, which lets go of the adapters, or one adapter.
+// loadWeights loads an adapter or a model version. A new model version unloads all adapters.
 func (e *engine) loadWeights(r *http.Request, order LoadOrder) (web.NoBody, error) {
 	if err := e.orderState.acceptOrder(r, order.Fence); err != nil {
 		return web.NoBody{}, err
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,12 +9,13 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// exclusiveTimeout bounds the wait for the connections of earlier givers to close.
+// exclusiveTimeout limits the wait for the connections of earlier senders to close.
 const exclusiveTimeout = 5 * time.Second
 
 type connKey struct{}
 
-// orderState knows the highest fencing number and who is connected to give orderState.
+// orderState holds the highest fence seen and the connections over which orders can arrive, with
+// their senders.
 type orderState struct {
 	web.Monitor
 	checkFence bool
@@ -26,21 +27,21 @@
 	return &orderState{checkFence: checkFence, senders: map[net.Conn]string{}}
 }
 
-// connContext lets handlers know the connection that a request came over.
+// connContext makes the connection of a request available to its handler.
 func (o *orderState) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connState forgets a giver's connection once it was seen closed: all that was
-// sent over it has been obeyed by then.
+// connState forgets a connection once it is closed: all orders sent over it have been processed by
+// then.
 func (o *orderState) connState(conn net.Conn, state http.ConnState) {
 	if state == http.StateClosed {
 		o.WithLock(func() { delete(o.senders, conn) })
 	}
 }
 
-// waitExclusive waits until no giver but the one of this request is connected, and returns
-// the number of its connections.
+// waitExclusive waits until only the sender of this request is connected, and returns the number of
+// its connections.
 func (o *orderState) waitExclusive(r *http.Request) (ownConnections int, err error) {
 	ctx, cancel := context.WithTimeout(r.Context(), exclusiveTimeout)
 	defer cancel()
@@ -60,7 +61,7 @@
 	return ownConnections, err
 }
 
-// recordSender notes the giver of a request; the lock is held.
+// recordSender records the sender of a request. The caller holds the lock.
 func (o *orderState) recordSender(r *http.Request) string {
 	sender := r.Header.Get("X-Giver")
 	if sender != "" {
@@ -69,7 +70,8 @@
 	return sender
 }
 
-// acceptOrder notes an order; it fails for an old fencing number where that is checked.
+// acceptOrder records the fence of an order. With checkFence it returns an error if the fence is
+// outdated.
 func (o *orderState) acceptOrder(r *http.Request, fence uint64) (err error) {
 	o.WithLock(func() {
 		o.recordSender(r)
@@ -81,7 +83,7 @@
 	return err
 }
 
-// highestFence returns the highestFence fencing number seen; 0 when they are not checked.
+// highestFence returns the highest fence seen, or 0 if fences are not checked.
 func (o *orderState) highestFence() (fence uint64) {
 	o.WithLock(func() { fence = o.fence })
 	if !o.checkFence {
--- a/internal/standin/engine/ranks.go
+++ b/internal/standin/engine/ranks.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// retainedPastSteps is how far back the ranges given are told.
+	// retainedPastSteps is the number of past steps for which ranges are kept and reported.
 	retainedPastSteps = 64
-	// fabricRetryInterval is the wait after the fabric did not answer.
+	// fabricRetryInterval is the wait before another call to a fabric that did not answer.
 	fabricRetryInterval = 20 * time.Millisecond
-	// initialMap is the map version loaded at the start.
+	// initialMap is the version of the map that is loaded at the start.
 	initialMap = 1
 )
 
@@ -31,18 +31,19 @@
 	FirstRank int
 	Ranks     int
 	GroupSize int
-	// MinStepTime is the least time of one step.
+	// MinStepTime is the minimum time of a step.
 	MinStepTime time.Duration
 }
 
-// StepRange says that the steps from Start up to but without End run under a map.
+// StepRange is a range of steps, from Start up to and excluding End, that run with one map.
 type StepRange struct {
 	Start uint64 `json:"start"`
 	End   uint64 `json:"end"`
 	Map   uint64 `json:"map_version"`
 }
 
-// MapState is the answer of GET /engine/map. Step is the next one to run.
+// MapState is the response of GET /engine/map. Step is the next step to run. Connections is the
+// number of open connections of the caller.
 type MapState struct {
 	Group       string      `json:"group"`
 	FirstRank   int         `json:"first_rank"`
@@ -51,7 +52,7 @@
 	Given       []StepRange `json:"given"`
 	Step        uint64      `json:"step"`
 	Connections int         `json:"links"`
-	// Fence is the highest one seen; 0 when fences are not checked.
+	// Fence is the highest fence seen; 0 if fences are not checked.
 	Fence uint64 `json:"fence"`
 }
 
@@ -64,13 +65,13 @@
 	Ranges  []StepRange `json:"ranges,omitempty"`
 }
 
-// ranks runs the steps that it was given and no other.
+// ranks runs the engine's ranks. They run only the steps that a map was given for.
 type ranks struct {
 	web.Monitor
 	config   RankConfig
 	platform string
 	state    MapState
-	maps     []MapOrder // as they were loaded
+	maps     []MapOrder // in the order of loading
 }
 
 func newRanks(config RankConfig, platform string) *ranks {
@@ -79,21 +80,22 @@
 	return &ranks{config: config, platform: platform, state: state}
 }
 
-// fetchWeights takes weights from the weight store, at the store's rate.
+// fetchWeights reads weights from the weight store at the store's rate.
 func (r *ranks) fetchWeights(name string, size int64) error {
 	answer, err := http.Get(fmt.Sprintf("%s/weights/%s?bytes=%d", r.platform, name, size))
 	if err != nil {
-		return errors.Wrap(err, "weight store")
+		return errors.Wrap(err, "request to the weight store")
 	}
 	defer answer.Body.Close()
 	received, err := io.Copy(io.Discard, answer.Body)
 	if err != nil || received != size {
-		return errors.Errorf("weights cut short: %d of %d bytes", received, size)
+		return errors.Errorf("incomplete weights: received %d of %d bytes", received, size)
 	}
 	return nil
 }
 
-// overlay puts a range over the others and lets go of those long past.
+// overlay gives a range precedence over the existing ranges and drops those that lie too far in the
+// past.
 func (r *ranks) overlay(added StepRange) {
 	kept := []StepRange{added}
 	for _, old := range r.state.Given {
@@ -108,7 +110,7 @@
 	r.state.Given = kept
 }
 
-// waitNextStep waits until the waitNextStep step was given and returns it with its map.
+// waitNextStep waits until a map is given for the next step and returns both.
 func (r *ranks) waitNextStep() platform.Arrival {
 	a := platform.Arrival{Size: r.config.GroupSize}
 	a.FirstRank, a.Ranks = r.config.FirstRank, r.config.Ranks
@@ -123,7 +125,7 @@
 	return a
 }
 
-// runSteps goes from step to step, in lock-step with the other ranks of the group.
+// runSteps runs step after step, in lock-step with the other ranks of the group.
 func (r *ranks) runSteps() {
 	for !r.callFabric(http.MethodGet, "record?last=0", nil) {
 		time.Sleep(fabricRetryInterval)
@@ -137,7 +139,7 @@
 	}
 }
 
-// callFabric asks the fabric and moves to the group's next step.
+// callFabric sends a request to the fabric and advances to the group's next step.
 func (r *ranks) callFabric(method, path string, body []byte) bool {
 	url := r.platform + "/fabric/" + r.config.Group + "/" + path
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
@@ -157,8 +159,8 @@
 	return true
 }
 
-// showMap answers only when the connections of earlier givers were seen closed: an
-// order of theirs that was still on its way counts among the ranges given.
+// showMap responds once the connections of all other senders have closed, or with an error if they
+// stay open. The reported ranges thus include orders of theirs that were still in transit.
 func (e *engine) showMap(r *http.Request, _ web.NoBody) (state MapState, err error) {
 	connections, err := e.orderState.waitExclusive(r)
 	e.ranks.WithLock(func() {
@@ -181,8 +183,8 @@
 	return web.NoBody{}, err
 }
 
-// giveMap takes ranges; a newer one stands over the steps of older ones. Maps that
-// are not loaded are refused.
+// giveMap adds ranges of steps. New ranges replace older ones for the same steps. Maps that are not
+// loaded are refused.
 func (e *engine) giveMap(r *http.Request, order MapOrder) (_ web.NoBody, err error) {
 	if err := e.orderState.acceptOrder(r, order.Fence); err != nil {
 		return web.NoBody{}, err
--- a/internal/standin/platform/fabric.go
+++ b/internal/standin/platform/fabric.go
@@ -7,10 +7,10 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// maxRecordedSteps bounds the steps kept for each group.
+// maxRecordedSteps limits the steps kept for each group.
 const maxRecordedSteps = 4096
 
-// RankMap says which map a range of ranks ran in a step.
+// RankMap is the expert map that a range of ranks ran in a step.
 type RankMap struct {
 	FirstRank int    `json:"first_rank"`
 	Ranks     int    `json:"ranks"`
@@ -25,21 +25,21 @@
 	Step uint64 `json:"step"`
 }
 
-// Step is one step that a group has finished.
+// Step is a step that a group has completed.
 type Step struct {
 	Step uint64    `json:"step"`
 	Maps []RankMap `json:"maps"`
 }
 
-// FabricRecord is the answer of GET /fabric/{group}/record. Mixed counts the steps
-// that ran with more than one map. An arrival is answered with Next alone.
+// FabricRecord is the response of GET /fabric/{group}/record. MixedSteps counts the steps that ran
+// with more than one map. The response to an arrival holds only Next.
 type FabricRecord struct {
 	Next       uint64 `json:"next"`
 	MixedSteps int    `json:"mixed"`
 	Steps      []Step `json:"steps,omitempty"`
 }
 
-// stepBarrier is the lock-step of one group.
+// stepBarrier keeps the ranks of one group in lock-step.
 type stepBarrier struct {
 	FabricRecord
 	arrived []RankMap
@@ -50,7 +50,7 @@
 	barriers map[string]*stepBarrier
 }
 
-// barrier returns the meeting of the barrier in the path; the lock is held.
+// barrier returns the barrier of the group named in the path. The caller holds the lock.
 func (f *fabric) barrier(r *http.Request) *stepBarrier {
 	name := r.PathValue("group")
 	if f.barriers[name] == nil {
@@ -59,8 +59,8 @@
 	return f.barriers[name]
 }
 
-// arrive holds the ranks until all ranks of the group have arrived. Ranks that die
-// while they wait have not taken part: their arrival is withdrawn.
+// arrive blocks until all ranks of the group have arrived. If the request ends before that, its
+// arrival is withdrawn: ranks that die while they wait have not taken part in the step.
 func (f *fabric) arrive(r *http.Request, a Arrival) (answer FabricRecord, err error) {
 	a.AtMS = web.NowMS()
 	f.WithLock(func() {
@@ -88,7 +88,7 @@
 	m.arrived = slices.DeleteFunc(m.arrived, func(a RankMap) bool { return a.FirstRank == firstRank })
 }
 
-// finishStep closes the step when all ranks of the group have arrived.
+// finishStep completes the step if all ranks of the group have arrived.
 func (m *stepBarrier) finishStep(size int) {
 	ranks := 0
 	maps := map[uint64]bool{}
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -8,20 +8,21 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// record is one record as a reader gets it.
+// record is a log record as sent to a reader.
 type record struct {
 	Offset int64  `json:"offset"`
 	Data   []byte `json:"data,omitempty"`
 }
 
-// page is the answer of GET /log/records.
+// page is the response of GET /log/records.
 type page struct {
 	First   int64    `json:"first"`
 	Next    int64    `json:"next"`
 	Records []record `json:"records"`
 }
 
-// recordLog is the append-only log. Records below first have expired.
+// recordLog is an append-only log. Records with offsets below first have expired. A negative
+// maxRecords means no limit.
 type recordLog struct {
 	web.Monitor
 	mode       string
@@ -31,7 +32,7 @@
 	records    [][]byte
 }
 
-// delayOrFail takes the time that the mode says and fails in an outage.
+// delayOrFail waits for the configured delay and returns an error if the log is set to be down.
 func (l *recordLog) delayOrFail() (mode string, err error) {
 	var delay time.Duration
 	l.WithLock(func() { mode, delay = l.mode, l.delay })
@@ -42,7 +43,7 @@
 	return mode, err
 }
 
-// expire lets go of the oldest records; the lock is held.
+// expire drops the oldest records beyond maxRecords. The caller holds the lock.
 func (l *recordLog) expire() {
 	if excess := int64(len(l.records)) - l.maxRecords; l.maxRecords >= 0 && excess > 0 {
 		l.records = l.records[excess:]
@@ -61,7 +62,7 @@
 		l.expire()
 	})
 	if mode == "lose_answers" {
-		panic(http.ErrAbortHandler) // Cuts the connection: the append stands, its answer is lost.
+		panic(http.ErrAbortHandler) // Close the connection: the record is appended, but the response is lost.
 	}
 	return answer, nil
 }
@@ -87,7 +88,7 @@
 	return p, nil
 }
 
-// readPage returns the records from an offset on; the lock is held.
+// readPage returns up to limit records starting at offset from. The caller holds the lock.
 func (l *recordLog) readPage(from, limit int64) page {
 	p := page{First: l.first, Next: l.first + int64(len(l.records)), Records: []record{}}
 	for offset := max(from, l.first); offset < min(p.Next, from+limit); offset++ {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform plays the platform: the append-only log, the lagging list of
-// VMs, the rate-limited weight store, and the fabric on which the ranks of a group
-// meet. docs/STANDINS.md describes its HTTP interface.
+// Package platform is the stand-in for the platform: the append-only log, the delayed list of VMs,
+// the rate-limited weight store, and the fabric that keeps a group's ranks in lock-step.
+// docs/STANDINS.md describes its HTTP interface.
 package platform
 
 import (
@@ -15,13 +15,13 @@
 )
 
 const (
-	// weightChunkBytes is the unit in which the weight store sends, in bytes.
+	// weightChunkBytes is the size of the chunks that the weight store sends.
 	weightChunkBytes = 64 << 10
-	// weightBytesPerSecond bounds the weight store over all readers, in bytes a second.
+	// weightBytesPerSecond limits the weight store over all its readers.
 	weightBytesPerSecond = 64 << 20
 )
 
-// VM is one line of the list of VMs.
+// VM is an item of the list of VMs.
 type VM struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -34,16 +34,17 @@
 	Offer         string `json:"offer,omitempty"`
 }
 
-// VMChange is the body of PUT /control/vms: the whole list, or one VM put or
-// deleted. The list alone is the answer of GET /vms.
+// VMChange is the body of PUT /control/vms: the whole list, or one VM to put or delete. In the
+// response of GET /vms only the list is set.
 type VMChange struct {
 	VMs    []VM   `json:"vms"`
 	Put    *VM    `json:"put,omitempty"`
 	Delete string `json:"delete,omitempty"`
 }
 
-// ControlRequest is the body of the other controls, each with fields of its own. Those of the
-// log are for one stream, or for the configuration's and all others.
+// ControlRequest is the body of the other control requests, each of which uses some of the fields.
+// Those for the log apply to one stream, or without a stream name to all streams, among them the
+// unnamed one of the configuration.
 type ControlRequest struct {
 	Stream  string `json:"stream,omitempty"`
 	Mode    string `json:"mode,omitempty"`
@@ -52,20 +53,20 @@
 	MS      int64  `json:"ms,omitempty"`
 }
 
-// vmListVersion is the list of VMs as it stood from one moment on.
+// vmListVersion is the list of VMs as it was from validFrom on.
 type vmListVersion struct {
 	validFrom time.Time
 	vms       []VM
 }
 
-// vmList keeps all versions, so that an old one can be shown.
+// vmList keeps all versions, so that callers can be shown an old one.
 type vmList struct {
 	web.Monitor
 	lag      time.Duration
 	versions []vmListVersion
 }
 
-// Run serves until the process is told to stop.
+// Run serves until the process receives SIGTERM or SIGINT.
 func Run(listen string, logger log.Logger) error {
 	streams := newStreams()
 	vms := &vmList{versions: []vmListVersion{{vms: []VM{}}}}
--- a/internal/standin/platform/streams.go
+++ b/internal/standin/platform/streams.go
@@ -7,11 +7,11 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// streams are the log's streams by name; the configuration's has none.
+// streams holds the streams of the log by name. The stream of the configuration has an empty name.
 type streams struct {
 	mu     sync.Mutex
 	byName map[string]*recordLog
-	// defaults is what the controls last said for defaults streams, also those to come.
+	// defaults holds the last settings made for all streams. New streams start with them.
 	defaults ControlRequest
 }
 
@@ -19,7 +19,7 @@
 	return &streams{byName: make(map[string]*recordLog), defaults: ControlRequest{Records: -1}}
 }
 
-// stream returns a stream, which begins with its first use.
+// stream returns the stream with that name and creates it on first use.
 func (s *streams) stream(name string) *recordLog {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +31,7 @@
 	return l
 }
 
-// selected returns the streams that a control is for.
+// selected returns the streams that a control request applies to.
 func (s *streams) selected(c ControlRequest) []*recordLog {
 	if c.Stream != "" {
 		return []*recordLog{s.stream(c.Stream)}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service plays a plain service with an independent ledger of every run
-// of every call. docs/STANDINS.md describes its HTTP interface.
+// Package service is the stand-in for a plain service. It keeps a ledger with every execution of
+// every call, independent of what callers are told. docs/STANDINS.md describes its HTTP interface.
 package service
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// LedgerLine is one line of the ledger: one run of one call.
+// LedgerLine is one execution of a call.
 type LedgerLine struct {
 	Number  int    `json:"n"`
 	Method  string `json:"method"`
@@ -28,15 +28,15 @@
 	EndMS   int64  `json:"end_ms"`
 }
 
-// Behaviour is the body of POST /control/behaviour. Each call runs, whatever
-// becomes of its answer.
+// Behaviour is the body of POST /control/behaviour. Calls are executed in any case; it only affects
+// their responses.
 type Behaviour struct {
 	DelayMS        int64 `json:"delay_ms"`
 	CloseAfterRead bool  `json:"close_after_read"`
 	Redirect       bool  `json:"redirect"`
 }
 
-// Answer is the body of each answer.
+// Answer is the response body of every call.
 type Answer struct {
 	Number int    `json:"n"`
 	Label  string `json:"label"`
@@ -51,7 +51,7 @@
 	labels    map[string]Answer
 }
 
-// Serve serves until the process is told to stop.
+// Serve serves until the process receives SIGTERM or SIGINT.
 func Serve(listen string, logger log.Logger) error {
 	s := &plainService{ledger: []LedgerLine{}, labels: map[string]Answer{}}
 	mux := http.NewServeMux()
@@ -73,7 +73,7 @@
 		answer := s.execute(index, r, body)
 		switch {
 		case behaviour.CloseAfterRead:
-			panic(http.ErrAbortHandler) // Cuts the connection: the call has run, its answer is lost.
+			panic(http.ErrAbortHandler) // Close the connection: the call was executed, but the response is lost.
 		case behaviour.Redirect:
 			w.Header().Set("Location", "/redirected"+r.URL.Path)
 			return answer, web.Refusal{Status: http.StatusTemporaryRedirect, Body: answer}
@@ -82,7 +82,7 @@
 	})(w, r)
 }
 
-// recordStart enters the call in the ledger before anything else can happen to it.
+// recordStart adds the call to the ledger before anything else can happen to it.
 func (s *plainService) recordStart(r *http.Request, body []byte) (index int, behaviour Behaviour) {
 	sum := sha256.Sum256(body)
 	line := LedgerLine{
@@ -101,7 +101,7 @@
 	return index, behaviour
 }
 
-// execute does what the call asks for: a push changes a label, all else looks one up.
+// execute carries out the call: a push changes a label, any other call looks one up.
 func (s *plainService) execute(index int, r *http.Request, body []byte) (answer Answer) {
 	push := Answer{Label: strings.TrimPrefix(r.URL.Path, "/labels/")}
 	isPush := r.URL.Path == "/push" && json.Unmarshal(body, &push) == nil
--- a/internal/standin/web/tag.go
+++ b/internal/standin/web/tag.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// RespondWithETag sends an answer with a tag of its contents, or no contents to one who has
-// them. It returns the bytes sent of the body.
+// RespondWithETag sends body as JSON with an ETag, or 304 Not Modified to a caller that already has
+// it. It returns the number of body bytes sent.
 func RespondWithETag(w http.ResponseWriter, r *http.Request, body any) int {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -1,4 +1,4 @@
-// Package web holds what the HTTP servers of all stand-ins share.
+// Package web holds the HTTP server code that all stand-ins share.
 package web
 
 import (
@@ -19,10 +19,10 @@
 
 const shutdownTimeout = 5 * time.Second
 
-// NoBody stands for no body.
+// NoBody is the type of an empty request or response body.
 type NoBody struct{}
 
-// Refusal is an error that is answered with a status and a body.
+// Refusal is an error that is sent to the caller with an HTTP status and a body.
 type Refusal struct {
 	Status int
 	Body   any
@@ -30,22 +30,22 @@
 
 func (r Refusal) Error() string { return http.StatusText(r.Status) }
 
-// errorBody is the body of a refusal with a sentence.
+// errorBody is the body of a refusal that has only a message.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// Refuse returns a Refusal with a sentence.
+// Refuse returns a Refusal with a message.
 func Refuse(status int, message string) error { return Refusal{status, errorBody{message}} }
 
-// Serve answers requests on addr until SIGTERM or SIGINT, then lets open requests
-// end within 5 s.
+// Serve answers requests on addr until SIGTERM or SIGINT, then waits up to 5 s for open requests to
+// end.
 func Serve(addr string, srv *http.Server, logger log.Logger) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	_ = logger.Log("msg", "listening", "address", listener.Addr())
+	_ = logger.Log("msg", "The stand-in is listening.", "address", listener.Addr())
 	var group run.Group
 	group.Add(run.SignalHandler(context.Background(), syscall.SIGTERM, syscall.SIGINT))
 	group.Add(func() error { return srv.Serve(listener) }, func(error) {
@@ -54,13 +54,13 @@
 		_ = srv.Shutdown(ctx)
 	})
 	if err = group.Run(); errors.Is(err, run.ErrSignal) {
-		return logger.Log("msg", "stopped")
+		return logger.Log("msg", "The stand-in has stopped.")
 	}
 	return err
 }
 
-// JSONHandler makes a handler of a function from a request and its body to an answer.
-// Bodies are JSON; a body that the function takes as []byte is left as it is.
+// JSONHandler returns an HTTP handler that calls f with the request and its decoded JSON body and
+// sends the result as JSON. If In is []byte, f gets the body undecoded.
 func JSONHandler[In, Out any](f func(*http.Request, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -79,7 +79,7 @@
 	}
 }
 
-// SetHandler makes a handler that takes a body and has nothing to answer.
+// SetHandler returns an HTTP handler that passes the request body to f and sends an empty response.
 func SetHandler[In any](f func(In)) http.HandlerFunc {
 	return JSONHandler(func(_ *http.Request, in In) (NoBody, error) {
 		f(in)
@@ -87,12 +87,13 @@
 	})
 }
 
-// GetHandler makes a handler that only answers.
+// GetHandler returns an HTTP handler that sends the result of f and ignores the request body.
 func GetHandler[Out any](f func() Out) http.HandlerFunc {
 	return JSONHandler(func(*http.Request, NoBody) (Out, error) { return f(), nil })
 }
 
-// Respond sends an answer, or an error in its place.
+// Respond sends body as JSON, or err in its place: a Refusal with its own status, any other error
+// with 502.
 func Respond(w http.ResponseWriter, body any, err error) {
 	status := http.StatusOK
 	if refusal := (Refusal{}); errors.As(err, &refusal) {
@@ -105,7 +106,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// QueryInt returns a number of the query, or otherwise.
+// QueryInt returns an integer query parameter, or fallback if it is missing or malformed.
 func QueryInt(r *http.Request, name string, fallback int64) int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
@@ -114,19 +115,19 @@
 	return n
 }
 
-// NowMS is the wall clock in milliseconds since 1970.
+// NowMS returns the wall-clock time in milliseconds since 1970.
 func NowMS() int64 { return time.Now().UnixMilli() }
 
-// Millis turns milliseconds into a duration.
+// Millis converts milliseconds to a duration.
 func Millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Monitor is a lock for a state that others wait on. Its zero value is ready.
+// Monitor is a mutex whose state others can wait on. The zero value is ready to use.
 type Monitor struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// WithLock looks at the state or changes it, and lets those who wait look again.
+// WithLock runs f under the lock, then wakes all waiters to check their condition again.
 func (w *Monitor) WithLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +138,8 @@
 	}
 }
 
-// WaitUntil looks at the state, once and again after each change, until f returns true.
+// WaitUntil evaluates f under the lock, now and after each WithLock, until it returns true or ctx
+// ends.
 func (w *Monitor) WaitUntil(ctx context.Context, f func() bool) error {
 	for {
 		w.mu.Lock()
