--- a/cmd/measure/decisions.go
+++ b/cmd/measure/decisions.go
@@ -13,7 +13,7 @@
 	"github.com/apricothub/apricothub/decide/shift"
 )
 
-// measureDecisions measures time and allocations of each decision by size.
+// measureDecisions returns the time and allocations of each decision by size, as a Markdown table.
 func measureDecisions() string {
 	t := markdownTable{head: []string{"decision", "size", "ns", "allocations"}}
 	for _, n := range []int{15, 370, 3700} {
@@ -33,7 +33,7 @@
 	return "Sequential, one core, mean of some hundred thousand decisions.\n\n" + t.String()
 }
 
-// addCost times a decision and counts its allocations.
+// addCost measures the time and allocations of a decision and adds them to the table.
 func addCost(t *markdownTable, name, size string, decide func(i int)) {
 	const warmUp, runs = 20000, 300000
 	for i := range warmUp {
--- a/cmd/measure/domains.go
+++ b/cmd/measure/domains.go
@@ -8,22 +8,22 @@
 	"github.com/apricothub/apricothub/decide/loadtest"
 )
 
-// The phases of a run. The policies begin with cold limits, so that the first
-// part is left out.
+// The phases of a run. The policies start with cold limits, so the first part is not counted.
 const (
 	baselineFrom = 60 * time.Second
 	leaveAt      = 80 * time.Second
 	returnAt     = 110 * time.Second
 	afterUntil   = 190 * time.Second
-	// inFlightMargin before the departure belongs to it: what was in flight is cut by it.
+	// inFlightMargin before the departure is counted as part of it, as it cuts the requests that
+	// are in flight.
 	inFlightMargin = 10 * time.Second
 	endAt          = 205 * time.Second
 )
 
-// seeds are the runs that each row sums up.
+// seeds are the seeds of the runs that each row adds up.
 var seeds = []uint64{1, 2, 3}
 
-// departure is one way for a failure domain to leave and return.
+// departure is a way for a failure domain to leave and return.
 type departure struct {
 	name            string
 	leave, comeBack func(r *loadtest.Run)
@@ -42,19 +42,20 @@
 	},
 }
 
-// loadLevel is one level of loadLevel.
+// loadLevel is the offered load relative to the capacity of all backend servers.
 type loadLevel struct {
 	name        string
 	utilization float64
 }
 
-// The third that leaves takes a third of the capacity with it.
+// The failure domain that leaves takes a third of the capacity with it.
 var loadLevels = []loadLevel{
 	{"70% of what remains", 0.7 * 2 / 3},
 	{"70% of the whole (105% of what remains)", 0.7},
 }
 
-// measureDomains measures service while a failure domain leaves and returns.
+// measureDomains returns the quality of service while a failure domain leaves and returns, as
+// Markdown tables.
 func measureDomains() string {
 	policies := []loadtest.Policy{
 		loadtest.CurrentPolicy(), loadtest.SecondVersionPolicy(), loadtest.FirstVersionPolicy(), loadtest.FullShareOnReturnPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy(),
@@ -115,7 +116,7 @@
 	return sum
 }
 
-// simulateDeparture plays one run in which a failure domain leaves and returns.
+// simulateDeparture simulates a run in which a failure domain leaves and returns.
 func simulateDeparture(p loadtest.Policy, l loadLevel, m departure, seed uint64) *loadtest.Run {
 	setup := loadtest.ReferenceSetup(p, l.utilization)
 	setup.Seed = seed
@@ -129,10 +130,9 @@
 	return r
 }
 
-// secondsToGoodput is the time after the departure until the answers in time of a
-// second reach 90% of what is asked or of what the remaining backend servers can
-// do, the smaller. Answers come at random, and 90% lies two standard deviations
-// below the mean.
+// secondsToGoodput returns the time from the departure until the answers in time within one second
+// reach 90% of the offered load or of the capacity of the remaining backend servers, whichever is
+// smaller. The answers are random; 90% is two standard deviations below the mean.
 func secondsToGoodput(r *loadtest.Run) float64 {
 	setup := r.Setup()
 	offered := 0.0
--- a/cmd/measure/load.go
+++ b/cmd/measure/load.go
@@ -7,7 +7,7 @@
 	"github.com/apricothub/apricothub/decide/loadtest"
 )
 
-// measureLoad measures what callers see in each scenario.
+// measureLoad returns what callers see in each scenario, as Markdown tables.
 func measureLoad() string {
 	policies := []loadtest.Policy{loadtest.CurrentPolicy(), loadtest.SecondVersionPolicy(), loadtest.FirstVersionPolicy(), loadtest.RoundRobinPolicy(), loadtest.LeastConnectionsPolicy()}
 	var b strings.Builder
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,4 @@
-// Command measure makes the tables of docs/MEASURES.md and docs/CAPACITY.md. It is
-// never shipped.
+// Command measure writes the tables of docs/MEASURES.md and docs/CAPACITY.md. It is never shipped.
 package main
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// measures are the subcommands, each of which makes the text of one section.
+// measures are the subcommands. Each returns the text of one section.
 var measures = []measure{
 	{name: "domains", help: "Service while a failure domain leaves and returns", run: measureDomains},
 	{name: "domains-plot", help: "The same as an SVG", run: plotDomains, isWholeFile: true},
@@ -23,11 +22,11 @@
 	{name: "overhead", help: "What the way through entry and agent costs", run: measureOverhead},
 }
 
-// measure is one subcommand.
+// measure is a subcommand.
 type measure struct {
 	name, help string
 	run        func() string
-	// isWholeFile says that the text is a file of its own and not a section of one.
+	// isWholeFile is set if the text is a whole file and not a section of one.
 	isWholeFile bool
 }
 
--- a/cmd/measure/markdown.go
+++ b/cmd/measure/markdown.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// markdownTable is a Markdown markdownTable.
+// markdownTable is a Markdown table.
 type markdownTable struct {
 	head []string
 	rows [][]string
@@ -30,8 +30,8 @@
 	return b.String()
 }
 
-// replaceSection puts text between the marker comments of a measure:
-// <!-- measure:NAME --> and <!-- /measure:NAME -->.
+// replaceSection replaces the text between the marker comments of a measure, <!-- measure:NAME -->
+// and <!-- /measure:NAME -->.
 func replaceSection(page, name, text string) (string, error) {
 	begin, end := "<!-- measure:"+name+" -->\n", "<!-- /measure:"+name+" -->"
 	before, rest, found := strings.Cut(page, begin)
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -10,14 +10,14 @@
 	"github.com/apricothub/apricothub/decide/loadtest"
 )
 
-// plotted is the time of a move that the plot shows.
+// The time span of a run that the plot shows.
 const (
 	plotFrom  = leaveAt - 10*time.Second
 	plotUntil = afterUntil - 20*time.Second
 )
 
-// plotDomains draws the answers in time of each second while a failure domain leaves
-// by mark and returns, as SVG.
+// plotDomains returns an SVG plot of the answers in time per second while a failure domain is
+// marked out and in again.
 func plotDomains() string {
 	graph := chart.Chart{
 		Width:      900,
@@ -32,12 +32,13 @@
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	var svg bytes.Buffer
 	if err := graph.Render(chart.SVG, &svg); err != nil {
-		panic(fmt.Sprintf("the plot cannot be drawn: %v", err))
+		panic(fmt.Sprintf("render plot: %v", err))
 	}
 	return svg.String()
 }
 
-// goodputSeries plays one move and counts the answers in time over 2 s.
+// goodputSeries simulates a departure and returns the answers in time per second, averaged over 2
+// s.
 func goodputSeries(p loadtest.Policy) chart.ContinuousSeries {
 	r := simulateDeparture(p, loadLevels[0], departures[0], seeds[0])
 	line := chart.ContinuousSeries{Name: p.Name, Style: chart.Style{StrokeWidth: 2}}
--- a/cmd/measure/processes.go
+++ b/cmd/measure/processes.go
@@ -10,31 +10,31 @@
 	"github.com/apricothub/apricothub/internal/measure/subsets"
 )
 
-// binDir is where `make build` puts the programs.
+// binDir is the directory of the binaries built by `make build`.
 const binDir = "bin"
 
-// measureSlopes measures the slopes of docs/CAPACITY.md at real processes.
+// measureSlopes measures the slopes of docs/CAPACITY.md with real processes.
 func measureSlopes() string {
 	measured, err := slopes.Measure(binDir, os.Stderr)
 	exitOnError(err)
 	return measured.Report()
 }
 
-// measureOverhead measures what the measureOverhead through entry and agent costs at real processes.
+// measureOverhead measures the overhead of the path through entry and agent with real processes.
 func measureOverhead() string {
 	text, err := overhead.Measure(binDir, os.Stderr)
 	exitOnError(err)
 	return text
 }
 
-// measureSubsets measures subsets of measureSubsets on and off at real processes.
+// measureSubsets compares clusters with and without subsets of links, with real processes.
 func measureSubsets() string {
 	text, err := subsets.Measure(binDir, os.Stderr)
 	exitOnError(err)
 	return text
 }
 
-// measureLogs measures what a gateway's log costs at real processes.
+// measureLogs measures the cost of a gateway's log to callers with real processes.
 func measureLogs() string {
 	text, err := logs.Measure(binDir, os.Stderr)
 	exitOnError(err)
--- a/cmd/measure/skew.go
+++ b/cmd/measure/skew.go
@@ -11,34 +11,34 @@
 	"github.com/apricothub/apricothub/decide/balance"
 )
 
-// The assumed group: its size is the users'; the rest is assumed.
+// The simulated group. Its size is that of the users' groups; the other values are assumptions.
 const (
 	experts      = 256
 	rankCount    = 256
 	slotsPerRank = 2
-	// tokensPerStep are the expert assignments of one step: 4,096 for each rank.
+	// tokensPerStep is the number of expert assignments of one step: 4,096 for each rank.
 	tokensPerStep   = rankCount * 4096
 	stepTime        = 64 * time.Millisecond
 	observeInterval = 16 // steps
 	zipfExponent    = 0.8
-	// expertBytes is the size of one expert's weights, loadRate the rate of the
-	// weight store for the whole group.
+	// expertBytes is the size of one expert's weights. loadRate is the rate of the weight store in
+	// bytes per second for the whole group.
 	expertBytes = 44 << 20
 	loadRate    = 4 << 30
 )
 
-// driftPattern is how popularity moves: at returns the popularity at a time. Long ones are
-// simulated by some of their steps: one every so often.
+// driftPattern is a way in which popularity changes over time. Of long runs only one step per
+// sampleInterval is simulated.
 type driftPattern struct {
 	name           string
 	duration       time.Duration
 	sampleInterval time.Duration
 	popularity     func(t time.Duration) []float64
-	// slowdowns is how slow each rank is; nil for all alike.
+	// slowdowns returns the slowdown of each rank at a time; nil if all ranks are alike.
 	slowdowns func(t time.Duration) []float64
 }
 
-// zipf returns popularity by rank of popularity, most popular first.
+// zipf returns a Zipf distribution over the experts, most popular first.
 func zipf(exponent float64) []float64 {
 	p := make([]float64, experts)
 	sum := 0.0
@@ -52,10 +52,11 @@
 	return p
 }
 
-// shiftRunTime is the time of the run in whose middle the hottest experts change.
+// shiftRunTime is the duration of the runs in whose middle the hottest experts change or a rank
+// becomes slower.
 const shiftRunTime = 10 * time.Minute
 
-// driftPatterns returns the three patterns, each with its own seeded order of experts.
+// driftPatterns returns the patterns, each with its own seeded order of experts.
 func driftPatterns() []driftPattern {
 	base := zipf(zipfExponent)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -89,7 +90,8 @@
 	}
 }
 
-// throttledRankName is the drift in which one rank becomes slower in the middle of the run.
+// throttledRankName is the name of the pattern in which one rank becomes slower in the middle of
+// the run.
 const throttledRankName = "one rank 1.3 times slower"
 
 const (
@@ -108,10 +110,10 @@
 	return slowdowns
 }
 
-// timeNoise is the standard deviation of a measured rank's time.
+// timeNoise is the relative standard deviation of a rank's measured time.
 const timeNoise = 0.02
 
-// rankWork is what the ranks report of a step, with noise.
+// rankWork returns what the ranks report about a step, with noise.
 func rankWork(rng *rand.Rand, p *balance.Placement, demand balance.Demand) []balance.RankWork {
 	tokens, times := p.Loads(demand.Popularity), p.Times(demand)
 	work := make([]balance.RankWork, len(tokens))
@@ -122,19 +124,20 @@
 	return work
 }
 
-// popularityPolicy is the own policy without its look at the ranks' times.
+// popularityPolicy is balancerPolicy without the ranks' times.
 type popularityPolicy struct{ balancerPolicy }
 
 func (popularityPolicy) observeRanks([]balance.RankWork) {}
 
-// placementPolicy decides on placements; the baselines and the product's own.
+// placementPolicy decides on placements. It is implemented by the baselines and by the product's
+// balancer.
 type placementPolicy interface {
 	observe(now time.Duration, tokens []float64)
 	observeRanks(ranks []balance.RankWork)
 	decide(now time.Duration) (*balance.Placement, bool)
 }
 
-// staticPolicy never changes the placement made for the popularity at the start.
+// staticPolicy keeps the placement made for the popularity at the start.
 type staticPolicy struct{}
 
 func (staticPolicy) observe(time.Duration, []float64) {}
@@ -143,7 +146,7 @@
 
 func (staticPolicy) decide(time.Duration) (*balance.Placement, bool) { return nil, false }
 
-// periodicPolicy makes the best placement anew in each interval.
+// periodicPolicy computes the best placement from scratch in each interval.
 type periodicPolicy struct {
 	interval time.Duration
 	last     time.Duration
@@ -182,7 +185,7 @@
 	return p
 }
 
-// balancerPolicy is the product's policy.
+// balancerPolicy is the product's balancer.
 type balancerPolicy struct{ *balance.Balancer }
 
 func (o balancerPolicy) observe(now time.Duration, tokens []float64) { o.Observe(now, tokens) }
@@ -191,22 +194,22 @@
 
 func (o balancerPolicy) decide(now time.Duration) (*balance.Placement, bool) { return o.Decide(now) }
 
-// skewResult is what one run gave.
+// skewResult is the result of one run.
 type skewResult struct {
 	p50, p99  float64
 	moves     int
 	switches  int
 	bytes     float64
-	worstStep float64 // longest step over the usual one, by loading and skew
+	worstStep float64 // longest step relative to the median, by loading and skew
 	recovery  time.Duration
 	decision  time.Duration // longest decision
 }
 
-// runSkew steps one group under a drift with a follower.
+// runSkew simulates the steps of one group under a drift pattern and a placement policy.
 //
-// A new placement takes effect when its weights are loaded, at the store's rate; while
-// they load, steps run under the old one, and none waits. A rank's time is its
-// tokens, times its pace; the step's is that of the last rank.
+// A new placement takes effect once its weights are loaded at the store's rate. Until then, steps
+// run with the old one and none waits. The time of a rank is its tokens multiplied by its slowdown;
+// the time of a step is that of the slowest rank.
 func runSkew(d driftPattern, policy placementPolicy, start *balance.Placement) skewResult {
 	rng, noise := rand.New(rand.NewPCG(7, 7)), rand.New(rand.NewPCG(8, 8))
 	placement := start
@@ -268,11 +271,11 @@
 	return result
 }
 
-// sampleTokens draws how many tokens each expert gets in a step.
+// sampleTokens draws the number of tokens of each expert in a step.
 func sampleTokens(rng *rand.Rand, popularity []float64) []float64 {
 	tokens := make([]float64, len(popularity))
 	for i, p := range popularity {
-		// The normal approximation of the binomial; the counts are in the hundreds.
+		// Normal approximation of the binomial distribution; the counts are in the hundreds.
 		mean := p * tokensPerStep
 		tokens[i] = max(0, math.Round(mean+math.Sqrt(mean*(1-p))*rng.NormFloat64()))
 	}
--- a/internal/measure/logs/logs.go
+++ b/internal/measure/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs measures what a gateway's log costs its callers, with a reader and without,
-// against no log at all, in one run on loopback. `make measure` writes a section of
+// Package logs measures how a gateway's log affects the latency of its callers, with and without a
+// reader of the log, compared with no log, on loopback. `make measure` writes a section of
 // docs/MEASURES.md with it. It is never shipped.
 package logs
 
@@ -26,33 +26,33 @@
 )
 
 const (
-	// fullLoadCallers is the number of callers that keep the one processor of a gateway busy, each
-	// sending its next request when it has its answer. Times are those of fullLoadCallers load and more
-	// are there than room for: what a request costs shows in each answer.
+	// fullLoadCallers is the number of callers that keep the single processor of a gateway busy,
+	// each sending its next request when it has its answer. At full load the callers outnumber what
+	// the gateway can serve at once, so the cost of a request shows in every latency.
 	fullLoadCallers = 32
-	// overloadCallers is four times the full load, half of it to an address that does not exist: those
-	// requests are refused, and each brings a line that is no sample.
+	// overloadCallers is four times the full load. Half of the callers use an address that does not
+	// exist: those requests are refused, and each refusal logs a line that is not sampled.
 	overloadCallers = 4 * fullLoadCallers
-	// slots are those of the backend servers together: all callers of the full load at once.
+	// slots is the number of slots of all backend servers: enough for all callers at full load.
 	slots = fullLoadCallers
-	// rounds of each way, in turns and each time in another order, so that all meet the same
-	// machine.
+	// rounds is the number of measurements of each variant. The variants take turns in a rotating
+	// order, so that all meet the same conditions on the machine.
 	rounds    = 40
 	roundTime = 500 * time.Millisecond
-	// overloadTime is the time under four times the load.
+	// overloadTime is the duration of the overload.
 	overloadTime = 6 * time.Second
 	readyTimeout = 20 * time.Second
 )
 
-// variant is how a request goes.
+// variant is the path of a request and the log of the gateway on it.
 type variant int
 
 const (
-	// direct goes to the backend server, without a gateway.
+	// direct bypasses the gateway and calls the backend server.
 	direct variant = iota
-	// noLog and control go through gateways without a log: how far the two are apart is what the
-	// measure cannot tell. read and unread go through one with a log that goes to a file, and
-	// one with a log that nobody reads.
+	// noLog and noLogControl use gateways without a log. The difference between them is the error
+	// of the measurement. logRead uses a gateway that logs to a file, logUnread one that logs to a
+	// pipe that nobody reads.
 	noLog
 	noLogControl
 	logRead
@@ -62,7 +62,7 @@
 
 var variantNames = [numVariants]string{"straight", "no log", "no log, again", "log read", "log not read"}
 
-// bench is the three gateways, each with a platform of its own.
+// bench holds the gateways, each with its own platform.
 type bench struct {
 	reporter      harness.Reporter
 	bin           string
@@ -73,13 +73,14 @@
 	// p50 and p99 are the latencies of each round.
 	p50, p99 [numVariants][]time.Duration
 	requests [numVariants]int
-	// gateways are the processes, cpu what they used in the rounds that count.
+	// gateways are the gateway processes. cpu is the processor time that they used in the counted
+	// rounds.
 	gateways       [numVariants]*harness.Process
 	cpu            [numVariants]time.Duration
 	failedRequests int
 }
 
-// Measure runs everything with the binaries in bin and returns the section's text.
+// Measure runs all measurements with the binaries in bin and returns the text of the section.
 func Measure(bin string, log io.Writer) (string, error) {
 	var text string
 	err := harness.RunProgram(log, func(r *harness.Program) {
@@ -87,7 +88,7 @@
 		b.start()
 		for n := range rounds + 1 {
 			for v := range numVariants {
-				// The first round warms up.
+				// The first round is a warm-up.
 				b.runRound((v+variant(n))%numVariants, n > 0)
 			}
 		}
@@ -110,7 +111,7 @@
 		b.startGateway(v, env)
 		harness.Eventually(b.reporter, readyTimeout, "a gateway is ready", func() error {
 			if !fakeplatform.Ready(b.ips[v]) {
-				return errors.New("it is not")
+				return errors.New("the gateway is not ready")
 			}
 			return nil
 		})
@@ -127,7 +128,7 @@
 	case logUnread:
 		reader, writer, err := os.Pipe()
 		if err != nil {
-			b.reporter.Fatalf("pipe: %v", err)
+			b.reporter.Fatalf("create pipe: %v", err)
 		}
 		b.reporter.Cleanup(func() { _, _ = reader.Close(), writer.Close() })
 		b.gateways[v] = harness.StartInto(b.reporter, writer, env, b.vmName(v), program, "gateway")
@@ -136,7 +137,7 @@
 	}
 }
 
-// runRound sends requests on one way, and counts them if the runRound counts.
+// runRound sends requests to one variant, and records the results if the round is counted.
 func (b *bench) runRound(v variant, isCounted bool) {
 	before := b.cpuTime(v)
 	latencies, failed := b.sendRequests(v, fullLoadCallers, roundTime, "/look/1")
@@ -151,7 +152,7 @@
 	b.cpu[v] += b.cpuTime(v) - before
 }
 
-// cpuTime is the processor time of a way's gateway.
+// cpuTime returns the processor time used by a variant's gateway, or 0 for the direct variant.
 func (b *bench) cpuTime(v variant) time.Duration {
 	if b.gateways[v] == nil {
 		return 0
@@ -159,8 +160,8 @@
 	return b.gateways[v].Usage().CPU
 }
 
-// sendRequests lets callers send requests for a while, and returns the times of those that were
-// answered, and how many were not.
+// sendRequests runs callers for a while. It returns the latencies of the answered requests and the
+// number of other requests.
 func (b *bench) sendRequests(v variant, callers int, duration time.Duration, paths ...string) (latencies []time.Duration, failed int) {
 	var lock sync.Mutex
 	var group sync.WaitGroup
@@ -194,8 +195,8 @@
 	return sorted[len(sorted)/2]
 }
 
-// medianAddedRatio is the median over the rounds of the latency that a way adds, to the latency that
-// the way without a log adds in the same round.
+// medianAddedRatio returns the median over the rounds of the latency that a variant adds to the
+// direct path, relative to what noLog adds in the same round.
 func medianAddedRatio(latencies *[numVariants][]time.Duration, v variant) float64 {
 	var ratios []float64
 	for n := range latencies[v] {
@@ -204,7 +205,7 @@
 	return median(ratios)
 }
 
-// table shows the ways side by side.
+// table returns the results of all variants as a Markdown table.
 func (b *bench) table() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d callers, one processor for each gateway, %d rounds of %s on each way in turns; medians of the rounds.\n"+
@@ -228,10 +229,10 @@
 	return text.String()
 }
 
-// timestampPattern finds when a line was written.
+// timestampPattern matches the timestamp of a log line.
 var timestampPattern = regexp.MustCompile(` ts=(\S+)`)
 
-// overloadLines loads the gateway whose log is read four times as much, and counts its overloadLines.
+// overloadLines overloads the logRead gateway and reports the number of log lines.
 func (b *bench) overloadLines() string {
 	from := time.Now()
 	latencies, failed := b.sendRequests(logRead, overloadCallers, overloadTime, "/look/1", "/nowhere")
@@ -247,12 +248,11 @@
 		overloadCallers, overloadTime, len(latencies), failed, len(times), maxPerSecond, logging.DefaultLinesPerSecond)
 }
 
-// lineTimes returns when the lines of the gateway whose log is read were written, from a
-// moment on.
+// lineTimes returns the timestamps of the log lines of the logRead gateway after from.
 func (b *bench) lineTimes(from time.Time) []time.Time {
 	file, err := os.Open(filepath.Join(b.dir, b.vmName(logRead)+".log"))
 	if err != nil {
-		b.reporter.Fatalf("log: %v", err)
+		b.reporter.Fatalf("open gateway log: %v", err)
 	}
 	defer func() { _ = file.Close() }()
 	var times []time.Time
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -1,5 +1,5 @@
-// Package overhead measures what the way through entry and agent costs against going
-// straight to the engine, in one run on loopback. `make measure` writes a section of
+// Package overhead measures the latency and processor time that the path through entry and agent
+// adds to direct calls of the engine, on loopback. `make measure` writes a section of
 // docs/MEASURES.md with it. It is never shipped.
 package overhead
 
@@ -19,22 +19,23 @@
 
 const (
 	engines = 4
-	// tokensPerAnswer of an answer, and the time of one.
+	// tokensPerAnswer is the number of tokens of an answer, and tokenTime the time of one.
 	tokensPerAnswer = 64
 	tokenTime       = 20 * time.Millisecond
-	// manyCallers callers show what a token costs; the engines' pace bounds them, and the
+	// manyCallers shows the cost of a token. The engines' token rate limits these callers; the
 	// entry is not saturated.
 	manyCallers = 512
-	// fewCallers callers, each way, show the way itself, without a wait for a processor.
+	// fewCallers, on each path, shows the latency of the path itself, without waits for a
+	// processor.
 	fewCallers = 8
 	warmUpTime = 2 * time.Second
 	runTime    = 6 * time.Second
 )
 
-// entryCores are the GOMAXPROCS of the entry.
+// entryCores are the values of GOMAXPROCS of the entry.
 var entryCores = []int{1, 2, 4}
 
-// path is how a request goes.
+// path is how requests reach an engine.
 type path int
 
 const (
@@ -43,27 +44,27 @@
 	numPaths
 )
 
-// samples is what callers saw on one way.
+// samples are the times that callers measured on one path.
 type samples struct {
 	firstToken, total, tokenGap []time.Duration
 }
 
-// result is one number of cores of the entry.
+// result holds the measurements for one value of GOMAXPROCS of the entry.
 type result struct {
 	cores                 int
-	requests, tokens, cpu float64 // a second, with many callers; cpu in cores
+	requests, tokens, cpu float64 // per second with many callers; cpu in cores
 	agentCPU              float64
 	failedRequests        int // requests without a whole answer
 	light, half           pathLatencies
 }
 
-// pathLatencies are those of one load, with as many callers each way.
+// pathLatencies are the latencies at one load, with the same number of callers on each path.
 type pathLatencies struct {
 	callers int
 	byPath  [numPaths]samples
 }
 
-// Measure runs everything with the binaries in bin and returns the section's text.
+// Measure runs all measurements with the binaries in bin and returns the text of the section.
 func Measure(bin string, log io.Writer) (string, error) {
 	var results []result
 	for _, n := range entryCores {
@@ -83,7 +84,7 @@
 		Agent:       harness.Settings{"platform": {"poll-ms": "500"}, "backend": {"full-limit": "1024", "cold-limit": "1024"}},
 		EntryEnv:    []string{fmt.Sprintf("GOMAXPROCS=%d", n)},
 	})
-	// The entry learns its room a tick after its first links.
+	// The entry learns its capacity one tick after its first links are up.
 	time.Sleep(time.Second)
 	b := &bench{reporter: r, cluster: c}
 	res := result{cores: n}
@@ -104,20 +105,21 @@
 	failedRequests int
 }
 
-// runBothPaths lets so many callers go through, and as many straight in the same run, so that
-// runBothPaths ways meet the same machine.
+// runBothPaths runs that many callers on each path at the same time, so that both paths meet the
+// same conditions on the machine.
 func (b *bench) runBothPaths(callers int) pathLatencies {
 	return pathLatencies{callers: callers, byPath: b.run(int(numPaths)*callers, []path{direct, viaEntry}).byPath}
 }
 
-// runResult is one run.
+// runResult is the result of one run.
 type runResult struct {
 	byPath             [numPaths]samples
 	duration           time.Duration
 	entryCPU, agentCPU float64
 }
 
-// run lets so many callers send requests, each on the next of the ways in turn.
+// run starts callers that send requests until the run ends. Each caller alternates between the
+// paths.
 func (b *bench) run(callers int, paths []path) runResult {
 	var result runResult
 	var lock sync.Mutex
@@ -127,7 +129,7 @@
 	for i := range callers {
 		group.Go(func() {
 			caller := harness.NewKeepingCaller(harness.Key)
-			// Callers do not begin together, or all requests would come in bursts.
+			// Stagger the callers, as otherwise all requests come in bursts.
 			time.Sleep(warmUpTime * time.Duration(i) / time.Duration(callers))
 			for n := i; !isClosed(stop); n++ {
 				p := paths[n%len(paths)]
@@ -136,7 +138,7 @@
 				if err != nil {
 					b.failedRequests++
 					if b.failedRequests == 1 {
-						b.reporter.Logf("the first request to fail: %v", err)
+						b.reporter.Logf("first failed request: %v", err)
 					}
 				} else if time.Now().After(begin) {
 					result.byPath[p].add(sample)
@@ -179,7 +181,7 @@
 	return sum
 }
 
-// request streams one answer and notes when its events came.
+// request streams one answer and records the times of its events.
 func (b *bench) request(caller *harness.Caller, via path, n int) (samples, error) {
 	address := b.cluster.Entries[0].Public
 	if via == direct {
@@ -200,7 +202,7 @@
 		last = now
 	})
 	if err != nil || !got.Whole {
-		return sample, errors.Errorf("not whole: %v, refused %v", err, got.Refused != nil)
+		return sample, errors.Errorf("incomplete answer: %v, refused %v", err, got.Refused != nil)
 	}
 	sample.total = append(sample.total, time.Since(begin))
 	return sample, nil
--- a/internal/measure/slopes/capacity.go
+++ b/internal/measure/slopes/capacity.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// The size of two years ahead.
+// The target size, two years ahead.
 const (
 	regions           = 5
 	domainsAtSize     = 12
 	modelsAtSize      = 12
-	requestsAtSize    = 22000.0 // a second
-	tokensAtSize      = 9.2e6   // a second
+	requestsAtSize    = 22000.0 // per second
+	tokensAtSize      = 9.2e6   // per second
 	changesPerDay     = 13000.0
 	agentsPerGroup    = 32 // agents of a group of 256 ranks, 8 on each VM
 	firstTokenSeconds = 0.56
 	tokenGapSeconds   = 0.064 // seconds
 	secondsPerDay     = 86400.0
-	vmTurnoverPerDay  = 1425.0 / membersAtSize // part of all VMs that fail or are replaced in a day
+	vmTurnoverPerDay  = 1425.0 / membersAtSize // fraction of all VMs that fail or are replaced in a day
 	listChangesPerVM  = 2                      // a VM that leaves and its successor each change the list
 )
 
@@ -22,52 +22,52 @@
 const (
 	budgetCPU     = 0.01 // cores
 	budgetMemory  = 64e6 // bytes
-	budgetBytes   = 7e3  // a second
+	budgetBytes   = 7e3  // per second
 	budgetInForce = 9 * time.Second
 )
 
-// The mechanism that is planned: what docs/design/subsetting.md weighs.
+// The planned mechanisms, which docs/design/subsetting.md evaluates.
 const (
 	agentsPerModel          = 4       // links of an entry for each model
 	entryPeers              = 8       // links of an entry to other entries
 	readerAgentsPerModel    = 2       // links for each model of an entry that reads the log
-	plannedHeartbeatRate    = 1.0     // heartbeats a second on a link
+	plannedHeartbeatRate    = 1.0     // heartbeats per second on a link
 	readersPerDomain        = 2       // entries of a failure domain that read the log
 	plannedListInterval     = 30.0    // seconds between reads of the list of VMs, by readers in turn
 	plannedSnapshotInterval = 2000    // changes from one snapshot to the next
-	idleHeartbeatRate       = 1 / 0.6 // of a link without work, which is what is measured
-	activeHeartbeatRate     = 5       // of one with work
+	idleHeartbeatRate       = 1 / 0.6 // heartbeats per second on a link without work, as measured
+	activeHeartbeatRate     = 5       // heartbeats per second on a link with work
 	todaySnapshotInterval   = 200
-	maxHops                 = 4 // links that a change passes at most: reader, two entries, agent
+	maxHops                 = 4 // maximum links that a change passes: reader, two entries, agent
 )
 
-// gcFactor is the memory resident for each byte reachable: the collector lets the
-// heap grow to twice what is reachable before it runs.
+// gcFactor is the ratio of resident to reachable memory: the garbage collector lets the heap grow
+// to twice the reachable size before it runs.
 const gcFactor = 2
 
-// perUnit holds the slopes that the arithmetic rests on, by least squares from the
-// runs.
+// perUnit holds the costs per unit on which the extrapolation is based, from least-squares fits of
+// the measurements.
 type perUnit struct {
-	agentLink, peerLink          float64 // bytes a second of a link, both directions
+	agentLink, peerLink          float64 // bytes per second on a link, both directions
 	entryBase, entryLinkMemory   float64 // resident bytes
 	agentBase, agentLinkMemory   float64
 	entryCPU, entryLinkCPU       float64 // cores
 	agentCPU, agentLinkCPU       float64
-	listVM                       float64 // bytes of the list for a VM
-	reads, lists, readSize       float64 // a second, a second, bytes
-	changeBytes                  float64 // of a change, on each link
-	changeCPU                    float64 // seconds of an entry for a change
-	appends                      float64 // of a change
+	listVM                       float64 // bytes per VM in the list
+	reads, lists, readSize       float64 // per second, per second, bytes
+	changeBytes                  float64 // per change and link
+	changeCPU                    float64 // seconds of an entry per change
+	appends                      float64 // per change
 	entryRequest, entryToken     float64 // seconds
 	agentRequest, agentToken     float64
 	tokenBytes                   float64 // on a link
-	entryInFlight, agentInFlight float64 // resident bytes of a request in flight
-	groupBase, groupAgent        float64 // bytes a second of a coordinator
+	entryInFlight, agentInFlight float64 // resident bytes per request in flight
+	groupBase, groupAgent        float64 // bytes per second of a coordinator
 	groupCPU, groupAgentCPU      float64
 }
 
-// reportBytes is what the reportBytes of an agent add to a link without load: the link has one
-// a second, and the heartbeats of a link between entries.
+// reportBytes returns the traffic that an agent's reports add to an idle link, in bytes per second.
+// Besides one report per second, such a link has the heartbeats of a link between entries.
 func (u perUnit) reportBytes() float64 { return max(0, u.agentLink-u.peerLink) }
 
 func (s *Slopes) perUnit() perUnit {
@@ -83,7 +83,7 @@
 	return u
 }
 
-// fitLinks fits what fitLinks cost without load.
+// fitLinks fits the cost of links without load.
 func (s *Slopes) fitLinks(u *perUnit) {
 	var agentLinks, agentBytes, agentMemory, agentCPU []float64
 	var entryLinks, entryMemory, entryCPU, peers, peerBytes, vms, list []float64
@@ -111,9 +111,10 @@
 	_, u.listVM = fitLine(vms, list)
 }
 
-// fitRequests fits what work costs. The base of the memory is the first load's, so that
-// what buffers and stacks once took does not count for each request. The heartbeats that
-// links have more of under load are taken off, at the cost of those without load.
+// fitRequests fits the cost of requests and tokens. The memory per request is the slope over the
+// loads, with the first load included in the base, so that buffers and stacks that are allocated
+// only once do not count for each request. The additional heartbeats under load are subtracted, at
+// the cost of those without load.
 func (s *Slopes) fitRequests(u *perUnit) {
 	var x [][]float64
 	var entry, agent, flight, entryMemory, agentMemory []float64
@@ -135,16 +136,16 @@
 	_, u.agentInFlight = fitLine(flight, agentMemory)
 }
 
-// kind is what a term of a load spends.
+// kind is the resource that a term of a cost uses.
 type kind int
 
 const (
-	bytesKind  kind = iota // a second, of control
+	bytesKind  kind = iota // per second, of control messages
 	cpuKind                // cores
 	memoryKind             // bytes
 )
 
-// term is one part of what a node spends: count times a slope.
+// term is a part of the cost of a node: a slope multiplied by counts.
 type term struct {
 	kind    kind
 	purpose string
@@ -158,7 +159,7 @@
 	value float64
 }
 
-// value is the slope times all counts.
+// value returns the slope multiplied by all counts.
 func (t term) value() float64 {
 	v := t.slope
 	for _, c := range t.counts {
@@ -167,7 +168,7 @@
 	return v
 }
 
-// nodeCost is what one node spends on control.
+// nodeCost is the cost of control for one node.
 type nodeCost struct {
 	links float64
 	terms []term
@@ -187,7 +188,7 @@
 	return sum
 }
 
-// fleet is how many VMs there are.
+// fleet is the number of VMs of each role.
 type fleet struct{ entries, agents float64 }
 
 var (
@@ -197,13 +198,14 @@
 
 func (f fleet) members() factor { return factor{"VMs", f.entries + f.agents} }
 
-// listChanges is how often the list changes: today each process reads it whole then.
+// listChanges returns how often the list of VMs changes. With the current mechanisms each process
+// then reads the whole list.
 func (f fleet) listChanges() factor {
 	return factor{"list changes/s", f.members().value * vmTurnoverPerDay * listChangesPerVM / secondsPerDay}
 }
 
-// heartbeatCost is the processor time of taking in one heartbeat, of the nearest number
-// of members measured that is not smaller.
+// heartbeatCost returns the processor time to process one heartbeat, for the smallest measured
+// number of members that is not below the given one.
 func (s *Slopes) heartbeatCost(members float64) float64 {
 	for _, n := range heardMemberCounts {
 		if members <= float64(n) {
@@ -213,14 +215,15 @@
 	return s.cpu.heartbeat[membersAtSize]
 }
 
-// Counts that stand in several terms.
+// Factors that occur in several terms.
 var (
 	changeRate   = factor{"changes/s", changesPerDay / secondsPerDay}
 	allCustomers = factor{"customers", customersAtSize}
 	gcOverhead   = factor{"garbage collector", gcFactor}
 )
 
-// addConfiguration adds what every member holds and takes in: the configuration and the list.
+// addConfiguration adds what every member keeps and processes: the configuration, the list of VMs
+// and the members heard.
 func (s *Slopes) addConfiguration(l *nodeCost, f fleet, heardMembers float64) {
 	l.add(cpuKind, "changes applied", s.cpu.change, changeRate)
 	l.add(memoryKind, "configuration", s.memory.customer, allCustomers, gcOverhead)
@@ -228,7 +231,7 @@
 	l.add(memoryKind, "members heard, for freshness", s.memory.heardMember, factor{"members heard", heardMembers}, gcOverhead)
 }
 
-// addPlatformReads adds what every member asks of the platform today.
+// addPlatformReads adds what every member reads from the platform with the current mechanisms.
 func (s *Slopes) addPlatformReads(l *nodeCost, u perUnit, f fleet) {
 	l.add(bytesKind, "polls of the log", u.readSize, factor{"reads/s", u.reads})
 	l.add(bytesKind, "list of VMs, when it has changed", u.listVM, f.members(), f.listChanges())
@@ -236,7 +239,7 @@
 	l.add(cpuKind, "list of VMs parsed", s.cpu.vmList/membersAtSize, f.members(), f.listChanges())
 }
 
-// entryToday is an entry linked to all, with the mechanisms of today.
+// entryToday returns the cost of an entry linked to all members, with the current mechanisms.
 func (s *Slopes) entryToday(u perUnit, f fleet) nodeCost {
 	l := nodeCost{links: f.entries + f.agents - 1}
 	links := factor{"links", l.links}
@@ -259,7 +262,8 @@
 	l.add(memoryKind, "customers in admission", s.memory.admissionCustomer, allCustomers, gcOverhead)
 }
 
-// agentToday is an agent linked to all entries and to all others of its group.
+// agentToday returns the cost of an agent linked to all entries and to the other agents of its
+// group.
 func (s *Slopes) agentToday(u perUnit, f fleet, group float64) nodeCost {
 	l := nodeCost{links: f.entries + group - 1}
 	links := factor{"links", l.links}
@@ -276,14 +280,14 @@
 	return l
 }
 
-// entryPlanned is an entry with a subset of links.
+// entryPlanned returns the cost of an entry with a subset of links.
 func (s *Slopes) entryPlanned(u perUnit) nodeCost {
 	return s.entryWithSubset(u, modelsAtSize*agentsPerModel, entryPeers)
 }
 
-// readerPlanned is an entry that reads the log and, in turn with the other readers,
-// the list; and that counts the entries of its failure domain. For that it has fewer
-// agents.
+// readerPlanned returns the cost of an entry that also reads the log and, in turn with the other
+// readers, the list of VMs, and that counts the entries of its failure domain. In exchange it has
+// fewer agents.
 func (s *Slopes) readerPlanned(u perUnit) nodeCost {
 	const domain = entriesAtSize / domainsAtSize
 	l := s.entryWithSubset(u, modelsAtSize*readerAgentsPerModel, entryPeers+domain-1)
@@ -307,8 +311,8 @@
 	return l
 }
 
-// agentPlanned is an agent with its part of the entries' links. The link to the
-// coordinator of its group is counted there.
+// agentPlanned returns the cost of an agent with its share of the entries' links. The link to the
+// coordinator of its group is counted in coordinatorCost.
 func (s *Slopes) agentPlanned(u perUnit) nodeCost {
 	l := nodeCost{links: entriesAtSize * modelsAtSize * agentsPerModel / float64(agentsAtSize)}
 	links := factor{"links", l.links}
@@ -324,9 +328,9 @@
 	return l
 }
 
-// coordinatorCost is what coordinating a group of 32 agents adds to an agent, with
-// heartbeats at a rate. Of a link between agents all but the heartbeats, which are
-// those of a link between entries, is for the group.
+// coordinatorCost returns the cost that the coordination of a group of 32 agents adds to an agent,
+// at a given heartbeat rate. The heartbeats of a link between agents cost as much as those between
+// entries; the rest of its traffic is for the group.
 func coordinatorCost(u perUnit, heartbeatRate float64) nodeCost {
 	others := factor{"agents", agentsPerGroup - 1}
 	heartbeatRatio := factor{"of today's heartbeats", heartbeatRate / idleHeartbeatRate}
--- a/internal/measure/slopes/cluster.go
+++ b/internal/measure/slopes/cluster.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	// settleTime is the wait before a measurement, and quiet its length.
+	// settleTime is the wait before a measurement. idleTime is the duration of one without load.
 	settleTime = 2 * time.Second
 	idleTime   = 8 * time.Second
-	// numChanges is how many marks are published one after another.
+	// numChanges is the number of marks that are published one after another.
 	numChanges = 16
-	// loadTime is the length of each load, after its callers have begun.
+	// loadTime is the duration of a measurement under load, after the callers have started.
 	loadTime = 8 * time.Second
-	// markTimeout bounds the wait until a mark is in force.
+	// markTimeout limits the wait until a mark is in force.
 	markTimeout = 9 * time.Second
 )
 
-// clusterSize is one loopback cluster.
+// clusterSize is the size of a loopback cluster.
 type clusterSize struct{ entries, agents int }
 
-// clusterSizes of the clusters: the last has 41 processes.
+// clusterSizes are the sizes that are measured. The last has 41 processes.
 var clusterSizes = []clusterSize{{2, 4}, {4, 8}, {8, 16}}
 
-// sample is what one process has used until a moment.
+// sample holds the cumulative usage of a process at one time.
 type sample struct {
 	cpu           time.Duration
 	resident      float64
-	bytes         float64 // of links, both directions
+	bytes         float64 // on links, both directions
 	platformReads harness.Asked
 	answers       float64
-	heartbeats    float64 // heartbeats sent
+	heartbeats    float64 // sent
 }
 
-// nodeUsage is what one process used in a time without load, for each second.
+// nodeUsage is the usage of a process per second without load.
 type nodeUsage struct {
 	links      float64
-	peers      float64 // of these, to entries
+	peers      float64 // links to entries
 	cpu        float64 // cores
 	resident   float64
 	bytes      float64
-	heartbeats float64 // heartbeats sent
+	heartbeats float64 // sent
 	reads      float64
 	lists      float64
-	readSize   float64 // bytes of one answer
+	readSize   float64 // bytes of one read
 	listSize   float64 // bytes of the whole list
 }
 
-// idleRun is one cluster without load, and then with changes only.
+// idleRun holds the measurements of a cluster without load, and then with changes only.
 type idleRun struct {
 	clusterSize
 	entry, agent nodeUsage
 	inForce      []time.Duration
-	changeBytes  float64 // for each change and link
-	changeCPU    float64 // seconds of an entry for each change
-	appends      float64 // for each change, by all
+	changeBytes  float64 // per change and link
+	changeCPU    float64 // seconds of an entry per change
+	appends      float64 // per change, by all processes
 }
 
 func clusterSpec(r harness.Reporter, bin string, s clusterSize) harness.Spec {
@@ -96,7 +96,7 @@
 	return all
 }
 
-// meanUsage returns what the members used a second between two samples, on average.
+// meanUsage returns the average usage per process and second between two samples.
 func meanUsage(before, after []sample, duration time.Duration) nodeUsage {
 	var n nodeUsage
 	count := float64(len(before))
@@ -135,8 +135,8 @@
 	return run
 }
 
-// publishChanges marks a VM out and in again, one change after another, and waits until
-// each is in force at all processes.
+// publishChanges marks a VM out and in again, one change after another, and waits until each is in
+// force at all processes.
 func (run *idleRun) publishChanges(r harness.Reporter, c *harness.Cluster) {
 	client, err := adminclient.New(c.Entries[0].Admin, harness.AdminToken)
 	if err != nil {
@@ -151,7 +151,7 @@
 		}
 		change, err := client.Mark(context.Background(), request, adminapi.InForce, markTimeout)
 		if err != nil || change.State != adminapi.InForce {
-			r.Fatalf("change %d: %v, %+v", i, err, change)
+			r.Fatalf("change %d is not in force: %v, %+v", i, err, change)
 		}
 		run.inForce = append(run.inForce, time.Since(from))
 	}
@@ -166,15 +166,15 @@
 	slices.Sort(run.inForce)
 }
 
-// loadRun is a cluster under a load of streams.
+// loadRun holds the measurements of a cluster under a load of streams.
 type loadRun struct {
 	callers, tokens    int
-	requests           float64 // a second
-	entryCPU, agentCPU float64 // cores of all, beyond those without load
-	entryResident      float64 // of all
+	requests           float64 // per second
+	entryCPU, agentCPU float64 // cores of all processes, minus those without load
+	entryResident      float64 // of all entries
 	agentResident      float64
-	bytes              float64 // of all entries' links, a second, beyond those without load
-	entryHeartbeats    float64 // heartbeats of all, a second, beyond those without load
+	bytes              float64 // per second on all entries' links, minus those without load
+	entryHeartbeats    float64 // sent per second by all entries, minus those without load
 	agentHeartbeats    float64
 }
 
@@ -203,11 +203,11 @@
 	return run
 }
 
-// groupRun is the coordinator of a group whose ranks step every 64 ms.
+// groupRun holds the measurements of the coordinator of a group with a step time of 64 ms.
 type groupRun struct {
-	others   float64 // agents of the group beside the coordinator's own
-	bytes    float64 // a second, both directions, without the entry's link
-	cpu      float64 // cores, beyond an agent that coordinates nothing
+	others   float64 // agents of the group besides the coordinator's own
+	bytes    float64 // per second on links, both directions
+	cpu      float64 // cores
 	resident float64
 }
 
--- a/internal/measure/slopes/decisions.go
+++ b/internal/measure/slopes/decisions.go
@@ -9,9 +9,9 @@
 	"github.com/apricothub/apricothub/coord/config"
 )
 
-// decisionTimes holds processor time in this process, seconds.
+// decisionTimes holds processor times in seconds, measured in this process.
 type decisionTimes struct {
-	heartbeat map[int]float64 // taking one heartbeat, by members heard, while the log answers
+	heartbeat map[int]float64 // processing one heartbeat, by number of members heard, while the log answers
 	change    float64         // applying one change with 7,300 customers
 	snapshot  float64         // loading a snapshot with 7,300 customers
 	vmList    float64         // parsing a list of 4,190 VMs
@@ -24,7 +24,8 @@
 	membersAtSize   = entriesAtSize + agentsAtSize
 )
 
-// heardMemberCounts are the numbers of members that have been heard, smallest first.
+// heardMemberCounts are the numbers of members heard for which a heartbeat is timed, in ascending
+// order.
 var heardMemberCounts = []int{24, entriesAtSize, membersAtSize}
 
 func measureDecisions() decisionTimes {
@@ -51,9 +52,9 @@
 	return d
 }
 
-// timeHeartbeat returns the seconds that one heartbeat takes a process that hears n
-// members, each five times a second, and asks for its state after each, while the log
-// answers.
+// timeHeartbeat returns the seconds that a process takes for one heartbeat when it hears n members,
+// each at the heartbeat rate of an idle link, and reads its state after each. The log answers all
+// the time.
 func timeHeartbeat(n int) float64 {
 	t := newTracker(n)
 	knowledge := heartbeat().GetHeartbeat().GetKnowledge()
@@ -71,7 +72,7 @@
 	})
 }
 
-// customerChange changes one customer.
+// customerChange returns a log record that changes one customer.
 func customerChange(f *config.Fold) []byte {
 	set := customerSections(1)
 	set[0].GetCustomer().Burst = 1 + f.Applied()%1000
@@ -83,7 +84,7 @@
 	return data
 }
 
-// meanSeconds returns the seconds of one call, the mean of n.
+// meanSeconds returns the mean time of n calls in seconds.
 func meanSeconds(n int, f func(i int)) float64 {
 	from := time.Now()
 	for i := range n {
--- a/internal/measure/slopes/fit.go
+++ b/internal/measure/slopes/fit.go
@@ -2,9 +2,8 @@
 
 import "math"
 
-// leastSquares returns the coefficients that explain y by the columns of x with the least
-// squares of what is left, by the normal equations. A column that says nothing
-// gets zero.
+// leastSquares returns the coefficients of the columns of x that fit y with the least squared
+// error, by the normal equations. A column that does not contribute gets zero.
 func leastSquares(x [][]float64, y []float64) []float64 {
 	n := len(x[0])
 	m := make([][]float64, n)
@@ -25,7 +24,7 @@
 	return coefficients
 }
 
-// eliminate solves the equations in place.
+// eliminate solves the linear equations in place.
 func eliminate(m [][]float64) {
 	for i := range m {
 		pivotRow := i
@@ -55,7 +54,7 @@
 	}
 }
 
-// fitLine returns the base and the slope of y over x.
+// fitLine fits a line to y over x and returns its base and slope.
 func fitLine(x, y []float64) (base, slope float64) {
 	rows := make([][]float64, len(x))
 	for i := range x {
--- a/internal/measure/slopes/memory.go
+++ b/internal/measure/slopes/memory.go
@@ -23,7 +23,8 @@
 	"github.com/apricothub/apricothub/internal/platform"
 )
 
-// heapPerUnit holds bytes of heap, in this process, for one more of each.
+// heapPerUnit holds the heap bytes, measured in this process, that one more item of each kind
+// takes.
 type heapPerUnit struct {
 	customer, admissionCustomer, plan           float64
 	backend, heardMember, vm, link              float64
@@ -32,7 +33,7 @@
 	snapshotCustomer, change, status, heartbeat float64 // bytes of messages
 }
 
-// partBytes is one streamed token as an engine sends it, JSON and all.
+// partBytes is the size of one streamed token as an engine sends it, including the JSON around it.
 const partBytes = 200
 
 func measureMemory() heapPerUnit {
@@ -53,13 +54,13 @@
 		status:            float64(proto.Size(&api.Control{Body: &api.Control_Status{Status: statusReport()}})),
 		heartbeat:         float64(proto.Size(heartbeat())),
 	}
-	// Last: the stacks of closed links shrink for a while, and what is measured then comes
-	// out too small, a block of tickets even below nothing.
+	// Links come last: the stacks of closed links shrink for a while, which makes later
+	// measurements too small, even negative for a block of tickets.
 	m.link = bytesPerLinkEnd()
 	return m
 }
 
-// bytesPerUnit returns the bytes that one more unit takes, by least squares over sizes.
+// bytesPerUnit returns the heap bytes per item, by a least-squares fit over the sizes.
 func bytesPerUnit(build func(n int) any, sizes ...int) float64 {
 	var x, y []float64
 	for _, n := range sizes {
@@ -73,7 +74,7 @@
 	return slope
 }
 
-// heapInUse returns the bytes reachable, stacks included.
+// heapInUse returns the reachable heap bytes, including stacks.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -105,7 +106,7 @@
 	return sections
 }
 
-// listChange is a record that sets sections.
+// listChange returns a log record that sets sections of a list.
 func listChange(list api.ListName, set []*api.Section) []byte {
 	data, err := proto.Marshal(&api.Record{
 		ChangeId: "0123456789abcdef" + fmt.Sprint(list), Author: "operator", PublishedMs: 1 << 40,
@@ -117,7 +118,7 @@
 	return data
 }
 
-// newFold is a member's configuration, read from the log.
+// newFold returns a member's configuration as read from the log.
 func newFold(customerCount, planCount int) *config.Fold {
 	f := config.NewFold()
 	uses := listChange(api.ListName_LIST_USES, planSections(planCount))
@@ -151,8 +152,8 @@
 	return a
 }
 
-// newBackends is what an entry holds of backend servers beside their links: their
-// reports, their places in the table, and a block of tickets of each.
+// newBackends returns what an entry holds for backend servers besides their links: their reports,
+// their state in the placement table, and a block of tickets of each.
 func newBackends(n int) any {
 	table := place.NewTable(rand.New(rand.NewPCG(1, 1)), place.Config{})
 	minter := ticket.NewMinter()
@@ -180,7 +181,7 @@
 	return &api.Control{Body: &api.Control_Heartbeat{Heartbeat: &api.Heartbeat{Seq: 1 << 20, Echo: 1 << 20, Knowledge: knowledge}}}
 }
 
-// newTracker has heard from n members.
+// newTracker returns a tracker that has received knowledge from n members.
 func newTracker(n int) *fresh.Tracker {
 	t := fresh.New(indexedName("vm", 0), 2*time.Second)
 	vms := make([]string, n)
@@ -196,7 +197,7 @@
 	return t
 }
 
-// newVMs is the platform's list as a member keeps it.
+// newVMs returns the platform's list of VMs as a member keeps it.
 func newVMs(n int) any { return parseVMs(vmListJSON(n)) }
 
 func parseVMs(list []byte) []platform.VM {
@@ -230,7 +231,8 @@
 	return l
 }
 
-// newLedger has n used tickets, with their answers held or not.
+// newLedger returns a ledger with n used tickets, whose answers are still held unless forgotten is
+// set.
 func newLedger(n int, forgotten bool) any {
 	l := ticket.NewLedger("vm", "incarnation", []byte("key"), ticket.Limits{})
 	minter := ticket.NewMinter()
@@ -265,7 +267,7 @@
 	return s
 }
 
-// nopHandler is a handler that does nothing.
+// nopHandler is a link handler that does nothing.
 type nopHandler struct{}
 
 func (nopHandler) Up(*link.Session)                                   {}
@@ -274,7 +276,7 @@
 func (nopHandler) Stream(*link.Session, *api.Open, *link.Stream)      {}
 func (nopHandler) Heartbeat() *api.Heartbeat                          { return heartbeat().GetHeartbeat() }
 
-// bytesPerLinkEnd is the memory of one end of a link. Both ends are in this process.
+// bytesPerLinkEnd returns the memory of one end of a link. Both ends are in this process.
 func bytesPerLinkEnd() float64 {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -309,7 +311,7 @@
 		}
 		sessions[i] = s
 	}
-	// Some heartbeats, so that buffers have their usual size.
+	// Exchange some heartbeats, so that buffers reach their usual size.
 	time.Sleep(time.Second)
 	return sessions
 }
--- a/internal/measure/slopes/report.go
+++ b/internal/measure/slopes/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// markdownTable is a Markdown table under construction.
+// markdownTable builds Markdown tables.
 type markdownTable struct{ strings.Builder }
 
 func (t *markdownTable) header(cells ...string) {
@@ -129,8 +129,8 @@
 	t.WriteString("\n")
 }
 
-// extraUnderLoad is the processor time of a link with work beyond that of one without, by the
-// heartbeats of both.
+// extraUnderLoad returns the processor time that a link with work needs beyond an idle link, in
+// proportion to their heartbeat rates.
 func extraUnderLoad(link float64) float64 { return link * (activeHeartbeatRate/idleHeartbeatRate - 1) }
 
 func (s *Slopes) inForceRows(t *markdownTable) {
@@ -149,7 +149,7 @@
 	return fmt.Sprintf(" (**%.1f ×**)", value/budget)
 }
 
-// nodeRole is one line of the table of nodes, with its parts.
+// nodeRole is a row of the table of nodes, with the terms of its cost.
 type nodeRole struct {
 	name string
 	cost nodeCost
@@ -193,7 +193,7 @@
 
 var kindNames = map[kind]string{bytesKind: "bytes", cpuKind: "processor", memoryKind: "memory"}
 
-// formula is the slope with what it is multiplied by.
+// formula returns the slope and its factors as text.
 func (t term) formula() string {
 	text := formatBytes(t.slope)
 	if t.kind == cpuKind {
@@ -208,7 +208,7 @@
 	return text
 }
 
-// format writes a value in the unit of the term.
+// format returns a value in the unit of the term.
 func (t term) format(v float64) string {
 	switch t.kind {
 	case cpuKind:
--- a/internal/measure/slopes/slopes.go
+++ b/internal/measure/slopes/slopes.go
@@ -1,7 +1,6 @@
-// Package slopes measures what one more customer, link, change, request or token
-// costs a process, on one machine with a few dozen processes, and works out from
-// that what the size of two years ahead costs. `make slopes` writes the tables of
-// docs/CAPACITY.md with it. It is never shipped.
+// Package slopes measures what one more customer, link, change, request or token costs a process,
+// on one machine with a few dozen processes, and extrapolates the cost to the target size. `make
+// slopes` writes the tables of docs/CAPACITY.md with it. It is never shipped.
 package slopes
 
 import (
@@ -13,9 +12,9 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-var errNoSteps = errors.New("the group does not step")
+var errNoSteps = errors.New("the group of ranks does not advance")
 
-// Slopes holds all that was measured.
+// Slopes holds all measurements.
 type Slopes struct {
 	memory    heapPerUnit
 	cpu       decisionTimes
@@ -26,7 +25,7 @@
 	startedAt time.Time
 }
 
-// Measure measures everything with the binaries in bin.
+// Measure runs all measurements with the binaries in bin.
 func Measure(bin string, log io.Writer) (*Slopes, error) {
 	s := &Slopes{startedAt: time.Now().UTC()}
 	s.memory = measureMemory()
@@ -49,7 +48,7 @@
 	return s, nil
 }
 
-// measureCluster measures one measureCluster; the last one also under load.
+// measureCluster measures a cluster without load and, with withLoad, also under load.
 func (s *Slopes) measureCluster(r harness.Reporter, bin string, size clusterSize, withLoad bool) {
 	c := harness.StartCluster(r, clusterSpec(r, bin, size))
 	idle := measureIdle(r, c, size)
--- a/internal/measure/slopes/trial_test.go
+++ b/internal/measure/slopes/trial_test.go
@@ -9,9 +9,9 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// BenchmarkProcesses compares builds under the same noise: a cluster of each runs at the
-// same time, without work and then with streams. Processor in thousandths of a core,
-// bytes of links, both a second and for one process.
+// BenchmarkProcesses compares builds under the same noise: one cluster per build runs at the same
+// time, first without load and then with streams. It reports the processor time in thousandths of a
+// core and the bytes on links, both per second and process.
 //
 //	APRICOTHUB_BINS=/old/bin,$PWD/bin go test -run - -bench Processes ./internal/measure/slopes
 func BenchmarkProcesses(b *testing.B) {
--- a/internal/measure/subsets/subsets.go
+++ b/internal/measure/subsets/subsets.go
@@ -1,5 +1,5 @@
-// Package subsets measures links, their bytes and callers' answers with subsets of links
-// on and off, in one run on loopback. The `subsets` measure writes a section of
+// Package subsets compares the number of links, their traffic and the answers to callers with and
+// without subsets of links, on loopback clusters. The `subsets` measure writes a section of
 // docs/design/subsetting.md with it. It is never shipped.
 package subsets
 
@@ -16,36 +16,38 @@
 const (
 	entries = 6
 	engines = 15
-	// slotsPerEngine of one engine, all of them warm.
+	// slotsPerEngine is the number of slots of one engine. All engines are warm.
 	slotsPerEngine = 8
-	// callers ask for 70% of all places.
+	// callers request 70% of all slots.
 	callers = engines * slotsPerEngine * 7 / 10
-	// settleTime is the wait before a measurement, quiet and busy the lengths of those
-	// without and with callers.
+	// settleTime is the wait before a measurement. idleTime and loadTime are the durations of a
+	// measurement without and with callers.
 	settleTime = 3 * time.Second
 	idleTime   = 8 * time.Second
 	loadTime   = 12 * time.Second
 )
 
-// agentsPerOfferValues are the numbers of agents per offer that are compared: all, and 4.
+// agentsPerOfferValues are the settings that are compared: links to all agents (0) and to 4 per
+// offer.
 var agentsPerOfferValues = []int{0, 4}
 
-// rounds is how often the two are measured, in turns, so that both meet the same machine.
+// rounds is the number of measurements of each setting. The settings alternate, so that both meet
+// the same conditions on the machine.
 const rounds = 2
 
-// usage is what processes of one role usage on average.
+// usage is the average usage of the processes of one role: traffic and processor time per second.
 type usage struct {
 	links, bytes, cpu, resident float64
 }
 
-// result is one cluster.
+// result is the measurement of one cluster.
 type result struct {
 	agentsPerOffer int
 	entry, agent   usage // without callers
 	load           harness.LoadResult
 }
 
-// Measure runs everything with the binaries in bin and returns the section's text.
+// Measure runs all measurements with the binaries in bin and returns the text of the section.
 func Measure(bin string, log io.Writer) (string, error) {
 	var results []result
 	for range rounds {
@@ -79,7 +81,7 @@
 	return res
 }
 
-// measureUsage returns what entries and agents used a second for some time.
+// measureUsage returns the average usage of entries and agents over the given duration.
 func measureUsage(r harness.Reporter, c *harness.Cluster, duration time.Duration) (entry, agent usage) {
 	before := meanUsages(r, c)
 	time.Sleep(duration)
@@ -92,7 +94,7 @@
 	return after[0], after[1]
 }
 
-// meanUsages returns the means over the entries and over the agents.
+// meanUsages returns the averages over the entries and over the agents.
 func meanUsages(r harness.Reporter, c *harness.Cluster) [2]usage {
 	return [2]usage{meanUsage(r, c.Entries), meanUsage(r, c.Agents)}
 }
@@ -114,7 +116,7 @@
 	return u
 }
 
-// countLinks counts the links of a process.
+// countLinks returns the number of links of a process that are up.
 func countLinks(r harness.Reporter, m *harness.Member) int {
 	status, err := m.Status()
 	if err != nil {
