--- a/internal/measure/subsets/subsets.go
+++ b/internal/measure/subsets/subsets.go
@@ -107,10 +107,10 @@
 		if err != nil {
 			r.Fatalf("%s: %v", m.VM, err)
 		}
-		usage := m.Usage()
+		processUsage := m.Usage()
 		u.bytes += (values["link.bytes.in"] + values["link.bytes.out"]) / n
-		u.cpu += usage.CPU.Seconds() / n
-		u.resident += float64(usage.Resident) / n
+		u.cpu += processUsage.CPU.Seconds() / n
+		u.resident += float64(processUsage.Resident) / n
 		u.links += float64(countLinks(r, m)) / n
 	}
 	return u
--- a/internal/standin/engine/ranks.go
+++ b/internal/standin/engine/ranks.go
@@ -84,12 +84,12 @@
 func (r *ranks) fetchWeights(name string, size int64) error {
 	answer, err := http.Get(fmt.Sprintf("%s/weights/%s?bytes=%d", r.platform, name, size))
 	if err != nil {
-		return errors.Wrap(err, "request to the weight store")
+		return errors.Wrap(err, "weight store")
 	}
 	defer answer.Body.Close()
 	received, err := io.Copy(io.Discard, answer.Body)
 	if err != nil || received != size {
-		return errors.Errorf("incomplete weights: received %d of %d bytes", received, size)
+		return errors.Errorf("weights cut short: %d of %d bytes", received, size)
 	}
 	return nil
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -73,7 +73,7 @@
 		answer := s.execute(index, r, body)
 		switch {
 		case behaviour.CloseAfterRead:
-			panic(http.ErrAbortHandler) // Close the connection: the call was executed, but the response is lost.
+			panic(http.ErrAbortHandler) // The call was executed, but its response is lost.
 		case behaviour.Redirect:
 			w.Header().Set("Location", "/redirected"+r.URL.Path)
 			return answer, web.Refusal{Status: http.StatusTemporaryRedirect, Body: answer}
