--- a/test/harness/standins.go
+++ b/test/harness/standins.go
@@ -114,25 +114,25 @@
 // SetLogMode sets the mode of the log: "up", "down", "slow" (with delay) or "lose_answers".
 func (p Platform) SetLogMode(mode string, delay time.Duration) {
 	p.report.Helper()
-	p.mustDo(http.MethodPost, "/control/log", platform.Control{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
+	p.mustDo(http.MethodPost, "/control/log", platform.ControlRequest{Mode: mode, DelayMS: delay.Milliseconds()}, nil)
 }
 
 // SetRetention limits the log to the newest records; -1 keeps all.
 func (p Platform) SetRetention(records int64) {
 	p.report.Helper()
-	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Records: records}, nil)
+	p.mustDo(http.MethodPost, "/control/retention", platform.ControlRequest{Records: records}, nil)
 }
 
 // SetKeyRetention is SetRetention for the stream of keys alone.
 func (p Platform) SetKeyRetention(records int64) {
 	p.report.Helper()
-	p.mustDo(http.MethodPost, "/control/retention", platform.Control{Stream: "keys", Records: records}, nil)
+	p.mustDo(http.MethodPost, "/control/retention", platform.ControlRequest{Stream: "keys", Records: records}, nil)
 }
 
 // SetVMsLag sets how far the list of VMs lags behind changes.
 func (p Platform) SetVMsLag(lag time.Duration) {
 	p.report.Helper()
-	p.mustDo(http.MethodPost, "/control/vms_lag", platform.Control{MS: lag.Milliseconds()}, nil)
+	p.mustDo(http.MethodPost, "/control/vms_lag", platform.ControlRequest{MS: lag.Milliseconds()}, nil)
 }
 
 // PutVM adds or replaces a VM in the list of VMs.
@@ -166,9 +166,9 @@
 type Backend struct{ *StandIn }
 
 // Ledger returns the runs of all calls of a plain service.
-func (b Backend) Ledger() []service.Run {
+func (b Backend) Ledger() []service.LedgerLine {
 	b.report.Helper()
-	var ledger []service.Run
+	var ledger []service.LedgerLine
 	b.mustDo(http.MethodGet, "/control/ledger", nil, &ledger)
 	return ledger
 }
@@ -188,9 +188,9 @@
 }
 
 // Held returns what an engine has loaded on orders.
-func (b Backend) Held() engine.Held {
+func (b Backend) Held() engine.HeldWeights {
 	b.report.Helper()
-	var held engine.Held
+	var held engine.HeldWeights
 	b.mustDo(http.MethodGet, "/engine/version", nil, &held)
 	return held
 }
@@ -210,17 +210,17 @@
 // SetPopularity sets the number of tokens per second for each expert.
 func (b Backend) SetPopularity(tokens []float64) {
 	b.report.Helper()
-	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens}, nil)
+	b.mustDo(http.MethodPost, "/control/experts", engine.ExpertTokens{Tokens: tokens}, nil)
 }
 
 // SetSlowdowns sets the slowdown of each of the engine's ranks, and the popularity of the experts.
 func (b Backend) SetSlowdowns(tokens, slowdowns []float64) {
 	b.report.Helper()
-	b.mustDo(http.MethodPost, "/control/experts", engine.Experts{Tokens: tokens, Paces: slowdowns}, nil)
+	b.mustDo(http.MethodPost, "/control/experts", engine.ExpertTokens{Tokens: tokens, Slowdowns: slowdowns}, nil)
 }
 
 // CountRuns returns the number of runs of each call in a ledger.
-func CountRuns(ledger []service.Run) map[string]int {
+func CountRuns(ledger []service.LedgerLine) map[string]int {
 	runs := map[string]int{}
 	for _, run := range ledger {
 		runs[run.Key]++
--- a/test/harness/view.go
+++ b/test/harness/view.go
@@ -158,7 +158,7 @@
 	v.mu.Lock()
 	shown := platform.VMChange{VMs: v.rewrite(list)}
 	v.mu.Unlock()
-	v.count(r, web.AnswerTagged(w, r, shown))
+	v.count(r, web.RespondWithETag(w, r, shown))
 }
 
 // viewTransport opens a connection for each request, so that it never retries one.
