--- a/internal/measure/logs/logs.go
+++ b/internal/measure/logs/logs.go
@@ -83,7 +83,7 @@
 func Measure(bin string, log io.Writer) (string, error) {
 	var text string
 	err := harness.RunProgram(log, func(r *harness.Program) {
-		b := &bench{report: r, bin: bin, dir: harness.Dir(r, "logs"), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: beyond}}}
+		b := &bench{report: r, bin: bin, dir: harness.NewDir(r, "logs"), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: beyond}}}
 		b.start()
 		for n := range rounds + 1 {
 			for w := range ways {
@@ -101,15 +101,15 @@
 		store := fakeplatform.NewStore(b.report)
 		store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 		for _, id := range []string{"i-a", "i-b"} {
-			s := store.ServeAt(b.report, fakeplatform.Place{ID: id, FailureDomain: "a", Concurrency: places / 2, Forgets: true}, fakeplatform.Echo)
+			s := store.ServeAt(b.report, fakeplatform.Registration{ID: id, FailureDomain: "a", Concurrency: places / 2, DiscardRequests: true}, fakeplatform.Echo)
 			b.direct = s.Address()
 		}
-		b.ips[w] = fakeplatform.OwnIP()
+		b.ips[w] = fakeplatform.NewLoopbackIP()
 		entry := fakeplatform.Entry{VM: b.vm(w), IP: b.ips[w], FailureDomain: "a", Store: store.Address()}
 		env := []string{entry.WriteSettings(b.report, b.dir), "GOMAXPROCS=1"}
 		b.gateway(w, env)
 		harness.Eventually(b.report, patience, "a gateway is ready", func() error {
-			if !fakeplatform.Ready(b.ips[w]) {
+			if !fakeplatform.IsReady(b.ips[w]) {
 				return errors.New("it is not")
 			}
 			return nil
@@ -123,16 +123,16 @@
 	program := filepath.Join(b.bin, "apricothub")
 	switch w {
 	case off, control:
-		b.gateways[w] = harness.StartWith(b.report, env, b.dir, b.vm(w), program, "gateway", "--log-level", "none")
+		b.gateways[w] = harness.StartWithEnv(b.report, env, b.dir, b.vm(w), program, "gateway", "--log-level", "none")
 	case unread:
 		reader, writer, err := os.Pipe()
 		if err != nil {
 			b.report.Fatalf("pipe: %v", err)
 		}
 		b.report.Cleanup(func() { _, _ = reader.Close(), writer.Close() })
-		b.gateways[w] = harness.StartInto(b.report, writer, env, b.vm(w), program, "gateway")
+		b.gateways[w] = harness.StartWithOutput(b.report, writer, env, b.vm(w), program, "gateway")
 	default:
-		b.gateways[w] = harness.StartWith(b.report, env, b.dir, b.vm(w), program, "gateway")
+		b.gateways[w] = harness.StartWithEnv(b.report, env, b.dir, b.vm(w), program, "gateway")
 	}
 }
 
@@ -173,7 +173,7 @@
 		group.Go(func() {
 			for n := 0; time.Now().Before(until); n++ {
 				began := time.Now()
-				status := fakeplatform.AskAt(b.client, address, paths[i%len(paths)], fmt.Sprintf("c%d-%d", i, n))
+				status := fakeplatform.SendTo(b.client, address, paths[i%len(paths)], fmt.Sprintf("c%d-%d", i, n))
 				spent := time.Since(began)
 				lock.Lock()
 				if status == http.StatusOK {
--- a/test/confighistory_test.go
+++ b/test/confighistory_test.go
@@ -166,15 +166,15 @@
 func historyFaults() []func(*harness.Cluster) {
 	logFault := func(mode string) func(*harness.Cluster) {
 		return func(c *harness.Cluster) {
-			c.Platform.LogMode(mode, 200*time.Millisecond)
+			c.Platform.SetLogMode(mode, 200*time.Millisecond)
 			time.Sleep(800 * time.Millisecond)
-			c.Platform.LogMode("up", 0)
+			c.Platform.SetLogMode("up", 0)
 		}
 	}
 	return []func(*harness.Cluster){
 		logFault("lose_answers"),
 		func(c *harness.Cluster) { killAndRestart(c.Entries[0]) },
-		func(c *harness.Cluster) { c.Platform.Retain(4) },
+		func(c *harness.Cluster) { c.Platform.SetRetention(4) },
 		logFault("down"),
 		func(c *harness.Cluster) { pauseAndContinue(c.Entries[1]) },
 		func(c *harness.Cluster) { killAndRestart(c.Agents[0]) },
--- a/test/domain_test.go
+++ b/test/domain_test.go
@@ -66,10 +66,10 @@
 	returnDomain(t, c, m)
 
 	begin, exitStatus = c.MarkOut(m.Domain)
-	c.Platform.LogMode("down", 0)
+	c.Platform.SetLogMode("down", 0)
 	checkNoArrivalsAfter(t, m, begin, "log down after the mark")
 	checkInForce(t, exitStatus)
-	c.Platform.LogMode("up", 0)
+	c.Platform.SetLogMode("up", 0)
 	returnDomain(t, c, m)
 
 	for _, e := range c.Entries {
@@ -152,7 +152,7 @@
 	load := c.StartLoad(harness.LoadSpec{Callers: 12, Tokens: 30, Pause: 5 * time.Millisecond, Seed: 9})
 	time.Sleep(300 * time.Millisecond)
 	m := c.EngineAgents()[2]
-	c.Leave(m)
+	c.MarkLeaving(m)
 	checkNoArrivalsAfter(t, m, time.Now(), "leaving")
 	if status := m.Terminate(); status != 0 {
 		t.Errorf("exit status %d: %s", status, m.Tail())
--- a/test/explain_drill_test.go
+++ b/test/explain_drill_test.go
@@ -86,17 +86,17 @@
 }
 
 func startDrill(t *testing.T) *drill {
-	d := &drill{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t), release: make(chan struct{})}
+	d := &drill{t: t, dir: harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t), release: make(chan struct{})}
 	d.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range []string{"a", "b"} {
-		d.servers = append(d.servers, d.store.ServeAt(t, fakeplatform.Place{ID: "i-" + domain, FailureDomain: domain, Concurrency: 2}, d.answer))
+		d.servers = append(d.servers, d.store.ServeAt(t, fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 2}, d.answer))
 	}
-	firstIP, secondIP := fakeplatform.OwnIP(), fakeplatform.OwnIP()
+	firstIP, secondIP := fakeplatform.NewLoopbackIP(), fakeplatform.NewLoopbackIP()
 	d.startGateway("front-1", firstIP)
 	d.startGateway("front-2", secondIP, firstIP)
 	for _, ip := range d.gateways {
 		harness.Eventually(t, drillTimeout, "a gateway is ready", func() error {
-			if !fakeplatform.Ready(ip) {
+			if !fakeplatform.IsReady(ip) {
 				return errNotReady
 			}
 			return nil
@@ -111,13 +111,13 @@
 
 func (d *drill) startGateway(vm, ip string, seeds ...string) {
 	entry := fakeplatform.Entry{VM: vm, IP: ip, FailureDomain: "a", Store: d.store.Address(), Seeds: seeds}
-	harness.StartWith(d.t, []string{entry.WriteSettings(d.t, d.dir)}, d.dir, vm, binDir+"/apricothub", "gateway")
+	harness.StartWithEnv(d.t, []string{entry.WriteSettings(d.t, d.dir)}, d.dir, vm, binDir+"/apricothub", "gateway")
 	d.gateways = append(d.gateways, ip)
 }
 
 // answer is the handler of the backend servers: a push with "die" in its path kills its server, one
 // with "hold" waits for release, and streams send two events.
-func (d *drill) answer(s fakeplatform.Seen, conn net.Conn) bool {
+func (d *drill) answer(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	switch path := s.Request.RequestURI; {
 	case strings.Contains(path, "die"):
 		d.servers[0].Kill()
@@ -134,7 +134,7 @@
 
 // send sends a request to the first gateway and returns the status.
 func (d *drill) send(path, id string) int {
-	return fakeplatform.Ask(http.DefaultClient, d.gateways[0], path, id)
+	return fakeplatform.Send(http.DefaultClient, d.gateways[0], path, id)
 }
 
 // sendHeld sends pushes that stay in flight at their servers.
@@ -149,7 +149,7 @@
 	harness.Eventually(d.t, drillTimeout, "the servers hold requests", func() error {
 		received := 0
 		for _, s := range d.servers {
-			received += len(s.Got())
+			received += len(s.Requests())
 		}
 		if received < n {
 			return fmt.Errorf("%d of %d", received, n)
--- a/test/gateway_cold_test.go
+++ b/test/gateway_cold_test.go
@@ -133,7 +133,7 @@
 			t.Parallel()
 			began := time.Now()
 			arrived := &arrivalTimes{}
-			s := startSite(t, 4, func(seen fakeplatform.Seen, conn net.Conn) bool {
+			s := startSite(t, 4, func(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 				arrived.record(time.Since(began))
 				return fakeplatform.Echo(seen, conn)
 			})
--- a/test/gateway_inforce_test.go
+++ b/test/gateway_inforce_test.go
@@ -60,7 +60,7 @@
 	}{
 		{"plain", func(_ *gatewayProcess, mark func()) { mark() }, gatewayInForceLimit},
 		{"the store turns one away", func(g *gatewayProcess, mark func()) {
-			g.storeProxy.Shut.Store(true)
+			g.storeProxy.Unavailable.Store(true)
 			mark()
 		}, gatewayInForceLimit},
 		{"one is frozen", func(g *gatewayProcess, mark func()) {
@@ -89,7 +89,7 @@
 func checkNothingSentAfter(t *testing.T, gateways int, quietAfter time.Duration, event func(s *site) time.Time) {
 	t.Helper()
 	arrived := &lastArrival{}
-	s := startSite(t, gateways, func(seen fakeplatform.Seen, conn net.Conn) bool {
+	s := startSite(t, gateways, func(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 		if seen.Request.Header.Get("Target-Instance") == "i-b" {
 			arrived.record()
 		}
@@ -123,11 +123,11 @@
 	disturbances := map[string]func(g *gatewayProcess){
 		"plain": func(*gatewayProcess) {},
 		"one had been turned away": func(g *gatewayProcess) {
-			g.storeProxy.Shut.Store(true)
+			g.storeProxy.Unavailable.Store(true)
 			time.Sleep(time.Second)
-			g.storeProxy.Shut.Store(false)
+			g.storeProxy.Unavailable.Store(false)
 		},
-		"the store turns one away": func(g *gatewayProcess) { g.storeProxy.Shut.Store(true) },
+		"the store turns one away": func(g *gatewayProcess) { g.storeProxy.Unavailable.Store(true) },
 	}
 	for how, leaves := range leave {
 		for name, disturb := range disturbances {
@@ -158,7 +158,7 @@
 			client := &http.Client{Transport: &http.Transport{}, Timeout: stateTimeout}
 			address := net.JoinHostPort(s.gateways[i%len(s.gateways)].ip, fakeplatform.PortCallers)
 			for n := 0; !isClosed(stop); n++ {
-				if fakeplatform.AskAt(client, address, "/look/1", fmt.Sprintf("l%d-%d", i, n)) == http.StatusOK {
+				if fakeplatform.SendTo(client, address, "/look/1", fmt.Sprintf("l%d-%d", i, n)) == http.StatusOK {
 					mu.Lock()
 					served++
 					mu.Unlock()
@@ -231,9 +231,9 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range 6 {
 		shut := s.gateways[rng.IntN(len(s.gateways))]
-		shut.storeProxy.Shut.Store(true)
+		shut.storeProxy.Unavailable.Store(true)
 		s.injectGatewayFaults(rng, 2)
-		shut.storeProxy.Shut.Store(false)
+		shut.storeProxy.Unavailable.Store(false)
 	}
 	waitFor(t, "the last version is in force everywhere", func() bool {
 		for _, g := range s.gateways {
--- a/test/gateway_maps_test.go
+++ b/test/gateway_maps_test.go
@@ -23,7 +23,7 @@
 func startGroupSite(t *testing.T, gateways int, seed uint64) *groupSite {
 	t.Helper()
 	m := &groupSite{site: startSite(t, gateways, fakeplatform.Echo)}
-	m.startGroup(fakeplatform.GroupShape{Ranks: 4, Experts: 16, Places: 6, Spare: 2, Drift: 120}, seed)
+	m.startGroup(fakeplatform.GroupShape{Ranks: 4, Experts: 16, Places: 6, Spare: 2, PopularityShiftPasses: 120}, seed)
 	services := []fakeplatform.Service{{Name: "app", HealthPath: "/healthz"}, m.group.EngineService("drafts")}
 	m.store.ConfigureServices(2, services, fakeplatform.Routes(), fakeplatform.CallerKey)
 	m.store.RegisterGroup(m.group, "drafts", domains)
@@ -35,10 +35,10 @@
 func (m *groupSite) startGroup(shape fakeplatform.GroupShape, seed uint64) {
 	m.t.Helper()
 	m.group = fakeplatform.NewGroup(m.t, shape, seed)
-	for rank, engine := range m.group.Engines {
+	for rank, engine := range m.group.EngineAddresses {
 		vm := fmt.Sprintf("side-%d", rank+1)
 		settings := fakeplatform.RankAgent{VM: vm, FailureDomain: domains[rank%len(domains)], Engine: engine, Store: m.store.Address()}
-		m.agents = append(m.agents, harness.StartWith(m.t, []string{settings.WriteSettings(m.t, m.dir)}, m.dir, vm, binDir+"/apricothub", "rank-agent"))
+		m.agents = append(m.agents, harness.StartWithEnv(m.t, []string{settings.WriteSettings(m.t, m.dir)}, m.dir, vm, binDir+"/apricothub", "rank-agent"))
 	}
 }
 
@@ -65,14 +65,14 @@
 		time.Sleep(duration)
 		agent.Continue()
 	case 6:
-		gateway.storeProxy.Shut.Store(true)
+		gateway.storeProxy.Unavailable.Store(true)
 		gateway.Signal(syscall.SIGTERM)
 		time.Sleep(duration / 4)
 		gateway.Kill()
 		gateway.Restart()
-		gateway.storeProxy.Shut.Store(false)
+		gateway.storeProxy.Unavailable.Store(false)
 	case 7:
-		m.group.Break(rng.IntN(len(m.agents)), duration/10)
+		m.group.Crash(rng.IntN(len(m.agents)), duration/10)
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			m := startGroupSite(t, 3, seed)
-			m.group.SetTrouble(fakeplatform.Trouble{Lost: 0.1, Late: 0.1, Latest: 3 * time.Second})
+			m.group.SetOrderFaults(fakeplatform.OrderFaults{LostAnswers: 0.1, Delayed: 0.1, MaxDelay: 3 * time.Second})
 			end := time.Now().Add(duration)
 			var wg sync.WaitGroup
 			// Two fault injectors run at once, each on one half of the processes.
@@ -116,7 +116,7 @@
 				})
 			}
 			wg.Wait()
-			m.group.SetTrouble(fakeplatform.Trouble{})
+			m.group.SetOrderFaults(fakeplatform.OrderFaults{})
 			before := m.group.State()
 			waitFor(t, "passes and switches continue", func() bool {
 				s := m.group.State()
--- a/test/gateway_once_test.go
+++ b/test/gateway_once_test.go
@@ -27,7 +27,7 @@
 
 // answer is the handler of a faulty backend server: most requests run and are answered, some run
 // before the connection breaks, some run slowly, some are refused.
-func (r *pushLedger) answer(s fakeplatform.Seen, conn net.Conn) bool {
+func (r *pushLedger) answer(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	r.mu.Lock()
 	percent := r.rng.IntN(100)
 	if percent >= 10 {
--- a/test/gateway_silent_test.go
+++ b/test/gateway_silent_test.go
@@ -120,17 +120,17 @@
 		})
 	}
 	waitFor(t, "streams run", func() bool { return len(m.group.Runs()) > 2*callers })
-	m.group.Sleep(1)
+	m.group.PauseVM(1)
 	m.agents[1].Pause()
 	time.Sleep(pause)
 	m.agents[1].Continue()
-	m.group.Wake(1)
+	m.group.ResumeVM(1)
 	time.Sleep(time.Second)
 	close(stop)
 	wg.Wait()
 	for _, run := range m.group.Runs() {
-		if leftAt, has := reader.leftAt[run.Request]; has && run.At.After(leftAt.Add(cancelGrace)) {
-			t.Errorf("request %s ran %v after its caller had left", run.Request, run.At.Sub(leftAt))
+		if leftAt, has := reader.leftAt[run.Request]; has && run.StartedAt.After(leftAt.Add(cancelGrace)) {
+			t.Errorf("request %s ran %v after its caller had left", run.Request, run.StartedAt.Sub(leftAt))
 		}
 	}
 	t.Logf("%d streams read whole, %d callers left, longest wait for an event %v", reader.served, len(reader.leftAt), reader.longestWait)
--- a/test/gateway_streams_test.go
+++ b/test/gateway_streams_test.go
@@ -45,7 +45,7 @@
 	breakPercent int
 }
 
-func (s *streamServer) answer(seen fakeplatform.Seen, conn net.Conn) bool {
+func (s *streamServer) answer(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	path, isDraft := strings.CutPrefix(seen.Request.URL.Path, "/draft/")
 	if !isDraft {
 		return fakeplatform.Echo(seen, conn)
@@ -182,7 +182,7 @@
 	}()
 	waitFor(t, "the draft has begun", func() bool {
 		for _, server := range s.servers {
-			if len(server.Got()) > 0 {
+			if len(server.Requests()) > 0 {
 				return true
 			}
 		}
@@ -226,7 +226,7 @@
 					text, whole, resumes := readDraft(client, addresses, name, 1)
 					ok = whole && resumes == 0 && text == wholeStream(name)
 				} else {
-					ok = fakeplatform.AskAt(client, addresses.pick(), "/push/1", name) == http.StatusOK
+					ok = fakeplatform.SendTo(client, addresses.pick(), "/push/1", name) == http.StatusOK
 					time.Sleep(10 * time.Millisecond)
 				}
 				mu.Lock()
--- a/test/group_test.go
+++ b/test/group_test.go
@@ -144,7 +144,7 @@
 	}
 	before := demand.Stretch(evenPlacement)
 	for i, m := range c.EngineAgents() {
-		m.Backend.Throttle(demand.Popularity, demand.Slowdowns[i*8:(i+1)*8])
+		m.Backend.SetSlowdowns(demand.Popularity, demand.Slowdowns[i*8:(i+1)*8])
 	}
 	harness.Eventually(t, 3*stepTimeout, "the slow rank has less load", func() error {
 		placement := currentPlacement(c)
@@ -178,7 +178,7 @@
 		if i == slowEngine {
 			throttled[slowRank] = 8
 		}
-		m.Backend.Throttle(make([]float64, 16), throttled)
+		m.Backend.SetSlowdowns(make([]float64, 16), throttled)
 	}
 	checkSlowRanks := func(slow int) error {
 		status, err := c.Entries[0].Status()
@@ -195,7 +195,7 @@
 		return nil
 	}
 	harness.Eventually(t, 3*stepTimeout, "the slow rank is named", func() error { return checkSlowRanks(1) })
-	c.EngineAgents()[slowEngine].Backend.Throttle(make([]float64, 16), slowdowns)
+	c.EngineAgents()[slowEngine].Backend.SetSlowdowns(make([]float64, 16), slowdowns)
 	harness.Eventually(t, 3*stepTimeout, "no rank is named after the recovery", func() error { return checkSlowRanks(0) })
 }
 
@@ -216,7 +216,7 @@
 func restartBackend(m *harness.Member) {
 	m.Backend.Kill()
 	m.Backend.Restart()
-	m.Backend.WaitUp()
+	m.Backend.WaitRunning()
 }
 
 // shiftPopularity makes other experts popular at every engine.
@@ -226,7 +226,7 @@
 		tokens[i] = 1000 / float64(1+(i+7*round)%32)
 	}
 	for _, m := range c.EngineAgents() {
-		m.Backend.Popularity(tokens)
+		m.Backend.SetPopularity(tokens)
 	}
 }
 
--- a/test/harness/view.go
+++ b/test/harness/view.go
@@ -11,9 +11,9 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// View is the platform as one process sees it. It passes requests on and shows the
-// links of other VMs through forwarders of that process's own, so that a test can
-// break each link by itself.
+// View is a proxy through which one process reaches the platform. It forwards requests, and in the
+// list of VMs replaces the link addresses of other VMs by forwarders used by this process alone, so
+// that a test can break each link separately.
 type View struct {
 	*httptest.Server
 
@@ -22,16 +22,17 @@
 	cut     bool
 	frozen  []byte
 	links   map[string]*Forwarder
-	asked   Asked
+	counts  RequestCounts
 }
 
-// Asked counts what one process has asked of the platform.
-type Asked struct {
-	// Reads are reads of the log, Lists of the list of VMs, Appends to the log.
-	Reads, Lists, Appends int
-	// ReadBytes and ListBytes are those of the answers' bodies.
+// RequestCounts counts the requests of one process to the platform.
+type RequestCounts struct {
+	// LogReads counts reads of the log, ListReads reads of the list of VMs, LogAppends appends to
+	// the log.
+	LogReads, ListReads, LogAppends int
+	// ReadBytes and ListBytes are the total sizes of the response bodies of log and list reads.
 	ReadBytes, ListBytes int
-	// ListSize is the body of the newest whole list.
+	// ListSize is the body size of the last complete list.
 	ListSize int
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// Cut makes the platform unreachable for this process, or reachable again.
+// Cut makes the platform unreachable for this process, or reachable again if cut is false.
 func (v *View) Cut(cut bool) {
 	v.mu.Lock()
 	v.cut = cut
@@ -60,7 +61,7 @@
 	}
 }
 
-// Freeze keeps showing this process the list of VMs as it is now, or stops that.
+// Freeze makes this process get the current list of VMs until Freeze(false), whatever changes.
 func (v *View) Freeze(frozen bool) {
 	list, err := v.cluster.Platform.VMs()
 	v.mu.Lock()
@@ -71,40 +72,40 @@
 	}
 }
 
-// Asked returns what this process has asked so far.
-func (v *View) Asked() Asked {
+// RequestCounts returns the counts of this process's requests so far.
+func (v *View) RequestCounts() RequestCounts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.asked
+	return v.counts
 }
 
-// count notes one answered request.
+// count counts one answered request.
 func (v *View) count(r *http.Request, bytes int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
 	case r.URL.Path == "/vms":
-		v.asked.Lists++
-		v.asked.ListBytes += bytes
+		v.counts.ListReads++
+		v.counts.ListBytes += bytes
 		if bytes > 0 {
-			v.asked.ListSize = bytes
+			v.counts.ListSize = bytes
 		}
 	case r.Method == http.MethodPost:
-		v.asked.Appends++
+		v.counts.LogAppends++
 	default:
-		v.asked.Reads++
-		v.asked.ReadBytes += bytes
+		v.counts.LogReads++
+		v.counts.ReadBytes += bytes
 	}
 }
 
-// Link returns the forwarder between this process and a VM's link address.
+// Link returns the forwarder from this process to a VM's link address.
 func (v *View) Link(vm string) *Forwarder {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.links[vm]
 }
 
-// Links returns all forwarders between this process and others that it dials.
+// Links returns the forwarders from this process to all other VMs.
 func (v *View) Links() []*Forwarder {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -115,16 +116,16 @@
 	return all
 }
 
-// rewrite puts forwarders in place of link addresses; the lock is held.
+// rewrite replaces link addresses by forwarders. The caller holds the lock.
 func (v *View) rewrite(list []platform.VM) []platform.VM {
 	if v.cluster.Direct {
 		return list
 	}
 	for i, vm := range list {
 		if v.links[vm.ID] == nil {
-			link, err := newForwarder(anyPort, vm.Link)
+			link, err := newForwarder(anyAddress, vm.Link)
 			if err != nil {
-				continue // The process sees the plain address: no fault can be put there.
+				continue // The process gets the real address; a test cannot break this link.
 			}
 			v.links[vm.ID] = link
 		}
@@ -143,13 +144,13 @@
 	case r.URL.Path == "/vms" && frozen != nil:
 		_, _ = w.Write(frozen)
 	case r.URL.Path == "/vms":
-		v.list(w, r)
+		v.serveList(w, r)
 	default:
-		v.pass(w, r)
+		v.forward(w, r)
 	}
 }
 
-func (v *View) list(w http.ResponseWriter, r *http.Request) {
+func (v *View) serveList(w http.ResponseWriter, r *http.Request) {
 	list, err := v.cluster.Platform.VMs()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -160,21 +161,21 @@
 	v.count(r, web.AnswerTagged(w, r, shown))
 }
 
-// viewTransport sends each request on its own connection and never twice.
+// viewTransport opens a connection for each request, so that it never retries one.
 var viewTransport = &http.Transport{DisableKeepAlives: true}
 
-func (v *View) pass(w http.ResponseWriter, r *http.Request) {
+func (v *View) forward(w http.ResponseWriter, r *http.Request) {
 	request, err := http.NewRequestWithContext(r.Context(), r.Method, v.cluster.Platform.URL()+r.URL.RequestURI(), r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	answer, err := viewTransport.RoundTrip(request)
+	response, err := viewTransport.RoundTrip(request)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer answer.Body.Close()
-	w.WriteHeader(answer.StatusCode)
-	n, err := io.Copy(w, answer.Body)
+	defer response.Body.Close()
+	w.WriteHeader(response.StatusCode)
+	n, err := io.Copy(w, response.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -62,11 +62,11 @@
 	t.Helper()
 	spec.Bin = binDir
 	spec.Domains = domains
-	spec.Dir = harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-"))
+	spec.Dir = harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-"))
 	c := harness.StartCluster(t, spec)
 	t.Cleanup(func() {
 		if t.Failed() {
-			c.Logs()
+			c.DumpLogs()
 		}
 	})
 	return c
--- a/test/site_soak_test.go
+++ b/test/site_soak_test.go
@@ -158,15 +158,15 @@
 	{"rank agent stopped by plan", func(b *faultInjector) { b.restartGracefully(b.randomAgent()) }},
 	{"VM beside an engine paused", func(b *faultInjector) {
 		rank := b.randomRank()
-		b.group.Sleep(rank)
+		b.group.PauseVM(rank)
 		b.pauseAndContinue(b.agents[rank])
-		b.group.Wake(rank)
+		b.group.ResumeVM(rank)
 	}},
-	{"rank lost", func(b *faultInjector) { b.group.Break(b.randomRank(), 300*time.Millisecond) }},
+	{"rank lost", func(b *faultInjector) { b.group.Crash(b.randomRank(), 300*time.Millisecond) }},
 	{"orders lost and late", func(b *faultInjector) {
-		b.group.SetTrouble(fakeplatform.Trouble{Lost: 0.1, Late: 0.1, Latest: 3 * time.Second})
+		b.group.SetOrderFaults(fakeplatform.OrderFaults{LostAnswers: 0.1, Delayed: 0.1, MaxDelay: 3 * time.Second})
 		b.sleepRandomly()
-		b.group.SetTrouble(fakeplatform.Trouble{})
+		b.group.SetOrderFaults(fakeplatform.OrderFaults{})
 	}},
 	{"link delayed", func(b *faultInjector) {
 		link := b.randomServerLink()
@@ -189,20 +189,20 @@
 	{"store loses answers to one", func(b *faultInjector) { b.disturbLink(b.randomStoreLink(), (*harness.Forwarder).Mute) }},
 	{"store turns one away", func(b *faultInjector) {
 		g := b.randomGateway()
-		g.storeProxy.Shut.Store(true)
+		g.storeProxy.Unavailable.Store(true)
 		b.sleepRandomly()
-		g.storeProxy.Shut.Store(false)
+		g.storeProxy.Unavailable.Store(false)
 	}},
 	{"store away for all", func(b *faultInjector) {
 		for _, g := range b.groupSite.gateways {
-			g.storeProxy.Shut.Store(true)
+			g.storeProxy.Unavailable.Store(true)
 		}
 		b.sleepRandomly()
 		for _, g := range b.groupSite.gateways {
-			g.storeProxy.Shut.Store(false)
+			g.storeProxy.Unavailable.Store(false)
 		}
 	}},
-	{"store forgets its history", func(b *faultInjector) { b.store.Forget() }},
+	{"store forgets its history", func(b *faultInjector) { b.store.Truncate() }},
 	{"configuration changed", func(b *faultInjector) { b.configure() }},
 	{"failure domain out and in", func(b *faultInjector) {
 		key := "evacuate/" + domains[b.rng.IntN(len(domains))]
@@ -234,11 +234,11 @@
 	s.groupSite = &groupSite{site: startSiteWith(t, siteSpec{
 		gateways: gateways, answer: s.answer, serverLink: linkTo(&s.serverLinks), storeLink: linkTo(&s.storeLinks),
 	})}
-	s.startGroup(fakeplatform.GroupShape{Ranks: engines, Experts: 4 * engines, Places: 6, Spare: 2, Drift: 120}, seed)
+	s.startGroup(fakeplatform.GroupShape{Ranks: engines, Experts: 4 * engines, Places: 6, Spare: 2, PopularityShiftPasses: 120}, seed)
 	s.version = 1
 	s.configure()
 	var addresses []string
-	for _, engine := range s.group.Engines {
+	for _, engine := range s.group.EngineAddresses {
 		host, _, err := net.SplitHostPort(engine)
 		if err != nil {
 			t.Fatal(err)
@@ -259,7 +259,7 @@
 const portEngineLink = "9001"
 
 // answer is the handler of a plain backend server.
-func (s *siteSoak) answer(seen fakeplatform.Seen, conn net.Conn) bool {
+func (s *siteSoak) answer(seen fakeplatform.ReceivedRequest, conn net.Conn) bool {
 	s.arrivals[seen.Request.Header.Get("Target-Instance")].record(time.Since(s.startedAt))
 	return s.pushes.answer(seen, conn)
 }
@@ -527,7 +527,7 @@
 	quietSince := time.Now()
 	time.Sleep(outDuration)
 	for _, run := range s.group.Runs() {
-		if run.Rank%len(domains) == out && run.At.After(quietSince) {
+		if run.Rank%len(domains) == out && run.StartedAt.After(quietSince) {
 			s.t.Errorf("seed %d: the engine of rank %d got request %s in a domain that is out", s.seed, run.Rank, run.Request)
 		}
 	}
--- a/test/site_test.go
+++ b/test/site_test.go
@@ -33,14 +33,14 @@
 	*harness.Process
 	vm, ip string
 	// storeProxy is the gateway's own connection to the store, which a test can close.
-	storeProxy *fakeplatform.Door
+	storeProxy *fakeplatform.Endpoint
 }
 
 // siteSpec describes a site.
 type siteSpec struct {
 	gateways int
 	// answer is the handler of the backend servers.
-	answer fakeplatform.Answer
+	answer fakeplatform.Handler
 	// serverLink and storeLink place a proxy in front of a backend server and of a gateway's
 	// storeProxy, and return the address to use instead. Nil places none.
 	serverLink, storeLink func(address string) string
@@ -48,7 +48,7 @@
 
 // startSite starts a site with the given number of gateways and a backend server in each of three
 // failure domains. It waits until all gateways know all servers.
-func startSite(t *testing.T, gateways int, answer fakeplatform.Answer) *site {
+func startSite(t *testing.T, gateways int, answer fakeplatform.Handler) *site {
 	t.Helper()
 	return startSiteWith(t, siteSpec{gateways: gateways, answer: answer})
 }
@@ -56,21 +56,21 @@
 // startSiteWith is startSite for a site whose links can be broken.
 func startSiteWith(t *testing.T, spec siteSpec) *site {
 	t.Helper()
-	s := &site{t: t, dir: harness.Dir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
+	s := &site{t: t, dir: harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
 	s.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range domains {
-		place := fakeplatform.Place{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, Link: spec.serverLink}
+		place := fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, MapAddress: spec.serverLink}
 		s.servers = append(s.servers, s.store.ServeAt(t, place, spec.answer))
 	}
 	var seeds []string
 	for i := range spec.gateways {
-		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.OwnIP(), storeProxy: s.store.Door(t)}
+		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.NewLoopbackIP(), storeProxy: s.store.NewEndpoint(t)}
 		store := g.storeProxy.Address
 		if spec.storeLink != nil {
 			store = spec.storeLink(store)
 		}
 		entry := fakeplatform.Entry{VM: g.vm, IP: g.ip, FailureDomain: domains[i%len(domains)], Store: store, Seeds: seeds}
-		g.Process = harness.StartWith(t, []string{entry.WriteSettings(t, s.dir)}, s.dir, g.vm, binDir+"/apricothub", "gateway")
+		g.Process = harness.StartWithEnv(t, []string{entry.WriteSettings(t, s.dir)}, s.dir, g.vm, binDir+"/apricothub", "gateway")
 		s.gateways = append(s.gateways, g)
 		seeds = append(seeds, g.ip)
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -97,9 +97,9 @@
 }
 
 func (s *soak) breakLog(mode string, delay time.Duration) {
-	s.Platform.LogMode(mode, delay)
+	s.Platform.SetLogMode(mode, delay)
 	time.Sleep(pauseTime)
-	s.Platform.LogMode("up", 0)
+	s.Platform.SetLogMode("up", 0)
 }
 
 func killAndRestart(m *harness.Member) {
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	for name, n := range r.Refusals {
 		if name != "DRAINING" {
-			t.Errorf("%d requests refused as %s: %q", n, name, r.Samples)
+			t.Errorf("%d requests refused as %s: %q", n, name, r.RefusalSamples)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 func TestRollingStopOfAllEntries(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, stopSpec(3))
-	load := c.StartLoad(harness.LoadSpec{Callers: streamsInFlight, Tokens: 30, Keep: true, Seed: 12})
+	load := c.StartLoad(harness.LoadSpec{Callers: streamsInFlight, Tokens: 30, KeepAlive: true, Seed: 12})
 	time.Sleep(2 * time.Second)
 	for _, m := range c.Entries {
 		checkGracefulStop(t, m)
@@ -98,7 +98,7 @@
 	spec.EngineFlags = []string{"-cold", "0", "-full", "3000", "-token", "400ms"}
 	spec.Agent = harness.Settings{"backend": {"cold-limit": "3000", "full-limit": "3000"}}
 	c := startCluster(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: manyStreams, Tokens: 10, Keep: true, Patience: time.Minute, Seed: 15})
+	load := c.StartLoad(harness.LoadSpec{Callers: manyStreams, Tokens: 10, KeepAlive: true, RequestTimeout: time.Minute, Seed: 15})
 	time.Sleep(3 * time.Second)
 	for _, m := range []*harness.Member{c.EngineAgents()[0], c.Entries[1]} {
 		checkGracefulStop(t, m)
@@ -115,7 +115,7 @@
 	t.Parallel()
 	c := startCluster(t, harness.Spec{Entries: 3, Services: 2, Entry: shortAddressTTL})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 50})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 50})
 	}
 	load := c.StartLoad(harness.LoadSpec{Callers: 24, Pushes: true, Pause: 5 * time.Millisecond, Seed: 14})
 	time.Sleep(time.Second)
@@ -146,7 +146,7 @@
 	spec.Entries = 2
 	spec.Entry = harness.Settings{"policy": {"address-keep-ms": "500"}}
 	c := startCluster(t, spec)
-	load := c.StartLoad(harness.LoadSpec{Callers: 40, Tokens: 10, Keep: true, Seed: 16})
+	load := c.StartLoad(harness.LoadSpec{Callers: 40, Tokens: 10, KeepAlive: true, Seed: 16})
 	formerKey := c.Entries[0].Setting("link", "key")
 	for _, keys := range []map[string]string{
 		{"other-key": newLinkKey},
@@ -154,7 +154,7 @@
 		{"key": newLinkKey, "other-key": ""},
 	} {
 		for _, m := range append(c.EngineAgents(), c.Entries...) {
-			c.Configure(m, harness.Settings{"link": keys})
+			c.OverrideSettings(m, harness.Settings{"link": keys})
 			checkGracefulStop(t, m)
 			m.Restart()
 			c.WaitReady(m)
@@ -167,7 +167,7 @@
 	checkNoneCut(t, r)
 	checkOnlyDrainingRefusals(t, r)
 	formerKeyAgent := c.EngineAgents()[0]
-	c.Configure(formerKeyAgent, harness.Settings{"link": {"key": formerKey}})
+	c.OverrideSettings(formerKeyAgent, harness.Settings{"link": {"key": formerKey}})
 	formerKeyAgent.Kill()
 	formerKeyAgent.Restart()
 	c.WaitReady(formerKeyAgent) // It is ready since it has read the log, but no member.
--- a/test/subset_test.go
+++ b/test/subset_test.go
@@ -51,7 +51,7 @@
 	if len(linked) != 2 {
 		t.Fatalf("%s is linked to %q, want two agents", first.VM, linked)
 	}
-	ticket, err := caller.TakeTicket(t.Context(), first.Public, harness.Service)
+	ticket, err := caller.RequestTicket(t.Context(), first.Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if n := runsByCall(c)["far"]; n != 1 {
 		t.Errorf("the push ran %d times, want once", n)
 	}
-	unused, err := caller.TakeTicket(t.Context(), first.Public, harness.Service)
+	unused, err := caller.RequestTicket(t.Context(), first.Public, harness.Service)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 // pushThroughAll takes a ticket through one entry and pushes with it through all entries at once,
 // most of them not linked to its agent. It returns one outcome for each attempt.
 func pushThroughAll(ctx context.Context, caller *harness.Caller, addresses []string, call string) []harness.Outcome {
-	ticket, err := caller.TakeTicket(ctx, addresses[0], harness.Service)
+	ticket, err := caller.RequestTicket(ctx, addresses[0], harness.Service)
 	if err != nil {
 		return nil
 	}
@@ -97,14 +97,14 @@
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
-			press := harness.Press{Begin: time.Now()}
+			press := harness.PushAttempt{Begin: time.Now()}
 			reply, err := caller.Push(ctx, address, ticket.Ticket, call)
 			press.End = time.Now()
-			out := harness.Outcome{Call: call, Ticket: ticket.Ticket, Ran: harness.RanUnknown, Code: reply.Code, Last: reply.Name}
+			out := harness.Outcome{Call: call, Ticket: ticket.Ticket, Ran: harness.RanUnknown, Code: reply.Code, LastMessage: reply.Name}
 			if err == nil {
 				press.Ran, out.Ran = reply.Ran, reply.Ran
 			}
-			out.Presses = []harness.Press{press}
+			out.Attempts = []harness.PushAttempt{press}
 			outcomes[i] = out
 		})
 	}
@@ -122,7 +122,7 @@
 	const seed = 21
 	c := startCluster(t, harness.Spec{Entries: 3, Services: 6, Entry: twoLinks, Agent: twoLinks})
 	for _, m := range c.ServiceAgents() {
-		m.Backend.Behave(service.Behaviour{DelayMS: 40})
+		m.Backend.SetBehaviour(service.Behaviour{DelayMS: 40})
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var mu sync.Mutex
