--- a/test/at_most_once_test.go
+++ b/test/at_most_once_test.go
@@ -102,10 +102,10 @@
 	t.Helper()
 	var history []porcupine.Operation
 	for client, out := range outcomes {
-		for _, press := range out.Attempts {
-			op := porcupine.Operation{ClientId: client, Input: out.Ticket, Output: press.Ran}
-			op.Call, op.Return = press.Begin.UnixNano(), press.End.UnixNano()
-			if press.Ran == "" || press.Ran == harness.RanUnknown {
+		for _, attempt := range out.Attempts {
+			op := porcupine.Operation{ClientId: client, Input: out.Ticket, Output: attempt.Ran}
+			op.Call, op.Return = attempt.Begin.UnixNano(), attempt.End.UnixNano()
+			if attempt.Ran == "" || attempt.Ran == harness.RanUnknown {
 				op.Return = math.MaxInt64
 			}
 			history = append(history, op)
--- a/test/gateway_inforce_test.go
+++ b/test/gateway_inforce_test.go
@@ -60,7 +60,7 @@
 	}{
 		{"plain", func(_ *gatewayProcess, mark func()) { mark() }, gatewayInForceLimit},
 		{"the store turns one away", func(g *gatewayProcess, mark func()) {
-			g.storeProxy.Unavailable.Store(true)
+			g.storeEndpoint.Unavailable.Store(true)
 			mark()
 		}, gatewayInForceLimit},
 		{"one is frozen", func(g *gatewayProcess, mark func()) {
@@ -123,11 +123,11 @@
 	disturbances := map[string]func(g *gatewayProcess){
 		"plain": func(*gatewayProcess) {},
 		"one had been turned away": func(g *gatewayProcess) {
-			g.storeProxy.Unavailable.Store(true)
+			g.storeEndpoint.Unavailable.Store(true)
 			time.Sleep(time.Second)
-			g.storeProxy.Unavailable.Store(false)
+			g.storeEndpoint.Unavailable.Store(false)
 		},
-		"the store turns one away": func(g *gatewayProcess) { g.storeProxy.Unavailable.Store(true) },
+		"the store turns one away": func(g *gatewayProcess) { g.storeEndpoint.Unavailable.Store(true) },
 	}
 	for how, leaves := range leave {
 		for name, disturb := range disturbances {
@@ -231,9 +231,9 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range 6 {
 		shut := s.gateways[rng.IntN(len(s.gateways))]
-		shut.storeProxy.Unavailable.Store(true)
+		shut.storeEndpoint.Unavailable.Store(true)
 		s.injectGatewayFaults(rng, 2)
-		shut.storeProxy.Unavailable.Store(false)
+		shut.storeEndpoint.Unavailable.Store(false)
 	}
 	waitFor(t, "the last version is in force everywhere", func() bool {
 		for _, g := range s.gateways {
--- a/test/gateway_maps_test.go
+++ b/test/gateway_maps_test.go
@@ -65,12 +65,12 @@
 		time.Sleep(duration)
 		agent.Continue()
 	case 6:
-		gateway.storeProxy.Unavailable.Store(true)
+		gateway.storeEndpoint.Unavailable.Store(true)
 		gateway.Signal(syscall.SIGTERM)
 		time.Sleep(duration / 4)
 		gateway.Kill()
 		gateway.Restart()
-		gateway.storeProxy.Unavailable.Store(false)
+		gateway.storeEndpoint.Unavailable.Store(false)
 	case 7:
 		m.group.Crash(rng.IntN(len(m.agents)), duration/10)
 	}
--- a/test/site_soak_test.go
+++ b/test/site_soak_test.go
@@ -189,17 +189,17 @@
 	{"store loses answers to one", func(b *faultInjector) { b.disturbLink(b.randomStoreLink(), (*harness.Forwarder).Mute) }},
 	{"store turns one away", func(b *faultInjector) {
 		g := b.randomGateway()
-		g.storeProxy.Unavailable.Store(true)
+		g.storeEndpoint.Unavailable.Store(true)
 		b.sleepRandomly()
-		g.storeProxy.Unavailable.Store(false)
+		g.storeEndpoint.Unavailable.Store(false)
 	}},
 	{"store away for all", func(b *faultInjector) {
 		for _, g := range b.groupSite.gateways {
-			g.storeProxy.Unavailable.Store(true)
+			g.storeEndpoint.Unavailable.Store(true)
 		}
 		b.sleepRandomly()
 		for _, g := range b.groupSite.gateways {
-			g.storeProxy.Unavailable.Store(false)
+			g.storeEndpoint.Unavailable.Store(false)
 		}
 	}},
 	{"store forgets its history", func(b *faultInjector) { b.store.Truncate() }},
--- a/test/site_test.go
+++ b/test/site_test.go
@@ -32,8 +32,8 @@
 type gatewayProcess struct {
 	*harness.Process
 	vm, ip string
-	// storeProxy is the gateway's own connection to the store, which a test can close.
-	storeProxy *fakeplatform.Endpoint
+	// storeEndpoint is the store's address for this gateway alone. A test can make it unavailable.
+	storeEndpoint *fakeplatform.Endpoint
 }
 
 // siteSpec describes a site.
@@ -42,7 +42,7 @@
 	// answer is the handler of the backend servers.
 	answer fakeplatform.Handler
 	// serverLink and storeLink place a proxy in front of a backend server and of a gateway's
-	// storeProxy, and return the address to use instead. Nil places none.
+	// storeEndpoint, and return the address to use instead. Nil places none.
 	serverLink, storeLink func(address string) string
 }
 
@@ -59,13 +59,13 @@
 	s := &site{t: t, dir: harness.NewDir(t, strings.ReplaceAll(t.Name(), "/", "-")), store: fakeplatform.NewStore(t)}
 	s.store.Configure(1, fakeplatform.Routes(), fakeplatform.CallerKey)
 	for _, domain := range domains {
-		place := fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, MapAddress: spec.serverLink}
-		s.servers = append(s.servers, s.store.ServeAt(t, place, spec.answer))
+		registration := fakeplatform.Registration{ID: "i-" + domain, FailureDomain: domain, Concurrency: 16, MapAddress: spec.serverLink}
+		s.servers = append(s.servers, s.store.ServeAt(t, registration, spec.answer))
 	}
 	var seeds []string
 	for i := range spec.gateways {
-		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.NewLoopbackIP(), storeProxy: s.store.NewEndpoint(t)}
-		store := g.storeProxy.Address
+		g := &gatewayProcess{vm: fmt.Sprintf("front-%d", i+1), ip: fakeplatform.NewLoopbackIP(), storeEndpoint: s.store.NewEndpoint(t)}
+		store := g.storeEndpoint.Address
 		if spec.storeLink != nil {
 			store = spec.storeLink(store)
 		}
--- a/test/subset_test.go
+++ b/test/subset_test.go
@@ -97,14 +97,14 @@
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
-			press := harness.PushAttempt{Begin: time.Now()}
+			attempt := harness.PushAttempt{Begin: time.Now()}
 			reply, err := caller.Push(ctx, address, ticket.Ticket, call)
-			press.End = time.Now()
+			attempt.End = time.Now()
 			out := harness.Outcome{Call: call, Ticket: ticket.Ticket, Ran: harness.RanUnknown, Code: reply.Code, LastMessage: reply.Name}
 			if err == nil {
-				press.Ran, out.Ran = reply.Ran, reply.Ran
+				attempt.Ran, out.Ran = reply.Ran, reply.Ran
 			}
-			out.Attempts = []harness.PushAttempt{press}
+			out.Attempts = []harness.PushAttempt{attempt}
 			outcomes[i] = out
 		})
 	}
@@ -254,9 +254,9 @@
 	return nil, nil, nil
 }
 
-// streamWithRetry streams an answer over one connection. It retries only when it was refused before
-// the answer began: an engine that is still cold takes two requests at once.
-func streamWithRetry(ctx context.Context, caller *harness.Caller, e *harness.Member, p harness.Prompt) (harness.Streamed, error) {
+// streamRetryingRefusals streams an answer over one connection. It retries only when it was refused
+// before the answer began: an engine that is still cold takes two requests at once.
+func streamRetryingRefusals(ctx context.Context, caller *harness.Caller, e *harness.Member, p harness.Prompt) (harness.Streamed, error) {
 	for {
 		var got harness.Streamed
 		err := caller.Stream(ctx, e.Public, p, &got, nil)
@@ -291,7 +291,7 @@
 	for i := 0; i < maxStreams && dropped.Backend.Record().Running == 0; i++ {
 		streams.Go(func() {
 			p := harness.Prompt{Text: fmt.Sprint("long-", i), Seed: 1, Tokens: 150}
-			got, err := streamWithRetry(t.Context(), caller, e, p)
+			got, err := streamRetryingRefusals(t.Context(), caller, e, p)
 			if err != nil || !got.Whole || got.Text != p.Want() {
 				t.Errorf("stream %d: whole %v, %d of %d bytes, refused %v, %v", i, got.Whole, len(got.Text), len(p.Want()), got.Refused != nil, err)
 			}
