--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -83,14 +83,14 @@
 	if s.GetService() != "" {
 		return []string{serviceOffer(s.GetService())}
 	}
-	keys := []string{modelOffer(s.GetModel())}
+	names := []string{modelOffer(s.GetModel())}
 	if s.GetModelVersion() != "" {
-		keys = append(keys, modelOffer(s.GetModel()+"@"+s.GetModelVersion()))
+		names = append(names, modelOffer(s.GetModel()+"@"+s.GetModelVersion()))
 	}
 	for _, adapter := range s.GetAdapters() {
-		keys = append(keys, adapterOffer(adapter))
+		names = append(names, adapterOffer(adapter))
 	}
-	return keys
+	return names
 }
 
 // setPeers sets the agents that this entry has links to.
@@ -265,8 +265,8 @@
 }
 
 // requestTickets asks an agent for a ticket block when few tickets are left, unless it was asked
-// within blockRetryInterval. An agent without an entry in blockRequestedAt is asked at once: with a
-// zero time instead, an entry that has just started would wait and have no tickets.
+// within blockRetryInterval. An agent that is not in blockRequestedAt is asked at once: if it
+// counted as asked at process start, an entry that has just started would have no tickets at first.
 func (d *directory) requestTickets(now time.Duration, vm string, peer *member.Peer) {
 	requestedAt, requested := d.blockRequestedAt[vm]
 	if !d.minter.NeedsBlock(now, vm) || requested && now-requestedAt < blockRetryInterval {
@@ -414,7 +414,7 @@
 	}
 	t, ok := d.minter.Mint(now, vm, customer)
 	d.requestTickets(now, vm, peer)
-	// A block that was on its way when its agent was replaced is of no use.
+	// The block may have been sent by a process of the agent that was replaced meanwhile.
 	return t, ok && t.GetIncarnation() == peer.Hello.GetIncarnation()
 }
 
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -18,7 +18,7 @@
 
 const (
 	// reattachTimeout is how long to wait for a new link to an agent that holds an answer. It
-	// covers the time until a silent link is closed and dialled again, with a margin.
+	// covers the time until a silent link is closed and dialed again, with a margin.
 	reattachTimeout = 4 * time.Second
 	// pollInterval is the interval of checks while waiting for a link, a ticket block or capacity.
 	pollInterval = 10 * time.Millisecond
@@ -218,7 +218,7 @@
 }
 
 // awaitAgent waits for a link to an incarnation of an agent, other than a given link that has
-// failed, and has the agent dialled if there is none. It gives up at once if another incarnation
+// failed, and has the agent dialed if there is none. It gives up at once if another incarnation
 // has replaced it. The caller must hold the link with retainLink or a request in flight.
 func (e *entry) awaitAgent(ctx context.Context, vm, incarnation string, failed *link.Session) (*member.Peer, bool) {
 	deadline := clock.Now() + reattachTimeout
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -247,8 +247,8 @@
 	policy := e.settings.GetPolicy()
 	e.node.SetDraining()
 	_ = e.logger.Log("msg", "The entry is stopping. It has left the list of addresses.")
-	// Callers keep the addresses for the time that they were told, and other entries hear of the
-	// shutdown up to one heartbeat later.
+	// Callers keep the addresses for address-keep-ms, and other entries learn of the shutdown a
+	// heartbeat later.
 	addressKeepMs := policy.GetAddressKeepMs() + 2*e.settings.GetLink().GetHeartbeatMs()
 	sleep(workCtx, time.Duration(addressKeepMs)*time.Millisecond)
 	drainCtx, cancel := context.WithTimeout(workCtx, time.Duration(policy.GetDrainMs())*time.Millisecond)
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -45,29 +45,29 @@
 // ticket cannot be continued.
 func (e *entry) relayAnswer(ctx context.Context, a *attempt, out *output) *result.Error {
 	out.reset()
-	f := &answerRelay{entry: e, attempt: a, out: out, assembler: answer.NewAssembler(1)}
-	return f.run(ctx, a.peer)
+	relay := &answerRelay{entry: e, attempt: a, out: out, assembler: answer.NewAssembler(1)}
+	return relay.run(ctx, a.peer)
 }
 
 // run relays the answer over one link after another.
-func (f *answerRelay) run(ctx context.Context, peer *member.Peer) *result.Error {
+func (r *answerRelay) run(ctx context.Context, peer *member.Peer) *result.Error {
 	for {
-		err := f.relayOverLink(ctx, peer.Session)
+		err := r.relayOverLink(ctx, peer.Session)
 		if !errors.Is(err, errLinkBroken) {
 			return asResult(err)
 		}
 		if ctx.Err() != nil {
-			return f.interruptedError(ctx)
+			return r.interruptedError(ctx)
 		}
-		if f.answerID == "" && f.attempt.work.GetTicket() == nil {
+		if r.answerID == "" && r.attempt.work.GetTicket() == nil {
 			return result.New(api.ResultCode_BACKEND_FAILED, "The link to the backend server broke.")
 		}
-		next, ok := f.entry.awaitAgent(ctx, f.attempt.vm, peer.Hello.GetIncarnation(), peer.Session)
+		next, ok := r.entry.awaitAgent(ctx, r.attempt.vm, peer.Hello.GetIncarnation(), peer.Session)
 		if !ok {
-			return f.lostError()
+			return r.lostError()
 		}
-		f.entry.counts.reattached.Inc(1)
-		f.entry.logReattached(f.attempt)
+		r.entry.counts.reattached.Inc(1)
+		r.entry.logReattached(r.attempt)
 		peer = next
 	}
 }
@@ -80,15 +80,15 @@
 }
 
 // lostError is the error for an answer whose agent is gone.
-func (f *answerRelay) lostError() *result.Error {
-	if f.attempt.work.GetTicket() != nil {
+func (r *answerRelay) lostError() *result.Error {
+	if r.attempt.work.GetTicket() != nil {
 		return result.New(api.ResultCode_OUTCOME_UNKNOWN)
 	}
 	return result.New(api.ResultCode_ANSWER_BROKEN, "The backend server went away before the answer was whole.")
 }
 
 // interruptedError says why a request in flight ended early.
-func (f *answerRelay) interruptedError(ctx context.Context) *result.Error {
+func (r *answerRelay) interruptedError(ctx context.Context) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(api.ResultCode_DEADLINE_EXCEEDED)
 	}
@@ -96,27 +96,27 @@
 }
 
 // openMessage is the first message on a stream.
-func (f *answerRelay) openMessage() *api.Open {
-	if f.answerID == "" {
-		work := f.attempt.work
-		work.DeadlineMs = max(1, (f.attempt.req.deadline - clock.Now()).Milliseconds())
+func (r *answerRelay) openMessage() *api.Open {
+	if r.answerID == "" {
+		work := r.attempt.work
+		work.DeadlineMs = max(1, (r.attempt.req.deadline - clock.Now()).Milliseconds())
 		return &api.Open{Body: &api.Open_Work{Work: work}}
 	}
 	attach := &api.Attach{
-		AnswerId: f.answerID,
-		From:     f.assembler.NextPart(),
-		Customer: f.attempt.req.caller.name,
+		AnswerId: r.answerID,
+		From:     r.assembler.NextPart(),
+		Customer: r.attempt.req.caller.name,
 	}
 	return &api.Open{Body: &api.Open_Attach{Attach: attach}}
 }
 
 // relayOverLink relays the answer until it ends or the link breaks.
-func (f *answerRelay) relayOverLink(ctx context.Context, s *link.Session) error {
-	stream, err := s.Open(f.openMessage())
+func (r *answerRelay) relayOverLink(ctx context.Context, s *link.Session) error {
+	stream, err := s.Open(r.openMessage())
 	if err != nil {
 		return errLinkBroken
 	}
-	stop := context.AfterFunc(ctx, func() { f.interrupt(ctx, stream) })
+	stop := context.AfterFunc(ctx, func() { r.interrupt(ctx, stream) })
 	defer stop()
 	ended := false
 	defer func() {
@@ -129,7 +129,7 @@
 	for {
 		if err := stream.Receive(event); err != nil {
 			if ctx.Err() != nil {
-				return f.interruptedError(ctx)
+				return r.interruptedError(ctx)
 			}
 			return errLinkBroken
 		}
@@ -140,18 +140,18 @@
 			// the write deadline ends the request.
 			stop()
 		}
-		whole, err := f.handleEvent(event)
+		whole, err := r.handleEvent(event)
 		if err != nil {
 			return err
 		}
 		if whole {
 			ended = true
-			return f.finishStream(ctx, stream)
+			return r.finishStream(ctx, stream)
 		}
 		if stream.HasBuffered() {
 			continue
 		}
-		if err := f.out.flush(); err != nil {
+		if err := r.out.flush(); err != nil {
 			return err
 		}
 	}
@@ -159,10 +159,10 @@
 
 // finishStream ends the stream of a complete answer and tells the agent that it is delivered, after
 // it is written to the caller. The caller comes first so that a slow link does not delay it.
-func (f *answerRelay) finishStream(ctx context.Context, stream *link.Stream) error {
-	f.entry.pendingDone.Add(1)
+func (r *answerRelay) finishStream(ctx context.Context, stream *link.Stream) error {
+	r.entry.pendingDone.Add(1)
 	notifyAgent := func(delivered bool) {
-		defer f.entry.pendingDone.Done()
+		defer r.entry.pendingDone.Done()
 		defer func() { _ = stream.Close() }()
 		if delivered {
 			_ = stream.SetDeadline(time.Now().Add(doneTimeout))
@@ -172,16 +172,16 @@
 	if httpguard.AfterAnswer(ctx, notifyAgent) {
 		return nil
 	}
-	err := f.out.flush()
+	err := r.out.flush()
 	notifyAgent(err == nil)
 	return err
 }
 
 // interrupt ends the stream of a caller that is gone or of a request past its deadline. The work is
-// cancelled only if the caller cannot come back for the answer: with part of a stream it may resume
+// canceled only if the caller cannot come back for the answer: with part of a stream it may resume
 // with Last-Event-ID, and the agent keeps the answer for a while.
-func (f *answerRelay) interrupt(ctx context.Context, stream *link.Stream) {
-	if errors.Is(ctx.Err(), context.Canceled) && !f.out.hasBegun() {
+func (r *answerRelay) interrupt(ctx context.Context, stream *link.Stream) {
+	if errors.Is(ctx.Err(), context.Canceled) && !r.out.hasBegun() {
 		_ = stream.SetDeadline(time.Now().Add(time.Second))
 		_ = stream.Send(&api.WorkSignal{Cancel: true})
 	}
@@ -189,34 +189,34 @@
 }
 
 // handleEvent handles one event and returns true at the end of a complete answer.
-func (f *answerRelay) handleEvent(event *api.WorkEvent) (bool, error) {
+func (r *answerRelay) handleEvent(event *api.WorkEvent) (bool, error) {
 	switch body := event.GetBody().(type) {
 	case *api.WorkEvent_Accepted:
-		f.answerID = body.Accepted.GetAnswerId()
+		r.answerID = body.Accepted.GetAnswerId()
 	case *api.WorkEvent_Head:
 		if status := body.Head.GetStatus(); status < http.StatusOK || status > maxHTTPStatus {
 			return false, result.Newf(api.ResultCode_ANSWER_BROKEN, "The backend server answered with the status %d.", status)
 		}
-		f.out.setHead(body.Head)
+		r.out.setHead(body.Head)
 	case *api.WorkEvent_Part:
-		if !f.out.hasHead() {
+		if !r.out.hasHead() {
 			return false, errNoHead
 		}
-		isNew, err := f.assembler.AddPart(body.Part)
+		isNew, err := r.assembler.AddPart(body.Part)
 		if err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
 		if isNew {
-			return false, f.out.writePart(f.answerID, body.Part)
+			return false, r.out.writePart(r.answerID, body.Part)
 		}
 	case *api.WorkEvent_End:
-		if !f.out.hasHead() {
+		if !r.out.hasHead() {
 			return false, errNoHead
 		}
-		if err := f.assembler.CheckEnd(body.End); err != nil {
+		if err := r.assembler.CheckEnd(body.End); err != nil {
 			return false, result.New(api.ResultCode_ANSWER_BROKEN, err.Error()+".")
 		}
-		return true, f.out.writeEnd(body.End)
+		return true, r.out.writeEnd(body.End)
 	case *api.WorkEvent_Refusal:
 		return false, result.FromRefusal(body.Refusal)
 	}
@@ -238,12 +238,12 @@
 		return result.New(api.ResultCode_ANSWER_UNKNOWN)
 	}
 	out := newOutput(w, req.deadline-clock.Now())
-	f := &answerRelay{
+	relay := &answerRelay{
 		entry:     e,
 		attempt:   &attempt{req: req, peer: peer, vm: vm, work: req.work},
 		out:       out,
 		assembler: answer.NewAssembler(lastPart + 1),
 		answerID:  answerID,
 	}
-	return out.finish(asError(f.run(ctx, peer)))
+	return out.finish(asError(relay.run(ctx, peer)))
 }
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -54,8 +54,8 @@
 	}
 	g.deliverDecisions()
 	g.mu.Unlock()
-	p := &admission{gate: g, id: r.ID, offer: r.Offer}
-	return p, p.awaitDecision(ctx, decision, decided)
+	a := &admission{gate: g, id: r.ID, offer: r.Offer}
+	return a, a.awaitDecision(ctx, decision, decided)
 }
 
 // addWaiter makes the channel on which a queued request receives its decision; the lock is held.
@@ -66,55 +66,55 @@
 }
 
 // awaitDecision returns the decision on a request, which comes over the channel if it is queued.
-func (p *admission) awaitDecision(ctx context.Context, decision admit.Decision, decided chan admit.Decision) *result.Error {
+func (a *admission) awaitDecision(ctx context.Context, decision admit.Decision, decided chan admit.Decision) *result.Error {
 	if decided != nil {
 		select {
 		case decision = <-decided:
 		case <-ctx.Done():
-			p.gate.cancel(p.id)
-			p.ended = true
+			a.gate.cancel(a.id)
+			a.ended = true
 			return result.New(api.ResultCode_DEADLINE_UNREACHABLE, "The time was over, or the caller gone, before the request could run.")
 		}
 	}
 	if decision.Action == admit.Refuse {
-		p.ended = true
+		a.ended = true
 		return result.Refuse(decision.Code, decision.RetryAfter)
 	}
-	p.withinShare = decision.Guaranteed
+	a.withinShare = decision.Guaranteed
 	return nil
 }
 
 // requeue gives the permission back and returns when the request may run again, or with its
 // refusal. It is called when no backend server has a free slot after all; noBackend says that none
 // can get work at all.
-func (p *admission) requeue(ctx context.Context, code api.ResultCode, noBackend bool) *result.Error {
-	g := p.gate
+func (a *admission) requeue(ctx context.Context, code api.ResultCode, noBackend bool) *result.Error {
+	g := a.gate
 	g.mu.Lock()
 	if noBackend {
-		g.admitter.MarkPending(p.offer)
+		g.admitter.MarkPending(a.offer)
 	}
-	if !g.admitter.Requeue(clock.Now(), p.id) {
+	if !g.admitter.Requeue(clock.Now(), a.id) {
 		g.deliverDecisions()
 		g.mu.Unlock()
-		p.ended = true
+		a.ended = true
 		return result.Refuse(code, 0)
 	}
-	decided := g.addWaiter(p.id)
+	decided := g.addWaiter(a.id)
 	g.deliverDecisions()
 	g.mu.Unlock()
-	return p.awaitDecision(ctx, admit.Decision{}, decided)
+	return a.awaitDecision(ctx, admit.Decision{}, decided)
 }
 
 // done ends the request. took is the time of its work, or zero to leave the average time unchanged.
-func (p *admission) done(took time.Duration) {
-	if p.ended {
+func (a *admission) done(took time.Duration) {
+	if a.ended {
 		return
 	}
-	p.ended = true
-	p.gate.mu.Lock()
-	defer p.gate.mu.Unlock()
-	p.gate.admitter.Done(clock.Now(), p.id, took)
-	p.gate.deliverDecisions()
+	a.ended = true
+	a.gate.mu.Lock()
+	defer a.gate.mu.Unlock()
+	a.gate.admitter.Done(clock.Now(), a.id, took)
+	a.gate.deliverDecisions()
 }
 
 func (g *gate) cancel(id uint64) {
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -40,9 +40,9 @@
 type keyBinder struct {
 	stream *platform.Client
 	// lifetime is how long callers are told that a key is bound. Bindings are kept for retention.
-	lifetime  time.Duration
-	retention time.Duration
-	poll      time.Duration
+	lifetime     time.Duration
+	retention    time.Duration
+	pollInterval time.Duration
 	// keepaliveJitter is this entry's own delay before it appends a record to a quiet stream.
 	keepaliveJitter time.Duration
 	// entries returns the number of live entries.
@@ -84,19 +84,19 @@
 
 // keyCounters are the metrics of keyBinder.
 type keyCounters struct {
-	bound, found, appends, failed, beyond metrics.Counter
-	held, lent                            metrics.Gauge
+	bound, found, appends, failed, overShare metrics.Counter
+	held, lent                               metrics.Gauge
 }
 
 func newKeyCounters(registry metrics.Registry) *keyCounters {
 	return &keyCounters{
-		bound:   metrics.GetOrRegisterCounter("entry.keys.bound", registry),
-		found:   metrics.GetOrRegisterCounter("entry.keys.found", registry),
-		appends: metrics.GetOrRegisterCounter("entry.keys.appends", registry),
-		failed:  metrics.GetOrRegisterCounter("entry.keys.appends.failed", registry),
-		beyond:  metrics.GetOrRegisterCounter("entry.keys.beyond.share", registry),
-		held:    metrics.GetOrRegisterGauge("entry.keys.held", registry),
-		lent:    metrics.GetOrRegisterGauge("entry.keys.lent", registry),
+		bound:     metrics.GetOrRegisterCounter("entry.keys.bound", registry),
+		found:     metrics.GetOrRegisterCounter("entry.keys.found", registry),
+		appends:   metrics.GetOrRegisterCounter("entry.keys.appends", registry),
+		failed:    metrics.GetOrRegisterCounter("entry.keys.appends.failed", registry),
+		overShare: metrics.GetOrRegisterCounter("entry.keys.beyond.share", registry),
+		held:      metrics.GetOrRegisterGauge("entry.keys.held", registry),
+		lent:      metrics.GetOrRegisterGauge("entry.keys.lent", registry),
 	}
 }
 
@@ -108,7 +108,7 @@
 		stream:          e.platform.Stream(s.GetStream()),
 		lifetime:        lifetime,
 		retention:       retention,
-		poll:            max(time.Duration(e.settings.GetPlatform().GetPollMs())*time.Millisecond, pollInterval),
+		pollInterval:    max(time.Duration(e.settings.GetPlatform().GetPollMs())*time.Millisecond, pollInterval),
 		keepaliveJitter: keepaliveJitterOf(e.self.GetVm(), retention),
 		entries:         func() int { return liveEntries(e.node.State()) },
 		appendInterval: func() time.Duration {
@@ -244,7 +244,7 @@
 	}
 	switch err := k.batcher.Add(clock.Now(), own.arrived, own.key, own.request, t); {
 	case errors.Is(err, keybind.ErrOverShare):
-		k.counts.beyond.Inc(1)
+		k.counts.overShare.Inc(1)
 		return result.Refuse(api.ResultCode_OVER_SHARE, keyRetryInterval, "As many keys of the customer's own wait to be bound as it has room for. Come back with the same key, or take a ticket.")
 	case errors.Is(err, keybind.ErrFull):
 		return result.Refuse(api.ResultCode_KEYS_FULL, keyRetryInterval)
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keysroom.go
@@ -47,7 +47,7 @@
 	switch verdict {
 	case keybind.OverShare:
 		k.refusedForSpace = true
-		k.counts.beyond.Inc(1)
+		k.counts.overShare.Inc(1)
 		text := fmt.Sprintf("%d keys of the customer's own are bound, as many as it has room for. Come back with the same key, or take a ticket.", quotas.Held(c))
 		return result.Refuse(api.ResultCode_OVER_SHARE, k.timeUntilReleased(k.fold.NthOldestOfCustomerAtMs(c, quotas.StaggerRetry(c, n, k.entries()))), text)
 	case keybind.Full:
@@ -63,7 +63,7 @@
 func (k *keyBinder) timeUntilReleased(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
 	// Records are released in steps, which take effect with the next read of the stream.
-	maxWait := k.retention + keybind.MaxReleaseDelay(k.retention) + (idlePollFactor+1)*k.poll
+	maxWait := k.retention + keybind.MaxReleaseDelay(k.retention) + (idlePollFactor+1)*k.pollInterval
 	return min(max(maxWait-age, keyRetryInterval), maxWait)
 }
 
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxSpareLinks limits the links outside the subset: those dialled for a ticket or an answer at
+	// maxSpareLinks limits the links outside the subset: those dialed for a ticket or an answer at
 	// another agent, and those that have left the subset. It is about the size of the subset at the
 	// design size, so that a store that comes back through other entries finds a link, and a flood
 	// of such requests at most doubles an entry's links.
@@ -24,7 +24,7 @@
 	// spareIdleTimeout is how long a spare link is kept after its last use. Callers retry within
 	// seconds.
 	spareIdleTimeout = 10 * time.Second
-	// unlinkedSpareTimeout is how long an agent is still dialled after the last request has stopped
+	// unlinkedSpareTimeout is how long an agent is still dialed after the last request has stopped
 	// waiting for it.
 	unlinkedSpareTimeout = time.Second
 )
@@ -46,7 +46,7 @@
 	// withoutOffer are the agents for which the list names no offer.
 	withoutOffer map[string]bool
 	wanted       map[string]bool
-	// spare are the agents outside the subset that are linked or dialled, with the time of their
+	// spare are the agents outside the subset that are linked or dialed, with the time of their
 	// last use.
 	spare map[string]time.Duration
 	// uses counts the requests that are at each agent or wait for the link to it.
@@ -118,7 +118,7 @@
 }
 
 // requestSpare requests a link to an agent outside the subset, for a request that only that agent
-// can answer. It returns true if the agent is to be dialled now, which is once however many
+// can answer. It returns true if the agent is to be dialed now, which is once however many
 // requests wait for it. At the limit, the link that has been idle longest is dropped; if none is
 // idle, the request keeps waiting and may ask again.
 func (l *linkChooser) requestSpare(now time.Duration, vm string) bool {
@@ -224,7 +224,8 @@
 	return entries, region
 }
 
-// inRegion returns the agents of a region, or all agents if the region has none.
+// inRegion returns the agents of a region, or all agents if the region has none: distant agents are
+// better than none.
 func inRegion(agents []platform.VM, region string) []subset.Node {
 	var near, all []subset.Node
 	for _, vm := range agents {
@@ -307,7 +308,7 @@
 
 // isLinkPending says whether a link to an agent for an offer may come up at any moment: it is being
 // made, or is up but has not brought a report yet.
-func (l *linkChooser) isLinkPending(offer string, reported func(vm string) bool) bool {
+func (l *linkChooser) isLinkPending(offer string, noReportPending func(vm string) bool) bool {
 	if l.linksToAll() {
 		return false
 	}
@@ -323,15 +324,15 @@
 		return true
 	}
 	for vm := range l.wanted {
-		if l.agents[vm].Offer == offer && !reported(vm) {
+		if l.agents[vm].Offer == offer && !noReportPending(vm) {
 			return true
 		}
 	}
 	return false
 }
 
-// agentsPerLink returns the number of agents in the region for each agent that can get new work,
-// for the offer that the list names for a VM.
+// agentsPerLink returns the ratio of the agents in the region to those that can get new work from
+// this entry, for the offer that the list names for a VM.
 func (l *linkChooser) agentsPerLink(vm string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/links_test.go
+++ b/internal/entry/links_test.go
@@ -110,7 +110,7 @@
 }
 
 // Retries of a store flood an entry with tickets of one agent that is dead. The agent must be
-// dialled a few times only, one dial at a time, and every caller must be told "unknown", because
+// dialed a few times only, one dial at a time, and every caller must be told "unknown", because
 // the outcome of the tickets is not known.
 func TestAStormForADeadAgentMakesFewDials(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/reporters.go
+++ b/internal/entry/reporters.go
@@ -14,7 +14,7 @@
 }
 
 // reportersByAgent chooses the entry that reports on each agent. It uses the list of VMs alone, so
-// that all entries choose the same; nil if each entry hears all agents itself. The reporter is one
+// that all entries choose the same; nil if each entry has links to all agents. The reporter is one
 // of the entries with the agent in their subsets, because their links exist already. For an agent
 // in no subset it is chosen by hash, and dials the agent when asked.
 func reportersByAgent(vms []platform.VM, agentsPerOffer int) map[string]string {
@@ -64,7 +64,7 @@
 	return reporterOf
 }
 
-// highestScored returns the entry with the highest rendezvous hash. When an entry goes, its agents
+// highestScored returns the entry with the highest rendezvous hash. When an entry leaves, its agents
 // are spread over all others, and no other agent gets another reporter.
 func highestScored(agent string, entries []string) string {
 	var best string
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -55,13 +55,13 @@
 		return nil, err
 	}
 	limits := e.settings.GetLimits()
-	wait := time.Duration(limits.GetDefaultDeadlineMs()) * time.Millisecond
-	wait, err = readDeadline(r.Header, wait)
+	timeLeft := time.Duration(limits.GetDefaultDeadlineMs()) * time.Millisecond
+	timeLeft, err = readDeadline(r.Header, timeLeft)
 	if err != nil {
 		return nil, err
 	}
 	arrived := clock.Now()
-	deadline := arrived + wait
+	deadline := arrived + timeLeft
 	priority, err := readPriority(r.Header, who.plan)
 	if err != nil {
 		return nil, err
--- a/internal/entry/rollout.go
+++ b/internal/entry/rollout.go
@@ -170,9 +170,9 @@
 //
 // During a rollout these callers are served by any version, because no server has the new version
 // at its beginning and none the old one at its end. The offer is the same before and after, so that
-// requests queued when a version is published do not wait for a version that goes. Only where
-// servers that take no orders keep another version does the version in force get an offer of its
-// own.
+// requests queued when a version is published do not wait for a version that is being replaced.
+// Only where servers that take no orders keep another version does the version in force get an
+// offer of its own.
 func (d *directory) offerInForce(name string) (offer, version string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/usuals.go
+++ b/internal/entry/usuals.go
@@ -31,13 +31,13 @@
 
 // exchange records a report. It returns the baseline to give to its agent, or nil. An agent gets
 // one if it has none and its backend server has the same offers as before.
-func (u *baselineCache) exchange(now time.Duration, peer *member.Peer, status *api.BackendStatus) *api.Usual {
+func (c *baselineCache) exchange(now time.Duration, peer *member.Peer, status *api.BackendStatus) *api.Usual {
 	vm, incarnation := peer.Hello.GetVm(), peer.Hello.GetIncarnation()
 	if status.GetUsual() != nil {
-		u.byVM[vm] = &cachedBaseline{status: status, reportedAt: now, holder: incarnation}
+		c.byVM[vm] = &cachedBaseline{status: status, reportedAt: now, holder: incarnation}
 		return nil
 	}
-	cached := u.byVM[vm]
+	cached := c.byVM[vm]
 	if cached == nil || cached.holder == incarnation || !sameOffers(cached.status, status) {
 		return nil
 	}
@@ -46,10 +46,10 @@
 }
 
 // removeExpired removes baselines past baselineTTL. Live agents report more often than that.
-func (u *baselineCache) removeExpired(now time.Duration) {
-	for vm, cached := range u.byVM {
+func (c *baselineCache) removeExpired(now time.Duration) {
+	for vm, cached := range c.byVM {
 		if now-cached.reportedAt > baselineTTL {
-			delete(u.byVM, vm)
+			delete(c.byVM, vm)
 		}
 	}
 }
