--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -82,17 +82,17 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for links")
 	}
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group run.Group
-	group.Add(func() error { return a.node.Run(work, ln) }, func(error) { stop() })
-	group.Add(func() error { return a.executor.pollEngine(work) }, func(error) { stop() })
-	group.Add(func() error { return a.executor.runOrders(work) }, func(error) { stop() })
-	group.Add(func() error { return a.serveAdmin(work) }, func(error) { stop() })
+	group.Add(func() error { return a.node.Run(workCtx, ln) }, func(error) { stop() })
+	group.Add(func() error { return a.executor.pollEngine(workCtx) }, func(error) { stop() })
+	group.Add(func() error { return a.executor.runOrders(workCtx) }, func(error) { stop() })
+	group.Add(func() error { return a.serveAdmin(workCtx) }, func(error) { stop() })
 	if a.group != nil {
-		group.Add(func() error { return a.group.run(work) }, func(error) { stop() })
+		group.Add(func() error { return a.group.run(workCtx) }, func(error) { stop() })
 	}
-	group.Add(func() error { return a.drain(ctx, work) }, func(error) { stop() })
+	group.Add(func() error { return a.drain(ctx, workCtx) }, func(error) { stop() })
 	_ = logger.Log("msg", "The agent has started.", "incarnation", a.self.GetIncarnation())
 	err = group.Run()
 	if errors.Is(err, context.Canceled) {
@@ -220,21 +220,21 @@
 }
 
 // drain waits for the context to end and then for the last piece of work.
-func (a *agent) drain(ctx, work context.Context) error {
+func (a *agent) drain(ctx, workCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
-		return work.Err()
+	case <-workCtx.Done():
+		return workCtx.Err()
 	}
 	a.node.SetDraining()
 	_ = a.logger.Log("msg", "The agent is stopping and accepts no new work.")
 	links := a.settings.GetLink()
 	// Work sent before the entries learned of the stop may still arrive. It must be answered "not
 	// run" instead of being cut off.
-	sleep(work, time.Duration(2*links.GetHeartbeatMs()+links.GetSuspectMs())*time.Millisecond)
+	sleep(workCtx, time.Duration(2*links.GetHeartbeatMs()+links.GetSuspectMs())*time.Millisecond)
 	deadline := clock.Now() + time.Duration(a.settings.GetBackend().GetDrainMs())*time.Millisecond
 	for !a.executor.isIdle(clock.Now()) && clock.Now() < deadline {
-		sleep(work, 20*time.Millisecond)
+		sleep(workCtx, 20*time.Millisecond)
 	}
 	_ = a.logger.Log("msg", "The agent has stopped.", "idle", a.executor.isIdle(clock.Now()))
 	return context.Canceled
@@ -247,7 +247,7 @@
 	return e.ledger.Grant(now)
 }
 
-// status returns the state by which entries place work.
+// status returns the report that entries use to place work.
 func (e *executor) status(now time.Duration) *api.BackendStatus {
 	refusing := e.refusing(now)
 	e.mu.Lock()
--- a/internal/agent/executor.go
+++ b/internal/agent/executor.go
@@ -24,7 +24,7 @@
 	// defaultRetryAfter is the retry time in refusals that do not depend on load.
 	defaultRetryAfter = time.Second
 	// ticketRetryGrace is how long a draining agent waits for the retry of a refused ticket: the
-	// time that the caller was told to wait, and as much again for the way and for a busy machine.
+	// time that the caller was told to wait, and as much again for the network and a busy machine.
 	ticketRetryGrace = 2 * defaultRetryAfter
 	// orphanGrace is how long work without a ticket goes on when nobody reads its answer. A caller
 	// whose entry died retries through another within this time; after it, the engine's slots are
--- a/internal/agent/executor_test.go
+++ b/internal/agent/executor_test.go
@@ -47,8 +47,8 @@
 // awaitEnd waits for the end of a job's answer and returns its refusal, if any.
 func awaitEnd(t *testing.T, e *executor, j *job) *api.Refusal {
 	t.Helper()
-	limit := time.Now().Add(10 * time.Second)
-	for time.Now().Before(limit) {
+	deadline := time.Now().Add(10 * time.Second)
+	for time.Now().Before(deadline) {
 		e.mu.Lock()
 		ended, changed := j.buffer.IsEnded(), j.changed
 		e.mu.Unlock()
@@ -113,8 +113,8 @@
 	if _, refused := e.accept(pushWork(mintTicket(t, e))); refused != nil {
 		t.Fatal(refused)
 	}
-	waiting := mintTicket(t, e)
-	j, refused := e.accept(pushWork(waiting))
+	queuedTicket := mintTicket(t, e)
+	j, refused := e.accept(pushWork(queuedTicket))
 	if refused != nil {
 		t.Fatal(refused)
 	}
@@ -125,9 +125,9 @@
 		t.Errorf("the queued push got %v", got)
 	}
 	refusing.Store(int32(api.ResultCode_OK))
-	again, refused := e.accept(pushWork(waiting))
+	retried, refused := e.accept(pushWork(queuedTicket))
 	if refused == nil {
-		refused = awaitEnd(t, e, again)
+		refused = awaitEnd(t, e, retried)
 	}
 	if refused.GetRan() != api.Ran_RAN_NO {
 		t.Errorf("the same ticket later got %v", refused)
@@ -213,7 +213,7 @@
 
 func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
@@ -332,9 +332,9 @@
 		}
 		awaitEnd(t, e, j)
 	}
-	limit := time.Now().Add(5 * time.Second)
+	deadline := time.Now().Add(5 * time.Second)
 	dump := e.journal.Dump(clock.Now())
-	for len(dump.Served) != 1 && time.Now().Before(limit) {
+	for len(dump.Served) != 1 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 		dump = e.journal.Dump(clock.Now())
 	}
--- a/internal/agent/loads.go
+++ b/internal/agent/loads.go
@@ -48,7 +48,7 @@
 
 // acceptOrder starts an order, or replaces the current one by a newer one.
 //
-// The fence is the offset of the uses list that the sender went by. The log gives all lists one
+// The fence is the offset of the uses list that the sender acted on. The log gives all lists one
 // order, so an order of an entry that is behind, or one that was stuck in a stalled link, is
 // recognized as stale: here by the list that this agent has applied, and at the engine, if it
 // checks, by the orders that it has had.
@@ -102,8 +102,8 @@
 			e.finishOrder(order, err)
 			backoff = orderBackoff
 		default:
-			// The order stays, and the engine gets no work. While it fails it counts as away,
-			// which stops the rollout before it takes down more engines.
+			// The order is kept, and the engine gets no work. While its order fails, the engine
+			// counts as unavailable, which stops the rollout before it takes down more engines.
 			_ = e.logger.Log("msg", "The engine could not load the ordered version; the order will be retried.", "result", backendFailedLabel, "version", order.GetVersion(), "fence", order.GetFence(), "err", err)
 			e.awaitOrderBackoff(ctx, order, backoff)
 			backoff = min(2*backoff, maxOrderBackoff)
@@ -230,8 +230,8 @@
 	}
 }
 
-// pollLoaded follows what the engine has loaded. It changes without an order when the engine is
-// replaced, and differs from the settings when this agent is.
+// pollLoaded keeps track of what the engine has loaded. That changes without an order when the
+// engine is replaced, and may differ from the settings after this agent was replaced.
 func (e *executor) pollLoaded(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := e.orderChanges()
--- a/internal/agent/rankwork.go
+++ b/internal/agent/rankwork.go
@@ -15,11 +15,11 @@
 const observationsPerRankReport = 2
 
 // newRankReport returns an agent's report on its ranks; nil if the engine does not measure them.
-func newRankReport(first int, step uint64, ranks []rankCount) *api.RankReport {
+func newRankReport(firstRank int, step uint64, ranks []rankCount) *api.RankReport {
 	if len(ranks) == 0 {
 		return nil
 	}
-	report := &api.RankReport{FirstRank: uint32(first), Step: step}
+	report := &api.RankReport{FirstRank: uint32(firstRank), Step: step}
 	for _, rank := range ranks {
 		report.Tokens = append(report.Tokens, uint64(max(0, rank.Tokens)))
 		report.Micros = append(report.Micros, uint64(max(0, rank.Seconds*1e6)))
@@ -50,15 +50,15 @@
 
 // addReport stores a report of the VM's agent. A report that does not fit the group is ignored.
 func (t *rankWorkTracker) addReport(vm string, r *api.RankReport) {
-	first := int(r.GetFirstRank())
-	if len(r.GetTokens()) != len(r.GetMicros()) || first+len(r.GetTokens()) > len(t.current.tokens) {
+	firstRank := int(r.GetFirstRank())
+	if len(r.GetTokens()) != len(r.GetMicros()) || firstRank+len(r.GetTokens()) > len(t.current.tokens) {
 		return
 	}
 	for i := range r.GetTokens() {
-		t.current.tokens[first+i] = float64(r.GetTokens()[i])
-		t.current.micros[first+i] = float64(r.GetMicros()[i])
-		t.current.steps[first+i] = float64(r.GetStep())
-		t.vms[first+i] = vm
+		t.current.tokens[firstRank+i] = float64(r.GetTokens()[i])
+		t.current.micros[firstRank+i] = float64(r.GetMicros()[i])
+		t.current.steps[firstRank+i] = float64(r.GetStep())
+		t.vms[firstRank+i] = vm
 	}
 }
 
--- a/internal/agent/rebalance.go
+++ b/internal/agent/rebalance.go
@@ -95,8 +95,8 @@
 	slowRanks  []balance.SlowRank // as last observed
 }
 
-func newRebalancer(m *placementSet, logger log.Logger) *rebalancer {
-	return &rebalancer{placements: m, logger: logger, rankWork: newRankWorkTracker(int(m.settings.GetSize()))}
+func newRebalancer(placements *placementSet, logger log.Logger) *rebalancer {
+	return &rebalancer{placements: placements, logger: logger, rankWork: newRankWorkTracker(int(placements.settings.GetSize()))}
 }
 
 // observe records the engine's running counts of tokens by expert, and sets another map as the
--- a/internal/agent/silence.go
+++ b/internal/agent/silence.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// silentAfter is how long an engine must not have answered its agent's polls to be shown as
-// silent. A busy engine answers some of them late; one that is dead or hangs answers none. It is
-// shown to operators only; the placement of work depends on the outcomes of requests.
+// silentAfter is how long an engine must leave its agent's polls unanswered before it is shown as
+// silent. A busy engine answers some of them late; one that is dead or hangs answers none. Silence
+// is shown to operators only; the placement of work depends on the outcomes of requests.
 const silentAfter = 5 * time.Second
 
 // silence tracks whether the engine answers polls. The executor's lock guards it.
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -10,9 +10,9 @@
 	"github.com/apricothub/apricothub/internal/clock"
 )
 
-// An agent is told to stop while an answer is being delivered, and at that moment the link breaks.
-// The entry asks for the answer over another link, so the agent must still be running: a planned
-// stop cuts nothing.
+// An agent shuts down gracefully while an answer is being delivered, and at that moment the link
+// breaks. The entry requests the answer over another link, so the agent must still be running: a
+// graceful shutdown must not cut off an answer.
 func TestStopWaitsForAnAnswerWhoseLinkBroke(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("done"))
@@ -67,9 +67,9 @@
 	}
 }
 
-// Pushes are queued at an agent that is told to stop. Each is refused as "not run" and its ticket
-// is void, so no caller has a reason to return. A stop that waited for them as for an answer would
-// delay the replacement of the VM by seconds.
+// Pushes are queued at an agent that starts to shut down. Each is refused as "not run" and its
+// ticket is void, so no caller has a reason to return. A shutdown that waited for them as for an
+// answer would delay the replacement of the VM by seconds.
 func TestStopDoesNotWaitForWhatItRefused(t *testing.T) {
 	started, hold := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
