--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -44,7 +44,7 @@
 	var agents [2]*fakeAgent
 	script := func(other int) func(*api.Work, *link.Stream) {
 		return func(_ *api.Work, stream *link.Stream) {
-			if agents[other].works.Load() == 0 {
+			if agents[other].workCount.Load() == 0 {
 				send(stream, accepted())
 				refuse(stream, api.ResultCode_BACKEND_FAILED, api.Ran_RAN_UNKNOWN)
 				return
@@ -115,7 +115,7 @@
 		var agents [2]*fakeAgent
 		script := func(other int) func(*api.Work, *link.Stream) {
 			return func(work *api.Work, stream *link.Stream) {
-				if agents[other].works.Load() == 0 {
+				if agents[other].workCount.Load() == 0 {
 					c.first(stream)
 					return
 				}
@@ -130,7 +130,7 @@
 		}
 		_, url := startEntry(t, agents[0], agents[1])
 		got := sendRequest(t, url, c.path)
-		if works := agents[0].works.Load() + agents[1].works.Load(); got.result != c.result || works != c.works {
+		if works := agents[0].workCount.Load() + agents[1].workCount.Load(); got.result != c.result || works != c.works {
 			t.Errorf("%s: %+v after %d attempts", name, got, works)
 		}
 		if strings.Contains(got.body, "begun") || got.result == "0 OK" && c.works == 2 && got.body != "the answer" {
@@ -216,7 +216,7 @@
 		})
 	}
 	calls.Wait()
-	eventually(t, "a delivery notice for each answer", func() bool { return delivered.Load() == agent.works.Load() })
+	eventually(t, "a delivery notice for each answer", func() bool { return delivered.Load() == agent.workCount.Load() })
 }
 
 // hangUpAtDone streams a completion and closes the connection as soon as the end marker arrives.
--- a/internal/entry/drain_test.go
+++ b/internal/entry/drain_test.go
@@ -35,7 +35,7 @@
 	hold.Store(true)
 	last := make(chan reply, 1)
 	go func() { last <- sendRequest(t, url, completions) }()
-	eventually(t, "a request in flight", func() bool { return agent.works.Load() == 1 })
+	eventually(t, "a request in flight", func() bool { return agent.workCount.Load() == 1 })
 
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -30,20 +30,20 @@
 
 const testKey = "a customer's key"
 
-// fakeAgent is the other end of a link on loopback. script handles each piece of work.
+// fakeAgent is an agent at the other end of a link over loopback. script handles each piece of work.
 type fakeAgent struct {
 	vm      string
 	address string
 	config  link.Config
 	script  func(work *api.Work, stream *link.Stream)
-	// attached handles a reader that comes back for the rest of an answer.
+	// attached handles an entry that attaches to an answer to get the rest of it.
 	attached        func(attach *api.Attach, stream *link.Stream)
 	status          *api.BackendStatus
-	works           atomic.Int32
+	workCount       atomic.Int32
 	draining        atomic.Bool
 	frozen          atomic.Bool // sends no heartbeats
 	heartbeatMissed atomic.Bool // while frozen, a heartbeat was due
-	settles         atomic.Int32
+	settleCount     atomic.Int32
 	startedAt       time.Duration
 	// offer is the agent's offer on the list of VMs; empty for none.
 	offer string
@@ -105,7 +105,7 @@
 
 func (a *fakeAgent) Stream(_ *link.Session, open *api.Open, stream *link.Stream) {
 	if settle := open.GetSettle(); settle != nil {
-		a.settles.Add(1)
+		a.settleCount.Add(1)
 		a.mu.Lock()
 		d := a.ledger.Settle(clock.Now(), settle.GetTicket(), settle.GetCustomer())
 		a.mu.Unlock()
@@ -116,7 +116,7 @@
 		a.attached(attach, stream)
 		return
 	}
-	a.works.Add(1)
+	a.workCount.Add(1)
 	a.script(open.GetWork(), stream)
 }
 
@@ -248,10 +248,10 @@
 	return e, public.URL
 }
 
-func eventually(t testing.TB, what string, holds func() bool) {
+func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(8 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
@@ -267,7 +267,7 @@
 	ran    string
 	cut    bool
 	closes bool // the connection is closed after the answer
-	// retryAfterMs is when the caller is told to come back.
+	// retryAfterMs is the retry delay that the caller is told.
 	retryAfterMs int64
 }
 
--- a/internal/entry/linkcheck_test.go
+++ b/internal/entry/linkcheck_test.go
@@ -26,7 +26,7 @@
 		t.Error("the link is suspect too early")
 	}
 	got := sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "1000")
-	if got.status == 200 || got.ran != "no" || agent.works.Load() != 0 {
-		t.Errorf("%+v after %d works", got, agent.works.Load())
+	if got.status == 200 || got.ran != "no" || agent.workCount.Load() != 0 {
+		t.Errorf("%+v after %d works", got, agent.workCount.Load())
 	}
 }
--- a/internal/entry/tickets_test.go
+++ b/internal/entry/tickets_test.go
@@ -78,14 +78,14 @@
 	// The gate has no free slot: the agent is asked, and voids the ticket before "not run" is said.
 	given = requestTicket(t, url)
 	e.node.Do(func() { e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1) })
-	settled := agent.settles.Load()
+	settled := agent.settleCount.Load()
 	var got reply
 	eventually(t, "a refusal by the gate", func() bool {
 		e.node.Do(func() {
 			e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1)
 			got = sendRequest(t, url, "/services/s/push", "Idempotency-Key", given, "Apricothub-Deadline-Ms", "100")
 		})
-		return agent.settles.Load() > settled
+		return agent.settleCount.Load() > settled
 	})
 	if got.ran != "no" || got.status == 200 {
 		t.Errorf("after the agent voided the ticket: %+v", got)
@@ -184,7 +184,7 @@
 	leaving.draining.Store(true)
 	eventually(t, "the draining agent", func() bool { return e.node.State().Peers["b1"].Draining })
 	go sendRequest(t, url, "/services/s/push")
-	eventually(t, "a full agent", func() bool { return staying.works.Load() == 1 })
+	eventually(t, "a full agent", func() bool { return staying.workCount.Load() == 1 })
 	eventually(t, "a refusal by the gate", func() bool {
 		return sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "40").status == http.StatusServiceUnavailable
 	})
