--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -21,8 +21,8 @@
 	return max(1, millis(o.GetFreshnessMs())/idleIntervalDivisor/interval) * interval
 }
 
-// changesHeartbeats reports whether heartbeats carry something else than in an older state. Peers
-// are then told at the next tick, as on links with work: a change is in force only once all members
+// changesHeartbeats reports whether heartbeats carry something else than in an older state. They
+// are then sent at the next tick, as on links with work: a change is in force only once all members
 // have shown that they hold it, and a process that stops must get no new work.
 func (s *State) changesHeartbeats(old *State) bool {
 	return s.View.Applied() != old.View.Applied() || s.Mode != old.Mode || s.Draining != old.Draining || s.Linked != old.Linked
--- a/internal/member/beat_test.go
+++ b/internal/member/beat_test.go
@@ -14,8 +14,8 @@
 // of 200 ms on a busy machine make links suspect.
 var twoThirdsLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 400, DeadMs: 1000, FreshnessMs: 1332}
 
-// longIdleLinks has a heartbeat every ten seconds on idle links, so that what waits for one is told
-// from what does not, even on a busy machine.
+// longIdleLinks has a heartbeat every ten seconds on idle links, so that a wait for one is
+// recognized even on a busy machine.
 var longIdleLinks = &api.Links{Key: "key", HeartbeatMs: 132, SuspectMs: 4000, DeadMs: 10_000, FreshnessMs: 30_000}
 
 // startIdleEntries starts three entries without work. Only the first can read the log.
--- a/internal/member/counts.go
+++ b/internal/member/counts.go
@@ -10,13 +10,13 @@
 
 // countsIntervalDivisor divides the freshness limit to get the time after which counts are sent
 // again. On the way from an agent to an entry that it has no link to, counts pass through its
-// entry, one that hears most of its failure domain, and one in another domain. Half of the limit
-// has passed before counts are sent at all, so four intervals must fit into the other half.
+// entry, one that is linked to most of its failure domain, and one in another domain. Half of the
+// limit has passed before counts are sent at all, so four intervals must fit into the other half.
 const countsIntervalDivisor = 10
 
 // sendCounts tells the linked entries what this one knows about all members, when its evidence
-// becomes old. This lets processes that hear only some of the members continue in an outage of the
-// log. While the log answers, nothing is sent.
+// becomes old. This lets processes with links to only some of the members continue in an outage of
+// the log. While the log answers, nothing is sent.
 //
 // Agents get no counts: they rely on the evidence of their entries.
 func (n *Node) sendCounts(now time.Duration) {
--- a/internal/member/counts_test.go
+++ b/internal/member/counts_test.go
@@ -17,8 +17,8 @@
 
 // startSparselyLinked starts nine entries and two agents in three failure domains. Each entry is
 // linked to those of its own domain. One pair of entries links the first domain to the second,
-// another the second to the third, and each agent has one entry. So no process hears a majority of
-// the entries, or of all members.
+// another the second to the third, and each agent has one entry. So no process is linked to a
+// majority of the entries, or of all members.
 func startSparselyLinked(t *testing.T, f *fakePlatform) []*testNode {
 	t.Helper()
 	start := func(vm, role, domain string, dials ...string) *testNode {
@@ -50,10 +50,10 @@
 	}
 }
 
-// The log fails, and no process hears a majority of the entries. All must continue with what others
-// have counted; without counts each would consider itself isolated and refuse every request. Then
-// the first domain is cut off. It must refuse within the freshness limit, although the counts from
-// before the cut show a majority. The others, who are still a majority, must not refuse.
+// The log fails, and no process is linked to a majority of the entries. All must continue with what
+// others have counted; without counts each would consider itself isolated and refuse every request.
+// Then the first domain is cut off. It must refuse within the freshness limit, although the counts
+// from before the cut show a majority. The others, who are still a majority, must not refuse.
 func TestCountsKeepServiceInALogOutage(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -227,7 +227,7 @@
 // fetchFromPeers fetches from the peer that has applied most, when the log cannot provide what this
 // process needs, and waits a short time for its answer.
 func (n *Node) fetchFromPeers(ctx context.Context) {
-	asked := false
+	requested := false
 	n.Do(func() {
 		var best *peer
 		for _, p := range n.byVM {
@@ -239,11 +239,11 @@
 			n.reader.HandlePeerFailure()
 			return
 		}
-		asked = true
+		requested = true
 		n.lastFetch = 0
 		n.fetchFrom(best, best.applied)
 	})
-	if !asked {
+	if !requested {
 		return
 	}
 	sleep(ctx, refetchInterval)
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -86,12 +86,12 @@
 		return
 	}
 	for _, change := range n.trackedChanges {
-		change.acceptance.ApplyHolders(n.reporters, entry, holders, p.notBefore, n.isHeard)
+		change.acceptance.ApplyHolders(n.reporters, entry, holders, p.notBefore, n.hasWorkingLink)
 	}
 }
 
-// isHeard reports whether a VM is linked and its link is not suspect.
-func (n *Node) isHeard(vm string) bool {
+// hasWorkingLink reports whether a VM is linked and its link is not suspect.
+func (n *Node) hasWorkingLink(vm string) bool {
 	p := n.byVM[vm]
 	return p != nil && p.hasReported && !p.published.Session.Suspect()
 }
--- a/internal/member/holders_test.go
+++ b/internal/member/holders_test.go
@@ -20,8 +20,8 @@
 	now := time.Hour
 	n := New(Options{Self: &api.Hello{Vm: "e1", Role: api.Role_ROLE_ENTRY}, Links: fastLinks, Logger: log.NewNopLogger()})
 	n.reporters = config.NewReporters(map[string]string{"a1": "e2"})
-	newPeer := func(vm string, role api.Role, heard bool) *peer {
-		return &peer{published: &Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}}, hasReported: heard, applied: 5, notBefore: now}
+	newPeer := func(vm string, role api.Role, hasReported bool) *peer {
+		return &peer{published: &Peer{Hello: &api.Hello{Vm: vm, Role: role}, Session: &link.Session{}}, hasReported: hasReported, applied: 5, notBefore: now}
 	}
 	n.byVM["a1"] = newPeer("a1", api.Role_ROLE_AGENT, true)
 	if w, ok := n.appliedReport("a1"); !ok || w != (config.AppliedReport{Applied: 5, NotBefore: now}) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -308,8 +308,8 @@
 	}
 	n.state.Store(state)
 	n.logMode(old, state)
-	// In an outage of the log, evidence comes from peers alone, over several links for processes
-	// that hear few others. With the idle interval the delay of each link would add up to more than
+	// In an outage of the log, evidence comes from peers alone, and reaches processes with few peers
+	// over several links. At the idle interval, the delays of these links would add up to more than
 	// the freshness limit.
 	if n.fresh.NeedsCounts(now) || old != nil && state.changesHeartbeats(old) {
 		n.link.HeartbeatSender.SendAllAtNextTick()
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// The log fails: a majority whose members hear each other must continue. Then one entry also loses
-// its peers. It must refuse as isolated within the freshness limit, and the two others, still a
-// majority, must not.
+// The log fails: a majority whose members are linked to each other must continue. Then one entry
+// also loses its peers. It must refuse as isolated within the freshness limit, and the two others,
+// still a majority, must not.
 func TestOutageAndIsolation(t *testing.T) {
 	f := newFakePlatform(t)
 	f.mark(t, "first", -1)
@@ -173,9 +173,9 @@
 	reader := f.start(t, "e1", platform.RoleEntry, func(o *Options) { o.Links, o.Registry = slow, registry })
 	other := f.start(t, "e2", platform.RoleEntry, func(o *Options) { o.Links, o.Platform = slow, noLogClient })
 	eventually(t, "a first heartbeat", func() bool {
-		heard := false
-		reader.Do(func() { p := reader.byVM["e2"]; heard = p != nil && p.hasReported })
-		return heard
+		hasReported := false
+		reader.Do(func() { p := reader.byVM["e2"]; hasReported = p != nil && p.hasReported })
+		return hasReported
 	})
 	out := metrics.GetOrRegisterCounter("link.bytes.out", registry)
 	before, bytes := out.Count(), 0
--- a/internal/member/readers.go
+++ b/internal/member/readers.go
@@ -11,8 +11,8 @@
 
 // earlyReadDivisor divides the freshness limit to get the time that is left to the evidence of a
 // process when it reads the log although it is not a reader. It must allow for a response of the
-// log. While readers are heard, evidence does not get that old: its age is at most two polls and a
-// heartbeat.
+// log. While readers can be reached, evidence does not get that old: its age is at most two polls
+// and a heartbeat.
 const earlyReadDivisor = 4
 
 // isReader reports whether this process reads the log continuously: the first live entries of each
@@ -63,9 +63,9 @@
 	return false
 }
 
-// maxReadWait returns how long the log may hold back its response. This way readers learn of a
-// change at once. Other processes need the response before their evidence is stale, so they do not
-// wait.
+// maxReadWait returns how long the log may hold back its response until there is a new record. By
+// this wait, readers learn of a change at once. Other processes need the response before their
+// evidence is stale, so they do not wait.
 func (n *Node) maxReadWait() time.Duration {
 	if n.readsLog {
 		return n.options.LogPollInterval
--- a/internal/member/snapshot.go
+++ b/internal/member/snapshot.go
@@ -30,16 +30,16 @@
 }
 
 // recordAttempt records an append and sets the backoff.
-func (d *snapshotState) recordAttempt(now time.Duration) {
-	d.backoff = min(max(minSnapshotBackoff, 2*d.backoff), maxSnapshotBackoff)
-	d.nextAttempt = now + d.backoff
+func (s *snapshotState) recordAttempt(now time.Duration) {
+	s.backoff = min(max(minSnapshotBackoff, 2*s.backoff), maxSnapshotBackoff)
+	s.nextAttempt = now + s.backoff
 }
 
 // recordSnapshot records a snapshot in the log and resets the backoff.
-func (d *snapshotState) recordSnapshot(offset int64, now time.Duration) {
-	d.lastOffset = offset
-	d.lastSeen = now
-	d.nextAttempt, d.backoff = 0, 0
+func (s *snapshotState) recordSnapshot(offset int64, now time.Duration) {
+	s.lastOffset = offset
+	s.lastSeen = now
+	s.nextAttempt, s.backoff = 0, 0
 }
 
 // snapshotIfDue appends a snapshot of the fold to the log well before the records that it was made
