--- a/internal/link/pacer.go
+++ b/internal/link/pacer.go
@@ -30,43 +30,43 @@
 
 // SendAllAtNextTick makes heartbeats due on all links at the next tick. It is called for updates
 // that heartbeats carry.
-func (p *HeartbeatSender) SendAllAtNextTick() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for s := range p.sessions {
+func (h *HeartbeatSender) SendAllAtNextTick() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for s := range h.sessions {
 		s.heartbeatState.sendAtNextTick()
 	}
 }
 
 // wake triggers the heartbeats that are due immediately.
-func (p *HeartbeatSender) wake() {
+func (h *HeartbeatSender) wake() {
 	select {
-	case p.wakeup <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (p *HeartbeatSender) add(s *Session) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.sessions[s] = struct{}{}
-	if p.running {
-		p.wake()
+func (h *HeartbeatSender) add(s *Session) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.sessions[s] = struct{}{}
+	if h.running {
+		h.wake()
 		return
 	}
-	p.running = true
-	go p.run(s.cfg.HeartbeatInterval)
+	h.running = true
+	go h.run(s.cfg.HeartbeatInterval)
 }
 
 // run sends heartbeats as long as there are links.
-func (p *HeartbeatSender) run(interval time.Duration) {
+func (h *HeartbeatSender) run(interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for onTick := false; p.sendDue(onTick); {
+	for onTick := false; h.sendDue(onTick); {
 		select {
 		case <-ticker.C:
 			onTick = true
-		case <-p.wakeup:
+		case <-h.wakeup:
 			onTick = false
 		}
 	}
@@ -75,15 +75,15 @@
 // sendDue sends the heartbeats that are due, and returns false when there are no links. The handler
 // is called once for all of them, after their echoes were read: the receiver assumes that the
 // knowledge is newer than the heartbeat that is echoed.
-func (p *HeartbeatSender) sendDue(onTick bool) bool {
-	if !p.collectDue(onTick) {
+func (h *HeartbeatSender) sendDue(onTick bool) bool {
+	if !h.collectDue(onTick) {
 		return false
 	}
-	if len(p.due) == 0 {
+	if len(h.due) == 0 {
 		return true
 	}
-	template := p.due[0].handler.Heartbeat()
-	for _, s := range p.due {
+	template := h.due[0].handler.Heartbeat()
+	for _, s := range h.due {
 		s.queueHeartbeat(proto.CloneOf(template))
 	}
 	return true
@@ -91,14 +91,14 @@
 
 // collectDue collects the links whose heartbeats are due, and closes those that have been silent
 // for too long.
-func (p *HeartbeatSender) collectDue(onTick bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.due = p.due[:0]
+func (h *HeartbeatSender) collectDue(onTick bool) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.due = h.due[:0]
 	now := clock.Now()
-	for s := range p.sessions {
+	for s := range h.sessions {
 		if s.isClosed() {
-			delete(p.sessions, s)
+			delete(h.sessions, s)
 			continue
 		}
 		if silence := s.heartbeatState.silence(now); silence > s.cfg.DeadAfter {
@@ -108,9 +108,9 @@
 			continue
 		}
 		if s.heartbeatState.takeDue(now, onTick) {
-			p.due = append(p.due, s)
+			h.due = append(h.due, s)
 		}
 	}
-	p.running = len(p.sessions) > 0
-	return p.running
+	h.running = len(h.sessions) > 0
+	return h.running
 }
--- a/internal/link/rhythm.go
+++ b/internal/link/rhythm.go
@@ -53,91 +53,91 @@
 // idleInterval returns the shorter of the idle intervals of both sides. A process that uses a
 // shorter one or none, as during a rolling update, would otherwise mistake the longer one for
 // silence.
-func (r *heartbeatState) idleInterval() time.Duration {
-	return max(r.cfg.HeartbeatInterval, min(r.cfg.IdleInterval, r.peerIdleInterval))
+func (h *heartbeatState) idleInterval() time.Duration {
+	return max(h.cfg.HeartbeatInterval, min(h.cfg.IdleInterval, h.peerIdleInterval))
 }
 
-func (r *heartbeatState) hasRecentWork(now time.Duration) bool {
-	return r.inFlight > 0 || now-r.workEndedAt < activeAfterWork
+func (h *heartbeatState) hasRecentWork(now time.Duration) bool {
+	return h.inFlight > 0 || now-h.workEndedAt < activeAfterWork
 }
 
-func (r *heartbeatState) isActive(now time.Duration) bool {
-	return r.peerHasWork || r.hasRecentWork(now)
+func (h *heartbeatState) isActive(now time.Duration) bool {
+	return h.peerHasWork || h.hasRecentWork(now)
 }
 
 // beginWork counts a request on the link, and reports whether a heartbeat is due immediately.
-func (r *heartbeatState) beginWork(now time.Duration) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.isActive(now) {
-		r.activate(now)
+func (h *heartbeatState) beginWork(now time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.isActive(now) {
+		h.activate(now)
 	}
-	r.inFlight++
-	return r.dueNow
+	h.inFlight++
+	return h.dueNow
 }
 
 // activate makes an idle link active. Its silence is measured from now on instead of from the last
 // heartbeat, which was sent at the idle interval. A link that is already suspect stays suspect
 // until something is received; otherwise a process that resumes after a pause would trust the link
 // again.
-func (r *heartbeatState) activate(now time.Duration) {
-	r.dueNow = true
-	if r.silenceLocked(now) <= r.cfg.SuspectAfter {
-		r.activeSince = now
+func (h *heartbeatState) activate(now time.Duration) {
+	h.dueNow = true
+	if h.silenceLocked(now) <= h.cfg.SuspectAfter {
+		h.activeSince = now
 	}
 }
 
 // endWork removes a request counted by beginWork.
-func (r *heartbeatState) endWork(now time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.inFlight--
-	r.workEndedAt = now
+func (h *heartbeatState) endWork(now time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.inFlight--
+	h.workEndedAt = now
 }
 
 // sendAtNextTick makes a heartbeat due at the next tick.
-func (r *heartbeatState) sendAtNextTick() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.dueAtNextTick = true
+func (h *heartbeatState) sendAtNextTick() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.dueAtNextTick = true
 }
 
 // takeDue reports whether a heartbeat is due, at a tick or, if tick is false, immediately, and
 // marks it as taken. After a heartbeat that announced work the next one is sent at the short
 // interval, because the peer expects it then.
-func (r *heartbeatState) takeDue(now time.Duration, tick bool) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	idleDue := now-r.lastSent >= r.idleInterval()-r.cfg.HeartbeatInterval/2
-	if !r.dueNow && !(tick && (r.dueAtNextTick || r.announcedWork || idleDue || r.isActive(now))) {
+func (h *heartbeatState) takeDue(now time.Duration, tick bool) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	idleDue := now-h.lastSent >= h.idleInterval()-h.cfg.HeartbeatInterval/2
+	if !h.dueNow && !(tick && (h.dueAtNextTick || h.announcedWork || idleDue || h.isActive(now))) {
 		return false
 	}
-	r.dueNow, r.dueAtNextTick = false, false
-	r.nextEcho, r.nextEchoHeld = r.receivedSeq, now-r.receivedAt
+	h.dueNow, h.dueAtNextTick = false, false
+	h.nextEcho, h.nextEchoHeld = h.receivedSeq, now-h.receivedAt
 	return true
 }
 
 // complete numbers a heartbeat, records when it is sent and fills in the fields that belong to
 // the link.
-func (r *heartbeatState) complete(heartbeat *api.Heartbeat, now time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.sentSeq++
-	r.sentTimes = append(r.sentTimes, now)
-	r.lastSent = now
-	r.announcedWork = r.hasRecentWork(now)
-	heartbeat.Seq = r.sentSeq
-	heartbeat.Echo = r.nextEcho
-	heartbeat.HeldUs = r.nextEchoHeld.Microseconds()
-	heartbeat.Brisk = r.announcedWork
-	heartbeat.IdleMs = r.cfg.IdleInterval.Milliseconds()
+func (h *heartbeatState) complete(heartbeat *api.Heartbeat, now time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.sentSeq++
+	h.sentTimes = append(h.sentTimes, now)
+	h.lastSent = now
+	h.announcedWork = h.hasRecentWork(now)
+	heartbeat.Seq = h.sentSeq
+	heartbeat.Echo = h.nextEcho
+	heartbeat.HeldUs = h.nextEchoHeld.Microseconds()
+	heartbeat.Brisk = h.announcedWork
+	heartbeat.IdleMs = h.cfg.IdleInterval.Milliseconds()
 }
 
 // messageReceived records that a message was received.
-func (r *heartbeatState) messageReceived(now time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastHeard = now
+func (h *heartbeatState) messageReceived(now time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lastHeard = now
 }
 
 // heartbeatReceived handles a heartbeat. It returns a time before which the peer cannot have sent
@@ -146,55 +146,55 @@
 // That time is when the echoed heartbeat was sent from here, plus the time for which the peer held
 // it: the peer received it after it was sent, and read its own state after holding it. Reading late
 // on either side only makes the returned time earlier.
-func (r *heartbeatState) heartbeatReceived(heartbeat *api.Heartbeat, now time.Duration) (time.Duration, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.receivedSeq, r.receivedAt = heartbeat.GetSeq(), now
-	if heartbeat.GetBrisk() && !r.isActive(now) {
-		r.activate(now)
+func (h *heartbeatState) heartbeatReceived(heartbeat *api.Heartbeat, now time.Duration) (time.Duration, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.receivedSeq, h.receivedAt = heartbeat.GetSeq(), now
+	if heartbeat.GetBrisk() && !h.isActive(now) {
+		h.activate(now)
 	}
-	r.peerHasWork = heartbeat.GetBrisk()
-	r.peerIdleInterval = time.Duration(heartbeat.GetIdleMs()) * time.Millisecond
-	echoed := min(heartbeat.GetEcho(), r.sentSeq)
-	if echoed > r.echoedSeq {
-		r.sentTimes = r.sentTimes[:copy(r.sentTimes, r.sentTimes[echoed-r.echoedSeq:])]
-		r.echoedSeq = echoed
+	h.peerHasWork = heartbeat.GetBrisk()
+	h.peerIdleInterval = time.Duration(heartbeat.GetIdleMs()) * time.Millisecond
+	echoed := min(heartbeat.GetEcho(), h.sentSeq)
+	if echoed > h.echoedSeq {
+		h.sentTimes = h.sentTimes[:copy(h.sentTimes, h.sentTimes[echoed-h.echoedSeq:])]
+		h.echoedSeq = echoed
 	}
-	if echoed == 0 || echoed < r.echoedSeq {
-		return -1, r.dueNow
+	if echoed == 0 || echoed < h.echoedSeq {
+		return -1, h.dueNow
 	}
 	held := max(0, time.Duration(heartbeat.GetHeldUs())*time.Microsecond)
-	return min(r.sentTimes[0]+held, now), r.dueNow
+	return min(h.sentTimes[0]+held, now), h.dueNow
 }
 
 // silence returns for how much longer the link has been silent, in either direction, than its
 // interval allows. It covers both directions because a link may lose messages in only one.
-func (r *heartbeatState) silence(now time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.silenceLocked(now)
+func (h *heartbeatState) silence(now time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.silenceLocked(now)
 }
 
-func (r *heartbeatState) silenceLocked(now time.Duration) time.Duration {
-	if r.isActive(now) {
-		return now - max(r.lastConfirmed(), r.activeSince)
+func (h *heartbeatState) silenceLocked(now time.Duration) time.Duration {
+	if h.isActive(now) {
+		return now - max(h.lastConfirmed(), h.activeSince)
 	}
-	return now - r.lastConfirmed() - (r.idleInterval() - r.cfg.HeartbeatInterval)
+	return now - h.lastConfirmed() - (h.idleInterval() - h.cfg.HeartbeatInterval)
 }
 
 // lastConfirmed returns the latest time at which the link is known to have worked in both
 // directions.
-func (r *heartbeatState) lastConfirmed() time.Duration {
-	if len(r.sentTimes) > 1 {
-		return min(r.lastHeard, r.sentTimes[1])
+func (h *heartbeatState) lastConfirmed() time.Duration {
+	if len(h.sentTimes) > 1 {
+		return min(h.lastHeard, h.sentTimes[1])
 	}
-	return r.lastHeard
+	return h.lastHeard
 }
 
 // sinceConfirmed returns the time since the link last worked in both directions, regardless of its
 // interval.
-func (r *heartbeatState) sinceConfirmed(now time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return now - r.lastConfirmed()
+func (h *heartbeatState) sinceConfirmed(now time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return now - h.lastConfirmed()
 }
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -59,7 +59,8 @@
 	// stream is closed when it returns.
 	Stream(s *Session, open *api.Open, stream *Stream)
 	// Heartbeat returns the content of the next heartbeat, as of the call. It may wait for the
-	// control state of the process. The link fills in the counters.
+	// control state of the process. The link fills in its own fields, such as
+	// the sequence number.
 	Heartbeat() *api.Heartbeat
 }
 
@@ -186,7 +187,7 @@
 }
 
 // Read implements net.Conn.
-func (r *bufferedConn) Read(p []byte) (int, error) { return r.reader.Read(p) }
+func (c *bufferedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
 // start serves an established link.
 func start(mux *yamux.Session, control *Stream, peer *api.Hello, cfg Config, h Handler) *Session {
