--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -17,11 +17,11 @@
 	unblock chan struct{}
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.unblock
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(p)
 }
 
 // Guards against requests that block on their log line while nobody reads the log. Dropped lines
--- a/internal/logging/bound_test.go
+++ b/internal/logging/bound_test.go
@@ -32,19 +32,19 @@
 	return w
 }
 
-func (w *loggerWithClock) logServed() {
-	_ = level.Info(w).Log("msg", "A request was served.", "request", "a")
+func (l *loggerWithClock) logServed() {
+	_ = level.Info(l).Log("msg", "A request was served.", "request", "a")
 }
 
-func (w *loggerWithClock) logRefused() {
-	_ = level.Warn(w).Log("msg", "A request was refused.", "request", "b", "result", "201 SATURATED")
+func (l *loggerWithClock) logRefused() {
+	_ = level.Warn(l).Log("msg", "A request was refused.", "request", "b", "result", "201 SATURATED")
 }
 
-func (w *loggerWithClock) logMarked(n int) {
-	_ = level.Info(w).Log("msg", "A domain was marked.", "n", n)
+func (l *loggerWithClock) logMarked(n int) {
+	_ = level.Info(l).Log("msg", "A domain was marked.", "n", n)
 }
 
-func (w *loggerWithClock) count(text string) int { return strings.Count(w.out.String(), text) }
+func (l *loggerWithClock) count(text string) int { return strings.Count(l.out.String(), text) }
 
 // Requests come at four times the full load, and most are refused. Guards against more lines than
 // the setting allows in any second, whenever it begins.
--- a/internal/logging/library.go
+++ b/internal/logging/library.go
@@ -22,7 +22,7 @@
 }
 
 // Write implements io.Writer. Each call logs one line.
-func (l stdWriter) Write(text []byte) (int, error) {
+func (w stdWriter) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text[:min(len(text), maxLibraryBytes)]))
-	return len(text), l.logger.Log("level", "warn", "msg", l.sentence, "result", l.result, "err", line)
+	return len(text), w.logger.Log("level", "warn", "msg", w.sentence, "result", w.result, "err", line)
 }
