--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -125,12 +125,12 @@
 func (e *entry) authenticate(state *member.State, r *http.Request) (*caller, error) {
 	address, _, _ := net.SplitHostPort(r.RemoteAddr)
 	now := time.Now()
-	who, err := identify(state, r)
+	sender, err := identify(state, r)
 	switch {
 	case err != nil && e.guessLimiter.allowWrongKey(now, address):
 		return nil, err
-	case err == nil && e.guessLimiter.allowValidKey(now, address, who.key):
-		return who, nil
+	case err == nil && e.guessLimiter.allowValidKey(now, address, sender.key):
+		return sender, nil
 	}
 	return nil, result.Refuse(api.ResultCode_RATE_LIMITED, guessRetryAfter, "Too many wrong keys came from this address.")
 }
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -40,9 +40,9 @@
 type keyBinder struct {
 	stream *platform.Client
 	// lifetime is how long callers are told that a key is bound. Bindings are kept for retention.
-	lifetime     time.Duration
-	retention    time.Duration
-	pollInterval time.Duration
+	lifetime        time.Duration
+	retention       time.Duration
+	logPollInterval time.Duration
 	// keepaliveJitter is this entry's own delay before it appends a record to a quiet stream.
 	keepaliveJitter time.Duration
 	// entries returns the number of live entries.
@@ -108,7 +108,7 @@
 		stream:          e.platform.Stream(s.GetStream()),
 		lifetime:        lifetime,
 		retention:       retention,
-		pollInterval:    max(time.Duration(e.settings.GetPlatform().GetPollMs())*time.Millisecond, pollInterval),
+		logPollInterval: max(time.Duration(e.settings.GetPlatform().GetPollMs())*time.Millisecond, pollInterval),
 		keepaliveJitter: keepaliveJitterOf(e.self.GetVm(), retention),
 		entries:         func() int { return liveEntries(e.node.State()) },
 		appendInterval: func() time.Duration {
--- a/internal/entry/keyslog.go
+++ b/internal/entry/keyslog.go
@@ -36,7 +36,7 @@
 		err := k.read(ctx)
 		if err != nil {
 			k.handleReadFailure(ctx, err)
-			sleep(ctx, k.pollInterval)
+			sleep(ctx, k.logPollInterval)
 			continue
 		}
 		k.waitBeforeRead(ctx, began)
@@ -49,7 +49,7 @@
 	k.mu.Lock()
 	from := k.fold.Next()
 	k.mu.Unlock()
-	batch, err := k.stream.Read(ctx, from, maxRecordsPerRead, k.pollInterval)
+	batch, err := k.stream.Read(ctx, from, maxRecordsPerRead, k.logPollInterval)
 	var expired *platform.ExpiredError
 	switch {
 	case errors.As(err, &expired):
@@ -126,7 +126,7 @@
 		sleep(ctx, minReadInterval-(clock.Now()-began))
 		return
 	}
-	timer := time.NewTimer(idlePollFactor*k.pollInterval - (clock.Now() - began))
+	timer := time.NewTimer(idlePollFactor*k.logPollInterval - (clock.Now() - began))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -152,7 +152,7 @@
 // waitForWork waits until there is something to append, or for the given time.
 func (k *keyBinder) waitForWork(ctx context.Context, wait time.Duration) {
 	if wait == 0 {
-		wait = k.pollInterval
+		wait = k.logPollInterval
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/entry/keysroom.go
+++ b/internal/entry/keysroom.go
@@ -63,7 +63,7 @@
 func (k *keyBinder) timeUntilReleased(atMs int64) time.Duration {
 	age := time.Duration(time.Now().UnixMilli()-atMs) * time.Millisecond
 	// Records are released in steps, which take effect with the next read of the stream.
-	maxWait := k.retention + keybind.MaxReleaseDelay(k.retention) + (idlePollFactor+1)*k.pollInterval
+	maxWait := k.retention + keybind.MaxReleaseDelay(k.retention) + (idlePollFactor+1)*k.logPollInterval
 	return min(max(maxWait-age, keyRetryInterval), maxWait)
 }
 
--- a/internal/entry/links_test.go
+++ b/internal/entry/links_test.go
@@ -148,12 +148,12 @@
 	const requests = 200
 	start := time.Now()
 	for range requests {
-		given, ok := minter.Mint(clock.Now(), dead.vm, "c")
+		minted, ok := minter.Mint(clock.Now(), dead.vm, "c")
 		if !ok {
 			t.Fatal("no ticket")
 		}
 		callers.Go(func() {
-			got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticket.Encode(given))
+			got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticket.Encode(minted))
 			if got.status == 200 || got.ran != "unknown" {
 				t.Errorf("%+v", got)
 			}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -50,7 +50,7 @@
 
 // newRequest reads the parts that completions and calls have in common.
 func (e *entry) newRequest(w http.ResponseWriter, r *http.Request, state *member.State) (*request, error) {
-	who, err := e.authenticate(state, r)
+	sender, err := e.authenticate(state, r)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	}
 	arrived := clock.Now()
 	deadline := arrived + timeLeft
-	priority, err := readPriority(r.Header, who.plan)
+	priority, err := readPriority(r.Header, sender.plan)
 	if err != nil {
 		return nil, err
 	}
@@ -71,14 +71,14 @@
 		return nil, err
 	}
 	record := journal.From(r.Context())
-	record.Customer = who.name
+	record.Customer = sender.name
 	return &request{
-		caller:   who,
+		caller:   sender,
 		arrived:  arrived,
 		deadline: deadline,
 		work: &api.Work{
 			RequestId: record.Request,
-			Customer:  who.name,
+			Customer:  sender.name,
 			Method:    r.Method,
 			Headers:   forwardedHeaders(r.Header),
 			Body:      body,
@@ -91,25 +91,25 @@
 // readDeadline returns the time left until the caller's deadline, or the fallback if the caller
 // sets none.
 func readDeadline(h http.Header, fallback time.Duration) (time.Duration, error) {
-	left := fallback
+	timeLeft := fallback
 	if text := h.Get(headerDeadlineMs); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms > maxTimeLeft.Milliseconds() {
 			return 0, result.Newf(api.ResultCode_BAD_REQUEST, "%s is not a number of milliseconds up to %d.", headerDeadlineMs, maxTimeLeft.Milliseconds())
 		}
-		left = time.Duration(ms) * time.Millisecond
+		timeLeft = time.Duration(ms) * time.Millisecond
 	}
 	if text := h.Get(headerDeadline); text != "" {
 		at, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
 			return 0, result.Newf(api.ResultCode_BAD_REQUEST, "%s is not a time by RFC 3339.", headerDeadline)
 		}
-		left = min(left, time.Until(at))
+		timeLeft = min(timeLeft, time.Until(at))
 	}
-	if left <= 0 {
+	if timeLeft <= 0 {
 		return 0, result.New(api.ResultCode_DEADLINE_PAST)
 	}
-	return left, nil
+	return timeLeft, nil
 }
 
 // maxTimeLeft limits the deadline that a caller may set.
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -265,22 +265,22 @@
 }
 
 func (e *entry) readTicketRequest(req *request, state *member.State) error {
-	var ask ticketRequest
-	if err := json.Unmarshal(req.work.GetBody(), &ask); err != nil {
+	var body ticketRequest
+	if err := json.Unmarshal(req.work.GetBody(), &body); err != nil {
 		return result.New(api.ResultCode_BAD_REQUEST, `The body is not {"service": "NAME"} or {"model": "NAME"}.`)
 	}
 	plan := req.caller.plan
 	switch {
-	case ask.Service != "" && ask.Model == "":
-		if _, ok := state.View.Service(ask.Service); !ok {
+	case body.Service != "" && body.Model == "":
+		if _, ok := state.View.Service(body.Service); !ok {
 			return result.New(api.ResultCode_UNKNOWN_SERVICE)
 		}
-		if !contains(plan.GetServices(), ask.Service) {
+		if !contains(plan.GetServices(), body.Service) {
 			return result.New(api.ResultCode_NOT_IN_PLAN)
 		}
-		req.offer = serviceOffer(ask.Service)
-	case ask.Model != "" && ask.Service == "":
-		return e.chooseModel(req, http.Header{}, ask.Model, state)
+		req.offer = serviceOffer(body.Service)
+	case body.Model != "" && body.Service == "":
+		return e.chooseModel(req, http.Header{}, body.Model, state)
 	default:
 		return result.New(api.ResultCode_BAD_REQUEST, "The body must name one service or one model.")
 	}
@@ -321,7 +321,7 @@
 // is void.
 func (e *entry) serveSettle(w http.ResponseWriter, r *http.Request) error {
 	state := e.node.State()
-	who, err := e.authenticate(state, r)
+	sender, err := e.authenticate(state, r)
 	if err != nil {
 		return err
 	}
@@ -329,7 +329,7 @@
 	if err != nil {
 		return result.New(api.ResultCode_TICKET_INVALID)
 	}
-	settled := e.settle(r.Context(), t, who.name).err
+	settled := e.settle(r.Context(), t, sender.name).err
 	info := result.Lookup(settled.Code)
 	return writeJSON(w, settleResponse{
 		Ran:  result.RanName(settled.Ran),
--- a/internal/entry/tickets_test.go
+++ b/internal/entry/tickets_test.go
@@ -36,13 +36,13 @@
 // requestTicketOf gets a ticket of the agent on the given VM.
 func requestTicketOf(t *testing.T, url, vm string) string {
 	t.Helper()
-	var given string
+	var ticketText string
 	eventually(t, "a ticket of "+vm, func() bool {
-		given = requestTicket(t, url)
-		decoded, err := ticket.Decode(given)
+		ticketText = requestTicket(t, url)
+		decoded, err := ticket.Decode(ticketText)
 		return err == nil && decoded.GetAgentVm() == vm
 	})
-	return given
+	return ticketText
 }
 
 func serviceAgent(t *testing.T, vm string, script func(*api.Work, *link.Stream)) *fakeAgent {
@@ -57,8 +57,8 @@
 func TestRefusalsOfTicketsAreTrue(t *testing.T) {
 	agent := serviceAgent(t, "b1", func(_ *api.Work, stream *link.Stream) { refuse(stream, api.ResultCode_SATURATED, api.Ran_RAN_NO) })
 	e, url := startEntry(t, agent)
-	given := requestTicket(t, url)
-	if got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given); got.ran != "no" {
+	ticketText := requestTicket(t, url)
+	if got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticketText); got.ran != "no" {
 		t.Errorf("refused by the agent: %+v", got)
 	}
 	for name, headers := range map[string][]string{
@@ -70,20 +70,20 @@
 		"bad last event":  {completions, "Last-Event-ID", "none"},
 		"no such answer":  {completions, "Last-Event-ID", "b9:1:1:1", "Apricothub-Deadline-Ms", "50"},
 	} {
-		got := sendRequest(t, url, headers[0], append([]string{"Idempotency-Key", given}, headers[1:]...)...)
+		got := sendRequest(t, url, headers[0], append([]string{"Idempotency-Key", ticketText}, headers[1:]...)...)
 		if got.status == 200 || got.ran != "unknown" {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 	// The gate has no free slot: the agent is asked, and voids the ticket before "not run" is said.
-	given = requestTicket(t, url)
+	ticketText = requestTicket(t, url)
 	e.node.Do(func() { e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1) })
 	settled := agent.settleCount.Load()
 	var got reply
 	eventually(t, "a refusal by the gate", func() bool {
 		e.node.Do(func() {
 			e.gate.setCapacities(map[string]offerCapacity{"service:s": {}}, 1)
-			got = sendRequest(t, url, "/services/s/push", "Idempotency-Key", given, "Apricothub-Deadline-Ms", "100")
+			got = sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticketText, "Apricothub-Deadline-Ms", "100")
 		})
 		return agent.settleCount.Load() > settled
 	})
@@ -126,13 +126,13 @@
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
 	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
-	ask := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
-	p, refused := g.admit(context.Background(), ask)
+	request := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
+	adm, refused := g.admit(context.Background(), request)
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	requeued := make(chan error, 1)
-	go func() { requeued <- asError(p.requeue(context.Background(), api.ResultCode_SATURATED, false)) }()
+	go func() { requeued <- asError(adm.requeue(context.Background(), api.ResultCode_SATURATED, false)) }()
 	select {
 	case err := <-requeued:
 		t.Fatalf("the request did not wait: %v", err)
@@ -147,19 +147,19 @@
 	case <-time.After(time.Second):
 		t.Error("the request waits although a slot is free")
 	}
-	p.done(time.Millisecond)
+	adm.done(time.Millisecond)
 	// The caller goes away while its request is queued: the slot must be free again.
 	ctx, cancel := context.WithCancel(context.Background())
-	p, refused = g.admit(ctx, ask)
+	adm, refused = g.admit(ctx, request)
 	if refused != nil {
 		t.Fatal(refused)
 	}
 	cancel()
-	if refused := p.requeue(ctx, api.ResultCode_SATURATED, false); refused.Ran != api.Ran_RAN_NO {
+	if refused := adm.requeue(ctx, api.ResultCode_SATURATED, false); refused.Ran != api.Ran_RAN_NO {
 		t.Errorf("got %v", refused)
 	}
 	g.setCapacities(map[string]offerCapacity{"o": {slots: 1, total: 1}}, 1)
-	if _, refused := g.admit(context.Background(), ask); refused != nil {
+	if _, refused := g.admit(context.Background(), request); refused != nil {
 		t.Errorf("the slot was not freed: %v", refused)
 	}
 	if g.dump().Waiting != 0 {
@@ -180,7 +180,7 @@
 	})
 	staying.status.Limit, staying.status.FullLimit = 1, 1
 	e, url := startEntry(t, leaving, staying)
-	given := requestTicketOf(t, url, "b1")
+	ticketText := requestTicketOf(t, url, "b1")
 	leaving.draining.Store(true)
 	eventually(t, "the draining agent", func() bool { return e.node.State().Peers["b1"].Draining })
 	go sendRequest(t, url, "/services/s/push")
@@ -189,7 +189,7 @@
 		return sendRequest(t, url, "/services/s/push", "Apricothub-Deadline-Ms", "40").status == http.StatusServiceUnavailable
 	})
 	admitted := e.gate.dump().Admitted
-	got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", given)
+	got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticketText)
 	if asked := e.gate.dump().Admitted - admitted; got.result != "209 TICKET_VOID" || asked > 0 {
 		t.Errorf("%s, and the gate admitted %d requests", got.result, asked)
 	}
@@ -215,7 +215,7 @@
 	})
 	staying := serviceAgent(t, "b2", hold)
 	e, url := startEntry(t, leaving, staying)
-	given := requestTicketOf(t, url, "b1")
+	ticketText := requestTicketOf(t, url, "b1")
 	// Once a request is queued, the gate knows that no agent has a free slot.
 	eventually(t, "a push queued at the gate", func() bool {
 		go sendRequest(t, url, "/services/s/push")
@@ -224,7 +224,7 @@
 	})
 	waiting := e.gate.dump().Waiting
 	answered := make(chan reply, 1)
-	go func() { answered <- sendRequest(t, url, "/services/s/push", "Idempotency-Key", given) }()
+	go func() { answered <- sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticketText) }()
 	eventually(t, "the queued push with a ticket", func() bool { return e.gate.dump().Waiting > waiting })
 	leaving.draining.Store(true)
 	if got := <-answered; got.result != "209 TICKET_VOID" {
@@ -239,18 +239,18 @@
 	g := newGate(&api.EntryPolicy{QueueMs: 2000})
 	g.admitter.SetPlans([]admit.PlanShare{{Name: "p", Share: 1}}, []admit.CustomerShare{{Name: "c", Plan: "p", Weight: 1, Burst: 32}})
 	g.setCapacities(map[string]offerCapacity{"o": {slots: 2, total: 2}}, 1)
-	ask := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
+	request := admit.Request{Customer: "c", Offer: "o", Deadline: clock.Now() + 5*time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p, refused := g.admit(ctx, ask)
+	adm, refused := g.admit(ctx, request)
 	if refused != nil {
 		t.Fatal(refused)
 	}
-	go func() { _ = p.requeue(ctx, api.ResultCode_SATURATED, false) }()
+	go func() { _ = adm.requeue(ctx, api.ResultCode_SATURATED, false) }()
 	eventually(t, "a queued request", func() bool { return g.dump().Waiting == 1 })
 	second, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
-	if _, refused := g.admit(second, ask); refused != nil && refused.Code == api.ResultCode_NO_BACKEND {
+	if _, refused := g.admit(second, request); refused != nil && refused.Code == api.ResultCode_NO_BACKEND {
 		t.Errorf("got %v", refused)
 	}
 }
--- a/internal/entry/usuals_test.go
+++ b/internal/entry/usuals_test.go
@@ -17,8 +17,8 @@
 	agent := func(vm, incarnation string) *member.Peer {
 		return &member.Peer{Hello: &api.Hello{Vm: vm, Incarnation: incarnation}}
 	}
-	u := newBaselineCache()
-	u.exchange(0, agent("a", "1"), known)
+	cache := newBaselineCache()
+	cache.exchange(0, agent("a", "1"), known)
 	cases := []struct {
 		name   string
 		peer   *member.Peer
@@ -34,12 +34,12 @@
 		{"the one after", agent("a", "3"), fresh, true},
 	}
 	for _, c := range cases {
-		if given := u.exchange(time.Second, c.peer, c.status) != nil; given != c.given {
+		if given := cache.exchange(time.Second, c.peer, c.status) != nil; given != c.given {
 			t.Errorf("%s: given %v, want %v", c.name, given, c.given)
 		}
 	}
-	u.removeExpired(2 * baselineTTL)
-	if u.exchange(2*baselineTTL, agent("a", "4"), fresh) != nil {
+	cache.removeExpired(2 * baselineTTL)
+	if cache.exchange(2*baselineTTL, agent("a", "4"), fresh) != nil {
 		t.Error("an expired baseline was given")
 	}
 }
