--- a/internal/agent/inherit_test.go
+++ b/internal/agent/inherit_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// The next agent is told what this one has learned at the full limit.
+// An agent must report the baseline that it has learned at the full limit, for the next agent.
 func TestWarmBaselineIsReported(t *testing.T) {
 	e := testExecutor(t, "http://127.0.0.1:0", &api.Backend{Model: "m", ColdLimit: 1, FullLimit: 2})
 	for i := range 60 {
--- a/internal/agent/intake_test.go
+++ b/internal/agent/intake_test.go
@@ -13,9 +13,9 @@
 // awaitEvents waits until a job's answer has the given number of events.
 func awaitEvents(t *testing.T, e *executor, j *job, events int) {
 	t.Helper()
-	limit := time.Now().Add(10 * time.Second)
+	deadline := time.Now().Add(10 * time.Second)
 	for got := -1; got != events; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d events available, want %d", got, events)
 		}
 		e.mu.Lock()
--- a/internal/agent/rankwork_test.go
+++ b/internal/agent/rankwork_test.go
@@ -10,14 +10,14 @@
 // its own ranks would define what is typical. Reports that are lost, stale or repeated, that
 // follow a restart of an engine, or that are of ranks outside the group do not change this.
 func TestRanksAreObservedTogether(t *testing.T) {
-	report := func(first uint32, runningTotals ...uint64) *api.RankReport {
-		r := &api.RankReport{FirstRank: first}
+	report := func(firstRank uint32, runningTotals ...uint64) *api.RankReport {
+		r := &api.RankReport{FirstRank: firstRank}
 		for _, n := range runningTotals {
 			r.Tokens, r.Micros = append(r.Tokens, n), append(r.Micros, 2*n)
 		}
 		return r
 	}
-	c := newRankWorkTracker(4)
+	tracker := newRankWorkTracker(4)
 	for i, step := range []struct {
 		report *api.RankReport
 		whole  bool
@@ -31,8 +31,8 @@
 		{report(0, 300, 300), false},
 		{report(2, 10, 10), true}, // the engine restarted and counts from 0
 	} {
-		c.addReport("", step.report)
-		if work := c.workSinceLast(); (work != nil) != step.whole {
+		tracker.addReport("", step.report)
+		if work := tracker.workSinceLast(); (work != nil) != step.whole {
 			t.Errorf("step %d: %v", i, work)
 		}
 	}
