--- a/internal/httpguard/httpguard_test.go
+++ b/internal/httpguard/httpguard_test.go
@@ -20,19 +20,19 @@
 const timeout = 300 * time.Millisecond
 
 // serve starts a server that reads the body and counts the requests that it received completely.
-func serve(t *testing.T, maxConnections int) (address string, whole *atomic.Int64) {
+func serve(t *testing.T, maxConnections int) (address string, completed *atomic.Int64) {
 	t.Helper()
 	limits := &api.Limits{
 		HeaderBytes: 2048, BodyBytes: 4096, ReadHeaderMs: timeout.Milliseconds(),
 		ReadBodyMs: timeout.Milliseconds(), IdleMs: timeout.Milliseconds(),
 	}
-	whole = &atomic.Int64{}
+	completed = &atomic.Int64{}
 	server := NewServer(limits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := ReadBody(w, r, limits.GetBodyBytes()); err != nil {
 			result.WriteHTTP(w, err)
 			return
 		}
-		whole.Add(1)
+		completed.Add(1)
 		result.SetHeader(w.Header(), api.ResultCode_OK)
 	}), log.NewNopLogger())
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	}
 	go func() { _ = server.Serve(LimitListener(inner, maxConnections)) }()
 	t.Cleanup(func() { _ = server.Close() })
-	return inner.Addr().String(), whole
+	return inner.Addr().String(), completed
 }
 
 func dial(t *testing.T, address string) net.Conn {
@@ -56,7 +56,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	address, whole := serve(t, 10)
+	address, completed := serve(t, 10)
 	tests := []struct {
 		name, request, status, code string
 	}{
@@ -82,15 +82,15 @@
 			}
 		})
 	}
-	if whole.Load() != 1 {
-		t.Errorf("%d requests ran, want the good one", whole.Load())
+	if completed.Load() != 1 {
+		t.Errorf("%d requests ran, want the good one", completed.Load())
 	}
 }
 
 // A caller sends its header or body one byte at a time without end. The connection must be closed
 // at the timeout, and the request must not run.
 func TestSlowloris(t *testing.T) {
-	address, whole := serve(t, 10)
+	address, completed := serve(t, 10)
 	for name, begin := range map[string]string{
 		"header": "POST / HTTP/1.1\r\nHost: x\r\nA: ",
 		"body":   "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4000\r\n\r\n",
@@ -115,8 +115,8 @@
 		})
 	}
 	t.Cleanup(func() {
-		if whole.Load() != 0 {
-			t.Errorf("%d requests ran", whole.Load())
+		if completed.Load() != 0 {
+			t.Errorf("%d requests ran", completed.Load())
 		}
 	})
 }
@@ -124,12 +124,12 @@
 // Callers hold every connection open. The next caller waits and is served when an idle connection
 // is closed.
 func TestConnectionsAreBounded(t *testing.T) {
-	address, whole := serve(t, 2)
+	address, completed := serve(t, 2)
 	dial(t, address)
 	dial(t, address)
 	conn := dial(t, address)
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || whole.Load() != 1 {
+	if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || completed.Load() != 1 {
 		t.Errorf("the third caller was not answered: %v", err)
 	}
 }
