--- a/internal/member/readers_test.go
+++ b/internal/member/readers_test.go
@@ -32,14 +32,14 @@
 		return true
 	})
 	time.Sleep(millis(fastLinks.GetFreshnessMs()))
-	before, begin := 0, time.Now()
+	before, start := 0, time.Now()
 	f.set(func() { before = f.reads })
 	expectNoRefusal(t, "while all live", nodes)
 	var reads int
 	f.set(func() { reads = f.reads - before })
 	// One reader makes one read each 20 ms.
-	if limit := 3 * int(time.Since(begin)/(20*time.Millisecond)); reads > limit {
-		t.Errorf("the log was read %d times in %v, want at most %d", reads, time.Since(begin), limit)
+	if limit := 3 * int(time.Since(start)/(20*time.Millisecond)); reads > limit {
+		t.Errorf("the log was read %d times in %v, want at most %d", reads, time.Since(start), limit)
 	}
 	nodes[0].stop()
 	nodes[1].stop()
