--- a/decide/place/history.go
+++ b/decide/place/history.go
@@ -23,7 +23,7 @@
 	h.next = (h.next + 1) % historyLength
 }
 
-// ownAt returns the own requests in flight at a time, or the oldest known number.
+// ownAt returns this entry's requests in flight at time t, or the oldest remembered number.
 func (h *history) ownAt(t time.Duration) int {
 	own := int32(0)
 	for i := range historyLength {
--- a/decide/place/load.go
+++ b/decide/place/load.go
@@ -111,8 +111,8 @@
 //
 // When an agent stops, or its failure domain is marked out, the entry learns of it up to a
 // heartbeat later. Until then it would send hundreds of requests per second to an agent that
-// refuses them, and take the offer's last backend server for full. So RefusesAll closes the server
-// until its next report, which will say the same.
+// refuses them, and treat the offer's last backend server as full. RefusesAll therefore closes the
+// server until its next report, which is expected to say the same.
 func (t *Table) Ended(vm string, now time.Duration, o Outcome) {
 	t.endBackoffs(now)
 	s, ok := t.byVM[vm]
@@ -169,7 +169,7 @@
 	return int(s.expectedOthers+0.5) + s.ownInFlight
 }
 
-// limit returns the number of requests to have at a server. A server that has not reported yet
+// limit returns the number of requests that a server may have. A server that has not reported yet
 // counts as cold: it gets one request from each entry.
 func (s *server) limit() int {
 	weight := s.Weight * s.domainWeight
--- a/decide/place/pick.go
+++ b/decide/place/pick.go
@@ -45,8 +45,8 @@
 	return holder.utilization() <= best.utilization()+t.cfg.AffinitySlack
 }
 
-// betterOfTwo returns the less utilized of two random servers of a list, or the one that must warm
-// up.
+// betterOfTwo returns the less utilized of two random servers of a list, or the one that
+// preferForWarmUp prefers; nil for none.
 func (t *Table) betterOfTwo(list []*server, req *Request) *server {
 	first := t.randomServer(list, req)
 	if first == nil {
@@ -62,8 +62,9 @@
 	return first
 }
 
-// warmUpMaxUtilization is the utilization of the other choice below which a server that must warm
-// up is preferred. Above it, the less utilized of the two is always the better choice.
+// warmUpMaxUtilization is the utilization of the other choice below which a server that needs
+// requests to warm up is preferred. Above it, the less utilized of the two is always the better
+// choice.
 const warmUpMaxUtilization = 0.5
 
 // preferForWarmUp reports whether a server has a reduced limit and no requests, while the other
@@ -113,8 +114,8 @@
 	return fallback
 }
 
-// deadlineMargin is the ratio of the time left to the average time of the work at a backend server
-// below which the server is too slow. Sizes vary: with a ratio of 1 half of the requests would be
+// deadlineMargin is the ratio of the time left to the average work time of a backend server below
+// which the server is too slow. Request sizes vary: with a ratio of 1 half of the requests would be
 // late, and a ratio of 2 keeps requests from backend servers in cold start, which then do not warm
 // up.
 const deadlineMargin = 1.5
@@ -155,7 +156,7 @@
 }
 
 // affinityHolder returns the least utilized open server that holds the request's prompt prefix, or
-// else its adapter; nil for none.
+// else the better of two random ones that have loaded its adapter; nil for none.
 func (t *Table) affinityHolder(o *offer, req *Request) *server {
 	if req.Prefix != 0 {
 		if s := t.prefixHolder(o, req); s != nil {
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,10 +1,10 @@
 // Package place decides which backend server gets a request.
 //
 // Each entry has its own Table. Many entries share the same backend servers, and learn of their
-// load late: reports may be seconds old. If every entry sent its requests to the server that the
-// last report showed idle, all would overload that server together (the herd effect). The better of
-// two random choices, compared by the entry's own requests in flight together with the reports,
-// avoids this without coordination between entries.
+// load with a delay: reports may be seconds old. If every entry sent its requests to the server
+// that the last report showed idle, all would overload that server together (the herd effect). The
+// better of two random choices, compared by the entry's own requests in flight together with the
+// reports, avoids this without coordination between entries.
 //
 // The caller passes the time since the process start to every method. A Table is not safe for
 // concurrent use.
@@ -38,8 +38,8 @@
 	// average of all servers. Off by default. It is for a table that holds only a subset of the
 	// servers: each server then also gets requests of other entries with other callers, and its
 	// load outlasts the age of the reports. Discounted towards the average of four servers, the
-	// fullest server got even more requests: 0.9923 of the requests were in time at 80% load,
-	// against all of them without.
+	// fullest server got even more requests: at 80% load, 0.9923 of the requests were in time with
+	// the discount, and all of them without it.
 	TrustStaleReports bool
 	// PrefixTableSize is the number of prompt prefixes remembered, rounded up to a power of two.
 	// Default 65536, 1 MiB.
@@ -73,13 +73,14 @@
 	Domain string
 	// Offers are the keys of what it serves, such as "model:x", "service:y" or "adapter:z".
 	Offers []string
-	// Weight, 0 to 1, is the ratio of its limit to use. Zero means none: it is out of service.
+	// Weight, 0 to 1, is the fraction of its limit that may be used. Zero means that the server is
+	// out of service.
 	Weight float64
 }
 
 // Report is what an agent last reported of its backend server.
 type Report struct {
-	// Limit is the number of requests it may have now, FullLimit that when it is warm.
+	// Limit is the number of requests that the server may have now, FullLimit when it is warm.
 	Limit, FullLimit int
 	// Running and Queued are the requests of all entries at the agent.
 	Running, Queued int
@@ -139,8 +140,8 @@
 	// domainWeights holds the weights of failure domains that are not 1.
 	domainWeights map[string]float64
 	prefixes      prefixTable
-	// backoffs are the servers in backoff, ordered by its end. Backoff is the same for all, so
-	// appending keeps the order.
+	// backoffs are the servers in backoff, ordered by the end of their backoff. Its length is the
+	// same for all, so appending keeps the order.
 	backoffs []backoff
 }
 
@@ -182,7 +183,8 @@
 type state uint8
 
 const (
-	// closed is in no list: out of service, suspect, refusing or in backoff.
+	// closed is in no list: out of service, suspect, refusing, in backoff, or full in cold start
+	// with an unknown work time.
 	closed state = iota
 	// open may get requests.
 	open
@@ -205,7 +207,7 @@
 	coldCount int
 	// averageWorkTime is the average of the work times that warm servers report.
 	averageWorkTime time.Duration
-	// averageUtilization is the average share of the servers' limits that is used by other entries.
+	// averageUtilization is the average fraction of warm servers' limits that other entries use.
 	averageUtilization float64
 	// limit and free are sums over the servers that are up.
 	limit, free int
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -259,13 +259,13 @@
 func TestPrefixesSurviveANewList(t *testing.T) {
 	table := newTable(10)
 	holder, _ := table.Pick(0, Request{Offer: model, Prefix: 7})
-	gone := "vm-0"
-	if holder == gone {
-		gone = "vm-1"
+	removedVM := "vm-0"
+	if holder == removedVM {
+		removedVM = "vm-1"
 	}
 	var list []Server
 	for _, s := range slices.Backward(servers(11)) {
-		if s.VM != gone {
+		if s.VM != removedVM {
 			list = append(list, s)
 		}
 	}
