--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -251,9 +251,9 @@
 	}
 	work := o.workTimeOr(a.cfg.DefaultWorkTime)
 	wait := o.expectedWait(c, work)
-	late := now + wait + a.requiredTime(o) - r.Deadline
-	if late > 0 {
-		return a.refuseUntilFree(now, o, c, api.ResultCode_DEADLINE_UNREACHABLE, late), true
+	lateBy := now + wait + a.requiredTime(o) - r.Deadline
+	if lateBy > 0 {
+		return a.refuseUntilFree(now, o, c, api.ResultCode_DEADLINE_UNREACHABLE, lateBy), true
 	}
 	fair := o.fairShare(c)
 	exceedsMaxWait := a.exceedsMaxWait(now, o, c, wait)
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestWaitingRequestIsRefusedWhenItCannotBeMet(t *testing.T) {
+func TestWaitingRequestIsRefusedWhenDeadlineIsUnreachable(t *testing.T) {
 	a := twoPlans(t, 1)
 	submit(a, 0, 1, "large")
 	d := a.Admit(0, Request{ID: 2, Customer: "small", Offer: "model:m", Deadline: 2 * second})
@@ -255,17 +255,17 @@
 			a.SetPlans([]PlanShare{{"p", 1}}, customers)
 			a.SetCapacity("model:m", 100)
 			var id uint64
-			offer := func() {
+			submitNext := func() {
 				id++
 				a.Admit(0, Request{ID: id, Customer: customers[id%uint64(n)].Name, Offer: "model:m", Deadline: time.Hour})
 			}
 			for range 100 + n {
-				offer()
+				submitNext()
 			}
 			running := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				offer()
+				submitNext()
 				a.Done(0, running, time.Millisecond)
 				for _, r := range a.Next(0) {
 					running = r.ID
--- a/decide/admit/example_test.go
+++ b/decide/admit/example_test.go
@@ -18,14 +18,14 @@
 	a.SetCapacity("model:x", 2)
 
 	names := map[admit.Action]string{admit.Start: "start", admit.Wait: "wait", admit.Refuse: "refuse"}
-	offer := func(id uint64, customer string) {
+	submit := func(id uint64, customer string) {
 		d := a.Admit(time.Second, admit.Request{ID: id, Customer: customer, Offer: "model:x", Deadline: time.Minute})
 		fmt.Println(id, customer, names[d.Action])
 	}
-	offer(1, "loud")
-	offer(2, "loud")
-	offer(3, "loud")
-	offer(4, "calm")
+	submit(1, "loud")
+	submit(2, "loud")
+	submit(3, "loud")
+	submit(4, "calm")
 
 	a.Done(2*time.Second, 1, time.Second)
 	for _, r := range a.Next(2 * time.Second) {
--- a/decide/admit/offer.go
+++ b/decide/admit/offer.go
@@ -13,7 +13,8 @@
 type offer struct {
 	key   string
 	slots int
-	// lastSlots is the last nonzero number of slots.
+	// lastSlots is the last known nonzero number of slots, from which waits are computed while
+	// backend servers are pending.
 	lastSlots    int
 	availability Availability
 	// totalSlots is the number of requests that all backend servers can hold, and entries the
--- a/decide/admit/presence.go
+++ b/decide/admit/presence.go
@@ -14,7 +14,7 @@
 	// Available means that at least one backend server can get work, though it may be full.
 	Available Availability = iota
 	// Pending means that none can, but one is expected at any moment: a link to it is being made,
-	// or it was heard a moment ago and is silent or has not reported yet.
+	// or something was received from it a moment ago, but it is now silent or has not reported yet.
 	Pending
 	// Unavailable means that none can and none is expected.
 	Unavailable
@@ -29,11 +29,12 @@
 // default. Call it before SetCapacity, and call Next after both.
 //
 // An entry may be linked to a single agent of an offer, or to a few that all stop at once. Hundreds
-// of requests are refused there, and as many arrive, until the link to the next agent stands 0.1 to
-// 1.5 s later. In the state Pending these requests wait instead of being refused for lack of slots.
-// Their expected wait is computed from the last known slots, so that the queue grows no longer than
-// it would with agents present and the new agent does not get a queue that is mostly late. In the
-// state Unavailable all requests are refused at once, since their callers may go elsewhere.
+// of requests are refused there, and as many arrive, until a link to the next agent is established
+// 0.1 to 1.5 s later. In the state Pending these requests wait instead of being refused for lack of
+// slots. Their expected wait is computed from the last known slots, so that the queue grows no
+// longer than it would with agents present and the new agent does not get a queue that is mostly
+// late. In the state Unavailable all requests are refused at once, since their callers may go
+// elsewhere.
 func (a *Admitter) SetAvailability(key string, availability Availability) {
 	a.offer(key).availability = availability
 }
--- a/decide/admit/pressure.go
+++ b/decide/admit/pressure.go
@@ -25,10 +25,10 @@
 	// queue absorbs as many requests as would be refused otherwise.
 	overloadRefusalRatio = 0.1
 	// sustainedOverloadScore is the excess of overloaded windows over others that makes an overload
-	// sustained. Its 10 s are longer than a burst, and than most callers of a burst take to retry
-	// after the time that they were given: with 5 s, 219 of 346 such retries were served, with 10 s
-	// nine in ten. maxOverloadScore limits the excess, and leaves room for a single window below
-	// the ratio by chance.
+	// sustained. Four windows, 10 s, are longer than a burst, and longer than most callers of a
+	// burst take to retry after the time that they were given: with 5 s, 219 of 346 such retries
+	// were served, with 10 s nine in ten. maxOverloadScore limits the excess; it is higher, so that
+	// a single window below the ratio by chance does not end a sustained overload.
 	sustainedOverloadScore = 4
 	maxOverloadScore       = 6
 )
--- a/decide/admit/pressure_test.go
+++ b/decide/admit/pressure_test.go
@@ -7,22 +7,22 @@
 )
 
 // simulateOverload lets one customer submit rate requests per second, at even intervals, with one
-// second of work each, to 10 slots. It returns the wait of each accepted request by its submission
-// time.
+// second of work each, to an admitter with 10 slots. It returns the wait of each accepted request
+// by its submission time.
 func simulateOverload(a *Admitter, rate int, duration time.Duration) map[time.Duration]time.Duration {
 	const step = 10 * time.Millisecond
-	asked, ends := map[uint64]time.Duration{}, map[uint64]time.Duration{}
+	submittedAt, endsAt := map[uint64]time.Duration{}, map[uint64]time.Duration{}
 	waits := map[time.Duration]time.Duration{}
 	start := func(now time.Duration, id uint64) {
-		waits[asked[id]] = now - asked[id]
-		ends[id] = now + second
+		waits[submittedAt[id]] = now - submittedAt[id]
+		endsAt[id] = now + second
 	}
 	next, id := time.Duration(0), uint64(0)
 	for now := time.Duration(0); now < duration+10*second; now += step {
-		for r, end := range ends {
+		for r, end := range endsAt {
 			if end <= now {
 				a.Done(now, r, second)
-				delete(ends, r)
+				delete(endsAt, r)
 			}
 		}
 		for _, r := range a.Next(now) {
@@ -32,7 +32,7 @@
 		}
 		for ; next <= now && next < duration; next += second / time.Duration(rate) {
 			id++
-			asked[id] = next
+			submittedAt[id] = next
 			if submit(a, next, id, "large").Action == Start {
 				start(next, id)
 			}
--- a/decide/admit/room.go
+++ b/decide/admit/room.go
@@ -25,16 +25,17 @@
 // EntrySlots assumes that all entries are linked to all servers. In that case both give the same
 // result.
 //
-// With entries linked to 4 of 62 backend servers each, one entry with half of the callers, and
-// backend servers with unequal numbers of entries: an entry that takes all capacity of its own
-// links as its own sends each server several times what it can take, and the excess is refused and
-// sent again. That makes twice the attempts at 100% load, and six times in a retry storm
-// (docs/design/subsetting.md). Divided by the count of all entries, 98, it takes free slots one at
-// a time, and only guarantees remain. The result only limits how many requests are tried; the agent
+// Each server counts with its own number of entries for two reasons. When 98 entries are linked to
+// 4 of 62 backend servers each, half of the callers use one entry, and servers have unequal numbers
+// of entries, an entry that takes all capacity of its linked servers as its own sends each of them
+// several times what it can take, and the excess is refused and sent again. That makes twice the
+// attempts at 100% load, and six times in a retry storm (docs/design/subsetting.md). An entry that
+// divides this capacity by the number of all entries, 98, takes free slots one at a time, and can
+// run little beyond its guarantees. The result only limits how many requests are tried; the agent
 // enforces the exact limit of its backend server.
 //
 // A customer's guarantee is its share of all backend servers. backendsPerLink is the number of
-// backend servers for each one that the entry is linked to, 1 with links to all. With a total of
+// backend servers for each one that the entry is linked to, 1 with links to all. If Total counted
 // the linked servers alone, a customer within its share whose callers use one entry would get part
 // of its share, and be refused as beyond it.
 func SubsetCapacity(running int, backends []BackendCapacity, backendsPerLink float64) EntryCapacity {
--- a/decide/admit/room_test.go
+++ b/decide/admit/room_test.go
@@ -14,10 +14,10 @@
 		var backends []BackendCapacity
 		free, capacity := 0, 0
 		for range 1 + rng.IntN(15) {
-			r := BackendCapacity{Limit: 1 + rng.IntN(64), Entries: entries}
-			r.Free = rng.IntN(r.Limit + 1)
-			free, capacity = free+r.Free, capacity+r.Limit
-			backends = append(backends, r)
+			backend := BackendCapacity{Limit: 1 + rng.IntN(64), Entries: entries}
+			backend.Free = rng.IntN(backend.Limit + 1)
+			free, capacity = free+backend.Free, capacity+backend.Limit
+			backends = append(backends, backend)
 		}
 		want := EntryCapacity{Slots: EntrySlots(running, free, capacity, entries), Total: capacity, Entries: entries}
 		if got := SubsetCapacity(running, backends, 1); got != want {
