--- a/decide/silence/silence.go
+++ b/decide/silence/silence.go
@@ -34,9 +34,9 @@
 	// ProbeInterval is the time between two probes of a VM that answers, so that a service that is
 	// slow as a whole causes few of them. Default 250 ms.
 	ProbeInterval time.Duration
-	// MaxLastHeardAge is how long ago another server of a lock-step group may have been heard at
-	// most for a request to be moved there. Default 250 ms: a group that is silent as a whole, as
-	// while it forms, serves the request nowhere.
+	// MaxLastHeardAge is the longest time since something was received from another server of a
+	// lock-step group with which a request is moved there. Default 250 ms: a group that is silent
+	// as a whole, such as while it forms, serves the request nowhere.
 	MaxLastHeardAge time.Duration
 	// MoveInterval is the minimum time between two requests that one entry moves. Default 50 ms, a
 	// third of the time after which entries know of each other's requests.
@@ -201,7 +201,7 @@
 // Service is what an entry knows of the servers of a service that get requests.
 type Service struct {
 	Name string
-	// LockStep says that no server works while one of them does not.
+	// LockStep says that the servers advance together: none works while one of them does not.
 	LockStep bool
 	// FreeSlots and Slots count the places for requests at the servers, free and in total; Entries
 	// is the number of entries that send there.
