--- a/decide/cold/cold_test.go
+++ b/decide/cold/cold_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestAdoptedWorkTakesPlaces(t *testing.T) {
+func TestAdoptedWorkTakesSlots(t *testing.T) {
 	l := New(Config{ColdLimit: 2, FullLimit: 16}, 0)
 	l.Adopt(3)
 	if l.TryStart(0) {
--- a/decide/cold/grow.go
+++ b/decide/cold/grow.go
@@ -33,8 +33,8 @@
 // sample summarizes the logarithms of some latencies. Latencies of prompts of many sizes differ by
 // factors, so that the mean of the logarithms is stable.
 type sample struct {
-	count         int
-	mean, squares float64
+	count                   int
+	mean, squaredDeviations float64
 }
 
 func (s *sample) add(latency time.Duration) {
@@ -42,14 +42,14 @@
 	s.count++
 	delta := x - s.mean
 	s.mean += delta / float64(s.count)
-	s.squares += delta * (x - s.mean)
+	s.squaredDeviations += delta * (x - s.mean)
 }
 
 // meanVariance is the variance of the mean. It combines the spread of the sample with an assumed
 // one, since four latencies may be close together by chance.
 func (s *sample) meanVariance() float64 {
 	const assumed, weight = 0.4 * 0.4, 4
-	spread := (s.squares + weight*assumed) / float64(s.count+weight)
+	spread := (s.squaredDeviations + weight*assumed) / float64(s.count+weight)
 	return spread / float64(s.count)
 }
 
--- a/decide/cold/inherit_test.go
+++ b/decide/cold/inherit_test.go
@@ -9,7 +9,7 @@
 // timeToFull returns how long a limiter takes to reach its full limit with a warm engine and more
 // requests than it can serve.
 func timeToFull(l *Limiter, seed uint64) time.Duration {
-	e := &stepEngine{random: rand.New(rand.NewPCG(seed, 1)), slow: 6}
+	e := &stepEngine{random: rand.New(rand.NewPCG(seed, 1)), coldFactor: 6}
 	now := time.Duration(0)
 	for l.Limit() < l.cfg.FullLimit {
 		e.run(l, &now, now+10*ms)
@@ -42,7 +42,7 @@
 // limit above what the cold engine can serve.
 func TestInheritedBaselineWithColdEngine(t *testing.T) {
 	for seed := range uint64(200) {
-		e := &stepEngine{random: rand.New(rand.NewPCG(seed, 2)), slow: 4, cold: true}
+		e := &stepEngine{random: rand.New(rand.NewPCG(seed, 2)), coldFactor: 4, cold: true}
 		l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 		l.Inherit(WarmBaseline{Latency: 23 * ms, Gap: 18 * ms, WorkTime: 200 * ms})
 		e.run(l, &now, 10*time.Second)
--- a/decide/cold/pace_test.go
+++ b/decide/cold/pace_test.go
@@ -38,7 +38,7 @@
 
 // A full backend server turns cold and the limit is reset. As its requests end, the remaining
 // streams run faster for that reason alone. The limit must not grow as if the server had warmed up.
-func TestDrainingAfterFallDoesNotRaiseLimit(t *testing.T) {
+func TestDrainingAfterResetDoesNotRaiseLimit(t *testing.T) {
 	l, now := warmLimiter(t)
 	for l.TryStart(now) {
 	}
@@ -54,7 +54,7 @@
 
 // A step lengthens the gaps by more than a larger batch explains: the backend server is at its
 // limit. The step is reverted, and the shorter gaps that follow do not count as warming up.
-func TestStepThatSlowsStreamsIsTakenBack(t *testing.T) {
+func TestStepThatSlowsStreamsIsReverted(t *testing.T) {
 	l, now := warmLimiter(t)
 	l.AssumeCold()
 	l.TryStart(now)
--- a/decide/cold/turn_test.go
+++ b/decide/cold/turn_test.go
@@ -7,11 +7,11 @@
 )
 
 // stepEngine is a fake engine that warms up in one step, like the shipped demo engine. In cold
-// start its parts take slow times as long, until warmAfter requests have completed. Each part is
-// delayed by a random time, as on a busy VM.
+// start its parts take coldFactor times as long, until warmAfter requests have completed. Each part
+// is delayed by a random time, as on a busy VM.
 type stepEngine struct {
 	random      *rand.Rand
-	slow        time.Duration
+	coldFactor  time.Duration
 	cold        bool
 	completed   int
 	startedWarm int // requests that were running when it turned cold
@@ -35,7 +35,7 @@
 
 func (e *stepEngine) nextPart(now, d time.Duration) time.Duration {
 	if e.cold {
-		d *= e.slow
+		d *= e.coldFactor
 	}
 	return now + d + time.Duration(e.random.ExpFloat64()*float64(meanJitter))
 }
@@ -101,7 +101,7 @@
 func TestTurningColdIsNotTheUsual(t *testing.T) {
 	for _, slow := range []time.Duration{4, 6} {
 		for seed := range uint64(500) {
-			e := &stepEngine{random: rand.New(rand.NewPCG(seed, uint64(slow))), slow: slow}
+			e := &stepEngine{random: rand.New(rand.NewPCG(seed, uint64(slow))), coldFactor: slow}
 			l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
 			e.run(l, &now, time.Duration(300+10*seed)*ms)
 			e.turnCold()
@@ -116,8 +116,8 @@
 	}
 }
 
-// The latency of a backend server increases many times during growth. The warm latency must be the
-// one before, plus at most half of it: a value halfway to the new latency would be a latency of
+// The latency of a backend server becomes many times higher during growth. The warm latency must be
+// at most 1.5 times the latency before: a value halfway to the new latency would be a latency of
 // cold start.
 func TestSevereSlowdownIsNotWarmLatency(t *testing.T) {
 	l, now := New(Config{ColdLimit: 2, FullLimit: 16}, 0), time.Duration(0)
