--- a/decide/cold/grow.go
+++ b/decide/cold/grow.go
@@ -30,8 +30,9 @@
 // is attributed to the backend server and not to the requests.
 const significantErrors = 2
 
-// sample summarizes the logarithms of some latencies. Latencies of prompts of many sizes differ by
-// factors, so that the mean of the logarithms is stable.
+// sample summarizes the logarithms of some latencies: their mean, and the sum of their squared
+// deviations from it. Latencies of prompts of many sizes differ by factors, so that the mean of the
+// logarithms is stable.
 type sample struct {
 	count                   int
 	mean, squaredDeviations float64
