--- a/decide/balance/improve.go
+++ b/decide/balance/improve.go
@@ -65,8 +65,8 @@
 	return s
 }
 
-// updateBusiestHolders runs once per round, so that the cost of evaluating a spare replica does not
-// depend on the number of replicas.
+// updateBusiestHolders computes busiestHolders anew. It runs once per round, so that the cost of
+// evaluating a spare replica does not depend on the number of replicas.
 //
 // A rank that holds an expert twice takes over two shares when a replica on another rank is
 // dropped. If it were counted as one share, the rank could become busier than the busiest rank was,
--- a/decide/balance/layers_test.go
+++ b/decide/balance/layers_test.go
@@ -136,7 +136,7 @@
 
 // While passes are short, callers do not notice a moderate skew and no expert may be copied for it;
 // while passes are long, it is worth a change.
-func TestPlanUnderPressure(t *testing.T) {
+func TestPlanUsesLowerTriggerDuringLongPasses(t *testing.T) {
 	shape := Shape{LayerSets: 1, Experts: 24, Ranks: 6, SlotsPerRank: 6, MaxNewExperts: 3}
 	l, err := NewLayerPlanner(shape, LayerPlannerConfig{})
 	if err != nil {
--- a/decide/balance/pace_test.go
+++ b/decide/balance/pace_test.go
@@ -137,9 +137,9 @@
 // or whose slowdown is below the limit, must not be reported, since it needs no operator.
 func TestRankBeyondTheBoundIsNamed(t *testing.T) {
 	for _, c := range []struct {
-		slowdown float64
-		times    int
-		named    bool
+		slowdown     float64
+		times        int
+		wantReported bool
 	}{{8, 5, true}, {8, 2, false}, {2.5, 5, false}} {
 		popularity := zipfPopularity(1, 64, 0.8)
 		start, err := PlaceFromScratch(Demand{Popularity: popularity}, 64, 2)
@@ -149,12 +149,12 @@
 		b := New(Config{}, start, 0)
 		runBalancer(b, Demand{Popularity: popularity}, 1, 5)
 		runBalancer(b, Demand{Popularity: popularity, Slowdowns: oneSlowRank(64, 17, c.slowdown)}, 6, c.times)
-		named := b.SlowRanks()
-		if (len(named) == 1) != c.named {
-			t.Errorf("%v times slower in %d observations: %v", c.slowdown, c.times, named)
+		reported := b.SlowRanks()
+		if (len(reported) == 1) != c.wantReported {
+			t.Errorf("%v times slower in %d observations: %v", c.slowdown, c.times, reported)
 		}
-		if c.named && (len(named) != 1 || named[0].Rank != 17 || named[0].Slowdown < 7.9 || named[0].Slowdown > 8.1) {
-			t.Errorf("%v", named)
+		if c.wantReported && (len(reported) != 1 || reported[0].Rank != 17 || reported[0].Slowdown < 7.9 || reported[0].Slowdown > 8.1) {
+			t.Errorf("%v", reported)
 		}
 	}
 }
