--- a/decide/balance/popularity.go
+++ b/decide/balance/popularity.go
@@ -7,8 +7,8 @@
 // Each pass chooses a few dozen experts per rank, so that counts of a few passes are noisy, and
 // popularity can change abruptly every few seconds. If noise and changes were not told apart,
 // experts would be copied because of noise, and the average would mix the popularity before and
-// after a change and produce maps that fit neither. The noise is measured, so that a change is detected by
-// exceeding it, whatever the size of the group.
+// after a change and produce maps that fit neither. The noise is measured, so that a change is
+// detected by exceeding it, whatever the size of the group.
 type popularityTracker struct {
 	// fractions holds each expert's fraction of all tokens, by set.
 	fractions [][]float64
