--- a/decide/arrivals/arrivals.go
+++ b/decide/arrivals/arrivals.go
@@ -1,8 +1,8 @@
 // Package arrivals limits the rate of requests that one entry sends to a cold backend server, so
-// that all entries together stay within what the server can bear.
+// that all entries together stay within what the server can take.
 //
-// There is no shared counter, since it would have to be asked for with every request. Each entry
-// has an equal share of the rate and keeps to it on its own. This holds only while no entry assumes
+// There is no shared counter, since it would have to be queried for every request. Each entry has
+// an equal share of the rate and enforces it on its own. This holds only while no entry assumes
 // fewer entries than there are and no share is spent twice; the safeguards below cover these two
 // cases.
 //
@@ -15,19 +15,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit is what a cold backend server bears from all entries together: in any one second, at most
-// Rate*MaxRatio + Slack requests.
+// Limit is what a cold backend server can take from all entries together: in any one second, at
+// most Rate*MaxRatio + Slack requests.
 type Limit struct {
 	// Rate is in requests per second; zero means no limit.
 	Rate float64
-	// MaxRatio is a ratio of 1 or more; Slack is a number of requests.
+	// MaxRatio, 1 or more, is the ratio to the rate up to which requests may arrive in one second;
+	// Slack is a number of requests that may arrive in addition.
 	MaxRatio, Slack float64
 }
 
 // burst returns how many requests each of the given number of entries may send at once, beyond its
 // share of the rate.
 //
-// One more share of the rate is kept back: a process that has just started sends its share before
+// One more share of the rate is reserved: a process that has just started sends its share before
 // all others know of it. With few entries nothing is left after that, and the burst is one request.
 func (l Limit) burst(entries float64) int {
 	headroom := l.Rate*(l.MaxRatio-1) + l.Slack - l.Rate/entries
@@ -111,7 +112,7 @@
 // together could send nothing to any server for two seconds, though all servers are idle, and would
 // then all send to each server at the same moment. So each share starts at its own time for each
 // server: not before the requests of the previous process are a second old, and spread over the
-// time in which a share earns one request. Requests then reach the server at its rate, and each
+// time in which a share accrues one token. Requests then reach the server at its rate, and each
 // entry soon has a server that it may send to.
 func (s *Share) reset(now time.Duration) {
 	at := asTime(now)
--- a/decide/arrivals/arrivals_test.go
+++ b/decide/arrivals/arrivals_test.go
@@ -21,7 +21,7 @@
 type simulation struct {
 	limit  Limit
 	shares []*Share
-	// stalled are the entries whose process stands still.
+	// stalled are the entries whose process is stalled.
 	stalled map[int]bool
 	// callersFrom is when requests begin; until then the entries only call Tick.
 	callersFrom time.Duration
@@ -30,81 +30,81 @@
 }
 
 func newSimulation(l Limit, entries int) *simulation {
-	w := &simulation{limit: l, stalled: map[int]bool{}, rng: rand.New(rand.NewPCG(1, uint64(entries)))}
+	sim := &simulation{limit: l, stalled: map[int]bool{}, rng: rand.New(rand.NewPCG(1, uint64(entries)))}
 	for range entries {
-		w.shares = append(w.shares, NewShare(l, entries, w.rng.Float64(), 0))
+		sim.shares = append(sim.shares, NewShare(l, entries, sim.rng.Float64(), 0))
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) run(from, to time.Duration, at func(now time.Duration)) {
+func (sim *simulation) run(from, to time.Duration, at func(now time.Duration)) {
 	for now := from; now < to; now += 2 * msec {
 		at(now)
-		for i, s := range w.shares {
-			if w.stalled[i] {
+		for i, s := range sim.shares {
+			if sim.stalled[i] {
 				continue
 			}
 			s.Tick(now)
-			for now >= w.callersFrom && s.Allow(now) {
-				w.sent = append(w.sent, now)
+			for now >= sim.callersFrom && s.Allow(now) {
+				sim.sent = append(sim.sent, now)
 			}
 		}
 	}
 }
 
 // maxInOneSecond returns the largest number of requests sent in any one second.
-func (w *simulation) maxInOneSecond() int {
-	most, first := 0, 0
-	for last := range w.sent {
-		for w.sent[last]-w.sent[first] >= time.Second {
+func (sim *simulation) maxInOneSecond() int {
+	maxCount, first := 0, 0
+	for last := range sim.sent {
+		for sim.sent[last]-sim.sent[first] >= time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxCount = max(maxCount, last-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // A cold server gets all requests of its service through all entries. It must never get more in one
-// second than it bears, and must get most of its rate so that callers are served. The cases: steady
-// entries; all entries killed and restarted repeatedly; one more entry that the others learn of
-// late; and one that stalls for so long that the others use its share. Requests come from the
-// start, or begin late, when all shares have saved tokens.
+// second than its limit allows, and must get most of its rate so that callers are served. The
+// cases: steady entries; all entries killed and restarted repeatedly; one more entry that the others
+// learn of late; and one that stalls for so long that the others use its share. Requests come from
+// the start, or begin late, when all shares have saved tokens.
 func TestAllEntriesTogetherKeepTheLimit(t *testing.T) {
 	const whole = 10 * time.Second
-	events := map[string]func(w *simulation, now time.Duration){
+	events := map[string]func(sim *simulation, now time.Duration){
 		"calm": func(*simulation, time.Duration) {},
-		"all are killed each 240 ms": func(w *simulation, now time.Duration) {
+		"all are killed each 240 ms": func(sim *simulation, now time.Duration) {
 			if now > 0 && now%(240*msec) == 0 {
-				for i := range w.shares {
-					w.shares[i] = NewShare(w.limit, len(w.shares), w.rng.Float64(), now)
+				for i := range sim.shares {
+					sim.shares[i] = NewShare(sim.limit, len(sim.shares), sim.rng.Float64(), now)
 				}
 			}
 		},
-		"one more comes, and the others hear of it 200 ms later": func(w *simulation, now time.Duration) {
-			n := len(w.shares)
+		"one more comes, and the others hear of it 200 ms later": func(sim *simulation, now time.Duration) {
+			n := len(sim.shares)
 			switch now {
 			case 4 * time.Second:
-				w.shares = append(w.shares, NewShare(w.limit, n+1, w.rng.Float64(), now))
+				sim.shares = append(sim.shares, NewShare(sim.limit, n+1, sim.rng.Float64(), now))
 			case 4*time.Second + 200*msec:
-				for _, s := range w.shares {
-					s.Set(w.limit, n, now)
+				for _, s := range sim.shares {
+					s.Set(sim.limit, n, now)
 				}
 			}
 		},
-		"one sleeps, is no longer counted, and is heard 100 ms after it wakes": func(w *simulation, now time.Duration) {
-			n := len(w.shares)
+		"one sleeps, is no longer counted, and is heard 100 ms after it wakes": func(sim *simulation, now time.Duration) {
+			n := len(sim.shares)
 			switch now {
 			case 1 * time.Second:
-				w.stalled[0] = true
+				sim.stalled[0] = true
 			case 3 * time.Second:
-				for _, s := range w.shares[1:] {
-					s.Set(w.limit, max(n-1, 1), now)
+				for _, s := range sim.shares[1:] {
+					s.Set(sim.limit, max(n-1, 1), now)
 				}
 			case 6 * time.Second:
-				w.stalled[0] = false
+				sim.stalled[0] = false
 			case 6*time.Second + 100*msec:
-				for _, s := range w.shares[1:] {
-					s.Set(w.limit, n, now)
+				for _, s := range sim.shares[1:] {
+					s.Set(sim.limit, n, now)
 				}
 			}
 		},
@@ -114,14 +114,14 @@
 			for _, entries := range []int{1, 2, 3, 4, 5, 8, 12} {
 				for _, from := range []time.Duration{0, 4 * time.Second, 6 * time.Second} {
 					t.Run(fmt.Sprintf("%s, %d entries, rate %v, callers from %v on", name, entries, l.Rate, from), func(t *testing.T) {
-						w := newSimulation(l, entries)
-						w.callersFrom = from
-						w.run(0, whole, func(now time.Duration) { step(w, now) })
-						if n := w.maxInOneSecond(); float64(n) > l.maxPerSecond() {
+						sim := newSimulation(l, entries)
+						sim.callersFrom = from
+						sim.run(0, whole, func(now time.Duration) { step(sim, now) })
+						if n := sim.maxInOneSecond(); float64(n) > l.maxPerSecond() {
 							t.Errorf("%d requests within a second, %v at most", n, l.maxPerSecond())
 						}
-						if least := 0.7 * l.Rate * (whole - from).Seconds(); float64(len(w.sent)) < least && name == "calm" {
-							t.Errorf("only %d requests in all, %v at least", len(w.sent), least)
+						if minSent := 0.7 * l.Rate * (whole - from).Seconds(); float64(len(sim.sent)) < minSent && name == "calm" {
+							t.Errorf("only %d requests in all, %v at least", len(sim.sent), minSent)
 						}
 					})
 				}
@@ -132,16 +132,16 @@
 
 // A limit that an operator lowers holds from the next request on.
 func TestAChangedLimitHoldsFromTheNextRequest(t *testing.T) {
-	w := newSimulation(siteLimit, 4)
+	sim := newSimulation(siteLimit, 4)
 	lowered := Limit{Rate: 8, MaxRatio: 1, Slack: 0}
-	w.run(0, 3*time.Second, func(time.Duration) {})
-	for _, s := range w.shares {
+	sim.run(0, 3*time.Second, func(time.Duration) {})
+	for _, s := range sim.shares {
 		s.Set(lowered, 4, 3*time.Second)
 	}
-	w.sent = nil
-	w.run(3*time.Second, 8*time.Second, func(time.Duration) {})
-	// One request of each entry goes out at once, whatever is spared.
-	if n := w.maxInOneSecond(); float64(n) > lowered.maxPerSecond()+4 {
+	sim.sent = nil
+	sim.run(3*time.Second, 8*time.Second, func(time.Duration) {})
+	// Each entry may send one request at once, however small its share of the limit is.
+	if n := sim.maxInOneSecond(); float64(n) > lowered.maxPerSecond()+4 {
 		t.Errorf("%d requests within a second, %v at most", n, lowered.maxPerSecond()+4)
 	}
 }
@@ -152,9 +152,9 @@
 func TestManyEntriesStartAtOnce(t *testing.T) {
 	limit := Limit{Rate: 23, MaxRatio: 1.5, Slack: 5}
 	const entries, servers = 45, 72
-	w := newSimulation(limit, entries)
-	w.run(0, 2*time.Second+950*msec, func(time.Duration) {})
-	if n := w.maxInOneSecond(); float64(n) > limit.maxPerSecond() {
+	sim := newSimulation(limit, entries)
+	sim.run(0, 2*time.Second+950*msec, func(time.Duration) {})
+	if n := sim.maxInOneSecond(); float64(n) > limit.maxPerSecond() {
 		t.Errorf("%d requests within a second, %v at most", n, limit.maxPerSecond())
 	}
 	rng := rand.New(rand.NewPCG(2, 2))
