--- a/decide/subset/keeper.go
+++ b/decide/subset/keeper.go
@@ -15,8 +15,8 @@
 	Usable
 	// Silent means that the link is not established, or nothing is received on it.
 	Silent
-	// Unavailable means that the server has told the client that it takes no work: it is marked
-	// out, or it is stopping.
+	// Unavailable means that the client knows that the server takes no work: it is marked out, or it
+	// is stopping.
 	Unavailable
 )
 
--- a/decide/subset/keeper_test.go
+++ b/decide/subset/keeper_test.go
@@ -11,9 +11,9 @@
 
 // runSelector updates a LinkSelector for some time. It returns the servers selected at the end and
 // the largest number selected at once.
-func runSelector(k *LinkSelector, from, to time.Duration, health func(string) Health) (links []string, maxLinks int) {
+func runSelector(selector *LinkSelector, from, to time.Duration, health func(string) Health) (links []string, maxLinks int) {
 	for now := from; now < to; now += updateInterval {
-		links = k.Update(now, health)
+		links = selector.Update(now, health)
 		maxLinks = max(maxLinks, len(links))
 	}
 	return links, maxLinks
@@ -85,11 +85,11 @@
 // remain.
 func TestFlappingLinksAddNoFallbacks(t *testing.T) {
 	own, order := []string{"a", "b", "c", "d"}, []string{"e", "f", "g", "h", "i"}
-	k := NewLinkSelector()
-	k.SetServers(own, order)
+	selector := NewLinkSelector()
+	selector.SetServers(own, order)
 	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
 		flaps := now%time.Second < 600*time.Millisecond
-		links := k.Update(now, func(vm string) Health {
+		links := selector.Update(now, func(vm string) Health {
 			if vm == "a" || flaps {
 				return Silent
 			}
@@ -106,12 +106,12 @@
 func TestIsolatedClientDialsFewServers(t *testing.T) {
 	_, servers := nodes("entry", 98, 3), nodes("vm", 62, 3)
 	own := []string{"vm-0000", "vm-0001", "vm-0002", "vm-0003"}
-	k := NewLinkSelector()
-	k.SetServers(own, FallbackOrder("entry-0000", servers, own))
+	selector := NewLinkSelector()
+	selector.SetServers(own, FallbackOrder("entry-0000", servers, own))
 	tried := make(map[string]int)
 	previous := own
 	for now := time.Duration(0); now < 20*time.Second; now += updateInterval {
-		links := k.Update(now, func(string) Health { return Silent })
+		links := selector.Update(now, func(string) Health { return Silent })
 		if len(links) > 2*len(own) {
 			t.Fatalf("%d servers selected", len(links))
 		}
@@ -135,18 +135,18 @@
 func TestPreviousServersAreKeptUntilNewOnesReport(t *testing.T) {
 	states := map[string]Health{"a": Usable, "b": Usable, "c": Silent, "d": Silent}
 	health := func(vm string) Health { return states[vm] }
-	k := NewLinkSelector()
-	k.SetServers([]string{"a", "b"}, []string{"c", "d"})
-	k.Update(0, health)
-	k.SetServers([]string{"c", "d"}, []string{"a", "b"})
+	selector := NewLinkSelector()
+	selector.SetServers([]string{"a", "b"}, []string{"c", "d"})
+	selector.Update(0, health)
+	selector.SetServers([]string{"c", "d"}, []string{"a", "b"})
 	check := func(now time.Duration, when string, want ...string) {
 		t.Helper()
-		if got := k.Update(now, health); !slices.Equal(got, want) {
+		if got := selector.Update(now, health); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
 	check(updateInterval, "no new link is established", "c", "d", "a", "b")
-	if !k.HasPendingLink() {
+	if !selector.HasPendingLink() {
 		t.Error("no link is pending")
 	}
 	states["b"] = Unavailable
@@ -154,12 +154,12 @@
 	states["c"], states["d"] = Usable, Usable
 	check(3*updateInterval, "the new links are established", "c", "d", "a")
 	check(3*updateInterval+firstReportDelay, "they have reported", "c", "d")
-	if k.HasPendingLink() {
+	if selector.HasPendingLink() {
 		t.Error("a link is pending")
 	}
 	states["b"] = Usable
 	states["c"] = Silent
-	k.SetServers([]string{"a", "c"}, []string{"b", "d"})
+	selector.SetServers([]string{"a", "c"}, []string{"b", "d"})
 	check(time.Minute, "another change", "a", "c", "d")
 	check(time.Minute+maxHandover, "after maxHandover", "a", "c", "b")
 }
