--- a/coord/fresh/counts.go
+++ b/coord/fresh/counts.go
@@ -12,18 +12,18 @@
 	// maxCountDomains limits the domains whose counts are kept and sent. Domains beyond it are left
 	// out, which can only make a sum too small.
 	maxCountDomains = 12
-	// maxFrontCounts limits the counts kept of one domain. Of several counts, none is both larger
+	// maxCountsPerDomain limits the counts kept of one domain. Of several counts, none is both larger
 	// and newer than another.
-	maxFrontCounts = 4
-	// A sum of counts must exceed a majority by at least 1/slackDivisor of all members, and by at
-	// least minSlack. Another process made the counts from its own VM list. A VM that is no longer
-	// on the list of this process cannot be told apart in them, and majorities of two lists need
-	// not have a member in common. With m members more than a majority they do, as long as the
-	// lists differ by at most 2 m VMs. Members that this process hears itself are counted by its
-	// own list and need no slack.
+	maxCountsPerDomain = 4
+	// slackDivisor and minSlack set the slack: a sum of counts must exceed a majority by at least
+	// 1/slackDivisor of all members, and by at least minSlack. Another process made the counts from
+	// its own VM list. A VM that is no longer on the list of this process cannot be told apart in
+	// them, and majorities of two lists need not have a member in common. With m members more than
+	// a majority they do, as long as the lists differ by at most 2 m VMs. Members that this process
+	// hears itself are counted by its own list and need no slack.
 	slackDivisor = 50
 	minSlack     = 1
-	// recountDivisor sets how long own counts are reused: this fraction of the freshness limit.
+	// recountDivisor sets how long own counts are reused: 1/recountDivisor of the freshness limit.
 	recountDivisor = 40
 )
 
@@ -51,7 +51,7 @@
 	f = slices.DeleteFunc(f, func(known count) bool { return known.members <= c.members && known.asOf <= c.asOf })
 	position, _ := slices.BinarySearchFunc(f, c, func(a, b count) int { return cmp.Compare(b.asOf, a.asOf) })
 	f = slices.Insert(f, position, c)
-	if len(f) > maxFrontCounts {
+	if len(f) > maxCountsPerDomain {
 		return f.dropClosest()
 	}
 	return f
@@ -88,7 +88,8 @@
 	return largest
 }
 
-// agentCount is how many agents an entry reports to count.
+// agentCount is the number of agents that an entry counts. Each was heard by that entry at asOf or
+// later.
 type agentCount struct {
 	agents int
 	asOf   time.Duration
@@ -165,7 +166,8 @@
 	byDomain[domain] = byDomain[domain].add(count{members: int(members), asOf: asOf})
 }
 
-// NeedsCounts reports whether counts are worth sending, because other evidence is getting old.
+// NeedsCounts reports whether counts are worth sending, because the tail evidence is getting old or
+// this process is not initialized.
 func (t *Tracker) NeedsCounts(now time.Duration) bool {
 	return !t.isInitialized || now-t.tailEvidence > t.limit/2
 }
@@ -307,7 +309,7 @@
 		domain string
 		count
 	}
-	steps := make([]step, 0, maxCountDomains*maxFrontCounts)
+	steps := make([]step, 0, maxCountDomains*maxCountsPerDomain)
 	for domain, f := range byDomain {
 		for _, c := range f {
 			steps = append(steps, step{domain: domain, count: c})
--- a/coord/fresh/property_test.go
+++ b/coord/fresh/property_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// smallCluster are the VMs of a test. All but the last are in the VM list at first.
+// smallCluster holds the VMs of a small cluster. All but the last are in the VM list at first.
 var smallCluster = []string{"e1", "e2", "e3", "a1", "a2", "e4"}
 
 // process is one incarnation on a VM.
--- a/coord/fresh/tracker.go
+++ b/coord/fresh/tracker.go
@@ -47,8 +47,8 @@
 	noAge = int64(-1)
 	// noOffset is the offset before the first record.
 	noOffset = int64(-1)
-	// settleMarginDivisor sets how much longer than the freshness limit a new process waits, as a
-	// fraction of the limit, for clocks that run at unequal rates.
+	// settleMarginDivisor sets how much longer than the freshness limit a new process waits, for
+	// clocks that run at unequal rates: by 1/settleMarginDivisor of the limit.
 	settleMarginDivisor = 4
 )
 
@@ -75,8 +75,8 @@
 	counting       countingState
 }
 
-// New returns the tracker of the process on a VM that has just started, at time zero, and has no
-// evidence. Evidence older than limit doesn't count.
+// New returns the tracker of a process that has just started on the VM self, at time zero, and has
+// no evidence. Evidence older than limit doesn't count.
 func New(self string, limit time.Duration) *Tracker {
 	return &Tracker{
 		self:           self,
@@ -138,19 +138,19 @@
 	t.applied = max(t.applied, applied)
 }
 
-// ConfirmTail records that a fetch of this process showed that it has applied the whole log. SentAt
-// is when the request was sent: a response that was delayed on the network, or waited in a socket
-// while the process was paused, shows the state of an earlier time.
+// ConfirmTail records that a fetch of this process showed that it has applied the whole log. The
+// evidence is as of sentAt, the time of the request: a response that was delayed on the network, or
+// waited in a socket while the process was paused, shows the state of an earlier time.
 func (t *Tracker) ConfirmTail(sentAt time.Duration) {
 	t.tailEvidence = max(t.tailEvidence, sentAt)
 	t.updateInitialized()
 }
 
 // HandleKnowledge records what another member reports about itself in a heartbeat, a response or a
-// push. The member cannot have sent it before notBefore: when the newest heartbeat that it echoes
-// was sent by this process, or the request that it answers. Messages that echo nothing yet must not
-// be passed. With the time of arrival instead, a process would trust old messages from its sockets
-// after a pause.
+// push. The member cannot have sent it before notBefore, the time at which this process sent the
+// request that the message answers or the newest heartbeat that it echoes. Messages that echo
+// nothing yet must not be passed. With the time of arrival instead, a process would trust old
+// messages from its sockets after a pause.
 //
 // Evidence of a member that has applied more than ownApplied does not count, because it covers
 // changes that this process lacks.
@@ -250,6 +250,8 @@
 	}
 }
 
+// settleTime returns how long after its start a process waits before quorum evidence may initialize
+// it.
 func (t *Tracker) settleTime() time.Duration { return t.limit + t.limit/settleMarginDivisor }
 
 // State returns whether the process may take new work at a time.
--- a/coord/fresh/tracker_test.go
+++ b/coord/fresh/tracker_test.go
@@ -127,15 +127,15 @@
 // It first reads messages from before the pause in its sockets, each of which echoes a heartbeat
 // sent before the pause.
 func TestPausedProcessIsIsolated(t *testing.T) {
-	const woken = 60 * time.Second
+	const resumed = 60 * time.Second
 	tracker := running()
-	checkState(t, tracker, woken, Isolated)
+	checkState(t, tracker, resumed, Isolated)
 	hearAll(tracker, 100*ms, 5, "e2", "e3", "e4", "e5")
-	checkState(t, tracker, woken, Isolated)
+	checkState(t, tracker, resumed, Isolated)
 	tracker.ConfirmTail(200 * ms)
-	checkState(t, tracker, woken, Isolated)
-	hearAll(tracker, woken, 6, "e2", "e3", "e4")
-	checkState(t, tracker, woken, Isolated)
+	checkState(t, tracker, resumed, Isolated)
+	hearAll(tracker, resumed, 6, "e2", "e3", "e4")
+	checkState(t, tracker, resumed, Isolated)
 }
 
 // A new process must serve at once when the log answers, and in an outage once a majority has shown
@@ -153,11 +153,11 @@
 	fetched.ConfirmTail(0)
 	checkState(t, fetched, 0, Fresh)
 
-	told := start()
-	told.HandleKnowledge("e2", 10*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
-	checkState(t, told, 10*ms, Starting) // evidence from before the start
-	told.HandleKnowledge("e2", 20*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
-	checkState(t, told, 20*ms, Fresh)
+	informed := start()
+	informed.HandleKnowledge("e2", 10*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
+	checkState(t, informed, 10*ms, Starting) // evidence from before the start
+	informed.HandleKnowledge("e2", 20*ms, &api.Knowledge{Applied: 5, EvidenceAgeMs: 11, QuorumAgeMs: noAge}, 5)
+	checkState(t, informed, 20*ms, Fresh)
 
 	outage := start()
 	settled := outage.TimeToStateChange(0)
@@ -173,7 +173,7 @@
 	checkState(t, outage, settled, Outage)
 }
 
-func TestKnowledgeAndUntil(t *testing.T) {
+func TestKnowledgeAndTimeToStateChange(t *testing.T) {
 	tracker := running()
 	hearAll(tracker, 700*ms, 5, "e2", "e3")
 	got := tracker.Knowledge(1000*ms+1, 5)
