--- a/coord/config/acceptance.go
+++ b/coord/config/acceptance.go
@@ -73,9 +73,9 @@
 }
 
 // UpdateMember records the offset that a member reports to have applied. The member cannot have
-// sent the report before notBefore, a time on the caller's clock: when the newest heartbeat that
-// the report echoes was sent, or the request that it answers. A report older than the recorded one
-// is ignored.
+// sent the report before notBefore, the time on the caller's clock at which the caller sent the
+// request that the report answers or the newest heartbeat that it echoes. A report older than the
+// recorded one is ignored.
 func (a *Acceptance) UpdateMember(vm string, role api.Role, applied int64, notBefore time.Duration) {
 	if known, ok := a.members[vm]; ok && notBefore < known.notBefore {
 		return
--- a/coord/config/check.go
+++ b/coord/config/check.go
@@ -166,7 +166,7 @@
 				return errors.Errorf("key %s stands at %q and at %q", key, other, section.GetName())
 			}
 			owners[key] = section.GetName()
-			owner, ok := v.owners[key]
+			owner, ok := v.keyOwners[key]
 			if fullName := kindCustomer.fullName(owner); ok && !touched[fullName] {
 				return errors.Errorf("key %s stands at %q and at %q", key, fullName, section.GetName())
 			}
--- a/coord/config/fold.go
+++ b/coord/config/fold.go
@@ -67,15 +67,15 @@
 func (f *Fold) View() *View {
 	if f.view == nil {
 		f.view = &View{
-			applied:   f.applied,
-			plansAt:   f.plansOffset,
-			usesAt:    f.usesOffset,
-			customers: f.customers.share(),
-			owners:    f.keyOwners.share(),
-			plans:     f.plans.share(),
-			services:  f.services.share(),
-			models:    f.models.share(),
-			marks:     f.marks.share(),
+			applied:     f.applied,
+			plansOffset: f.plansOffset,
+			usesOffset:  f.usesOffset,
+			customers:   f.customers.share(),
+			keyOwners:   f.keyOwners.share(),
+			plans:       f.plans.share(),
+			services:    f.services.share(),
+			models:      f.models.share(),
+			marks:       f.marks.share(),
 		}
 	}
 	return f.view
@@ -85,15 +85,15 @@
 // next change.
 func (f *Fold) unsharedView() *View {
 	return &View{
-		applied:   f.applied,
-		plansAt:   f.plansOffset,
-		usesAt:    f.usesOffset,
-		customers: f.customers.entries,
-		owners:    f.keyOwners.entries,
-		plans:     f.plans.entries,
-		services:  f.services.entries,
-		models:    f.models.entries,
-		marks:     f.marks.entries,
+		applied:     f.applied,
+		plansOffset: f.plansOffset,
+		usesOffset:  f.usesOffset,
+		customers:   f.customers.entries,
+		keyOwners:   f.keyOwners.entries,
+		plans:       f.plans.entries,
+		services:    f.services.entries,
+		models:      f.models.entries,
+		marks:       f.marks.entries,
 	}
 }
 
--- a/coord/config/property_test.go
+++ b/coord/config/property_test.go
@@ -90,8 +90,8 @@
 			}
 		}
 	}
-	if keys != len(v.owners) {
-		t.Fatalf("%d keys, %d indexed", keys, len(v.owners))
+	if keys != len(v.keyOwners) {
+		t.Fatalf("%d keys, %d indexed", keys, len(v.keyOwners))
 	}
 }
 
@@ -120,24 +120,24 @@
 	l.states[offset], _ = proto.MarshalOptions{Deterministic: true}.Marshal(l.fold.Snapshot())
 }
 
-// logAnswer is a response of the log in flight, with the offset of the tail at the request.
-type logAnswer struct {
+// delayedResponse is a response of the log in flight, with the offset of the tail at the request.
+type delayedResponse struct {
 	response      LogResponse
 	expired       bool
 	firstRetained int64
 	tail          int64
 }
 
-func (l *fakeLog) read(from int64, limit int) logAnswer {
+func (l *fakeLog) read(from int64, limit int) delayedResponse {
 	if from < l.firstRetained {
-		return logAnswer{expired: true, firstRetained: l.firstRetained}
+		return delayedResponse{expired: true, firstRetained: l.firstRetained}
 	}
 	start := min(from, l.next())
 	end := min(start+int64(limit), l.next())
-	return logAnswer{response: LogResponse{From: from, Records: l.records[start:end], Next: l.next()}, tail: l.next() - 1}
+	return delayedResponse{response: LogResponse{From: from, Records: l.records[start:end], Next: l.next()}, tail: l.next() - 1}
 }
 
-func deliver(t *rapid.T, r *Reader, a logAnswer) {
+func deliver(t *rapid.T, r *Reader, a delayedResponse) {
 	if a.expired {
 		r.HandleExpired(a.firstRetained)
 		return
@@ -154,7 +154,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &fakeLog{fold: NewFold()}
 		members := []*Reader{NewReader(NewFold()), NewReader(NewFold())}
-		inFlight := make([][]logAnswer, len(members))
+		inFlight := make([][]delayedResponse, len(members))
 		applied := []int64{-1, -1}
 		drawMember := func(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "member") }
 		fromPeer := func(t *rapid.T, i int) {
@@ -172,12 +172,12 @@
 			"expire": func(t *rapid.T) { l.firstRetained = rapid.Int64Range(l.firstRetained, l.next()).Draw(t, "first") },
 			"ask": func(t *rapid.T) {
 				i := drawMember(t)
-				ask := members[i].NextFetch()
-				if ask.Source == FromPeer {
+				fetch := members[i].NextFetch()
+				if fetch.Source == FromPeer {
 					fromPeer(t, i)
 					return
 				}
-				inFlight[i] = append(inFlight[i], l.read(ask.From, rapid.IntRange(1, 6).Draw(t, "limit")))
+				inFlight[i] = append(inFlight[i], l.read(fetch.From, rapid.IntRange(1, 6).Draw(t, "limit")))
 			},
 			"deliver": func(t *rapid.T) {
 				i := drawMember(t)
@@ -219,8 +219,8 @@
 func TestNewReaderStartsFromSnapshotInLog(t *testing.T) {
 	f := foldOf(t, listRecord("a", usesList, -1, plan("gold", 1)), listRecord("b", usesList, 0, plan("gold", 2)))
 	old := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: foldOf(t).Snapshot()}})
-	forecast := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: &api.Snapshot{Through: 9}}})
-	good := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: f.Snapshot()}})
+	coversItself := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: &api.Snapshot{Through: 9}}})
+	valid := marshal(t, &api.Record{Body: &api.Record_Snapshot{Snapshot: f.Snapshot()}})
 	r := NewReader(NewFold())
 	r.HandleExpired(2)
 	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) {
@@ -231,11 +231,11 @@
 		t.Fatalf("after a snapshot that does not cover the gap: next fetch %v, applied %d", got, r.fold.Applied())
 	}
 	r.HandlePeerFailure()
-	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: forecast}, {Offset: 3, Data: good}}, Next: 4})
+	r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: coversItself}, {Offset: 3, Data: valid}}, Next: 4})
 	if got := r.NextFetch(); got != (Fetch{Source: FromLog, From: 2}) || r.fold.Applied() != 1 {
 		t.Fatalf("after the snapshot: next fetch %v, applied %d", got, r.fold.Applied())
 	}
-	p := r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}, {Offset: 3, Data: good}}, Next: 4})
+	p := r.HandleLog(LogResponse{From: 2, Records: []*api.LogRecord{{Offset: 2, Data: old}, {Offset: 3, Data: valid}}, Next: 4})
 	if !p.AtTail || r.fold.Applied() != 3 || r.fold.LastSnapshot() != 3 {
 		t.Errorf("progress %+v, applied %d", p, r.fold.Applied())
 	}
--- a/coord/config/reporters_test.go
+++ b/coord/config/reporters_test.go
@@ -40,8 +40,8 @@
 
 func (s *reportingCluster) latestAt(entry string) func(string) (AppliedReport, bool) {
 	return func(agent string) (AppliedReport, bool) {
-		w, ok := s.latest[entry][agent]
-		return w, ok
+		report, ok := s.latest[entry][agent]
+		return report, ok
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 		receive := func(rt *rapid.T, entry, agent string) {
 			at := s.now - drawDelay(rt)
-			if w, ok := s.latest[entry][agent]; !ok || at >= w.NotBefore {
+			if known, ok := s.latest[entry][agent]; !ok || at >= known.NotBefore {
 				s.latest[entry][agent] = AppliedReport{Applied: s.applied[agent], NotBefore: at}
 			}
 		}
@@ -142,8 +142,8 @@
 			continue
 		}
 		s.follower.ExpectMember(agent, api.Role_ROLE_AGENT)
-		if w, ok := s.latest["e1"][agent]; ok {
-			s.follower.UpdateMember(agent, api.Role_ROLE_AGENT, w.Applied, w.NotBefore)
+		if report, ok := s.latest["e1"][agent]; ok {
+			s.follower.UpdateMember(agent, api.Role_ROLE_AGENT, report.Applied, report.NotBefore)
 		}
 	}
 	_, missing := s.follower.State(s.now)
@@ -167,7 +167,7 @@
 	latest := map[string]AppliedReport{"a1": {Applied: 1, NotBefore: 900 * time.Millisecond}}
 	none := func(string) bool { return false }
 	applyReport := func(now time.Duration, heardDirectly func(string) bool) string {
-		m := r.BuildHolders("e2", 1, freshnessLimit, now, func(vm string) (AppliedReport, bool) { w, ok := latest[vm]; return w, ok })
+		m := r.BuildHolders("e2", 1, freshnessLimit, now, func(vm string) (AppliedReport, bool) { report, ok := latest[vm]; return report, ok })
 		a.ApplyHolders(r, "e2", m, time.Second, heardDirectly)
 		_, missing := a.State(now)
 		return fmt.Sprint(missing)
--- a/coord/config/view.go
+++ b/coord/config/view.go
@@ -16,15 +16,15 @@
 // View is the configuration after the record at one offset. It is immutable; the messages that it
 // returns are shared and must not be changed.
 type View struct {
-	applied   int64
-	plansAt   int64
-	usesAt    int64
-	customers map[string]*api.Customer
-	owners    map[string]string // SHA-256 of a key, in hex, to the customer's name
-	plans     map[string]*api.Plan
-	services  map[string]*api.Service
-	models    map[string]*api.Model
-	marks     map[markKey]*api.MarkState
+	applied     int64
+	plansOffset int64
+	usesOffset  int64
+	customers   map[string]*api.Customer
+	keyOwners   map[string]string // SHA-256 of a key, in hex, to the customer's name
+	plans       map[string]*api.Plan
+	services    map[string]*api.Service
+	models      map[string]*api.Model
+	marks       map[markKey]*api.MarkState
 }
 
 // Applied returns the last offset applied, -1 for none.
@@ -35,9 +35,9 @@
 func (v *View) ListOffset(list api.ListName) int64 {
 	switch list {
 	case api.ListName_LIST_PLANS:
-		return v.plansAt
+		return v.plansOffset
 	case api.ListName_LIST_USES:
-		return v.usesAt
+		return v.usesOffset
 	}
 	return -1
 }
@@ -53,7 +53,7 @@
 // CustomerByKey returns the customer that owns the key with this SHA-256, in
 // lower-case hex.
 func (v *View) CustomerByKey(sha256hex string) (string, *api.Customer, bool) {
-	name, ok := v.owners[sha256hex]
+	name, ok := v.keyOwners[sha256hex]
 	if !ok {
 		return "", nil, false
 	}
