--- a/coord/keybind/ages.go
+++ b/coord/keybind/ages.go
@@ -19,7 +19,8 @@
 	expiredThrough int64
 }
 
-// checkpoint records that all records up to an offset were read by the time lastSeen.
+// checkpoint covers the records after the previous checkpoint, up to an offset. The first of
+// them were read at firstSeen and the last at lastSeen.
 type checkpoint struct {
 	through   int64
 	firstSeen time.Duration
--- a/coord/keybind/batcher.go
+++ b/coord/keybind/batcher.go
@@ -64,8 +64,8 @@
 var ErrLate = errors.New("the request waited too long for its key to be bound")
 
 // NewBatcher returns a batcher whose queue holds up to limit bindings. maxWait must be less
-// than the difference between the time that bindings are held and the lifetime that callers
-// are promised.
+// than the difference between the time that bindings are held and the lifetime that is
+// promised to callers.
 func NewBatcher(limit int, maxWait time.Duration) *Batcher {
 	return &Batcher{quotas: NewQuotas(limit), maxWait: maxWait, pending: make(map[Key]bool), nextStart: make(map[Customer]float64)}
 }
@@ -171,7 +171,7 @@
 	return batch, 0, true
 }
 
-// EndAppend ends the append and returns its keys. After a failure the record may stand in the
+// EndAppend ends the append and returns its keys. After a failure the record may be in the
 // stream or not; a retry of the request appends another one, and the first of them is valid.
 func (b *Batcher) EndAppend() []Key {
 	keys := make([]Key, 0, len(b.inFlight))
--- a/coord/keybind/doc.go
+++ b/coord/keybind/doc.go
@@ -3,7 +3,7 @@
 //
 // Bindings are stored in the records of an append-only stream with offsets. Each record names
 // a base: its appender had read all records below the base and found the keys unbound. A
-// binding is valid unless another binding of its key stands at or after the base: the first
+// binding is valid unless another binding of its key is at or after the base: the first
 // one in the order of the stream wins, and the appender of a later one uses the ticket of the
 // first. Package ticket ensures that the ticket runs at most once.
 //
--- a/coord/keybind/fold.go
+++ b/coord/keybind/fold.go
@@ -22,7 +22,7 @@
 	// Offset is the offset of the binding's record, AtMs the wall time of its appender.
 	Offset int64
 	AtMs   int64
-	// Unconfirmed says that the base of the binding lies below the first offset of the fold:
+	// Unconfirmed is set if the base of the binding is below the first offset of the fold:
 	// an earlier binding of the key may have expired from the stream. The ticket must not be
 	// used, and the outcome of the request is unknown.
 	Unconfirmed bool
@@ -156,7 +156,7 @@
 	return keys, nil
 }
 
-// bind adds a binding unless another binding of its key stands at or after the base. Without
+// bind adds a binding unless another binding of its key is at or after the base. Without
 // this rule, two entries that bind one key at the same time would each send the request under
 // its own ticket, and a push would be applied twice. A binding below the base is older than a
 // lifetime: the appender had read it, and found its key released.
@@ -217,7 +217,9 @@
 	return atMs
 }
 
-// NthOldestAtMs returns the same for the n-th oldest binding of all customers.
+// NthOldestAtMs returns the wall time of the record that holds the n-th oldest binding of all
+// customers, counted from 1. With fewer bindings it returns that of the newest, and without
+// any 0.
 func (f *Fold) NthOldestAtMs(n int) int64 {
 	if len(f.bindOrder) == 0 {
 		return 0
@@ -225,7 +227,7 @@
 	return f.bindings[f.bindOrder[min(max(n, 1), len(f.bindOrder))-1].key].AtMs
 }
 
-// dropRecordsOf drops the entries up to an offset from a customer's list of records.
+// dropRecordsOf drops the records up to an offset from a customer's list.
 func (f *Fold) dropRecordsOf(c Customer, through int64) {
 	records := f.recordsOf[c]
 	for len(records) > 0 && records[0].offset <= through {
--- a/coord/keybind/key.go
+++ b/coord/keybind/key.go
@@ -16,7 +16,7 @@
 // identify an order or a guest.
 type Key [digestSize]byte
 
-// Request is the digest of a request. It detects another request under the same key.
+// Request is the digest of a request. It shows whether a key is reused for another request.
 type Request [digestSize]byte
 
 // KeyOf returns the digest of a customer's name and key.
--- a/coord/keybind/property_test.go
+++ b/coord/keybind/property_test.go
@@ -29,9 +29,9 @@
 // simulation models a stream, entries that may be replaced at any time, and the agents' state
 // of the tickets that the entries minted.
 type simulation struct {
-	now     time.Duration
-	records []record // by offset; those below first have expired
-	first   int64
+	now           time.Duration
+	records       []record // by offset; those below firstRetained have expired
+	firstRetained int64
 	// retention is how long the stream keeps records. It may be less than holdTime.
 	retention time.Duration
 	entries   []*simEntry
@@ -56,7 +56,8 @@
 	fold    *Fold
 	ages    *AgeTracker
 	batcher *Batcher
-	waiting []simRequest
+	// awaitingBinding are requests whose keys wait to be bound.
+	awaitingBinding []simRequest
 	// arrivals are requests that wait for admission, or for a paused process.
 	arrivals []simRequest
 }
@@ -92,40 +93,40 @@
 func (sim *simulation) wallMs() int64 { return (sim.now + 1000*time.Hour).Milliseconds() }
 
 // handle lets an entry handle one request.
-func (sim *simulation) handle(t *rapid.T, e *simEntry, p simRequest) {
-	if sim.sendIfBound(t, e, p) || !sim.isComplete(e) {
+func (sim *simulation) handle(t *rapid.T, e *simEntry, r simRequest) {
+	if sim.sendIfBound(t, e, r) || !sim.isComplete(e) {
 		return
 	}
-	if verdict, _ := e.fold.Quotas().Check(Customer{p.key[0]}, 0); verdict != Allowed {
+	if verdict, _ := e.fold.Quotas().Check(Customer{r.key[0]}, 0); verdict != Allowed {
 		return
 	}
 	// The ticket was minted in the first half of its block's lifetime.
-	ticket := &simTicket{key: p.key, arrived: p.arrived, expiry: sim.now + holdTime}
-	name := &api.Ticket{Seq: uint32(len(sim.tickets)), AgentVm: "vm", Customer: p.key[:1]}
-	if e.batcher.Add(sim.now, p.arrived, p.key, p.request, name) == nil {
+	ticket := &simTicket{key: r.key, arrived: r.arrived, expiry: sim.now + holdTime}
+	minted := &api.Ticket{Seq: uint32(len(sim.tickets)), AgentVm: "vm", Customer: r.key[:1]}
+	if e.batcher.Add(sim.now, r.arrived, r.key, r.request, minted) == nil {
 		sim.tickets = append(sim.tickets, ticket)
-		e.waiting = append(e.waiting, p)
+		e.awaitingBinding = append(e.awaitingBinding, r)
 	}
 }
 
 // sendIfBound sends a request under the ticket that its key is bound to, and reports whether
 // the entry holds a binding of the key.
-func (sim *simulation) sendIfBound(t *rapid.T, e *simEntry, p simRequest) bool {
-	b, ok := e.fold.Lookup(p.key)
+func (sim *simulation) sendIfBound(t *rapid.T, e *simEntry, r simRequest) bool {
+	b, ok := e.fold.Lookup(r.key)
 	if !ok {
 		return false
 	}
-	if b.Unconfirmed || !sim.isComplete(e) || b.Request != p.request || !b.IsCurrent(sim.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
+	if b.Unconfirmed || !sim.isComplete(e) || b.Request != r.request || !b.IsCurrent(sim.wallMs(), holdTime-promisedLifetime/2, clockMargin) {
 		return true
 	}
 	ticket, err := b.DecodeTicket()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sim.tickets[ticket.GetSeq()].key != p.key {
+	if sim.tickets[ticket.GetSeq()].key != r.key {
 		t.Fatal("a key is bound to the ticket of another one")
 	}
-	sim.sent = append(sim.sent, sentRequest{sim.tickets[ticket.GetSeq()], p})
+	sim.sent = append(sim.sent, sentRequest{sim.tickets[ticket.GetSeq()], r})
 	return true
 }
 
@@ -142,10 +143,10 @@
 }
 
 func (sim *simulation) read(t *rapid.T, e *simEntry, limit int) {
-	if e.fold.Next() < sim.first {
-		e.fold.Restart(sim.first)
+	if e.fold.Next() < sim.firstRetained {
+		e.fold.Restart(sim.firstRetained)
 		e.batcher.Clear()
-		e.waiting = nil
+		e.awaitingBinding = nil
 	}
 	for n := e.fold.Next(); n < int64(len(sim.records)) && limit > 0; n++ {
 		keys, err := e.fold.Apply(n, sim.records[n].data)
@@ -159,12 +160,12 @@
 	}
 	e.ages.Observe(sim.now, e.fold.Next()-1)
 	var stillWaiting []simRequest
-	for _, p := range e.waiting {
-		if !sim.sendIfBound(t, e, p) {
-			stillWaiting = append(stillWaiting, p)
+	for _, r := range e.awaitingBinding {
+		if !sim.sendIfBound(t, e, r) {
+			stillWaiting = append(stillWaiting, r)
 		}
 	}
-	e.waiting = stillWaiting
+	e.awaitingBinding = stillWaiting
 }
 
 // commitAppend adds the record of an append to the stream.
@@ -279,8 +280,8 @@
 			"arrive": func(t *rapid.T) { e := pickEntry(t); e.arrivals = append(e.arrivals, newRequest(t)) },
 			"press": func(t *rapid.T) {
 				e := pickEntry(t)
-				for _, p := range e.arrivals {
-					sim.handle(t, e, p)
+				for _, r := range e.arrivals {
+					sim.handle(t, e, r)
 				}
 				e.arrivals = nil
 			},
@@ -316,8 +317,8 @@
 			"pass":           func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second },
 			"pass long":      func(t *rapid.T) { sim.now += time.Duration(rapid.IntRange(1, 250).Draw(t, "s")) * time.Second },
 			"expire": func(*rapid.T) {
-				for sim.first < int64(len(sim.records)) && sim.now-sim.records[sim.first].at > sim.retention {
-					sim.first++
+				for sim.firstRetained < int64(len(sim.records)) && sim.now-sim.records[sim.firstRetained].at > sim.retention {
+					sim.firstRetained++
 				}
 			},
 			// The limit and the shares differ between entries, and so do their decisions.
--- a/coord/keybind/room.go
+++ b/coord/keybind/room.go
@@ -54,7 +54,8 @@
 // times what is left to borrow. Several customers that want more converge to parts in
 // proportion to their weights, and some capacity is left for customers that come later.
 //
-// Quotas counts the bindings that it is told about and enforces nothing by itself: see Check.
+// Quotas only counts bindings. Its owner calls Check before it admits a request, and adjust when
+// a binding is added or released.
 type Quotas struct {
 	limit         int
 	shares        map[Customer]float64
@@ -131,9 +132,9 @@
 	q.held[c] = after
 }
 
-// StaggerRetry takes the number n of a customer's bindings that must expire before a request
-// can be admitted, and returns the number for one more request after the callers that were
-// refused before, at any of so many entries.
+// StaggerRetry returns the number of a customer's bindings that must expire before a refused
+// request and all those refused before it can be admitted. n is the number for one request
+// alone, as Check returns it, and entries the number of entries that refuse requests.
 //
 // Without it, all requests of a burst that is refused within a second would be told when the
 // next binding expires, retry together, and all but one would be refused again. Each entry
@@ -171,12 +172,12 @@
 	return max(q.shares[c]/q.maxShare, minWeight)
 }
 
-// Verdict tells whether a customer may hold one more binding.
+// Verdict is whether a customer may hold one more binding.
 type Verdict int
 
 // The verdicts.
 const (
-	// Allowed means that it may.
+	// Allowed means that the customer may hold one more binding.
 	Allowed Verdict = iota
 	// OverShare means that the customer has used up its guaranteed quota and what it may borrow.
 	OverShare
@@ -184,7 +185,7 @@
 	Full
 )
 
-// Check tells whether a customer may hold one more binding besides those that are pending. If
+// Check returns whether a customer may hold one more binding besides those that are pending. If
 // not, it returns how many bindings must expire first: of the customer's with OverShare, of all
 // customers' with Full.
 func (q *Quotas) Check(c Customer, pending int) (Verdict, int) {
@@ -212,7 +213,7 @@
 	return OverShare, min(n, aboveGuaranteed+1)
 }
 
-// checkTotal tells whether the number of all bindings is below a limit.
+// checkTotal returns whether the number of all bindings is below a limit.
 func (q *Quotas) checkTotal(limit int) (Verdict, int) {
 	if q.total < limit {
 		return Allowed, 0
