--- a/coord/mapswitch/claim_test.go
+++ b/coord/mapswitch/claim_test.go
@@ -36,7 +36,7 @@
 	if d := m.Decide(m.cfg.RetryInterval, []Status{armed, armed, armed}, 769); len(d.Orders) != 0 || !d.InProgress {
 		t.Errorf("all armed and hold released: %+v", d)
 	}
-	// The group has broken and opened again: its ranks know no fence any more.
+	// The group has restarted in a new epoch, in which its ranks have no fence yet.
 	if d := m.Decide(m.cfg.RetryInterval, []Status{{Epoch: 2}, {Epoch: 2}, {Epoch: 2}}, 769); len(d.Orders) != 3 || d.Orders[0].Kind != Claim {
 		t.Errorf("in a new epoch: %+v", d.Orders)
 	}
@@ -67,8 +67,8 @@
 	}
 }
 
-// Passes take most of a second, as with one rank that is many times slower: the group is held at
-// the next pass and does not go through a second such pass with the old map.
+// Passes take most of a second, because one rank is many times slower. The group must be held at
+// the next pass, so that it doesn't run a second such pass with the old map.
 func TestALongPassIsNotWaitedForTwice(t *testing.T) {
 	ready := Status{Epoch: 1, Step: 30, Prepared: 513}
 	for pass, want := range map[time.Duration]int64{0: 32, 60 * time.Millisecond: 32, 700 * time.Millisecond: 31} {
--- a/coord/mapswitch/mapswitch.go
+++ b/coord/mapswitch/mapswitch.go
@@ -7,7 +7,7 @@
 // it is certain that all ranks use the same map:
 //
 //  1. Every rank prepares the new map; nothing else happens until all report it as prepared.
-//  2. One rank holds the group at a pass some way ahead.
+//  2. One rank holds the group at a pass one or two ahead.
 //  3. Only when the hold is reported is every rank armed for that pass.
 //  4. Only when all are reported armed for it, with the same version, is the hold released.
 //
@@ -45,8 +45,8 @@
 	// Armed and Held are nil for none. Held is the pass at which the rank holds the group.
 	Armed *Arming
 	Held  *int64
-	// Stale marks a report that may be some moments old, as when the engine was asked over the
-	// network and not through the process beside it. A rank that has since answered an order to
+	// Stale marks a report that may be some moments old, as when the engine was called directly
+	// over the network and not through its rank agent. A rank that has since answered an order to
 	// arm it is Armed and not Stale.
 	Stale bool
 }
--- a/coord/mapswitch/sim_test.go
+++ b/coord/mapswitch/sim_test.go
@@ -12,9 +12,9 @@
 // other ranks.
 type simRank struct {
 	status         Status
-	highestVersion int64 // version
+	highestVersion int64 // the highest version prepared
 	fence          int64
-	content        map[int64]int64 // who made each version
+	content        map[int64]int64 // by version, the fence of the coordinator that made it
 }
 
 // simOrder is an order in transit.
@@ -113,7 +113,7 @@
 	}
 }
 
-// restart breaks the group and opens it in a new epoch.
+// restart restarts the group in a new epoch, without the state of the last.
 func (s *sim) restart() {
 	s.epochs++
 	for _, r := range s.ranks {
@@ -244,7 +244,7 @@
 	return before
 }
 
-// send sends one order, and returns whether it was answered as taken.
+// send sends one order, and returns whether the rank answered that it carried it out.
 func (s *sim) send(c *simCoordinator, o Order) bool {
 	order := simOrder{Order: o, fence: c.fence, content: c.fence}
 	switch rapid.IntRange(0, 9).Draw(s.t, "fate") {
@@ -257,9 +257,9 @@
 		s.record("fence %d late %v, at %d", c.fence, o, order.due)
 		return false
 	default:
-		taken := s.apply(order)
-		s.record("fence %d %v: %v", c.fence, o, taken)
-		return taken
+		accepted := s.apply(order)
+		s.record("fence %d %v: %v", c.fence, o, accepted)
+		return accepted
 	}
 }
 
@@ -274,8 +274,8 @@
 }
 
 // Each rank gets its own orders, some of which are lost or carried out seconds late. Coordinators
-// die in the middle of a switch and others take over, and the group breaks and opens again. No pass
-// may begin with two maps: callers would get wrong output that looks complete.
+// die in the middle of a switch and others take over, and the group restarts. No pass may begin
+// with two maps: callers would get wrong output that looks complete.
 func TestNoPassWithTwoMaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sim{t: t, fenced: rapid.Bool().Draw(t, "fenced")}
