--- a/coord/peering/peering.go
+++ b/coord/peering/peering.go
@@ -27,8 +27,9 @@
 	// a tenth of the time of a typical generation, so that others learn of requests in flight at
 	// backend servers before they end.
 	MinHeartbeatInterval time.Duration
-	// MaxHeartbeatsPerSecond limits the heartbeats that a process sends per second. Default 60: as
-	// many arrive, and handling both takes far less than 1% of one core of a small VM.
+	// MaxHeartbeatsPerSecond limits the heartbeats that a process sends per second to live entries,
+	// as long as each gets one every third of SilentAfter. Default 60: as many arrive, and sending
+	// and receiving them takes far less than 1% of one core of a small VM.
 	MaxHeartbeatsPerSecond float64
 	// ProbeInterval is the time between two heartbeats to a silent entry. Default 1 s.
 	ProbeInterval time.Duration
@@ -227,8 +228,10 @@
 }
 
 // heartbeatInterval returns the time between two heartbeats to a live entry. Heartbeats from all to
-// all would grow with the square of the number of entries. Each process therefore sends at most
-// MaxHeartbeatsPerSecond, so with more entries each hears less often from the others.
+// all would grow with the square of the number of entries. Each process therefore keeps to
+// MaxHeartbeatsPerSecond, so with more entries each hears less often from the others. The interval
+// grows to at most a third of SilentAfter, even if that exceeds the rate: with a longer one, a few
+// lost heartbeats would make a live entry look silent.
 func (t *Table) heartbeatInterval(live int) time.Duration {
 	spread := time.Duration(float64(live) / t.cfg.MaxHeartbeatsPerSecond * float64(time.Second))
 	return max(t.cfg.MinHeartbeatInterval, min(spread, t.cfg.SilentAfter/3))
--- a/coord/peering/peering_test.go
+++ b/coord/peering/peering_test.go
@@ -100,9 +100,9 @@
 	}{
 		{"alone", entry("b", 0), nil, "b"},
 		{"the first of several that start", entry("b", 0), []*api.PeerBeat{entry("c", 0), entry("a", 0)}, "a"},
-		{"one that returns does not take over", entry("a", 0), []*api.PeerBeat{entry("b", 4), entry("c", 0)}, "b"},
-		{"of two, the one that followed", entry("a", 3), []*api.PeerBeat{entry("b", 4)}, "b"},
-		{"one that leaves is followed", entry("b", 0), []*api.PeerBeat{leaving, entry("c", 0)}, "b"},
+		{"an entry that returns does not take over", entry("a", 0), []*api.PeerBeat{entry("b", 4), entry("c", 0)}, "b"},
+		{"of two coordinators, the one with the higher fence", entry("a", 3), []*api.PeerBeat{entry("b", 4)}, "b"},
+		{"a coordinator that leaves is replaced", entry("b", 0), []*api.PeerBeat{leaving, entry("c", 0)}, "b"},
 		{"one that does not serve yet", starting, []*api.PeerBeat{entry("c", 0)}, "c"},
 		{"none serves", starting, nil, ""},
 	} {
--- a/coord/peering/roll.go
+++ b/coord/peering/roll.go
@@ -29,17 +29,17 @@
 func (r *MemberPruner) SelectRemovals(members []Member, live map[string]bool, now time.Duration) []Member {
 	silentSince := make(map[Member]time.Duration)
 	var remove []Member
-	for _, n := range members {
-		if live[n.IP] {
+	for _, member := range members {
+		if live[member.IP] {
 			continue
 		}
-		since, known := r.silentSince[n]
+		since, known := r.silentSince[member]
 		if !known {
 			since = now
 		}
-		silentSince[n] = since
+		silentSince[member] = since
 		if now-since >= removeAfter && len(remove) < maxRemovals {
-			remove = append(remove, n)
+			remove = append(remove, member)
 		}
 	}
 	r.silentSince = silentSince
--- a/coord/peering/roll_test.go
+++ b/coord/peering/roll_test.go
@@ -7,8 +7,8 @@
 )
 
 // VMs are replaced all day under new names. Members that are gone are removed after a while, a few
-// at a time. One that is heard now and then stays, and one that comes back with another IP starts
-// its silence anew.
+// at a time. A member that is live now and then stays, and the silence of a member that changes its
+// IP counts from the change.
 func TestSilentMembersAreRemovedInBatches(t *testing.T) {
 	r := &MemberPruner{}
 	self, heard, moved := Member{"front-1", "10.0.0.1"}, Member{"front-2", "10.0.0.2"}, Member{"front-3", "10.0.0.3"}
@@ -33,9 +33,9 @@
 	if len(removed) != maxRemovals {
 		t.Fatalf("%d members removed, want %d at a time", len(removed), maxRemovals)
 	}
-	for _, n := range removed {
-		if n == self || n == heard || n == moved {
-			t.Errorf("%v was removed", n)
+	for _, member := range removed {
+		if member == self || member == heard || member == moved {
+			t.Errorf("%v was removed", member)
 		}
 	}
 	rest := members[:3+maxRemovals]
