--- a/coord/registry/registry.go
+++ b/coord/registry/registry.go
@@ -139,15 +139,15 @@
 
 // Expire drops the servers whose time to register again has passed, and returns their IDs.
 func (r *Registry) Expire(now time.Duration) []string {
-	var gone []string
+	var expired []string
 	for id, expiry := range r.expiresAt {
 		if now >= expiry {
 			delete(r.expiresAt, id)
 			r.drop(id)
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	return gone
+	return expired
 }
 
 // Registrations returns the registered servers that were not replaced, in no particular order.
