--- a/coord/expertmap/agent.go
+++ b/coord/expertmap/agent.go
@@ -48,7 +48,7 @@
 	// prefetch holds the maps that the coordinator asked to load.
 	prefetch map[uint64]bool
 	// releasedEnd is the end of the steps released under the promised ballot. releaseAcked is set
-	// once the coordinator was told that the engines hold them.
+	// once the agent has acknowledged to the coordinator that the engines hold them.
 	releasedEnd  uint64
 	releaseAcked bool
 
--- a/coord/expertmap/coordinator.go
+++ b/coord/expertmap/coordinator.go
@@ -72,6 +72,7 @@
 
 // member is what a coordinator knows of one agent under its ballot.
 type member struct {
+	// sealed is set once the agent has answered the seal, with the three values that follow.
 	sealed      bool
 	incarnation string
 	given       ranges
@@ -93,7 +94,7 @@
 	// target is the map requested for future steps; 0 for none.
 	target uint64
 	// plan holds the ranges under this ballot. It only grows at its end, and old steps are cut off
-	// its start.
+	// its start. base is the first step that this ballot could plan.
 	plan ranges
 	base uint64
 	// releasedEnd is the end of the steps that all agents have acknowledged.
--- a/coord/expertmap/sim_test.go
+++ b/coord/expertmap/sim_test.go
@@ -182,7 +182,7 @@
 	for len(e.conns) > 0 && e.conns[0].closed && len(e.conns[0].orders) == 0 {
 		e.conns = e.conns[1:]
 	}
-	s.takeOrder(vm, engine, e.conns[s.random.IntN(len(e.conns))])
+	s.handleOrder(vm, engine, e.conns[s.random.IntN(len(e.conns))])
 	if e.reading && len(e.conns) == 1 {
 		e.reading = false
 		vm.agent.EngineStateRead(engine, EngineState{Given: e.ranges(), Step: s.step, Fence: e.fence, Loaded: e.loaded})
@@ -195,7 +195,7 @@
 	vm.agent.SetEngineStep(engine, s.step)
 }
 
-func (s *sim) takeOrder(vm *simVM, engine int, from *engineConn) {
+func (s *sim) handleOrder(vm *simVM, engine int, from *engineConn) {
 	e := vm.engines[engine]
 	if len(from.orders) == 0 {
 		return
