--- a/coord/ticket/block.go
+++ b/coord/ticket/block.go
@@ -1,6 +1,6 @@
 package ticket
 
-// ticketState tells whether a ticket was used or voided.
+// ticketState is whether a ticket was used or voided.
 type ticketState int
 
 const (
--- a/coord/ticket/ledger.go
+++ b/coord/ticket/ledger.go
@@ -57,7 +57,7 @@
 	answerID string
 	// ran is the outcome of the run; unspecified while the request runs.
 	ran api.Ran
-	// answerGone says that the answer was discarded.
+	// answerGone is set once the answer was discarded.
 	answerGone bool
 }
 
@@ -298,8 +298,8 @@
 	return hmac.Equal(t.GetMac(), sign(key, t))
 }
 
-// decideUsedOrVoided decides on a ticket that was used or voided before. A nil request stands
-// for whichever request was bound.
+// decideUsedOrVoided decides on a ticket that was used or voided before. A nil request matches
+// any request that was bound.
 func (l *Ledger) decideUsedOrVoided(b *block, t *api.Ticket, request *[32]byte) Decision {
 	if b.state(t.GetSeq()) == voided {
 		return refusedVoided
--- a/coord/ticket/ledger_test.go
+++ b/coord/ticket/ledger_test.go
@@ -82,7 +82,7 @@
 // The request is dropped from the agent's queue, so nothing was sent, and the caller is told
 // "not run". A copy that arrives later must not run. A ticket whose run has ended cannot be
 // voided any more.
-func TestAbandon(t *testing.T) {
+func TestAbandonedTicketNeverRuns(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	queued, ran := mint(t, m, 0), mint(t, m, 0)
 	wantDecision(t, l.Begin(0, queued, testCustomer, push, "a1"), Run, 0, 0)
@@ -116,7 +116,7 @@
 // The caller asks for the outcome of its request, is told "not run", and pushes again with a
 // new ticket. The first copy, delayed in an unresponsive link, arrives after that and must not
 // run.
-func TestSettle(t *testing.T) {
+func TestSettledTicketNeverRuns(t *testing.T) {
 	l, m := newLedgerAndMinter(testLimits)
 	unseen, ran := mint(t, m, 0), mint(t, m, 0)
 	wantDecision(t, l.Settle(0, unseen, testCustomer), Refuse, api.ResultCode_TICKET_VOID, api.Ran_RAN_NO)
