--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -232,7 +232,7 @@
 		c.entryCounts = counts
 		c.g.fleet.setServers(c.registry.Registrations(), c.domainsOut, c.table, counts, now)
 	}
-	c.g.fleet.setPeerReports(sumInFlight(live), c.reportedPaces(live), now)
+	c.g.fleet.setPeerReports(sumInFlight(live), c.reportedImpairments(live), now)
 	c.publishView(live, now)
 	self := &api.PeerBeat{Ip: c.g.settings.IP, FailureDomain: c.g.settings.FailureDomain, Serving: c.g.view.Load().ready}
 	c.decideStoreReads(self, live, now)
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -30,17 +30,17 @@
 	return engines
 }
 
-// reportedPaces returns the backend servers that are slow or closed, as the coordinator reports
+// reportedImpairments returns the backend servers that are slow or closed, as the coordinator reports
 // them.
-func (c *control) reportedPaces(live []*api.PeerBeat) map[string]experts.Impairment {
+func (c *control) reportedImpairments(live []*api.PeerBeat) map[string]experts.Impairment {
 	if c.g.experts.Fence() != 0 {
 		return c.g.experts.Impairments()
 	}
-	paces := make(map[string]experts.Impairment)
+	impairments := make(map[string]experts.Impairment)
 	for _, b := range live {
 		for _, p := range b.GetPaces() {
-			paces[p.GetId()] = experts.Impairment{Slowdown: float64(p.GetPace()), Closed: p.GetClosed()}
+			impairments[p.GetId()] = experts.Impairment{Slowdown: float64(p.GetPace()), Closed: p.GetClosed()}
 		}
 	}
-	return paces
+	return impairments
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -49,10 +49,10 @@
 	if t.service == "" {
 		return nil
 	}
-	r := g.fleet.slotState(t.service)
+	slots := g.fleet.slotState(t.service)
 	return []any{
-		"running", r.running, "waiting", r.queued, "free", r.free, "capacity", r.capacity,
-		"registered", r.registered, "entries", r.entries, "room_age_ms", ageMillis(r.countedAt),
+		"running", slots.running, "waiting", slots.queued, "free", slots.free, "capacity", slots.capacity,
+		"registered", slots.registered, "entries", slots.entries, "room_age_ms", ageMillis(slots.countedAt),
 	}
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -200,20 +200,20 @@
 
 // setPeerReports sets the other entries' requests in flight by server, and the servers that are
 // slow.
-func (f *fleet) setPeerReports(others map[string]int, paces map[string]experts.Impairment, now time.Duration) {
+func (f *fleet) setPeerReports(others map[string]int, impairments map[string]experts.Impairment, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.servers {
 		s.othersInFlight = others[id]
-		f.setSlowdown(id, s, paces[id])
+		f.setImpairment(id, s, impairments[id])
 	}
 	f.updatePlacement(now)
 }
 
-// setSlowdown sets how slow a server is. The caller holds the lock.
-func (f *fleet) setSlowdown(id string, s *server, p experts.Impairment) {
+// setImpairment sets how slow a server is. The caller holds the lock.
+func (f *fleet) setImpairment(id string, s *server, impairment experts.Impairment) {
 	oldLimit, wasClosed := s.inFlightLimit(), s.closed
-	s.slowdown, s.closed = p.Slowdown, p.Closed
+	s.slowdown, s.closed = impairment.Slowdown, impairment.Closed
 	if s.inFlightLimit() != oldLimit || s.closed != wasClosed {
 		_ = level.Info(f.logger).Log("msg", "The load limit of a backend server has changed.", "server", id, "service", s.Service,
 			"pace", s.slowdown, "closed", s.closed, "limit", s.inFlightLimit())
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -205,15 +205,15 @@
 			outcomes <- outcome{server: s.ID}
 		}()
 	}
-	for end := time.Now().Add(generous); ; time.Sleep(msec) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(msec) {
 		f.mu.Lock()
-		waiting := len(f.queue)
+		queued := len(f.queue)
 		f.mu.Unlock()
-		if waiting+len(outcomes) == cap(outcomes) {
+		if queued+len(outcomes) == cap(outcomes) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("only %d requests are queued", waiting)
+			t.Fatalf("only %d requests are queued", queued)
 		}
 	}
 	f.clearRefusing("app")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -290,19 +290,19 @@
 	store.Configure(1, fakeplatform.Routes(), "key-1", "key-2")
 	store.Serve(t, "i-a", fakeplatform.Echo)
 	settings := settingsFor(store)
-	door := store.NewEndpoint(t)
-	settings.Store.Address = door.Address
-	one := start(t, settings)
-	two := start(t, settingsFor(store, settings.IP))
-	for _, e := range []*entry{one, two} {
+	storeEndpoint := store.NewEndpoint(t)
+	settings.Store.Address = storeEndpoint.Address
+	rejected := start(t, settings)
+	served := start(t, settingsFor(store, settings.IP))
+	for _, e := range []*entry{rejected, served} {
 		e.until("both know of each other", func() bool { return len(e.view.Load().addresses) == 2 })
 	}
-	door.Unavailable.Store(true)
+	storeEndpoint.Unavailable.Store(true)
 	// A long poll that is already waiting would still return the new record.
-	one.until("no read is under way", func() bool { return door.InFlight.Load() == 0 })
+	rejected.until("no read is under way", func() bool { return storeEndpoint.InFlight.Load() == 0 })
 	store.Configure(2, fakeplatform.Routes(), "key-1")
-	one.until("the first has the new version", func() bool { return one.view.Load().table.Version == 2 })
-	if r := one.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
+	rejected.until("the first has the new version", func() bool { return rejected.view.Load().table.Version == 2 })
+	if r := rejected.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
 		t.Errorf("the key that was taken away: %+v", r)
 	}
 }
@@ -315,29 +315,29 @@
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1", "key-2")
 	store.Serve(t, "i-a", fakeplatform.Echo)
-	reading, hearing := settingsFor(store), settingsFor(store)
-	hearing.Seeds = []string{reading.IP}
-	if hearing.IP < reading.IP {
-		reading, hearing = hearing, reading
-		hearing.Seeds, reading.Seeds = []string{reading.IP}, nil
+	readerSettings, idleSettings := settingsFor(store), settingsFor(store)
+	idleSettings.Seeds = []string{readerSettings.IP}
+	if idleSettings.IP < readerSettings.IP {
+		readerSettings, idleSettings = idleSettings, readerSettings
+		idleSettings.Seeds, readerSettings.Seeds = []string{readerSettings.IP}, nil
 	}
-	door := store.NewEndpoint(t)
-	hearing.Store.Address = door.Address
-	one, two := start(t, reading), start(t, hearing)
-	two.until("the second one leaves reading to the first", func() bool { return !two.readsStore.Load() })
-	two.until("no read is under way", func() bool { return door.InFlight.Load() == 0 })
-	before := door.Calls.Load()
+	storeEndpoint := store.NewEndpoint(t)
+	idleSettings.Store.Address = storeEndpoint.Address
+	reader, idle := start(t, readerSettings), start(t, idleSettings)
+	idle.until("the second one leaves reading to the first", func() bool { return !idle.readsStore.Load() })
+	idle.until("no read is under way", func() bool { return storeEndpoint.InFlight.Load() == 0 })
+	before := storeEndpoint.Calls.Load()
 	store.Configure(2, fakeplatform.Routes(), "key-1")
-	two.until("it has the new version", func() bool { return two.view.Load().table.Version == 2 })
-	if r := two.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
+	idle.until("it has the new version", func() bool { return idle.view.Load().table.Version == 2 })
+	if r := idle.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
 		t.Errorf("the key that was taken away: %+v", r)
 	}
 	// The reads of an idle entry in the longest time that a test waits.
-	if n := door.Calls.Load() - before; n > 5 {
+	if n := storeEndpoint.Calls.Load() - before; n > 5 {
 		t.Errorf("the idle entry called the store %d times", n)
 	}
-	one.cancel()
-	two.until("it reads for itself", func() bool { return two.readsStore.Load() && door.Calls.Load() > before+3 })
+	reader.cancel()
+	idle.until("it reads for itself", func() bool { return idle.readsStore.Load() && storeEndpoint.Calls.Load() > before+3 })
 	store.Configure(3, fakeplatform.Routes(), "key-1")
-	two.until("it has the version after that", func() bool { return two.view.Load().table.Version == 3 })
+	idle.until("it has the version after that", func() bool { return idle.view.Load().table.Version == 3 })
 }
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -50,22 +50,22 @@
 func TestTheCoordinatorTakesNamesOffTheList(t *testing.T) {
 	t.Parallel()
 	w := newControlWorld(t)
-	names := []peering.Member{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
-	read := func(coordinates bool, now time.Duration) []peering.Member {
+	members := []peering.Member{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
+	removalsAt := func(isCoordinator bool, now time.Duration) []peering.Member {
 		t.Helper()
 		w.heartbeat(0, now)
-		w.g.view.Store(&view{isCoordinator: coordinates})
-		r := memberList{members: names, removals: make(chan []peering.Member, 1)}
-		w.applyMembers(r, now)
-		return <-r.removals
+		w.g.view.Store(&view{isCoordinator: isCoordinator})
+		list := memberList{members: members, removals: make(chan []peering.Member, 1)}
+		w.applyMembers(list, now)
+		return <-list.removals
 	}
-	if gone := read(true, time.Minute); len(gone) != 0 {
-		t.Errorf("%v are to be removed at once", gone)
+	if removals := removalsAt(true, time.Minute); len(removals) != 0 {
+		t.Errorf("%v are to be removed at once", removals)
 	}
-	if gone := read(false, time.Hour); len(gone) != 0 {
-		t.Errorf("an entry that does not coordinate removes %v", gone)
+	if removals := removalsAt(false, time.Hour); len(removals) != 0 {
+		t.Errorf("an entry that does not coordinate removes %v", removals)
 	}
-	if gone := read(true, time.Hour+time.Second); len(gone) != 1 || gone[0] != names[0] {
-		t.Errorf("the coordinator removes %v", gone)
+	if removals := removalsAt(true, time.Hour+time.Second); len(removals) != 1 || removals[0] != members[0] {
+		t.Errorf("the coordinator removes %v", removals)
 	}
 }
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -14,11 +14,11 @@
 	draft := &routing.Route{Kind: routing.Stream, Resumable: true, Attempts: 2}
 	chat := &routing.Route{Kind: routing.Stream, Attempts: 2}
 	for _, c := range []struct {
-		name  string
-		v     attemptOutcome
-		route *routing.Route
-		h     history
-		want  bool
+		name    string
+		outcome attemptOutcome
+		route   *routing.Route
+		h       history
+		want    bool
 	}{
 		{"a push whose answer was lost", broken, once, history{sent: 1, mayHaveRun: true}, false},
 		{"a push that failed", serverError, once, history{sent: 1, mayHaveRun: true}, false},
@@ -34,7 +34,7 @@
 		{"a caller that has gone", abandoned, lookup, history{sent: 1}, false},
 		{"an answer", delivered, lookup, history{sent: 1}, false},
 	} {
-		if got, _ := shouldRetry(c.v, c.route, c.h); got != c.want {
+		if got, _ := shouldRetry(c.outcome, c.route, c.h); got != c.want {
 			t.Errorf("%s: retried %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -22,25 +22,25 @@
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1")
 	store.Serve(t, "i-a", fakeplatform.Echo)
-	door := store.NewEndpoint(t)
+	storeEndpoint := store.NewEndpoint(t)
 	settings := settingsFor(store)
-	settings.Store.Address = door.Address
+	settings.Store.Address = storeEndpoint.Address
 	opening, open := make(chan struct{}), make(chan struct{})
 	// The library may try a second kind of socket.
 	signalOpening := sync.OnceFunc(func() { close(opening) })
 	g := newGateway(settings, log.NewNopLogger())
-	usual := g.listen.Control
+	setSocketOptions := g.listen.Control
 	g.listen.Control = func(network, address string, c syscall.RawConn) error {
 		if address == settings.Listen.Callers {
 			signalOpening()
 			<-open
 		}
-		return usual(network, address, c)
+		return setSocketOptions(network, address, c)
 	}
 	e := launch(t, g)
 	<-opening
 	time.Sleep(settleTime)
-	if n := door.Calls.Load(); n != 0 {
+	if n := storeEndpoint.Calls.Load(); n != 0 {
 		t.Errorf("the entry called the store %d times while it did not listen", n)
 	}
 	if e.view.Load() != nil {
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = taken.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	err = newGateway(settings, log.NewNopLogger()).run(ctx)
 	if err == nil || !strings.Contains(err.Error(), "listen for callers") {
@@ -86,7 +86,7 @@
 			t.Errorf("the entry ended with %v", err)
 		}
 		e.done <- err
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Error("the entry goes on without receiving heartbeats")
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -93,7 +93,7 @@
 	_ = resp.Body.Close()
 	select {
 	case <-ended:
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Error("the server went on")
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -127,9 +127,9 @@
 func (f *fleet) slotState(service string) slotState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.slotStates[service]
-	r.running, r.queued, r.entries = f.running[service], f.queued[service], f.entries
-	return r
+	state := f.slotStates[service]
+	state.running, state.queued, state.entries = f.running[service], f.queued[service], f.entries
+	return state
 }
 
 func (f *fleet) resolve(id uint64, a admission) {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -16,8 +16,8 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// generous is how long a test waits for what must happen: far more than it takes.
-const generous = 20 * time.Second
+// testTimeout is how long a test waits for what must happen: far more than it takes.
+const testTimeout = 20 * time.Second
 
 // entry is a running gateway.
 type entry struct {
@@ -56,7 +56,7 @@
 		cancel()
 		select {
 		case <-e.done:
-		case <-time.After(generous):
+		case <-time.After(testTimeout):
 			t.Error("the entry did not stop")
 		}
 	})
@@ -76,14 +76,14 @@
 	})
 }
 
-func (e *entry) until(what string, is func() bool) {
+func (e *entry) until(what string, condition func() bool) {
 	e.t.Helper()
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if is() {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	e.t.Fatalf("not within %v: %s", generous, what)
+	e.t.Fatalf("not within %v: %s", testTimeout, what)
 }
 
 // reply is what a caller got.
