--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -93,10 +93,10 @@
 // fakeCluster is the view of an entry that is selected to coordinate.
 type fakeCluster struct {
 	engines     []Engine
-	coordinates atomic.Bool
+	selected atomic.Bool
 }
 
-func (f *fakeCluster) IsCoordinator() bool { return f.coordinates.Load() }
+func (f *fakeCluster) IsCoordinator() bool { return f.selected.Load() }
 func (f *fakeCluster) IsLeaving() bool     { return false }
 func (f *fakeCluster) Engines() []Engine   { return f.engines }
 
@@ -119,7 +119,7 @@
 
 func startCoordinator(t *testing.T, g *testGroup, store *platform.Store) (*fakeCluster, *Coordinator) {
 	cluster := &fakeCluster{engines: g.engines}
-	cluster.coordinates.Store(true)
+	cluster.selected.Store(true)
 	c := New("vm", fakeplatform.PortPeers, cluster, store, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -30,8 +30,8 @@
 	shape   balance.Shape
 	// lastCounts holds the latest counts of each rank and born its start time, both by engine ID.
 	// The counts of a rank that restarts begin at zero.
-	lastCounts map[string][]int64
-	born       map[string]int64
+	lastCounts      map[string][]int64
+	startedAtUnixMs map[string]int64
 	// loaded holds the experts of each rank in the map in use, by engine ID.
 	loaded map[string]loadedExperts
 	// targetVersion is the version to switch to, zero for none, and targetMaps its map.
@@ -57,7 +57,7 @@
 func newGroup(c *Coordinator, name string) *group {
 	return &group{
 		c: c, name: name, machine: mapswitch.New(mapswitch.Config{}),
-		lastCounts: make(map[string][]int64), born: make(map[string]int64), loaded: make(map[string]loadedExperts),
+		lastCounts: make(map[string][]int64), startedAtUnixMs: make(map[string]int64), loaded: make(map[string]loadedExperts),
 	}
 }
 
@@ -176,8 +176,8 @@
 		}
 		last := g.lastCounts[id]
 		g.lastCounts[id] = counts
-		if last == nil || g.born[id] != m.reply.GetState().GetBorn() {
-			g.born[id] = m.reply.GetState().GetBorn()
+		if last == nil || g.startedAtUnixMs[id] != m.reply.GetState().GetBorn() {
+			g.startedAtUnixMs[id] = m.reply.GetState().GetBorn()
 			continue
 		}
 		for i, n := range counts {
