--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -100,7 +100,7 @@
 // outcomeOfMove returns the server's outcome for an attempt that was moved, and the error to log.
 func outcomeOfMove(reason silence.Reason) (serverOutcome, error) {
 	if reason == silence.SilentVM {
-		// The VM is probed, which tells more.
+		// Probes track a silent VM, so the attempt itself does not count against the server.
 		return outcomeUnknown, errSilentVM
 	}
 	return outcomeFailed, errNoProgress
@@ -110,8 +110,8 @@
 	limit := a.g.fleet.maxConnections(a.server.ID)
 	// A request that must not run twice goes over a new connection. A kept connection may have gone
 	// silent or be closing: then it would be unknown whether the request was read, and the request
-	// would be lost although it never ran. The same goes for a request that hung before, since it
-	// has no attempts to lose.
+	// would be lost although it never ran. The same goes for a request that hung before: it cannot
+	// afford to lose another attempt.
 	newConn := a.t.route.Kind == routing.AtMostOnce || a.t.history.hung
 	conn, err := a.g.pool.Get(ctx, a.server.ID, a.server.Address, limit, newConn)
 	if err != nil {
@@ -284,7 +284,7 @@
 	}
 }
 
-// isNextEvent reports whether an event comes after the last one. Events without a number are
+// isNextEvent reports whether an event comes after the last one. Events without an ID are
 // accepted in any order.
 func isNextEvent(id, last string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -20,7 +20,7 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// tickInterval is how often the control goroutine checks what changes with time alone: silent
+// tickInterval is how often the control goroutine checks for what changes with time alone: silent
 // entries, expired registrations, heartbeats that are due.
 const tickInterval = 50 * time.Millisecond
 
--- a/internal/gateway/coordinate.go
+++ b/internal/gateway/coordinate.go
@@ -30,8 +30,8 @@
 	return engines
 }
 
-// reportedImpairments returns the backend servers that are slow or closed, as the coordinator reports
-// them.
+// reportedImpairments returns the backend servers that are slow or closed, as the coordinator
+// reports them.
 func (c *control) reportedImpairments(live []*api.PeerBeat) map[string]experts.Impairment {
 	if c.g.experts.Fence() != 0 {
 		return c.g.experts.Impairments()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -20,8 +20,8 @@
 	return (clock.Now() - at).Milliseconds()
 }
 
-// requestFields are the fields of each line about a request: what was decided on, and how old that
-// information is.
+// requestFields are the fields of each log line about a request: its route, times and attempts,
+// and the age of the state that decisions about it were based on.
 func (g *Gateway) requestFields(t *task) []any {
 	fields := []any{
 		"took_ms", t.elapsed().Milliseconds(), "waited_ms", t.waited.Milliseconds(),
@@ -44,7 +44,7 @@
 	return fields
 }
 
-// slotFields are the fields about the slots of a request's service.
+// slotFields are the log fields about the slots of a request's service.
 func (g *Gateway) slotFields(t *task) []any {
 	if t.service == "" {
 		return nil
@@ -68,7 +68,7 @@
 }
 
 // logServed logs a request whose caller has the answer of a backend server. A late one, or one that
-// took more than one attempt, gets a line of its own, since its cause is to be found.
+// took more than one attempt, gets a line of its own, so that its cause can be found.
 func (g *Gateway) logServed(t *task, s placement, missed lateness) {
 	switch {
 	case missed != onTime:
@@ -86,7 +86,7 @@
 	}
 }
 
-// timingFields are the fields about the timing of an answer.
+// timingFields are the log fields about the timing of an answer.
 func (t *task) timingFields() []any {
 	return []any{
 		"tried", len(t.tried), "first_ms", (t.out.begunAt - t.arrivedAt).Milliseconds(), "gap_ms", t.out.maxEventGap.Milliseconds(),
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -41,7 +41,8 @@
 	retryReserve            float64
 }
 
-// fleet is what this process knows of the backend servers. It is safe for concurrent use.
+// fleet holds what this process knows of the backend servers, and places requests on them. It is
+// safe for concurrent use.
 type fleet struct {
 	limits limits
 
@@ -85,11 +86,12 @@
 	service *routing.Service
 	// isLeaving means that it gets no new work, since it drains or its failure domain is out.
 	isLeaving bool
-	// ownInFlight counts this process's requests there, othersInFlight those of the other entries.
+	// ownInFlight counts this process's requests in flight at the server, othersInFlight those of
+	// the other entries.
 	ownInFlight, othersInFlight int
 	workTime                    time.Duration
-	// slowdown is the ratio of the server's time to its usual time, as it reports itself. closed
-	// means that the server accepts no work now.
+	// slowdown is the ratio of the server's time to its usual time, as the server reports it.
+	// closed means that the server accepts no work now.
 	slowdown float64
 	closed   bool
 	// arrivals limits the requests per second; nil for no limit.
@@ -199,7 +201,7 @@
 }
 
 // setPeerReports sets the other entries' requests in flight by server, and the servers that are
-// slow.
+// slow or closed.
 func (f *fleet) setPeerReports(others map[string]int, impairments map[string]experts.Impairment, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -210,7 +212,7 @@
 	f.updatePlacement(now)
 }
 
-// setImpairment sets how slow a server is. The caller holds the lock.
+// setImpairment sets how slow a server is, and whether it is closed. The caller holds the lock.
 func (f *fleet) setImpairment(id string, s *server, impairment experts.Impairment) {
 	oldLimit, wasClosed := s.inFlightLimit(), s.closed
 	s.slowdown, s.closed = impairment.Slowdown, impairment.Closed
@@ -282,7 +284,8 @@
 // placement is the backend server that a request goes to, with what was known of it then.
 type placement struct {
 	registry.Server
-	// inFlight counts the requests there, this one included; limit is the most to have there.
+	// inFlight counts the requests in flight at the server, this one included; limit is the
+	// maximum.
 	inFlight, limit int
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -137,7 +137,7 @@
 		}
 	}
 	if len(servers[1].Requests()) == 0 {
-		t.Error("the failing server got no request: the test shows nothing")
+		t.Error("the failing server got no request: the test proves nothing")
 	}
 }
 
@@ -156,7 +156,7 @@
 }
 
 // A server answers each request twice; the second answer arrives at once, or only with the next
-// request. No caller may get the answer to another's request.
+// request. No caller may get the answer to another caller's request.
 func TestASecondAnswerReachesNobody(t *testing.T) {
 	t.Parallel()
 	last := ""
@@ -181,7 +181,7 @@
 		reused = reused || !s.FirstOnConn
 	}
 	if !reused {
-		t.Error("no connection was used again: the test shows nothing")
+		t.Error("no connection was used again: the test proves nothing")
 	}
 }
 
@@ -299,11 +299,11 @@
 	}
 	storeEndpoint.Unavailable.Store(true)
 	// A long poll that is already waiting would still return the new record.
-	rejected.until("no read is under way", func() bool { return storeEndpoint.InFlight.Load() == 0 })
+	rejected.until("no read is in flight", func() bool { return storeEndpoint.InFlight.Load() == 0 })
 	store.Configure(2, fakeplatform.Routes(), "key-1")
 	rejected.until("the first has the new version", func() bool { return rejected.view.Load().table.Version == 2 })
 	if r := rejected.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
-		t.Errorf("the key that was taken away: %+v", r)
+		t.Errorf("the removed key: %+v", r)
 	}
 }
 
@@ -324,13 +324,13 @@
 	storeEndpoint := store.NewEndpoint(t)
 	idleSettings.Store.Address = storeEndpoint.Address
 	reader, idle := start(t, readerSettings), start(t, idleSettings)
-	idle.until("the second one leaves reading to the first", func() bool { return !idle.readsStore.Load() })
-	idle.until("no read is under way", func() bool { return storeEndpoint.InFlight.Load() == 0 })
+	idle.until("the second one does not read the store", func() bool { return !idle.readsStore.Load() })
+	idle.until("no read is in flight", func() bool { return storeEndpoint.InFlight.Load() == 0 })
 	before := storeEndpoint.Calls.Load()
 	store.Configure(2, fakeplatform.Routes(), "key-1")
 	idle.until("it has the new version", func() bool { return idle.view.Load().table.Version == 2 })
 	if r := idle.ask("GET", "/look/1", "k", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }); r.status != 401 {
-		t.Errorf("the key that was taken away: %+v", r)
+		t.Errorf("the removed key: %+v", r)
 	}
 	// The reads of an idle entry in the longest time that a test waits.
 	if n := storeEndpoint.Calls.Load() - before; n > 5 {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -38,7 +38,7 @@
 	// deadline is when this entry gives up, the earlier of the caller's deadline and the route's
 	// timeout; zero for never.
 	deadline time.Duration
-	// callerDeadline is when the caller gives up; zero if it does not say.
+	// callerDeadline is when the caller gives up; zero if the request does not state it.
 	callerDeadline time.Duration
 
 	// waited is how long the request was queued.
@@ -50,7 +50,7 @@
 	out *output
 }
 
-// timeLeft returns the time until the deadline; zero stands for no deadline.
+// timeLeft returns the time until the deadline, at least 1 ms; zero stands for no deadline.
 func timeLeft(deadline, now time.Duration) time.Duration {
 	if deadline == 0 {
 		return 0
@@ -203,7 +203,7 @@
 	}
 }
 
-// countRetry counts a request that goes to another backend server.
+// countRetry counts a request that is sent to another backend server.
 func (g *Gateway) countRetry(t *task) {
 	g.metrics.retries.Inc(1)
 	if t.out.begun {
@@ -218,8 +218,9 @@
 	retryServerInterval = 25 * time.Millisecond
 )
 
-// waitForRetryServer picks another backend server for a request that is already admitted. If there
-// is none, it waits for a while; also if the caller has part of the answer.
+// waitForRetryServer picks another backend server for a request that is already admitted. If none
+// is available, it waits for one, for maxRetryServerWait at most, also if the caller already has
+// part of the answer.
 func (g *Gateway) waitForRetryServer(ctx context.Context, t *task) (placement, *result.Error) {
 	began := clock.Now()
 	for {
--- a/internal/gateway/hang_test.go
+++ b/internal/gateway/hang_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// All kept connections have gone silent, and new ones work. A look-up that hung on one must not go
-// over another kept connection, when it has no attempt left after that.
+// All kept connections have gone silent, and new ones work. A look-up that hung on one of them must
+// be sent over a new connection, since it has no attempt left after that.
 func TestALookUpThatHungGoesOnOverANewConnection(t *testing.T) {
 	t.Parallel()
 	answer := func(s fakeplatform.ReceivedRequest, conn net.Conn) bool {
--- a/internal/gateway/lateness.go
+++ b/internal/gateway/lateness.go
@@ -11,7 +11,7 @@
 	// defaultFirstEvent is the time to the first event of a stream.
 	defaultFirstEvent = 560 * time.Millisecond
 	// defaultMaxPause is the longest time between two events of a stream; readers notice longer
-	// ones.
+	// pauses.
 	defaultMaxPause = 640 * time.Millisecond
 	// defaultDeadlineRatio is the share of the time until its deadline that a whole answer may
 	// take: with another delay of the same length it would miss the deadline.
@@ -29,7 +29,7 @@
 	lateWhole lateness = "whole"
 )
 
-// missedObjective returns which objective of its route the answer missed.
+// missedObjective returns the objective of its route that the answer missed, or onTime.
 func (t *task) missedObjective() lateness {
 	if t.route.Kind == routing.Stream {
 		switch {
--- a/internal/gateway/lateness_test.go
+++ b/internal/gateway/lateness_test.go
@@ -24,8 +24,8 @@
 		{"on time", stream, 390 * ms, 110 * ms, onTime},
 		{"first event", stream, 410 * ms, 130 * ms, lateFirst},
 		{"pause", stream, 390 * ms, 130 * ms, latePause},
-		{"no aims", bare, 550 * ms, 630 * ms, onTime},
-		{"no aims, pause", bare, 550 * ms, 650 * ms, latePause},
+		{"no objectives", bare, 550 * ms, 630 * ms, onTime},
+		{"no objectives, pause", bare, 550 * ms, 650 * ms, latePause},
 		{"whole answer", once, 0, 0, lateWhole},
 	} {
 		arrived := clock.Now() - time.Second
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -29,8 +29,8 @@
 
 // maintainMembership lists this entry in the store, and learns of the other entries. Each entry
 // writes before it reads: of two that start at the same time, at least one learns of the other, and
-// the first heartbeat makes both known. An entry that others have removed from the list, as after a
-// long silence, writes itself again.
+// its first heartbeat makes it known to the other. An entry that others have removed from the list,
+// as after a long silence, adds itself again.
 func (g *Gateway) maintainMembership(ctx context.Context) error {
 	isListed := false
 	wait := time.Duration(0)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -72,10 +72,10 @@
 	w.reconcile(now)
 }
 
-// A server still gets requests two seconds and more after it has left. It happens when one read of
-// this entry fails while others go on reading and send it everything: the entry takes the store for
-// unreachable, never notices its return, and keeps the registration for the time that servers have
-// to register again.
+// Guards against requests to a server two seconds and more after it has left. One read of this
+// entry fails while others go on reading and send it all records. If the entry then took the store
+// for unreachable, it would never notice the store's return, and would keep the registration for
+// the time that servers have to register again after an outage.
 func TestAReadThatFailsWhileOthersReadKeepsNoServer(t *testing.T) {
 	t.Parallel()
 	w := newControlWorld(t)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -20,15 +20,17 @@
 const (
 	// maxHeartbeatBytes limits one heartbeat; a datagram cannot be larger.
 	maxHeartbeatBytes = 64 << 10
-	// statePath is where an entry asks another for the records that it holds of the store.
+	// statePath is the HTTP path at which an entry requests the records that another one holds of
+	// the store.
 	statePath = "/state"
-	// queryOperators and queryServers are the offsets up to which it has read both topics.
+	// queryOperators and queryServers name the query parameters with the offsets up to which the
+	// requesting entry has read the two topics.
 	queryOperators = "operators"
 	queryServers   = "servers"
-	// stateTimeout limits such a request.
+	// stateTimeout limits the time of such a request.
 	stateTimeout = time.Second
-	// maxStateBytes limits its answer: a configuration of hundreds of routes and registrations of
-	// thousands of servers.
+	// maxStateBytes limits the size of its answer: a configuration of hundreds of routes and
+	// registrations of thousands of servers.
 	maxStateBytes = 16 << 20
 )
 
--- a/internal/gateway/refusing.go
+++ b/internal/gateway/refusing.go
@@ -28,7 +28,7 @@
 // When a rank of a lock-step group crashes, or all of them after a power loss, every engine refuses
 // until the group has formed again. Without this, each request would be sent to one engine after
 // the other, refused by all, and out of attempts when the group is back a second later. Instead one
-// engine is asked for its state, and the requests wait.
+// engine is polled for its state, and the requests wait.
 func (f *fleet) markRefusing(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -15,7 +15,7 @@
 	unsent
 	// notRun: the backend server did not run the request and will not.
 	notRun
-	// serverError: the server answered with a whole answer that is an error.
+	// serverError: the server sent a whole answer, which is an error.
 	serverError
 	// broken: the request may have run, and there is no whole answer.
 	broken
@@ -60,7 +60,7 @@
 	sent, unsent int
 	// mayHaveRun means that at least one of them may have run it.
 	mayHaveRun bool
-	// hung means that it was moved away from a server that did not answer.
+	// hung means that it was moved away from a server that made no progress or whose VM is silent.
 	hung bool
 }
 
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -104,7 +104,7 @@
 	}
 	c.stateRequested = true
 	c.stateRequestedAt = now
-	// A random one, so that not all entries ask the same.
+	// A random one, so that not all entries call the same one.
 	b := ahead[rand.IntN(len(ahead))]
 	go c.g.fetchState(b.GetIp(), c.operators.NextOffset(), c.servers.NextOffset())
 }
--- a/internal/gateway/silent.go
+++ b/internal/gateway/silent.go
@@ -43,7 +43,7 @@
 	mu       sync.Mutex
 	ended    bool
 	hasBegun bool
-	// lastProgress is when the last part of the answer arrived, or when the attempt began.
+	// lastProgress is when the latest part of the answer arrived, or when the attempt began.
 	lastProgress time.Duration
 	// next is the server that the request moves to, reason why; nil while the attempt goes on.
 	next   *placement
@@ -169,8 +169,9 @@
 	}
 }
 
-// probeVMOnce asks the process beside an engine for any answer. It returns an error if the VM is
-// silent. A refused connection is none, since that process may be restarting.
+// probeVMOnce sends one probe to the rank agent on an engine's VM. It returns an error if the VM
+// does not answer in time. A refused connection counts as an answer, since the rank agent may be
+// restarting.
 func (g *Gateway) probeVMOnce(s registry.Server) error {
 	address, err := ranks.AgentAddress(s.Address, g.settings.PeerPort)
 	if err != nil {
@@ -195,8 +196,8 @@
 	return nil
 }
 
-// hasEngines reports whether the servers of a service are engines, each with a process of this
-// system beside it.
+// hasEngines reports whether the servers of a service are engines, each with a rank agent on its
+// VM.
 func (f *fleet) hasEngines(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,7 +250,7 @@
 }
 
 // pickMoveTarget picks another server for a request that makes no progress at its server, and
-// returns why; nil if the request stays. End the attempt there with endAttempt.
+// returns why; nil if the request stays. End the attempt at the returned server with endAttempt.
 //
 // Without this, the callers of requests at frozen VMs and hanging servers would wait until they
 // leave, and the server would run the requests for nobody when it is back.
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,8 +14,8 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// The connections of callers are refused when an entry reports itself ready and sends heartbeats
-// before its listener is open. Here opening the listener is held up; until it is open, the entry
+// Callers' connections would be refused if an entry reported itself ready and sent heartbeats
+// before its listener is open. Here opening the listener is delayed; until it is open, the entry
 // must do nothing that makes it known, and must not read the store.
 func TestAnEntryListensBeforeItIsKnown(t *testing.T) {
 	t.Parallel()
@@ -26,7 +26,7 @@
 	settings := settingsFor(store)
 	settings.Store.Address = storeEndpoint.Address
 	opening, open := make(chan struct{}), make(chan struct{})
-	// The library may try a second kind of socket.
+	// The library may open more than one kind of socket.
 	signalOpening := sync.OnceFunc(func() { close(opening) })
 	g := newGateway(settings, log.NewNopLogger())
 	setSocketOptions := g.listen.Control
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -27,7 +27,7 @@
 			return false
 		}
 		if from != "2" {
-			t.Errorf("resumed behind %q", from)
+			t.Errorf("resumed after %q", from)
 		}
 		_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(3))+fakeplatform.Chunk(fakeplatform.Event(4))+"0\r\n\r\n")
 		return true
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -116,7 +116,7 @@
 	// free and capacity count the slots at servers that may get work now, registered those at all
 	// servers that neither drain nor are in a failure domain that is out.
 	free, capacity, registered int
-	// running are this entry's requests at servers, queued those that wait at this entry.
+	// running counts this entry's admitted requests, queued those that wait at this entry.
 	running, queued int
 	entries         int
 	// countedAt is when the slots were counted.
@@ -219,7 +219,7 @@
 }
 
 // endRequest ends an admitted request and frees its share. took is how long it was served; zero
-// keeps it out of the admitter's moving average.
+// keeps it out of the admitter's moving average of work times.
 func (f *fleet) endRequest(id admissionID, service string, took, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -16,7 +16,7 @@
 	"github.com/apricothub/apricothub/test/fakeplatform"
 )
 
-// testTimeout is how long a test waits for what must happen: far more than it takes.
+// testTimeout is how long a test waits for a condition, far longer than it usually takes.
 const testTimeout = 20 * time.Second
 
 // entry is a running gateway.
