--- a/internal/experts/asking.go
+++ b/internal/experts/asking.go
@@ -123,7 +123,7 @@
 }
 
 // callEngine sends the order of a request to the engine itself and reads its state. It reads no
-// counts or expert lists: from another VM they are expensive and stop the group.
+// counts or expert lists: reading them from another VM is expensive and stops the group.
 func (c *Coordinator) callEngine(ctx context.Context, e Engine, req *api.RankRequest) response {
 	reply := ranks.Execute(ctx, platform.NewEngine(e.Address, c.client), &api.RankRequest{Order: req.GetOrder()})
 	return response{reply: reply, direct: true, err: replyError(reply)}
@@ -168,7 +168,7 @@
 //
 // Any VM may become unresponsive at any moment. If the rank agent forwarded the hold and its VM
 // then froze together with the engine, nobody could release the hold, and the whole group would
-// wait until that VM wakes. If the coordinator's VM freezes instead, another entry takes over.
+// wait until that VM runs again. If the coordinator's VM freezes instead, another entry takes over.
 func (c *Coordinator) sendHoldOrRelease(ctx context.Context, e Engine, o *api.RankOrder) response {
 	orderResult, orderErr := ranks.SendOrder(ctx, platform.NewEngine(e.Address, c.client), o)
 	resp := response{}
--- a/internal/experts/coordinator.go
+++ b/internal/experts/coordinator.go
@@ -106,7 +106,7 @@
 	backoffUntil time.Duration
 	versionCount int64
 	groups       map[string]*group
-	agents       map[string]*agentState // by engine
+	agents       map[string]*agentState // by engine ID
 	// impairments holds the engines that are slow or closed. Other goroutines read it.
 	impairments atomic.Pointer[map[string]Impairment]
 	// fenced reports whether an engine has refused the fence.
@@ -300,7 +300,8 @@
 type member struct {
 	engine Engine
 	reply  *api.RankReply
-	// stale reports whether the state in the reply may be some hundred milliseconds old.
+	// stale reports whether the state in the reply may be some hundred milliseconds old, since it
+	// was read from another VM.
 	stale bool
 }
 
--- a/internal/experts/group.go
+++ b/internal/experts/group.go
@@ -28,8 +28,8 @@
 	epoch   int64
 	planner *balance.LayerPlanner
 	shape   balance.Shape
-	// lastCounts holds the latest counts of each rank and born its start time, both by engine ID.
-	// The counts of a rank that restarts begin at zero.
+	// lastCounts holds the latest counts of each rank and startedAtUnixMs the rank's start time,
+	// both by engine ID. The counts of a rank that restarts begin at zero.
 	lastCounts      map[string][]int64
 	startedAtUnixMs map[string]int64
 	// loaded holds the experts of each rank in the map in use, by engine ID.
