--- a/internal/experts/coordinator_test.go
+++ b/internal/experts/coordinator_test.go
@@ -92,7 +92,7 @@
 
 // fakeCluster is the view of an entry that is selected to coordinate.
 type fakeCluster struct {
-	engines     []Engine
+	engines  []Engine
 	selected atomic.Bool
 }
 
--- a/internal/gateway/fate.go
+++ b/internal/gateway/fate.go
@@ -87,10 +87,10 @@
 func (f *fleet) retryBudget(service string) *place.RetryBudget {
 	b := f.budgets[service]
 	if b == nil {
-		b = &place.RetryBudget{Ratio: f.limits.retryRatio * retryBudgetShare}
+		b = &place.RetryBudget{Ratio: f.limits.retryRatio * retryBudgetFraction}
 		f.budgets[service] = b
 	}
 	// The reserve of all entries together is divided among those that may be alive.
-	b.Reserve = max(1, f.limits.retryReserve*retryBudgetShare/float64(f.maybeLive))
+	b.Reserve = max(1, f.limits.retryReserve*retryBudgetFraction/float64(f.maybeLive))
 	return b
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -29,9 +29,9 @@
 	// workTimeSamples is the number of requests over which the moving average of the work time
 	// runs.
 	workTimeSamples = 16
-	// retryBudgetShare is the share of the retry budget of all entries that this process plans
+	// retryBudgetFraction is the share of the retry budget of all entries that this process plans
 	// with, since entries that have just started or stopped are counted late.
-	retryBudgetShare = 0.8
+	retryBudgetFraction = 0.8
 )
 
 // limits are what all entries together may do to a service or a backend server.
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -225,7 +225,7 @@
 }
 
 // A full engine refuses a request. That must not stop the service.
-func TestAFullEngineShutsNothing(t *testing.T) {
+func TestAFullEngineDoesNotStopItsService(t *testing.T) {
 	f := newTestFleet(1, 1, 1, 0)
 	id, _ := f.pickApp(0)
 	if f.markRefusing(id) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,9 +67,9 @@
 	leaving atomic.Bool
 	// readsStore means that this entry reads the store, for itself or also for others.
 	readsStore atomic.Bool
-	// probeInterval is the longest time between two calls while the store does not answer, in
+	// storeRetryInterval is the longest time between two calls while the store does not answer, in
 	// nanoseconds.
-	probeInterval atomic.Int64
+	storeRetryInterval atomic.Int64
 
 	// Input of the control goroutine.
 	updates       chan topicUpdate
@@ -185,12 +185,12 @@
 }
 
 func (g *Gateway) newFollower(topic string, wait, interval time.Duration) *follower {
-	return &follower{topic: topic, store: g.store, wait: wait, interval: interval, isNeeded: g.readsStore.Load, maxBackoff: g.maxProbeInterval, logger: logging.Part(g.logger, "store"), updates: g.updates}
+	return &follower{topic: topic, store: g.store, wait: wait, interval: interval, isNeeded: g.readsStore.Load, maxBackoff: g.maxStoreBackoff, logger: logging.Part(g.logger, "store"), updates: g.updates}
 }
 
-// maxProbeInterval returns the longest time between two calls while the store does not answer.
-func (g *Gateway) maxProbeInterval() time.Duration {
-	return max(maxRetryInterval, time.Duration(g.probeInterval.Load()))
+// maxStoreBackoff returns the longest time between two calls while the store does not answer.
+func (g *Gateway) maxStoreBackoff() time.Duration {
+	return max(maxRetryInterval, time.Duration(g.storeRetryInterval.Load()))
 }
 
 func (g *Gateway) listenHeartbeats() error {
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -30,7 +30,7 @@
 // An entry was cut off for so long that the others removed it from the list. Unless it writes
 // itself again, entries that start later never learn of it, and each takes more than its share of
 // what all entries may send.
-func TestAnEntryWritesItsNameAgain(t *testing.T) {
+func TestAnEntryAddsItselfToTheListAgain(t *testing.T) {
 	t.Parallel()
 	store := fakeplatform.NewStore(t)
 	store.Configure(1, fakeplatform.Routes(), "key-1")
@@ -47,7 +47,7 @@
 
 // The list still holds VMs that were replaced long ago. Only the coordinator may remove them, and
 // nobody may remove an entry that is heard or has not been silent for long.
-func TestTheCoordinatorTakesNamesOffTheList(t *testing.T) {
+func TestTheCoordinatorRemovesSilentEntries(t *testing.T) {
 	t.Parallel()
 	w := newControlWorld(t)
 	members := []peering.Member{{VM: "old", IP: "127.0.0.9"}, {VM: w.other.Vm, IP: w.other.Ip}, {VM: w.g.settings.VM, IP: w.g.settings.IP}}
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -129,15 +129,15 @@
 // domain must not be slowed down, so that the return is noticed; neither must a few entries.
 func TestProbesOfAnOutageAreBounded(t *testing.T) {
 	for _, entries := range []int{1, 7, 12} {
-		if interval := probeInterval(false, entries); interval > maxRetryInterval {
+		if interval := storeRetryInterval(false, entries); interval > maxRetryInterval {
 			t.Errorf("%d entries: an interval of %v", entries, interval)
 		}
 	}
 	for _, entries := range []int{45, 490} {
-		if rate := float64(entries) / probeInterval(false, entries).Seconds(); rate > probesPerSecond+1 {
+		if rate := float64(entries) / storeRetryInterval(false, entries).Seconds(); rate > storeRetriesPerSecond+1 {
 			t.Errorf("%d entries: %.0f calls a second", entries, rate)
 		}
-		if interval := probeInterval(true, entries); interval > maxRetryInterval {
+		if interval := storeRetryInterval(true, entries); interval > maxRetryInterval {
 			t.Errorf("%d entries: the reader of a failure domain waits for %v", entries, interval)
 		}
 	}
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -28,7 +28,7 @@
 // for both.
 func (c *control) decideStoreReads(self *api.PeerBeat, live []*api.PeerBeat, now time.Duration) {
 	isReader := peering.IsDomainReader(self, live)
-	c.g.probeInterval.Store(int64(probeInterval(isReader, len(live)+1)))
+	c.g.storeRetryInterval.Store(int64(storeRetryInterval(isReader, len(live)+1)))
 	mustRead := isReader || !c.operators.Ready() || !c.servers.Ready()
 	operatorsAge, serversAge := freshestAges(live)
 	mustRead = mustRead || operatorsAge > maxFreshAge || serversAge > maxFreshAge
@@ -40,21 +40,21 @@
 	c.g.readsStore.Store(mustRead)
 }
 
-// probesPerSecond limits the calls per second and topic, while the store does not answer, of all
+// storeRetriesPerSecond limits the calls per second and topic, while the store does not answer, of all
 // entries together that are not the reader of their failure domain.
-const probesPerSecond = 30
+const storeRetriesPerSecond = 30
 
-// probeInterval returns the time between two calls of an entry while the store does not answer.
+// storeRetryInterval returns the time between two calls of an entry while the store does not answer.
 //
 // During an outage of the store nobody has a fresh answer, and every entry reads for itself.
 // Without this limit the calls would grow with the number of entries, and overload a store that has
 // just recovered. The readers of the failure domains are not slowed down and notice the recovery at
 // once; the others learn of it from them.
-func probeInterval(isReader bool, entries int) time.Duration {
+func storeRetryInterval(isReader bool, entries int) time.Duration {
 	if isReader {
 		return 0
 	}
-	return time.Duration(float64(entries) / probesPerSecond * float64(time.Second))
+	return time.Duration(float64(entries) / storeRetriesPerSecond * float64(time.Second))
 }
 
 // isStoreUnreachable reports whether the store answers no entry, so that registrations may expire
