--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -67,12 +67,17 @@
 	operatorsChangedAt, serversChangedAt int64
 	// serversReadFailed means that the store did not answer the last read of registrations.
 	serversReadFailed bool
-	changed           bool
-	heartbeatDue      bool
-	stateRequestedAt  time.Duration
-	stateRequested    bool
-	sequence          uint64
-	entryCounts       entryCounts
+	// changed means that the fleet must be updated, heartbeatDue that the heartbeat must be sent to
+	// all live entries now.
+	changed      bool
+	heartbeatDue bool
+	// stateRequested means that a request for the records of another entry is in flight,
+	// stateRequestedAt is when the last one was sent.
+	stateRequestedAt time.Duration
+	stateRequested   bool
+	// sequence is the sequence number of the last heartbeat.
+	sequence    uint64
+	entryCounts entryCounts
 	// membersKnown means that the list of entries has been read from the store. startedAt is when
 	// this process started.
 	membersKnown bool
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -21,20 +21,21 @@
 )
 
 const (
-	// serverQueueRatio is the share of its concurrency that may be queued at a backend server
-	// beyond it: enough that no server idles while the entries' reports about each other are
-	// outdated. Requests that are queued at an entry can still go to any server, or be refused with
-	// a time to retry after.
+	// serverQueueRatio is the fraction of a backend server's concurrency that may be queued there
+	// in addition to the requests that run: enough that no server idles while the entries' reports
+	// about each other are outdated. Requests that are queued at an entry can still go to any
+	// server, or be refused with a time to retry after.
 	serverQueueRatio = 0.25
 	// workTimeSamples is the number of requests over which the moving average of the work time
 	// runs.
 	workTimeSamples = 16
-	// retryBudgetFraction is the share of the retry budget of all entries that this process plans
-	// with, since entries that have just started or stopped are counted late.
+	// retryBudgetFraction is the fraction of the retry budget of all entries that this process
+	// plans with, since entries that have just started or stopped are counted late.
 	retryBudgetFraction = 0.8
 )
 
-// limits are what all entries together may do to a service or a backend server.
+// limits are the limits of platform.Bounds for what all entries together may send to a service or a
+// backend server.
 type limits struct {
 	coldMaxRatio, coldSlack float64
 	retryRatio              float64
@@ -70,8 +71,8 @@
 	// failure domain that is out, also if they are ejected. running counts this entry's admitted
 	// requests of a service.
 	registered, running map[string]int
-	// queued counts the requests of a service that are queued here, slotStates holds the last
-	// counts.
+	// queued counts the requests of a service that are queued here, slotStates holds the latest
+	// counts of the slots of each service.
 	queued     map[string]int
 	slotStates map[string]slotState
 
@@ -89,7 +90,8 @@
 	// ownInFlight counts this process's requests in flight at the server, othersInFlight those of
 	// the other entries.
 	ownInFlight, othersInFlight int
-	workTime                    time.Duration
+	// workTime is the moving average of the time that a request takes there; zero if unknown.
+	workTime time.Duration
 	// slowdown is the ratio of the server's time to its usual time, as the server reports it.
 	// closed means that the server accepts no work now.
 	slowdown float64
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -325,8 +325,8 @@
 	// become free as requests end, within a second or two.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 1500 * time.Millisecond
-	// maxRetryAfterRatio limits it to this share of the time left, since the caller must still get
-	// its answer after that.
+	// maxRetryAfterRatio limits it to this fraction of the time left, since the caller must still
+	// get its answer after that.
 	maxRetryAfterRatio = 0.25
 )
 
--- a/internal/gateway/lateness.go
+++ b/internal/gateway/lateness.go
@@ -13,7 +13,7 @@
 	// defaultMaxPause is the longest time between two events of a stream; readers notice longer
 	// pauses.
 	defaultMaxPause = 640 * time.Millisecond
-	// defaultDeadlineRatio is the share of the time until its deadline that a whole answer may
+	// defaultDeadlineRatio is the fraction of the time until its deadline that a whole answer may
 	// take: with another delay of the same length it would miss the deadline.
 	defaultDeadlineRatio = 0.5
 )
--- a/internal/gateway/sharing.go
+++ b/internal/gateway/sharing.go
@@ -40,11 +40,12 @@
 	c.g.readsStore.Store(mustRead)
 }
 
-// storeRetriesPerSecond limits the calls per second and topic, while the store does not answer, of all
-// entries together that are not the reader of their failure domain.
+// storeRetriesPerSecond limits the calls per second and topic, while the store does not answer, of
+// all entries together that are not the reader of their failure domain.
 const storeRetriesPerSecond = 30
 
-// storeRetryInterval returns the time between two calls of an entry while the store does not answer.
+// storeRetryInterval returns the time between two calls of an entry while the store does not
+// answer.
 //
 // During an outage of the store nobody has a fresh answer, and every entry reads for itself.
 // Without this limit the calls would grow with the number of entries, and overload a store that has
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -18,7 +18,7 @@
 	// time that one stays queued. Callers of a stream leave after two seconds without an event, and
 	// the first event takes some hundred milliseconds.
 	maxQueueWait = 1300 * time.Millisecond
-	// maxQueueWaitRatio limits the wait to this share of the time left until the deadline. A
+	// maxQueueWaitRatio limits the wait to this fraction of the time left until the deadline. A
 	// request that starts later misses its deadline.
 	maxQueueWaitRatio = 0.4
 	// teamsPlan is the plan that all teams share: the configuration gives all teams the same
@@ -218,7 +218,7 @@
 	return f.pick(req, now)
 }
 
-// endRequest ends an admitted request and frees its share. took is how long it was served; zero
+// endRequest ends an admitted request and frees its slot. took is how long it was served; zero
 // keeps it out of the admitter's moving average of work times.
 func (f *fleet) endRequest(id admissionID, service string, took, now time.Duration) {
 	f.mu.Lock()
