--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -34,8 +34,8 @@
 	retryBudgetFraction = 0.8
 )
 
-// limits are the limits of platform.Bounds for what all entries together may send to a service or a
-// backend server.
+// limits holds the platform.Bounds on what all entries together may send to a service or a backend
+// server.
 type limits struct {
 	coldMaxRatio, coldSlack float64
 	retryRatio              float64
