--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -20,7 +20,7 @@
 	"github.com/apricothub/apricothub/platform"
 )
 
-// tickInterval is how often the control goroutine checks what changes with time alone: silent
+// tickInterval is how often the control goroutine checks for what changes with time alone: silent
 // entries, expired registrations, heartbeats that are due.
 const tickInterval = 50 * time.Millisecond
 
@@ -67,12 +67,17 @@
 	operatorsChangedAt, serversChangedAt int64
 	// serversReadFailed means that the store did not answer the last read of registrations.
 	serversReadFailed bool
-	changed           bool
-	heartbeatDue      bool
-	stateRequestedAt  time.Duration
-	stateRequested    bool
-	sequence          uint64
-	entryCounts       entryCounts
+	// changed means that the fleet must be updated, heartbeatDue that the heartbeat must be sent to
+	// all live entries now.
+	changed      bool
+	heartbeatDue bool
+	// stateRequested means that a request for the records of another entry is in flight,
+	// stateRequestedAt is when the last one was sent.
+	stateRequestedAt time.Duration
+	stateRequested   bool
+	// sequence is the sequence number of the last heartbeat.
+	sequence    uint64
+	entryCounts entryCounts
 	// membersKnown means that the list of entries has been read from the store. startedAt is when
 	// this process started.
 	membersKnown bool
@@ -232,7 +237,7 @@
 		c.entryCounts = counts
 		c.g.fleet.setServers(c.registry.Registrations(), c.domainsOut, c.table, counts, now)
 	}
-	c.g.fleet.setPeerReports(sumInFlight(live), c.reportedPaces(live), now)
+	c.g.fleet.setPeerReports(sumInFlight(live), c.reportedImpairments(live), now)
 	c.publishView(live, now)
 	self := &api.PeerBeat{Ip: c.g.settings.IP, FailureDomain: c.g.settings.FailureDomain, Serving: c.g.view.Load().ready}
 	c.decideStoreReads(self, live, now)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -21,27 +21,29 @@
 )
 
 const (
-	// serverQueueRatio is the share of its concurrency that may be queued at a backend server
-	// beyond it: enough that no server idles while the entries' reports about each other are
-	// outdated. Requests that are queued at an entry can still go to any server, or be refused with
-	// a time to retry after.
+	// serverQueueRatio is the fraction of a backend server's concurrency that may be queued there
+	// in addition to the requests that run: enough that no server idles while the entries' reports
+	// about each other are outdated. Requests that are queued at an entry can still go to any
+	// server, or be refused with a time to retry after.
 	serverQueueRatio = 0.25
 	// workTimeSamples is the number of requests over which the moving average of the work time
 	// runs.
 	workTimeSamples = 16
-	// retryBudgetShare is the share of the retry budget of all entries that this process plans
-	// with, since entries that have just started or stopped are counted late.
-	retryBudgetShare = 0.8
+	// retryBudgetFraction is the fraction of the retry budget of all entries that this process
+	// plans with, since entries that have just started or stopped are counted late.
+	retryBudgetFraction = 0.8
 )
 
-// limits are what all entries together may do to a service or a backend server.
+// limits holds the platform.Bounds on what all entries together may send to a service or a backend
+// server.
 type limits struct {
 	coldMaxRatio, coldSlack float64
 	retryRatio              float64
 	retryReserve            float64
 }
 
-// fleet is what this process knows of the backend servers. It is safe for concurrent use.
+// fleet holds what this process knows of the backend servers, and places requests on them. It is
+// safe for concurrent use.
 type fleet struct {
 	limits limits
 
@@ -69,8 +71,8 @@
 	// failure domain that is out, also if they are ejected. running counts this entry's admitted
 	// requests of a service.
 	registered, running map[string]int
-	// queued counts the requests of a service that are queued here, slotStates holds the last
-	// counts.
+	// queued counts the requests of a service that are queued here, slotStates holds the latest
+	// counts of the slots of each service.
 	queued     map[string]int
 	slotStates map[string]slotState
 
@@ -85,11 +87,13 @@
 	service *routing.Service
 	// isLeaving means that it gets no new work, since it drains or its failure domain is out.
 	isLeaving bool
-	// ownInFlight counts this process's requests there, othersInFlight those of the other entries.
+	// ownInFlight counts this process's requests in flight at the server, othersInFlight those of
+	// the other entries.
 	ownInFlight, othersInFlight int
-	workTime                    time.Duration
-	// slowdown is the ratio of the server's time to its usual time, as it reports itself. closed
-	// means that the server accepts no work now.
+	// workTime is the moving average of the time that a request takes there; zero if unknown.
+	workTime time.Duration
+	// slowdown is the ratio of the server's time to its usual time, as the server reports it.
+	// closed means that the server accepts no work now.
 	slowdown float64
 	closed   bool
 	// arrivals limits the requests per second; nil for no limit.
@@ -199,21 +203,21 @@
 }
 
 // setPeerReports sets the other entries' requests in flight by server, and the servers that are
-// slow.
-func (f *fleet) setPeerReports(others map[string]int, paces map[string]experts.Impairment, now time.Duration) {
+// slow or closed.
+func (f *fleet) setPeerReports(others map[string]int, impairments map[string]experts.Impairment, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.servers {
 		s.othersInFlight = others[id]
-		f.setSlowdown(id, s, paces[id])
+		f.setImpairment(id, s, impairments[id])
 	}
 	f.updatePlacement(now)
 }
 
-// setSlowdown sets how slow a server is. The caller holds the lock.
-func (f *fleet) setSlowdown(id string, s *server, p experts.Impairment) {
+// setImpairment sets how slow a server is, and whether it is closed. The caller holds the lock.
+func (f *fleet) setImpairment(id string, s *server, impairment experts.Impairment) {
 	oldLimit, wasClosed := s.inFlightLimit(), s.closed
-	s.slowdown, s.closed = p.Slowdown, p.Closed
+	s.slowdown, s.closed = impairment.Slowdown, impairment.Closed
 	if s.inFlightLimit() != oldLimit || s.closed != wasClosed {
 		_ = level.Info(f.logger).Log("msg", "The load limit of a backend server has changed.", "server", id, "service", s.Service,
 			"pace", s.slowdown, "closed", s.closed, "limit", s.inFlightLimit())
@@ -282,7 +286,8 @@
 // placement is the backend server that a request goes to, with what was known of it then.
 type placement struct {
 	registry.Server
-	// inFlight counts the requests there, this one included; limit is the most to have there.
+	// inFlight counts the requests in flight at the server, this one included; limit is the
+	// maximum.
 	inFlight, limit int
 }
 
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -27,7 +27,7 @@
 			return false
 		}
 		if from != "2" {
-			t.Errorf("resumed behind %q", from)
+			t.Errorf("resumed after %q", from)
 		}
 		_, _ = io.WriteString(conn, fakeplatform.Chunk(fakeplatform.Event(3))+fakeplatform.Chunk(fakeplatform.Event(4))+"0\r\n\r\n")
 		return true
@@ -93,7 +93,7 @@
 	_ = resp.Body.Close()
 	select {
 	case <-ended:
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Error("the server went on")
 	}
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -18,7 +18,7 @@
 	// time that one stays queued. Callers of a stream leave after two seconds without an event, and
 	// the first event takes some hundred milliseconds.
 	maxQueueWait = 1300 * time.Millisecond
-	// maxQueueWaitRatio limits the wait to this share of the time left until the deadline. A
+	// maxQueueWaitRatio limits the wait to this fraction of the time left until the deadline. A
 	// request that starts later misses its deadline.
 	maxQueueWaitRatio = 0.4
 	// teamsPlan is the plan that all teams share: the configuration gives all teams the same
@@ -116,7 +116,7 @@
 	// free and capacity count the slots at servers that may get work now, registered those at all
 	// servers that neither drain nor are in a failure domain that is out.
 	free, capacity, registered int
-	// running are this entry's requests at servers, queued those that wait at this entry.
+	// running counts this entry's admitted requests, queued those that wait at this entry.
 	running, queued int
 	entries         int
 	// countedAt is when the slots were counted.
@@ -127,9 +127,9 @@
 func (f *fleet) slotState(service string) slotState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.slotStates[service]
-	r.running, r.queued, r.entries = f.running[service], f.queued[service], f.entries
-	return r
+	state := f.slotStates[service]
+	state.running, state.queued, state.entries = f.running[service], f.queued[service], f.entries
+	return state
 }
 
 func (f *fleet) resolve(id uint64, a admission) {
@@ -218,8 +218,8 @@
 	return f.pick(req, now)
 }
 
-// endRequest ends an admitted request and frees its share. took is how long it was served; zero
-// keeps it out of the admitter's moving average.
+// endRequest ends an admitted request and frees its slot. took is how long it was served; zero
+// keeps it out of the admitter's moving average of work times.
 func (f *fleet) endRequest(id admissionID, service string, took, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
