--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -205,15 +205,15 @@
 			outcomes <- outcome{server: s.ID}
 		}()
 	}
-	for end := time.Now().Add(generous); ; time.Sleep(msec) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(msec) {
 		f.mu.Lock()
-		waiting := len(f.queue)
+		queued := len(f.queue)
 		f.mu.Unlock()
-		if waiting+len(outcomes) == cap(outcomes) {
+		if queued+len(outcomes) == cap(outcomes) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("only %d requests are queued", waiting)
+			t.Fatalf("only %d requests are queued", queued)
 		}
 	}
 	f.clearRefusing("app")
@@ -225,7 +225,7 @@
 }
 
 // A full engine refuses a request. That must not stop the service.
-func TestAFullEngineShutsNothing(t *testing.T) {
+func TestAFullEngineDoesNotStopItsService(t *testing.T) {
 	f := newTestFleet(1, 1, 1, 0)
 	id, _ := f.pickApp(0)
 	if f.markRefusing(id) {
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -72,10 +72,10 @@
 	w.reconcile(now)
 }
 
-// A server still gets requests two seconds and more after it has left. It happens when one read of
-// this entry fails while others go on reading and send it everything: the entry takes the store for
-// unreachable, never notices its return, and keeps the registration for the time that servers have
-// to register again.
+// Guards against requests to a server two seconds and more after it has left. One read of this
+// entry fails while others go on reading and send it all records. If the entry then took the store
+// for unreachable, it would never notice the store's return, and would keep the registration for
+// the time that servers have to register again after an outage.
 func TestAReadThatFailsWhileOthersReadKeepsNoServer(t *testing.T) {
 	t.Parallel()
 	w := newControlWorld(t)
@@ -129,15 +129,15 @@
 // domain must not be slowed down, so that the return is noticed; neither must a few entries.
 func TestProbesOfAnOutageAreBounded(t *testing.T) {
 	for _, entries := range []int{1, 7, 12} {
-		if interval := probeInterval(false, entries); interval > maxRetryInterval {
+		if interval := storeRetryInterval(false, entries); interval > maxRetryInterval {
 			t.Errorf("%d entries: an interval of %v", entries, interval)
 		}
 	}
 	for _, entries := range []int{45, 490} {
-		if rate := float64(entries) / probeInterval(false, entries).Seconds(); rate > probesPerSecond+1 {
+		if rate := float64(entries) / storeRetryInterval(false, entries).Seconds(); rate > storeRetriesPerSecond+1 {
 			t.Errorf("%d entries: %.0f calls a second", entries, rate)
 		}
-		if interval := probeInterval(true, entries); interval > maxRetryInterval {
+		if interval := storeRetryInterval(true, entries); interval > maxRetryInterval {
 			t.Errorf("%d entries: the reader of a failure domain waits for %v", entries, interval)
 		}
 	}
