--- a/internal/entry/links_test.go
+++ b/internal/entry/links_test.go
@@ -110,7 +110,7 @@
 }
 
 // Retries of a store flood an entry with tickets of one agent that is dead. The agent must be
-// dialled a few times only, one dial at a time, and every caller must be told "unknown", because
+// dialed a few times only, one dial at a time, and every caller must be told "unknown", because
 // the outcome of the tickets is not known.
 func TestAStormForADeadAgentMakesFewDials(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,12 +148,12 @@
 	const requests = 200
 	start := time.Now()
 	for range requests {
-		given, ok := minter.Mint(clock.Now(), dead.vm, "c")
+		minted, ok := minter.Mint(clock.Now(), dead.vm, "c")
 		if !ok {
 			t.Fatal("no ticket")
 		}
 		callers.Go(func() {
-			got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticket.Encode(given))
+			got := sendRequest(t, url, "/services/s/push", "Idempotency-Key", ticket.Encode(minted))
 			if got.status == 200 || got.ran != "unknown" {
 				t.Errorf("%+v", got)
 			}
