--- a/internal/docgen/logs.go
+++ b/internal/docgen/logs.go
@@ -9,34 +9,37 @@
 
 const logsIntro = `# Log lines
 
-Made from the code by ` + "`go run ./internal/docgen`" + `; do not edit.
+Generated from the code by ` + "`go run ./internal/docgen`" + `; do not edit.
 
-Each process logs to standard output, one line an event, in logfmt: ` + "`key=value`" + `, with
-quotes where a value has spaces. A line begins with its part; ` + "`self`" + ` is the VM.
+Each process writes its log to standard output, one line per event, in logfmt: ` + "`key=value`" + `, with
+quotes around values that contain spaces. Each line starts with the part of the process that wrote
+it; ` + "`self`" + ` is the VM.
 
     part=gateway level=warn ts=… self=front-1 msg="A request was refused." result="201 SATURATED" request=…
 
-Three kinds of lines have room of their own, so that none crowds out another:
+Lines are of three kinds. Each kind has its own share of the rate limit, so that many lines of one
+kind do not displace the others:
 
-| Kind | Lines | Part of the bound |
+| Kind | Lines | Share of the limit |
 |---|---|---|
-| served | about a request that went as it should; a sample under load | a fifth |
-| failed | about a request that was refused, failed, late or tried once more | half; one sentence half of that |
-| state | about the process: what it believes, starts, stops, faults | the rest; one sentence half of that |
-
-The bound is on the lines of any second: ` + "`--log-lines`" + ` of gateway and rank-agent, and
-` + "`[log] lines_per_second`" + ` of entry and agent; %d unless set. Half of it is the rate that lasts,
-half may come at once. Nothing waits for a reader: when nobody reads, lines wait in memory,
-those of served requests give way first, and the rest is left out. What is left out is counted:
-by sentence in ` + "`dropped_before`" + `, by kind in a line every ten seconds at most and in the metrics
+| served | about a request that was served normally; under load only a sample is logged | a fifth |
+| failed | about a request that was refused, failed, late or retried | half; at most half of that for one message |
+| state | about the process: the state it acts on, start, stop, faults | the rest; at most half of that for one message |
+
+The limit applies to any period of one second. It is set by ` + "`--log-lines`" + ` of gateway and rank-agent,
+and by ` + "`[log] lines_per_second`" + ` of entry and agent; the default is %d. Half of it is the sustained
+rate, half is available for bursts. The process never waits for the reader of its log: if standard
+output is not read, lines are queued in memory. When the queue is half full, lines about served
+requests are dropped; when it is full, all lines are. Dropped lines are counted: by message in
+` + "`dropped_before`" + `, by kind in a line written at most every ten seconds, and in the metrics
 ` + "`log.dropped.served`, `log.dropped.failed`, `log.dropped.state` and `log.dropped.unread`" + `.
 
-` + "`apricothub explain ID`" + ` puts the lines of one request in order; [OPERATIONS.md](OPERATIONS.md)
-shows it at work.
+` + "`apricothub explain ID`" + ` prints the lines of one request in order of time; see
+[OPERATIONS.md](OPERATIONS.md) for examples.
 
 ## Keys
 
-A key means the same in every line. Names in ` + "`_ms`" + ` hold milliseconds.
+A key has the same meaning in every line. Values of keys that end in ` + "`_ms`" + ` are in milliseconds.
 `
 
 func logsPage() string {
