--- a/cmd/measure/markdown.go
+++ b/cmd/measure/markdown.go
@@ -7,15 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// table is a Markdown table.
-type table struct {
+// markdownTable is a Markdown table.
+type markdownTable struct {
 	head []string
 	rows [][]string
 }
 
-func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
+func (t *markdownTable) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-func (t *table) String() string {
+func (t *markdownTable) String() string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
 	line(t.head)
@@ -30,8 +30,8 @@
 	return b.String()
 }
 
-// replaceSection puts text between the marker comments of a measure:
-// <!-- measure:NAME --> and <!-- /measure:NAME -->.
+// replaceSection replaces the text between the marker comments of a measure, <!-- measure:NAME -->
+// and <!-- /measure:NAME -->.
 func replaceSection(page, name, text string) (string, error) {
 	begin, end := "<!-- measure:"+name+" -->\n", "<!-- /measure:"+name+" -->"
 	before, rest, found := strings.Cut(page, begin)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin plays the platform, the engines and the plain services in
+// Command standin runs the stand-ins for the platform, the engines and the plain services, for
 // demonstrations and tests. It is never shipped.
 package main
 
@@ -17,7 +17,7 @@
 	"github.com/apricothub/apricothub/internal/standin/service"
 )
 
-// command is one subcommand with what it runs.
+// command is a subcommand and the function that it runs.
 type command struct {
 	*flaggy.Subcommand
 	run func(log.Logger) error
@@ -41,7 +41,7 @@
 		logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
 		logger = log.With(logger, "ts", log.DefaultTimestampUTC, "part", c.Name)
 		if err := c.run(logger); err != nil {
-			_ = logger.Log("msg", "ended", "err", err)
+			_ = logger.Log("msg", "The stand-in failed.", "err", err)
 			os.Exit(1)
 		}
 		return
@@ -61,25 +61,25 @@
 	c := flaggy.NewSubcommand("engine")
 	c.Description = "A model engine."
 	config := engine.Config{
-		Listen: "127.0.0.1:0",
-		Token:  5 * time.Millisecond,
-		Full:   32,
-		Cold:   engine.ColdConfig{Limit: 2, WarmAfter: 8, Fall: time.Second},
-		Ranks:  engine.RankConfig{Step: 5 * time.Millisecond},
+		Listen:    "127.0.0.1:0",
+		TokenTime: 5 * time.Millisecond,
+		FullLimit: 32,
+		Cold:      engine.ColdConfig{Limit: 2, RequestsUntilWarm: 8, CrashTime: time.Second},
+		Ranks:     engine.RankConfig{MinStepTime: 5 * time.Millisecond},
 	}
 	c.String(&config.Listen, "", "listen", "Address to listen on.")
 	c.String(&config.Platform, "", "platform", "Base URL of the platform.")
-	c.Duration(&config.Token, "", "token", "Time of one token when warm.")
-	c.Int(&config.Full, "", "full", "Requests that run at once when warm; others wait.")
-	c.Bool(&config.CheckFence, "", "check-fence", "Refuses orders with an old fencing number.")
-	c.Int(&config.Cold.Limit, "", "cold", "Requests borne at once in cold start; 0 for never cold.")
-	c.Int(&config.Cold.WarmAfter, "", "warm-after", "Completed requests that warm it up.")
-	c.Duration(&config.Cold.Fall, "", "fall", "How long everything fails after an overload.")
+	c.Duration(&config.TokenTime, "", "token", "Time of one token when warm.")
+	c.Int(&config.FullLimit, "", "full", "Requests that run concurrently; others wait.")
+	c.Bool(&config.CheckFence, "", "check-fence", "Refuses orders with an outdated fencing number.")
+	c.Int(&config.Cold.Limit, "", "cold", "Concurrent requests that a cold engine can handle; 0 for never cold.")
+	c.Int(&config.Cold.RequestsUntilWarm, "", "warm-after", "Completed requests after which the engine is warm.")
+	c.Duration(&config.Cold.CrashTime, "", "fall", "How long all requests fail after an overload.")
 	c.String(&config.Ranks.Group, "", "group", "Group of the ranks; empty for none.")
-	c.Int(&config.Ranks.First, "", "first-rank", "First rank of the engine.")
+	c.Int(&config.Ranks.FirstRank, "", "first-rank", "First rank of the engine.")
 	c.Int(&config.Ranks.Ranks, "", "ranks", "Number of ranks of the engine.")
-	c.Int(&config.Ranks.Size, "", "group-size", "Number of ranks of the whole group.")
-	c.Duration(&config.Ranks.Step, "", "step", "Least time of one step.")
+	c.Int(&config.Ranks.GroupSize, "", "group-size", "Number of ranks of the whole group.")
+	c.Duration(&config.Ranks.MinStepTime, "", "step", "Minimum time of one step.")
 	return command{c, func(logger log.Logger) error { return engine.Run(config, logger) }}
 }
 
@@ -88,12 +88,12 @@
 	c.Description = "A plain service with a ledger."
 	listen := "127.0.0.1:0"
 	c.String(&listen, "", "listen", "Address to listen on.")
-	return command{c, func(logger log.Logger) error { return service.Main(listen, logger) }}
+	return command{c, func(logger log.Logger) error { return service.Serve(listen, logger) }}
 }
 
 func demoCommand() command {
 	c := flaggy.NewSubcommand("demo")
-	c.Description = "Runs the whole path as separate processes and says if it worked."
+	c.Description = "Runs the whole system as separate processes and reports whether it worked."
 	bin := "bin"
 	c.String(&bin, "", "bin", "Directory of the binaries.")
 	return command{c, func(log.Logger) error {
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole path as separate processes on loopback and says,
-// step by step, whether it worked. `make demo` calls it.
+// Package demo runs the whole system as separate processes on loopback and reports for each step
+// whether it worked. It implements `make demo`.
 package demo
 
 import (
@@ -15,15 +15,15 @@
 )
 
 const (
-	// limit is the time that the whole demonstration may take.
-	limit = 60 * time.Second
-	// domainOut is the failure domain that is marked out and in again.
-	domainOut = "b"
-	// outTime is the time after a mark from which no new work may arrive.
-	outTime = 3 * time.Second
+	// timeLimit is the maximum time of the whole demonstration.
+	timeLimit = 60 * time.Second
+	// markedDomain is the failure domain that is marked out and in again.
+	markedDomain = "b"
+	// markEffectTime is the time after a mark from which no new work may arrive.
+	markEffectTime = 3 * time.Second
 )
 
-// step is one step; it returns what to print.
+// step is one step of the demonstration. run returns the text to print.
 type step struct {
 	name string
 	run  func(*demo) (string, error)
@@ -35,12 +35,12 @@
 	{"stream a completion", (*demo).streamCompletion},
 	{"look up a label", (*demo).lookUp},
 	{"push a price twice with one ticket", (*demo).pushTwice},
-	{"mark failure domain " + domainOut + " out", (*demo).markOut},
-	{"mark failure domain " + domainOut + " in", (*demo).markIn},
+	{"mark failure domain " + markedDomain + " out", (*demo).markOut},
+	{"mark failure domain " + markedDomain + " in", (*demo).markIn},
 	{"stop an entry under load", (*demo).stopEntry},
 }
 
-// demo is the running demonstration.
+// demo is a running demonstration. It implements harness.Reporter.
 type demo struct {
 	out     io.Writer
 	bin     string
@@ -50,29 +50,29 @@
 	caller  *harness.Caller
 }
 
-// failed carries a failure of the harness out of a step.
-type failed struct{ error }
+// stepFailure is the panic value that carries a failure of the harness out of a step.
+type stepFailure struct{ error }
 
-// Helper does nothing; demo is a harness.Reporter.
+// Helper does nothing; harness.Reporter requires it.
 func (d *demo) Helper() {}
 
-// Logf prints a line.
+// Logf prints a formatted line.
 func (d *demo) Logf(format string, args ...any) { fmt.Fprintf(d.out, "    "+format+"\n", args...) }
 
-// Fatalf ends the step.
-func (d *demo) Fatalf(format string, args ...any) { panic(failed{errors.Errorf(format, args...)}) }
+// Fatalf aborts the step with an error.
+func (d *demo) Fatalf(format string, args ...any) { panic(stepFailure{errors.Errorf(format, args...)}) }
 
-// Cleanup notes what to do at the end, last first.
+// Cleanup registers a function to run at the end, in reverse order of registration.
 func (d *demo) Cleanup(f func()) { d.cleanup = append(d.cleanup, f) }
 
-// Run runs all steps with the binaries in bin and returns true if all worked.
+// Run runs all steps with the binaries in bin and reports whether all worked.
 func Run(bin string, out io.Writer) bool {
 	d := &demo{out: out, bin: bin, caller: harness.NewCaller(harness.Key)}
-	defer d.end()
+	defer d.runCleanup()
 	begin := time.Now()
 	for i, s := range steps {
 		from := time.Now()
-		result, err := d.try(s)
+		result, err := d.runStep(s)
 		took := time.Since(from).Round(time.Millisecond)
 		if err != nil {
 			fmt.Fprintf(out, "%d. %s: FAILED after %s: %v\n", i+1, s.name, took, err)
@@ -82,23 +82,23 @@
 		fmt.Fprintf(out, "%d. %s: ok in %s: %s\n", i+1, s.name, took, result)
 	}
 	took := time.Since(begin).Round(time.Millisecond)
-	if took > limit {
-		fmt.Fprintf(out, "demo: FAILED: all steps worked but took %s, more than %s.\n", took, limit)
+	if took > timeLimit {
+		fmt.Fprintf(out, "demo: FAILED: all steps worked but took %s, more than %s.\n", took, timeLimit)
 		return false
 	}
 	fmt.Fprintf(out, "demo: all %d steps worked in %s.\n", len(steps), took)
 	return true
 }
 
-func (d *demo) end() {
+func (d *demo) runCleanup() {
 	for i := range d.cleanup {
 		d.cleanup[len(d.cleanup)-1-i]()
 	}
 }
 
-func (d *demo) try(s step) (result string, err error) {
+func (d *demo) runStep(s step) (result string, err error) {
 	defer func() {
-		if f, ok := recover().(failed); ok {
+		if f, ok := recover().(stepFailure); ok {
 			err = f.error
 		}
 	}()
@@ -106,7 +106,7 @@
 }
 
 func (d *demo) start() (string, error) {
-	d.dir = harness.Dir(d, "demo")
+	d.dir = harness.NewDir(d, "demo")
 	d.cluster = harness.StartCluster(d, harness.Spec{
 		Bin:      d.bin,
 		Dir:      d.dir,
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%d processes over 3 failure domains are ready", 1+len(d.cluster.Entries)+2*len(d.cluster.Agents)), nil
 }
 
-// entry returns the address of one entry.
+// entry returns the public address of an entry.
 func (d *demo) entry(i int) string { return d.cluster.Entries[i].Public }
 
 func (d *demo) askAddresses() (string, error) {
@@ -128,13 +128,13 @@
 		return "", err
 	}
 	if len(list.Addresses) != len(d.cluster.Entries) {
-		return "", errors.Errorf("%d addresses, want %d", len(list.Addresses), len(d.cluster.Entries))
+		return "", errors.Errorf("got %d addresses, want %d", len(list.Addresses), len(d.cluster.Entries))
 	}
-	var told []string
+	var addresses []string
 	for _, a := range list.Addresses {
-		told = append(told, a.Address)
+		addresses = append(addresses, a.Address)
 	}
-	return fmt.Sprintf("%s, to keep for %d ms", strings.Join(told, " "), list.KeepMS), nil
+	return fmt.Sprintf("%s, to keep for %d ms", strings.Join(addresses, " "), list.KeepMS), nil
 }
 
 func (d *demo) streamCompletion() (string, error) {
@@ -147,7 +147,7 @@
 		return "", errors.Errorf("refused: %d %s %s", got.Refused.Code, got.Refused.Name, got.Refused.Message)
 	}
 	if !got.Whole || got.Text != p.Want() {
-		return "", errors.Errorf("got %q, the engine made %q", got.Text, p.Want())
+		return "", errors.Errorf("got %q, want the text of the engine %q", got.Text, p.Want())
 	}
 	return fmt.Sprintf("%d bytes in %d events, the same as the engine made:%s", len(got.Text), got.Events, got.Text), nil
 }
@@ -158,14 +158,14 @@
 		return "", err
 	}
 	if reply.Status != 200 {
-		return "", errors.Errorf("%d %d %s %s", reply.Status, reply.Code, reply.Name, reply.Message)
+		return "", errors.Errorf("look-up failed: status %d, code %d %s: %s", reply.Status, reply.Code, reply.Name, reply.Message)
 	}
 	return strings.TrimSpace(string(reply.Body)), nil
 }
 
 func (d *demo) pushTwice() (string, error) {
 	const call = "demo-push"
-	ticket, err := d.caller.TakeTicket(context.Background(), d.entry(0), harness.Service)
+	ticket, err := d.caller.RequestTicket(context.Background(), d.entry(0), harness.Service)
 	if err != nil {
 		return "", err
 	}
@@ -175,23 +175,23 @@
 			return "", err
 		}
 		if reply.Status != 200 || reply.Ran != harness.RanYes {
-			return "", errors.Errorf("push %d: %d %d %s %s", i+1, reply.Status, reply.Code, reply.Name, reply.Message)
+			return "", errors.Errorf("push %d failed: status %d, code %d %s: %s", i+1, reply.Status, reply.Code, reply.Name, reply.Message)
 		}
 	}
-	if runs := harness.Runs(d.cluster.ServiceAgents()[0].Backend.Ledger())[call]; runs != 1 {
+	if runs := harness.CountRuns(d.cluster.ServiceAgents()[0].Backend.Ledger())[call]; runs != 1 {
 		return "", errors.Errorf("the ledger shows %d runs, want 1", runs)
 	}
 	return "both answered 200, through two entries; the ledger shows 1 run", nil
 }
 
-// outEngine is the engine in the failure domain that is marked out.
-func (d *demo) outEngine() *harness.Member {
+// markedEngine returns the engine in the marked failure domain.
+func (d *demo) markedEngine() *harness.Member {
 	for _, m := range d.cluster.EngineAgents() {
-		if m.Domain == domainOut {
+		if m.Domain == markedDomain {
 			return m
 		}
 	}
-	d.Fatalf("no engine in failure domain %s", domainOut)
+	d.Fatalf("no engine in failure domain %s", markedDomain)
 	return nil
 }
 
@@ -199,30 +199,30 @@
 	load := d.cluster.StartLoad(harness.LoadSpec{Callers: 4, Tokens: 20, Pause: 20 * time.Millisecond, Seed: 1})
 	time.Sleep(time.Second)
 	from := time.Now()
-	d.cluster.MustOperate("mark", "domain", domainOut, "out")
+	d.cluster.MustOperate("mark", "domain", markedDomain, "out")
 	took := time.Since(from)
-	time.Sleep(outTime)
-	before := len(d.outEngine().Backend.Record().Arrivals)
+	time.Sleep(markEffectTime)
+	before := len(d.markedEngine().Backend.Record().Arrivals)
 	time.Sleep(time.Second)
-	after := len(d.outEngine().Backend.Record().Arrivals)
+	after := len(d.markedEngine().Backend.Record().Arrivals)
 	result := load.Stop()
 	if after != before {
-		return "", errors.Errorf("%d requests arrived after %s", after-before, outTime)
+		return "", errors.Errorf("%d requests arrived more than %s after the mark", after-before, markEffectTime)
 	}
 	if len(result.Cut)+len(result.Failed)+len(result.Wrong) > 0 {
 		return "", errors.Errorf("cut %q, failed %q, wrong %q", result.Cut, result.Failed, result.Wrong)
 	}
 	return fmt.Sprintf("confirmed in %s; nothing new arrived there %s later; %d requests answered whole, none cut",
-		took.Round(time.Millisecond), outTime, result.Whole), nil
+		took.Round(time.Millisecond), markEffectTime, result.Whole), nil
 }
 
 func (d *demo) markIn() (string, error) {
 	load := d.cluster.StartLoad(harness.LoadSpec{Callers: 4, Tokens: 20, Pause: 20 * time.Millisecond, Seed: 2})
-	before := len(d.outEngine().Backend.Record().Arrivals)
-	d.cluster.MustOperate("mark", "domain", domainOut, "in")
+	before := len(d.markedEngine().Backend.Record().Arrivals)
+	d.cluster.MustOperate("mark", "domain", markedDomain, "in")
 	took := harness.Eventually(d, 10*time.Second, "new work arrives", func() error {
-		if len(d.outEngine().Backend.Record().Arrivals) == before {
-			return errors.New("nothing has arrived")
+		if len(d.markedEngine().Backend.Record().Arrivals) == before {
+			return errors.New("no request has arrived")
 		}
 		return nil
 	})
--- a/internal/standin/platform/fabric.go
+++ b/internal/standin/platform/fabric.go
@@ -7,10 +7,10 @@
 	"github.com/apricothub/apricothub/internal/standin/web"
 )
 
-// recordedSteps bounds the steps kept for each group.
-const recordedSteps = 4096
+// maxRecordedSteps limits the steps kept for each group.
+const maxRecordedSteps = 4096
 
-// RankMap says which map a range of ranks ran in a step.
+// RankMap is the expert map that a range of ranks ran in a step.
 type RankMap struct {
 	FirstRank int    `json:"first_rank"`
 	Ranks     int    `json:"ranks"`
@@ -25,58 +25,58 @@
 	Step uint64 `json:"step"`
 }
 
-// Step is one step that a group has finished.
+// Step is a step that a group has completed.
 type Step struct {
 	Step uint64    `json:"step"`
 	Maps []RankMap `json:"maps"`
 }
 
-// FabricRecord is the answer of GET /fabric/{group}/record. Mixed counts the steps
-// that ran with more than one map. An arrival is answered with Next alone.
+// FabricRecord is the response of GET /fabric/{group}/record. MixedSteps counts the steps that ran
+// with more than one map. The response to an arrival holds only Next.
 type FabricRecord struct {
-	Next  uint64 `json:"next"`
-	Mixed int    `json:"mixed"`
-	Steps []Step `json:"steps,omitempty"`
+	Next       uint64 `json:"next"`
+	MixedSteps int    `json:"mixed"`
+	Steps      []Step `json:"steps,omitempty"`
 }
 
-// meeting is the lock-step of one group.
-type meeting struct {
+// stepBarrier keeps the ranks of one group in lock-step.
+type stepBarrier struct {
 	FabricRecord
 	arrived []RankMap
 }
 
 type fabric struct {
-	web.Watched
-	groups map[string]*meeting
+	web.Monitor
+	barriers map[string]*stepBarrier
 }
 
-// group returns the meeting of the group in the path; the lock is held.
-func (f *fabric) group(r *http.Request) *meeting {
+// barrier returns the barrier of the group named in the path. The caller holds the lock.
+func (f *fabric) barrier(r *http.Request) *stepBarrier {
 	name := r.PathValue("group")
-	if f.groups[name] == nil {
-		f.groups[name] = &meeting{}
+	if f.barriers[name] == nil {
+		f.barriers[name] = &stepBarrier{}
 	}
-	return f.groups[name]
+	return f.barriers[name]
 }
 
-// arrive holds the ranks until all ranks of the group have arrived. Ranks that die
-// while they wait have not taken part: their arrival is withdrawn.
+// arrive blocks until all ranks of the group have arrived. If the request ends before that, its
+// arrival is withdrawn: ranks that die while they wait have not taken part in the step.
 func (f *fabric) arrive(r *http.Request, a Arrival) (answer FabricRecord, err error) {
 	a.AtMS = web.NowMS()
-	f.Do(func() {
-		if m := f.group(r); a.Step == m.Next {
+	f.WithLock(func() {
+		if m := f.barrier(r); a.Step == m.Next {
 			m.withdraw(a.FirstRank)
 			m.arrived = append(m.arrived, a.RankMap)
-			m.finish(a.Size)
+			m.finishStep(a.Size)
 		}
 	})
-	err = f.Until(r.Context(), func() bool {
-		answer.Next = f.group(r).Next
+	err = f.WaitUntil(r.Context(), func() bool {
+		answer.Next = f.barrier(r).Next
 		return answer.Next != a.Step
 	})
 	if err != nil {
-		f.Do(func() {
-			if m := f.group(r); a.Step == m.Next {
+		f.WithLock(func() {
+			if m := f.barrier(r); a.Step == m.Next {
 				m.withdraw(a.FirstRank)
 			}
 		})
@@ -84,12 +84,12 @@
 	return answer, err
 }
 
-func (m *meeting) withdraw(firstRank int) {
+func (m *stepBarrier) withdraw(firstRank int) {
 	m.arrived = slices.DeleteFunc(m.arrived, func(a RankMap) bool { return a.FirstRank == firstRank })
 }
 
-// finish closes the step when all ranks of the group have arrived.
-func (m *meeting) finish(size int) {
+// finishStep completes the step if all ranks of the group have arrived.
+func (m *stepBarrier) finishStep(size int) {
 	ranks := 0
 	maps := map[uint64]bool{}
 	for _, a := range m.arrived {
@@ -100,17 +100,17 @@
 		return
 	}
 	if len(maps) > 1 {
-		m.Mixed++
+		m.MixedSteps++
 	}
 	m.Steps = append(m.Steps, Step{m.Next, m.arrived})
-	m.Steps = m.Steps[max(0, len(m.Steps)-recordedSteps):]
+	m.Steps = m.Steps[max(0, len(m.Steps)-maxRecordedSteps):]
 	m.Next++
 	m.arrived = nil
 }
 
-func (f *fabric) record(r *http.Request, _ web.None) (record FabricRecord, _ error) {
-	f.Do(func() { record = f.group(r).FabricRecord })
-	last := int(web.Number(r, "last", recordedSteps))
+func (f *fabric) record(r *http.Request, _ web.NoBody) (record FabricRecord, _ error) {
+	f.WithLock(func() { record = f.barrier(r).FabricRecord })
+	last := int(web.QueryInt(r, "last", maxRecordedSteps))
 	record.Steps = record.Steps[max(0, len(record.Steps)-last):]
 	return record, nil
 }
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -1,4 +1,4 @@
-// Package web holds what the HTTP servers of all stand-ins share.
+// Package web holds the HTTP server code that all stand-ins share.
 package web
 
 import (
@@ -17,12 +17,12 @@
 	"github.com/oklog/run"
 )
 
-const shutdownTime = 5 * time.Second
+const shutdownTimeout = 5 * time.Second
 
-// None stands for no body.
-type None struct{}
+// NoBody is the type of an empty request or response body.
+type NoBody struct{}
 
-// Refusal is an error that is answered with a status and a body.
+// Refusal is an error that is sent to the caller with an HTTP status and a body.
 type Refusal struct {
 	Status int
 	Body   any
@@ -30,38 +30,38 @@
 
 func (r Refusal) Error() string { return http.StatusText(r.Status) }
 
-// text is the body of a refusal with a sentence.
-type text struct {
+// errorBody is the body of a refusal that has only a message.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-// Refuse returns a Refusal with a sentence.
-func Refuse(status int, sentence string) error { return Refusal{status, text{sentence}} }
+// Refuse returns a Refusal with a message.
+func Refuse(status int, message string) error { return Refusal{status, errorBody{message}} }
 
-// Serve answers requests on addr until SIGTERM or SIGINT, then lets open requests
-// end within 5 s.
+// Serve answers requests on addr until SIGTERM or SIGINT, then waits up to 5 s for open requests to
+// end.
 func Serve(addr string, srv *http.Server, logger log.Logger) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	_ = logger.Log("msg", "listening", "address", listener.Addr())
+	_ = logger.Log("msg", "The stand-in is listening.", "address", listener.Addr())
 	var group run.Group
 	group.Add(run.SignalHandler(context.Background(), syscall.SIGTERM, syscall.SIGINT))
 	group.Add(func() error { return srv.Serve(listener) }, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = srv.Shutdown(ctx)
 	})
 	if err = group.Run(); errors.Is(err, run.ErrSignal) {
-		return logger.Log("msg", "stopped")
+		return logger.Log("msg", "The stand-in has stopped.")
 	}
 	return err
 }
 
-// Call makes a handler of a function from a request and its body to an answer.
-// Bodies are JSON; a body that the function takes as []byte is left as it is.
-func Call[In, Out any](f func(*http.Request, In) (Out, error)) http.HandlerFunc {
+// JSONHandler returns an HTTP handler that calls f with the request and its decoded JSON body and
+// sends the result as JSON. If In is []byte, f gets the body undecoded.
+func JSONHandler[In, Out any](f func(*http.Request, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		data, err := io.ReadAll(r.Body)
@@ -71,63 +71,64 @@
 			err = json.Unmarshal(data, &in)
 		}
 		if err != nil {
-			Answer(w, nil, Refuse(http.StatusBadRequest, err.Error()))
+			Respond(w, nil, Refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
 		out, err := f(r, in)
-		Answer(w, out, err)
+		Respond(w, out, err)
 	}
 }
 
-// Set makes a handler that takes a body and has nothing to answer.
-func Set[In any](f func(In)) http.HandlerFunc {
-	return Call(func(_ *http.Request, in In) (None, error) {
+// SetHandler returns an HTTP handler that passes the request body to f and sends an empty response.
+func SetHandler[In any](f func(In)) http.HandlerFunc {
+	return JSONHandler(func(_ *http.Request, in In) (NoBody, error) {
 		f(in)
-		return None{}, nil
+		return NoBody{}, nil
 	})
 }
 
-// Get makes a handler that only answers.
-func Get[Out any](f func() Out) http.HandlerFunc {
-	return Call(func(*http.Request, None) (Out, error) { return f(), nil })
+// GetHandler returns an HTTP handler that sends the result of f and ignores the request body.
+func GetHandler[Out any](f func() Out) http.HandlerFunc {
+	return JSONHandler(func(*http.Request, NoBody) (Out, error) { return f(), nil })
 }
 
-// Answer sends an answer, or an error in its place.
-func Answer(w http.ResponseWriter, out any, err error) {
+// Respond sends body as JSON, or err in its place: a Refusal with its own status, any other error
+// with 502.
+func Respond(w http.ResponseWriter, body any, err error) {
 	status := http.StatusOK
 	if refusal := (Refusal{}); errors.As(err, &refusal) {
-		status, out = refusal.Status, refusal.Body
+		status, body = refusal.Status, refusal.Body
 	} else if err != nil {
-		status, out = http.StatusBadGateway, text{err.Error()}
+		status, body = http.StatusBadGateway, errorBody{err.Error()}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(out)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Number returns a number of the query, or otherwise.
-func Number(r *http.Request, name string, otherwise int64) int64 {
+// QueryInt returns an integer query parameter, or fallback if it is missing or malformed.
+func QueryInt(r *http.Request, name string, fallback int64) int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// NowMS is the wall clock in milliseconds since 1970.
+// NowMS returns the wall-clock time in milliseconds since 1970.
 func NowMS() int64 { return time.Now().UnixMilli() }
 
-// Millis turns milliseconds into a duration.
+// Millis converts milliseconds to a duration.
 func Millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Watched is a lock for a state that others wait on. Its zero value is ready.
-type Watched struct {
+// Monitor is a mutex whose state others can wait on. The zero value is ready to use.
+type Monitor struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// Do looks at the state or changes it, and lets those who wait look again.
-func (w *Watched) Do(f func()) {
+// WithLock runs f under the lock, then wakes all waiters to check their condition again.
+func (w *Monitor) WithLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
@@ -137,8 +138,9 @@
 	}
 }
 
-// Until looks at the state, once and again after each change, until f returns true.
-func (w *Watched) Until(ctx context.Context, f func() bool) error {
+// WaitUntil evaluates f under the lock, now and after each WithLock, until it returns true or ctx
+// ends.
+func (w *Monitor) WaitUntil(ctx context.Context, f func() bool) error {
 	for {
 		w.mu.Lock()
 		done := f()
--- a/test/fakeplatform/server.go
+++ b/test/fakeplatform/server.go
@@ -12,56 +12,57 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Seen is one request as a backend server got it.
-type Seen struct {
+// ReceivedRequest is a request as a backend server received it.
+type ReceivedRequest struct {
 	Request *http.Request
 	Body    string
-	// First says that it is the first one on its connection.
-	First bool
+	// FirstOnConn is true for the first request on a connection.
+	FirstOnConn bool
 }
 
-// Server is a backend server on a socket of its own: answer writes what it likes, and
-// returns whether the connection stays.
+// Server is a fake backend server. Its handler writes raw bytes to the connection, so that a test
+// can send broken responses.
 type Server struct {
-	place    Place
-	listener net.Listener
-	// address is the registered one.
+	registration Registration
+	listener     net.Listener
+	// address is the registered address, which may differ from the listener's.
 	address  string
-	answer   Answer
+	handler  Handler
 	mu       sync.Mutex
-	requests []Seen
+	requests []ReceivedRequest
 	conns    []net.Conn
 }
 
-// Answer answers one request, and returns whether the connection stays.
-type Answer func(s Seen, conn net.Conn) bool
+// Handler answers one request and returns whether the connection stays open.
+type Handler func(s ReceivedRequest, conn net.Conn) bool
 
-// Place says what a backend server registers itself as.
-type Place struct {
+// Registration is what a backend server registers about itself.
+type Registration struct {
 	ID, FailureDomain string
-	// Concurrency is the number of requests that it works on at once.
+	// Concurrency is the number of requests that the server handles at once.
 	Concurrency int
-	// Link makes the address that it registers in place of its own; nil for none.
-	Link func(address string) string
-	// Forgets says that it keeps no record of its requests, for long runs.
-	Forgets bool
+	// MapAddress returns the address to register in place of the listener's, such as that of a
+	// forwarder. Nil registers the listener's address.
+	MapAddress func(address string) string
+	// DiscardRequests keeps no record of the requests, to save memory in long runs.
+	DiscardRequests bool
 }
 
-// Serve starts a backend server of service app in failure domain a, and registers it.
-func (s *Store) Serve(report harness.Reporter, id string, answer Answer) *Server {
-	return s.ServeAt(report, Place{ID: id, FailureDomain: "a", Concurrency: 4}, answer)
+// Serve starts a backend server of service app in failure domain a and registers it.
+func (s *Store) Serve(report harness.Reporter, id string, handler Handler) *Server {
+	return s.ServeAt(report, Registration{ID: id, FailureDomain: "a", Concurrency: 4}, handler)
 }
 
-// ServeAt starts a backend server of service app, and registers it.
-func (s *Store) ServeAt(report harness.Reporter, place Place, answer Answer) *Server {
+// ServeAt starts a backend server of service app and registers it.
+func (s *Store) ServeAt(report harness.Reporter, registration Registration, handler Handler) *Server {
 	report.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		report.Fatalf("listen: %v", err)
 	}
-	f := &Server{place: place, listener: listener, address: listener.Addr().String(), answer: answer}
-	if place.Link != nil {
-		f.address = place.Link(f.address)
+	f := &Server{registration: registration, listener: listener, address: listener.Addr().String(), handler: handler}
+	if registration.MapAddress != nil {
+		f.address = registration.MapAddress(f.address)
 	}
 	report.Cleanup(func() { _ = listener.Close() })
 	go func() {
@@ -77,15 +78,15 @@
 	return f
 }
 
-// Register registers a backend server anew, in a state such as ready or draining.
+// Register registers a backend server again, in a state such as ready or draining.
 func (s *Store) Register(f *Server, state string) {
-	s.registerAs("app", f.place.ID, f.address, f.place, state)
+	s.registerAs("app", f.registration.ID, f.address, f.registration, state)
 }
 
-func (s *Store) registerAs(service, id, address string, place Place, state string) {
+func (s *Store) registerAs(service, id, address string, registration Registration, state string) {
 	s.Put(platform.TopicServers, id, fmt.Sprintf(
 		`{"service":"%s","address":"%s","zone":"%s","concurrency":%d,"state":"%s","cold-remaining-ms":0,"sequence":1,"born":1}`,
-		service, address, place.FailureDomain, place.Concurrency, state))
+		service, address, registration.FailureDomain, registration.Concurrency, state))
 }
 
 func (f *Server) handle(conn net.Conn) {
@@ -103,16 +104,16 @@
 		if err != nil {
 			return
 		}
-		s := Seen{Request: req, Body: string(body), First: first}
+		s := ReceivedRequest{Request: req, Body: string(body), FirstOnConn: first}
 		f.record(s)
-		if !f.answer(s, conn) {
+		if !f.handler(s, conn) {
 			return
 		}
 	}
 }
 
-func (f *Server) record(s Seen) {
-	if f.place.Forgets {
+func (f *Server) record(s ReceivedRequest) {
+	if f.registration.DiscardRequests {
 		return
 	}
 	f.mu.Lock()
@@ -120,8 +121,8 @@
 	f.requests = append(f.requests, s)
 }
 
-// Kill ends the server as a crash does: it takes no connection more, and those that stand
-// break off. Its registration stays.
+// Kill stops the server like a crash: it closes the listener and all connections, and the
+// registration stays.
 func (f *Server) Kill() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -131,50 +132,51 @@
 	}
 }
 
-// ID is the name under which the server is registered.
-func (f *Server) ID() string { return f.place.ID }
+// ID returns the name under which the server is registered.
+func (f *Server) ID() string { return f.registration.ID }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (f *Server) Address() string { return f.listener.Addr().String() }
 
-// Got returns the requests so far.
-func (f *Server) Got() []Seen {
+// Requests returns the requests received so far.
+func (f *Server) Requests() []ReceivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Seen(nil), f.requests...)
+	return append([]ReceivedRequest(nil), f.requests...)
 }
 
-// Refuse answers that the request has not run and will not.
-func Refuse(s Seen, conn net.Conn) bool {
+// Refuse is a Handler that answers 503 with Not-Executed: the request has not run and will not.
+func Refuse(s ReceivedRequest, conn net.Conn) bool {
 	_, err := io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: "+s.ID()+
 		"\r\nNot-Executed: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-// ID is the id of the caller's attempt, ResumeAfter that of the last event that it has of a
-// stream.
-func (s Seen) ID() string          { return s.Request.Header.Get("Attempt-Id") }
-func (s Seen) ResumeAfter() string { return s.Request.Header.Get("Last-Event-Id") }
+// ID returns the id of the caller's attempt.
+func (s ReceivedRequest) ID() string { return s.Request.Header.Get("Attempt-Id") }
 
-// Whole is an answer with a body and the server's signature.
-func Whole(id, body string) string {
+// ResumeAfter returns the id of the last event of a stream that the caller has received.
+func (s ReceivedRequest) ResumeAfter() string { return s.Request.Header.Get("Last-Event-Id") }
+
+// WholeResponse returns a complete HTTP response with a body and the server's signature.
+func WholeResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nUpstream-Signature: sig\r\nContent-Type: text/plain\r\nKeep-Alive: timeout=30\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// Echo answers with the request's id.
-func Echo(s Seen, conn net.Conn) bool {
-	_, _ = io.WriteString(conn, Whole(s.ID(), "answer to "+s.ID()))
+// Echo is a Handler that answers with the id of the request.
+func Echo(s ReceivedRequest, conn net.Conn) bool {
+	_, _ = io.WriteString(conn, WholeResponse(s.ID(), "answer to "+s.ID()))
 	return true
 }
 
-// StreamHead begins a stream in chunks.
-func StreamHead(s Seen) string {
+// StreamHead returns the status line and headers of a chunked event stream.
+func StreamHead(s ReceivedRequest) string {
 	return "HTTP/1.1 200 OK\r\nAttempt-Id: " + s.Request.Header.Get("Attempt-Id") +
 		"\r\nUpstream-Signature: sig\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// Chunk is one chunk of a stream.
+// Chunk returns text as one HTTP chunk.
 func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// Event is one event of a stream.
+// Event returns one server-sent event.
 func Event(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
--- a/test/fakeplatform/store.go
+++ b/test/fakeplatform/store.go
@@ -1,5 +1,5 @@
-// Package fakeplatform stands in for the users' platform in tests: its store, and backend
-// servers that answer as a test says.
+// Package fakeplatform is a fake of the users' platform for tests: its store, backend servers with
+// handlers that a test supplies, and lock-step groups of engines.
 package fakeplatform
 
 import (
@@ -20,90 +20,92 @@
 	"github.com/apricothub/apricothub/test/harness"
 )
 
-// Store is the platform's store, as far as an entry uses it: a log for each keyed topic.
+// Store is a fake of the platform's store, as far as entries use it: one log of key-value records
+// per topic.
 type Store struct {
 	*httptest.Server
 	mu     sync.Mutex
 	topics map[string][][2]string
-	// first are the offsets from which on topics keep their records for readers.
-	first map[string]int
+	// firstOffsets are the lowest offsets still readable, by topic.
+	firstOffsets map[string]int
 }
 
-// NewStore starts a store that stops with the test.
+// NewStore starts a store that stops at the end of the test.
 func NewStore(report harness.Reporter) *Store {
-	s := &Store{topics: make(map[string][][2]string), first: make(map[string]int)}
+	s := &Store{topics: make(map[string][][2]string), firstOffsets: make(map[string]int)}
 	s.Server = httptest.NewServer(s.handler(func() bool { return false }))
 	report.Cleanup(s.Close)
 	return s
 }
 
-// handler serves the store's calls; shut ends reads that wait.
-func (s *Store) handler(shut func() bool) http.Handler {
+// handler serves the store's HTTP calls. Reads that wait for records end with 503 once
+// isUnavailable returns true.
+func (s *Store) handler(isUnavailable func() bool) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /apricothub/log-read", func(w http.ResponseWriter, r *http.Request) { s.read(w, r, shut) })
+	mux.HandleFunc("GET /apricothub/log-read", func(w http.ResponseWriter, r *http.Request) { s.read(w, r, isUnavailable) })
 	mux.HandleFunc("GET /apricothub/log-newest", s.newest)
 	mux.HandleFunc("POST /apricothub/log-append", s.append)
 	return mux
 }
 
-// Door is another address of the store. It counts the calls, and turns callers away while it
-// is shut.
-type Door struct {
-	Address string
-	Shut    atomic.Bool
-	Calls   atomic.Int64
-	// Under are the calls under way.
-	Under atomic.Int64
+// Endpoint is a further address of the store, for one process. It counts the calls and answers 503
+// while Unavailable is set.
+type Endpoint struct {
+	Address     string
+	Unavailable atomic.Bool
+	Calls       atomic.Int64
+	// InFlight counts the calls in flight.
+	InFlight atomic.Int64
 }
 
-// Door opens another address of the store.
-func (s *Store) Door(report harness.Reporter) *Door {
-	d := &Door{}
-	handler := s.handler(d.Shut.Load)
+// NewEndpoint starts a further address of the store.
+func (s *Store) NewEndpoint(report harness.Reporter) *Endpoint {
+	e := &Endpoint{}
+	handler := s.handler(e.Unavailable.Load)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.Calls.Add(1)
-		d.Under.Add(1)
-		defer d.Under.Add(-1)
-		if d.Shut.Load() {
+		e.Calls.Add(1)
+		e.InFlight.Add(1)
+		defer e.InFlight.Add(-1)
+		if e.Unavailable.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		handler.ServeHTTP(w, r)
 	}))
 	report.Cleanup(server.Close)
-	d.Address = strings.TrimPrefix(server.URL, "http://")
-	return d
+	e.Address = strings.TrimPrefix(server.URL, "http://")
+	return e
 }
 
-// Put appends a record; an empty value takes its key away.
+// Put appends a record; an empty value deletes the key.
 func (s *Store) Put(topic, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics[topic] = append(s.topics[topic], [2]string{key, value})
 }
 
-// Forget drops the history of all topics: a reader that is behind must read the newest record of
-// each key anew.
-func (s *Store) Forget() {
+// Truncate drops the history of all topics. A reader that is behind gets 410 Gone and must read the
+// newest record of each key instead.
+func (s *Store) Truncate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for topic, records := range s.topics {
-		s.first[topic] = len(records)
+		s.firstOffsets[topic] = len(records)
 	}
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request, shut func() bool) {
+func (s *Store) read(w http.ResponseWriter, r *http.Request, isUnavailable func() bool) {
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
 	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
-		if shut() {
+		if isUnavailable() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		s.mu.Lock()
 		records := s.topics[r.URL.Query().Get("topic")]
-		first := s.first[r.URL.Query().Get("topic")]
+		first := s.firstOffsets[r.URL.Query().Get("topic")]
 		s.mu.Unlock()
 		if from < first {
 			w.WriteHeader(http.StatusGone)
@@ -154,10 +156,10 @@
 	_, _ = fmt.Fprintf(w, `{"offset":%d,"end":%d}`, len(s.topics[topic])-1, len(s.topics[topic]))
 }
 
-// Address is where the store listens.
+// Address returns the address that the store listens on.
 func (s *Store) Address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Route is one route of the configuration that tests write.
+// Route is a route in a published configuration.
 type Route struct {
 	Name     string  `json:"name"`
 	Host     string  `json:"host"`
@@ -169,7 +171,7 @@
 	Service  string  `json:"service"`
 }
 
-// Routes are one route of each kind, and one with a short timeout.
+// Routes returns one route of each kind, and one with a short timeout.
 func Routes() []Route {
 	return []Route{
 		{"push", "h.example", "/push/", "non_idempotent", 5000, 3, false, "app"},
@@ -180,19 +182,19 @@
 	}
 }
 
-// Service is one service of the configuration that tests write.
+// Service is a service in a published configuration.
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"health-path"`
-	// ColdPerS is the number of requests a second that a cold backend server bears, ColdStartS
-	// how long it stays cold.
+	// ColdPerS is the number of requests per second that a cold backend server can handle;
+	// ColdStartS is how many seconds it stays cold.
 	ColdPerS   float64 `json:"cold-per-s,omitempty"`
 	ColdStartS float64 `json:"cold-start-s,omitempty"`
-	// Engine is what its engines are like; nil for a service without.
+	// Engine describes the engines of the service; nil if it has none.
 	Engine *EngineShape `json:"engine,omitempty"`
 }
 
-// EngineShape is what the configuration says of the engines of a service.
+// EngineShape is the part of a published configuration that describes the engines of a service.
 type EngineShape struct {
 	Concurrency   int     `json:"concurrency"`
 	Sets          int     `json:"sets"`
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -28,8 +28,8 @@
 	os.Exit(status)
 }
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends all data back, and returns its address.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,9 @@
 	return listener.Addr().String()
 }
 
-// hears says whether a connection still answers.
-func hears(conn net.Conn) error {
+// roundTrip sends one byte to the echo server and returns an error unless a byte comes back in
+// time.
+func roundTrip(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
@@ -71,50 +72,52 @@
 	return ok && timeout.Timeout()
 }
 
-// Old connections go silent, without an error at either side, while new ones work:
-// what a stateful network box does when it forgets its connections.
+// Guards against a forwarder whose Silence closes connections or affects new ones. It must behave
+// like a stateful firewall that has lost its connection table: existing connections drop all data
+// without an error on either side, new ones work.
 func TestForwarderSilence(t *testing.T) {
-	f := harness.NewForwarder(t, echo(t))
+	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
-	if err := hears(old); err != nil {
+	if err := roundTrip(old); err != nil {
 		t.Fatalf("before: %v", err)
 	}
 	f.Silence()
-	if err := hears(old); !isTimeout(err) {
+	if err := roundTrip(old); !isTimeout(err) {
 		t.Errorf("an old connection ended with %v, want silence", err)
 	}
-	if err := hears(dial(t, f)); err != nil {
+	if err := roundTrip(dial(t, f)); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
 }
 
-// A cut closes what is open; a block refuses new connections too until it ends.
+// Cut closes existing connections; Block also refuses new ones until Unblock; Isolate drops the
+// data of new ones without closing them.
 func TestForwarderCutAndBlock(t *testing.T) {
-	f := harness.NewForwarder(t, echo(t))
+	f := harness.NewForwarder(t, startEchoServer(t))
 	old := dial(t, f)
-	if err := hears(old); err != nil {
+	if err := roundTrip(old); err != nil {
 		t.Fatalf("before: %v", err)
 	}
 	f.Cut()
-	if err := hears(old); err == nil || isTimeout(err) {
+	if err := roundTrip(old); err == nil || isTimeout(err) {
 		t.Errorf("a cut connection: %v, want it closed", err)
 	}
 	f.Block()
-	if err := hears(dial(t, f)); err == nil || isTimeout(err) {
+	if err := roundTrip(dial(t, f)); err == nil || isTimeout(err) {
 		t.Errorf("a blocked connection: %v, want it closed", err)
 	}
 	f.Unblock()
-	if err := hears(dial(t, f)); err != nil {
+	if err := roundTrip(dial(t, f)); err != nil {
 		t.Errorf("after the block: %v", err)
 	}
 	f.Isolate()
-	if err := hears(dial(t, f)); !isTimeout(err) {
+	if err := roundTrip(dial(t, f)); !isTimeout(err) {
 		t.Errorf("an isolated connection ended with %v, want silence", err)
 	}
 }
 
-// A paused process answers nothing and then goes on; a killed one starts again with
-// no memory.
+// A paused process answers nothing until it continues; a process restarted after a kill has lost
+// its state.
 func TestProcessFaults(t *testing.T) {
 	dir := t.TempDir()
 	s := harness.Backend{StandIn: harness.StartStandIn(t, bin, dir, "labels", "service")}
@@ -137,14 +140,14 @@
 	}
 	s.Continue()
 	if err := <-answered; err != nil {
-		t.Errorf("after the pause: %v", err)
+		t.Errorf("after Continue: %v", err)
 	}
 	if got := len(s.Ledger()); got != 2 {
 		t.Errorf("ledger has %d runs, want 2", got)
 	}
 	s.Kill()
 	s.Restart()
-	s.WaitUp()
+	s.WaitRunning()
 	if got := len(s.Ledger()); got != 0 {
 		t.Errorf("ledger has %d runs after a restart, want none", got)
 	}
@@ -153,17 +156,17 @@
 	}
 }
 
-// A caller counts each run of its call once in the ledger, also when the service
-// closes in place of an answer.
+// Guards against a caller whose transport retries: each call is recorded once in the ledger, also
+// when the service closes the connection instead of answering, or redirects.
 func TestCallerSendsOnce(t *testing.T) {
 	s := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "labels", "service")}
-	s.Behave(service.Behaviour{CloseAfterRead: true})
-	for _, caller := range []*harness.Caller{harness.NewCaller(""), harness.NewKeepingCaller("")} {
+	s.SetBehaviour(service.Behaviour{CloseAfterRead: true})
+	for _, caller := range []*harness.Caller{harness.NewCaller(""), harness.NewKeepAliveCaller("")} {
 		if _, err := caller.Do(t.Context(), s.Address, harness.PushRequest("", "cut")); err == nil {
 			t.Error("an answer came over a cut connection")
 		}
 	}
-	s.Behave(service.Behaviour{Redirect: true})
+	s.SetBehaviour(service.Behaviour{Redirect: true})
 	if reply, err := harness.NewCaller("").Do(t.Context(), s.Address, harness.PushRequest("", "redirected")); err != nil || reply.Status != 307 {
 		t.Errorf("redirect: %+v, %v", reply, err)
 	}
@@ -172,8 +175,8 @@
 	}
 }
 
-// The caller's text is what the engine makes, byte for byte, whole or streamed, and
-// a stream that was cut goes on after the last event.
+// The text that a caller receives is the text that the engine generates, byte for byte, whether
+// complete or streamed. A stream cut in the middle ends with an error.
 func TestCallerReadsCompletions(t *testing.T) {
 	e := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "engine", "engine", "-token", "1ms")}
 	caller := harness.NewCaller("")
@@ -198,8 +201,9 @@
 	}
 }
 
-// A cold engine falls over under more than it can bear and counts it; what runs
-// when it turns cold without a word is spared.
+// A cold engine crashes under more requests than it can handle and counts the overload. Without
+// this, tests of the cold start could not detect an overload. Requests in flight when the engine
+// turns cold without notice do not count.
 func TestEngineInColdStart(t *testing.T) {
 	e := harness.Backend{StandIn: harness.StartStandIn(t, bin, t.TempDir(), "engine", "engine", "-token", "10ms", "-warm-after", "1", "-fall", "100ms")}
 	caller := harness.NewCaller("")
@@ -207,10 +211,10 @@
 	if _, _, err := caller.Complete(t.Context(), e.Address, p); err != nil {
 		t.Fatal(err)
 	}
-	if r := e.Record(); r.Cold || r.HighWaterCold != 1 {
+	if r := e.Record(); r.Cold || r.MaxRunningCold != 1 {
 		t.Fatalf("after one request: %+v, want warm with a high-water mark of 1", r.State)
 	}
-	together := func(n int) (whole int) {
+	runConcurrently := func(n int) (whole int) {
 		done := make(chan bool, n)
 		for range n {
 			go func() {
@@ -225,14 +229,14 @@
 		}
 		return whole
 	}
-	if whole := together(6); whole != 6 {
-		t.Errorf("warm: %d of 6 whole", whole)
+	if whole := runConcurrently(6); whole != 6 {
+		t.Errorf("warm: %d of 6 answers are whole, want all", whole)
 	}
 	e.TurnCold(0)
-	if whole := together(3); whole != 0 {
-		t.Errorf("cold: %d of 3 whole, want it to fall over", whole)
+	if whole := runConcurrently(3); whole != 0 {
+		t.Errorf("cold: %d of 3 answers are whole, want none: the engine must crash under the overload", whole)
 	}
-	if r := e.Record(); r.Overloads != 1 || r.HighWaterCold != 3 {
+	if r := e.Record(); r.Overloads != 1 || r.MaxRunningCold != 3 {
 		t.Errorf("record %+v, want 1 overload at 3", r.State)
 	}
 }
