--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,62 +1,63 @@
 /*
- * One verdict on each change, at every member, whatever was lost.
+ * Configuration log: every member reaches the same verdict on each change, also when
+ * messages and records are lost.
  *
- * Publishers race: each takes the base for its change from some member, at some
- * time, and appends the change, perhaps twice because the answer to the first append
- * was lost. Members fold the log; they append snapshots of their fold, load
- * snapshots from the log and from each other, and are replaced by members that know
- * nothing. The rules are those of coord/config.
+ * Publishers race: each takes the base of its change from some member at some time and
+ * appends the change, possibly twice because the response to the first append was lost.
+ * Members fold the log, append snapshots of their fold, load snapshots from the log and
+ * from each other, and are replaced by members without state. The rules are those of
+ * coord/config.
  *
- * Faults: the log is out or a member paused (nobody need take a step), answers of
- * the log come at any time (a member may get any record, and any snapshot, that was
- * ever appended, also after it expired), twice and in any order; a snapshot of a
- * member is on its way while that member goes on or is replaced; the log drops
- * records up to any offset. So a member never relies on a record still being there.
+ * Faults: the log is unavailable or a member is paused (no process has to take a step).
+ * Responses of the log arrive at any time, repeatedly and in any order: a member may
+ * receive any record and any snapshot that was ever appended, also after it expired. A
+ * member's snapshot is in transit while that member continues or is replaced. The log
+ * drops records up to any offset, so a member never relies on a record being present.
  *
- * Offsets count from 1 here; 0 stands for nothing.
+ * Offsets start at 1; 0 means none.
  */
 #ifndef RECORDS
 #define RECORDS  5
 #endif
 #define MEMBERS  2
 #define CHANGES  3
-#define SNAPSHOT 4      /* kind of a record; 1..CHANGES is the id of a change */
+#define SNAPSHOT 4      /* kind of a snapshot record; 1..CHANGES are the ids of changes */
 
 #define ACCEPTED 1
 #define CONFLICT 2
 
-/* A member's fold: the last offset, the offset of the list, and for each change two
- * bits that hold its verdict. */
+/* A member's fold: the last offset, the offset of the list, and two bits for the verdict
+ * on each change. */
 byte applied[MEMBERS];
 byte list[MEMBERS];
 byte verdicts[MEMBERS];
 #define VERDICT(v, id)      (((v) >> (2 * ((id) - 1))) & 3)
-#define WITH(v, id, verdict) ((v) | ((verdict) << (2 * ((id) - 1))))
+#define WITH_VERDICT(v, id, verdict) ((v) | ((verdict) << (2 * ((id) - 1))))
 
-/* The log: change records have a base, snapshots a fold. */
-byte end;               /* offset of the last record */
+/* The log: a change record has a base, a snapshot record has a fold. */
+byte end; /* offset of the last record */
 byte kind[RECORDS + 1];
 byte base[RECORDS + 1];
 byte through[RECORDS + 1];
-byte slist[RECORDS + 1];
-byte sverdicts[RECORDS + 1];
+byte snapshot_list[RECORDS + 1];
+byte snapshot_verdicts[RECORDS + 1];
 
-/* A snapshot on its way between members. */
+/* A snapshot in transit between members. */
 byte sent_through;
 byte sent_list;
 byte sent_verdicts;
 
-byte chosen[CHANGES + 1]; /* the base a publisher chose, plus 1; 0 for not yet */
+byte chosen_base[CHANGES + 1]; /* the base a publisher chose, plus 1; 0 if none yet */
 
-/* What is checked: the state after each offset, the verdict on each change, and the
- * winner on each base, as first seen by any member. */
+/* For the checks: the state after each offset, the verdict on each change, and the change
+ * accepted on each base, as first reached by any member. */
 bool seen[RECORDS + 1];
 byte state_list[RECORDS + 1];
 byte state_verdicts[RECORDS + 1];
 byte verdict[CHANGES + 1];
-byte winner[RECORDS + 1];
+byte accepted_change[RECORDS + 1];
 
-inline check(m) {
+inline check_agreement(m) {
 	if
 	:: applied[m] && !seen[applied[m]] ->
 		seen[applied[m]] = true;
@@ -69,42 +70,42 @@
 	fi
 }
 
-inline judge(m, o, id, result) {
-	verdicts[m] = WITH(verdicts[m], id, result);
+inline decide(m, o, id, result) {
+	verdicts[m] = WITH_VERDICT(verdicts[m], id, result);
 	assert(verdict[id] == 0 || verdict[id] == result);
 	verdict[id] = result;
 	if
 	:: result == ACCEPTED ->
-		assert(winner[base[o]] == 0 || winner[base[o]] == id);
-		winner[base[o]] = id;
+		assert(accepted_change[base[o]] == 0 || accepted_change[base[o]] == id);
+		accepted_change[base[o]] = id;
 		list[m] = o
 	:: else -> skip
 	fi
 }
 
-/* Whether a member has given its verdict on the change in a record. */
+/* Whether a member has already decided on the change in a record. */
 #ifdef MUTANT_JUDGES_AGAIN
-#define KNOWN(m, o) false
+#define DECIDED(m, o) false
 #else
-#define KNOWN(m, o) (VERDICT(verdicts[m], kind[o]) != 0)
+#define DECIDED(m, o) (VERDICT(verdicts[m], kind[o]) != 0)
 #endif
 
 inline fold(m, o) {
 	if
 	:: kind[o] == SNAPSHOT
-	:: kind[o] != SNAPSHOT && KNOWN(m, o)
-	:: kind[o] != SNAPSHOT && !KNOWN(m, o) ->
+	:: kind[o] != SNAPSHOT && DECIDED(m, o)
+	:: kind[o] != SNAPSHOT && !DECIDED(m, o) ->
 		if
 #ifdef MUTANT_NO_BASE_CHECK
-		:: true -> judge(m, o, kind[o], ACCEPTED)
+		:: true -> decide(m, o, kind[o], ACCEPTED)
 #else
-		:: base[o] == list[m] -> judge(m, o, kind[o], ACCEPTED)
-		:: else -> judge(m, o, kind[o], CONFLICT)
+		:: base[o] == list[m] -> decide(m, o, kind[o], ACCEPTED)
+		:: else -> decide(m, o, kind[o], CONFLICT)
 #endif
 		fi
 	fi;
 	applied[m] = o;
-	check(m)
+	check_agreement(m)
 }
 
 inline load(m, t, l, v) {
@@ -123,44 +124,44 @@
 #else
 		verdicts[m] = v;
 #endif
-		check(m)
+		check_agreement(m)
 	:: else -> skip
 	fi
 }
 
-/* The next record, or one that is not the next and must be ignored. */
+/* A member receives the next record, or another one, which it must ignore. */
 inline receive(m, o) {
 	if
 	:: o == applied[m] + 1 -> fold(m, o)
 #ifdef MUTANT_FOLDS_ACROSS_GAP
-	/* The log said that what comes before o has expired. */
+	/* The log reported that the records before o have expired. */
 	:: o > applied[m] + 1 -> fold(m, o)
 #endif
 	:: else -> skip
 	fi
 }
 
-inline readsnapshot(m, o) {
+inline read_snapshot(m, o) {
 	if
 	:: kind[o] == SNAPSHOT ->
-		load(m, through[o], slist[o], sverdicts[o]);
+		load(m, through[o], snapshot_list[o], snapshot_verdicts[o]);
 #ifdef MUTANT_SNAPSHOT_NOT_COVERING
-		/* Goes on behind a snapshot that does not reach up to what the log holds. */
-		if :: applied[m] < o -> applied[m] = o; check(m) :: else -> skip fi
+		/* Continues after a snapshot that does not reach the oldest record of the log. */
+		if :: applied[m] < o -> applied[m] = o; check_agreement(m) :: else -> skip fi
 #endif
 	:: else -> skip
 	fi
 }
 
-/* Publishers differ in nothing but their id, so they choose in the order of ids. */
+/* Publishers differ only in their id, so they choose their bases in the order of ids. */
 inline publish(id) {
 	if
-	:: chosen[id] == 0 && (id == 1 || chosen[id - 1] != 0) -> chosen[id] = list[0] + 1
-	:: chosen[id] == 0 && (id == 1 || chosen[id - 1] != 0) -> chosen[id] = list[MEMBERS - 1] + 1
-	:: chosen[id] != 0 && end < RECORDS ->
+	:: chosen_base[id] == 0 && (id == 1 || chosen_base[id - 1] != 0) -> chosen_base[id] = list[0] + 1
+	:: chosen_base[id] == 0 && (id == 1 || chosen_base[id - 1] != 0) -> chosen_base[id] = list[MEMBERS - 1] + 1
+	:: chosen_base[id] != 0 && end < RECORDS ->
 		end++;
 		kind[end] = id;
-		base[end] = chosen[id] - 1
+		base[end] = chosen_base[id] - 1
 	fi
 }
 
@@ -169,7 +170,7 @@
 	:: select(o : 1 .. RECORDS);
 		if
 		:: o <= end -> receive(m, o)
-		:: o <= end -> readsnapshot(m, o)
+		:: o <= end -> read_snapshot(m, o)
 		:: else -> skip
 		fi;
 		o = 0
@@ -178,12 +179,12 @@
 	:: end < RECORDS && applied[m] ->
 		end++;
 		kind[end] = SNAPSHOT;
-		through[end] = applied[m]; slist[end] = list[m]; sverdicts[end] = verdicts[m]
-	:: applied[m] = 0; list[m] = 0; verdicts[m] = 0      /* replaced */
+		through[end] = applied[m]; snapshot_list[end] = list[m]; snapshot_verdicts[end] = verdicts[m]
+	:: applied[m] = 0; list[m] = 0; verdicts[m] = 0      /* replaced by a member without state */
 	fi
 }
 
-active proctype world() {
+active proctype system() {
 	byte o;
 	do
 	:: atomic { member(0) }
--- a/spec/expertmap.pml
+++ b/spec/expertmap.pml
@@ -1,34 +1,34 @@
 /*
- * Expert maps: in each step all ranks of a group use one map.
+ * Expert maps: in each step all ranks of a group use the same map.
  *
- * Two agents, each in front of one engine, and up to BALLOTS ballots, which two or
- * more coordinators hold, replaced or paused ones among them: each ballot goes on by
- * itself to the end. A ballot's own number is its map for free steps, so any two
- * ballots differ. There are STEPS steps, assigned and released one by one.
+ * There are two agents, each with one engine, and up to BALLOTS ballots, held by two or
+ * more coordinators, some of which may be replaced or paused. Each ballot proceeds
+ * independently. A ballot uses its own number as the map for free steps, so any two
+ * ballots differ. STEPS steps are assigned and released one at a time.
  *
  * Messages: once sent, a message may arrive at any time, any number of times and in
- * any order, or never. What an agent answers is entered in the ballot when it is
- * sent, or lost; that the coordinator learns of it later makes no difference, since
- * it may also act later. Between each two actions anything else may happen: a pause
- * between a check and its act.
+ * any order, or never. An agent's answer is recorded in the ballot when it is sent, or
+ * it is lost. Modeling that the coordinator receives it later would add nothing, since
+ * the coordinator may also act later. Any other action may happen between two actions,
+ * which models a pause between a check and the action it permits.
  *
- * Faults: an agent restarts without memory (RESTARTS in all) while orders are on
- * their way from its socket; a connection to an engine breaks (any number); an
- * engine restarts and has lost what it was given and the weights (ENGINE_RESTARTS).
- * Map 1 is loaded at an engine's start, all others must be loaded first. Engines
- * check no fence; those that do only refuse more.
+ * Faults: an agent restarts without memory (RESTARTS times in total) while orders from
+ * its socket are in transit; a connection to an engine breaks (any number of times); an
+ * engine restarts and loses its orders and weights (ENGINE_RESTARTS times). Map 1 is
+ * loaded when an engine starts; all other maps must be loaded before use. Engines do
+ * not check fences; engines that do only refuse more.
  *
- * Checked: no two engines are given different maps for a step, no engine is given
- * two, and none a map whose weights it lacks.
+ * Checked: no two engines get different maps for a step, no engine gets two maps for a
+ * step, and no engine gets a map whose weights it lacks.
  *
- * Each MUTANT_x leaves one safeguard out; the checker must find an error with it.
+ * Each MUTANT_x removes one safeguard; the checker must then find an error.
  */
 
-/* With these safeguards left out, what a higher promise or a restart has outlived
-   still matters and is kept. The error shows within smaller bounds. */
+/* Without these safeguards, ballots that a higher promise or a restart has superseded
+   still have an effect and are kept. The error is found within smaller bounds. */
 #if defined(MUTANT_OLD_ASSIGN) || defined(MUTANT_OLD_RELEASE) || \
   defined(MUTANT_NO_INCARNATION) || defined(MUTANT_RELEASE_EARLY)
-#define KEEP_OUTLIVED
+#define KEEP_SUPERSEDED
 #define RESTARTS 1
 #define ENGINE_RESTARTS 0
 #endif
@@ -50,25 +50,25 @@
 /* Index of ballot b, agent a and step s. */
 #define BAS(b, a, s) (BA(b, a) * STEPS + (s))
 
-/* Agents. known: given to the engine by this incarnation, or read back. */
+/* Agents. known: the map this incarnation gave to the engine, or read back from it. */
 byte promise[AGENTS];
 byte known[4];
-bool sealable[AGENTS];   /* read back once by this incarnation */
-bool linked[AGENTS];     /* read back over the present connection */
+bool sealable[AGENTS];  /* this incarnation has read back its engine's state */
+bool connected[AGENTS]; /* the state was read back over the current connection */
 
-/* Engines, with orders on their way from older connections, a bit for each map. An
-   order of the present connection may arrive as soon as its range is known. */
+/* Engines, and the orders in transit on older connections, one bit per map. An order on
+   the current connection may arrive as soon as its range is known. */
 byte given[4];
 bool loaded[AGENTS];
-byte straying[4];
+byte oldOrders[4];
 
-/* Ballots. slot: what the seal at an agent has come to. plan: the map of a step,
+/* Ballots. sealState: the outcome of the seal at an agent. plan: the map of a step,
    carried over (before activation) or decided. */
 #define NONE 0
 #define SEALED 1
-#define OUTLIVED 2
+#define SUPERSEDED 2
 #define GIVEN_UP 3
-byte slot[6];
+byte sealState[6];
 bool planned[3];
 byte plan[6];
 bool acked[12];
@@ -87,15 +87,15 @@
 #define ADMITS_RELEASE(a, b) (promise[a] == b)
 #endif
 #ifdef MUTANT_NO_INCARNATION
-/* Messages and acknowledgements name no incarnation: a restart goes unnoticed. */
-#define SAME_INCARNATION(a, b) (slot[BA(b, a)] == SEALED || slot[BA(b, a)] == OUTLIVED)
+/* Messages and acknowledgements carry no incarnation, so a restart is not noticed. */
+#define SAME_INCARNATION(a, b) (sealState[BA(b, a)] == SEALED || sealState[BA(b, a)] == SUPERSEDED)
 #else
-#define SAME_INCARNATION(a, b) (slot[BA(b, a)] == SEALED)
+#define SAME_INCARNATION(a, b) (sealState[BA(b, a)] == SEALED)
 #endif
-#ifdef KEEP_OUTLIVED
-#define DROPPED(b) (slot[BA(b, 0)] == GIVEN_UP)
+#ifdef KEEP_SUPERSEDED
+#define DROPPED(b) (sealState[BA(b, 0)] == GIVEN_UP)
 #else
-#define DROPPED(b) (slot[BA(b, 0)] == OUTLIVED || slot[BA(b, 1)] == OUTLIVED)
+#define DROPPED(b) (sealState[BA(b, 0)] == SUPERSEDED || sealState[BA(b, 1)] == SUPERSEDED)
 #endif
 #ifdef MUTANT_RELEASE_EARLY
 #define ALL_ACKED(b, a, s) acked[BAS(b, a, s)]
@@ -103,41 +103,41 @@
 #define ALL_ACKED(b, a, s) (acked[BAS(b, 0, s)] && acked[BAS(b, 1, s)])
 #endif
 #ifdef MUTANT_READ_EARLY
-#define OLD_CLOSED(a) true
+#define OLD_CONNECTIONS_CLOSED(a) true
 #else
-#define OLD_CLOSED(a) (straying[AS(a, 0)] == 0 && straying[AS(a, 1)] == 0)
+#define OLD_CONNECTIONS_CLOSED(a) (oldOrders[AS(a, 0)] == 0 && oldOrders[AS(a, 1)] == 0)
 #endif
 #ifdef MUTANT_SEAL_EARLY
-#define MAY_SEAL(a) true
+#define CAN_SEAL(a) true
 #else
-#define MAY_SEAL(a) sealable[a]
+#define CAN_SEAL(a) sealable[a]
 #endif
 #ifdef MUTANT_NOT_LOADED
-#define HAS(a, m) true
+#define HAS_WEIGHTS(a, m) true
 #else
-#define HAS(a, m) (linked[a] && (m == 1 || loaded[a]))
+#define HAS_WEIGHTS(a, m) (connected[a] && (m == 1 || loaded[a]))
 #endif
 
-/* drop forgets a ballot that can release nothing any more, to keep states few: an
-   agent that it sealed has promised more or restarted, and takes nothing from it
-   again, so steps that are not acknowledged by all never will be. */
-inline drop(b) {
-#ifndef KEEP_OUTLIVED
+/* dropBallot clears a ballot that can release nothing more, to reduce the number of
+   states. An agent that it sealed has promised a higher ballot or restarted and accepts
+   nothing more from it, so steps not yet acknowledged by all agents never will be. */
+inline dropBallot(b) {
+#ifndef KEEP_SUPERSEDED
   if
-  :: (slot[BA(b, 0)] == OUTLIVED || slot[BA(b, 1)] == OUTLIVED) ->
+  :: (sealState[BA(b, 0)] == SUPERSEDED || sealState[BA(b, 1)] == SUPERSEDED) ->
        if
-       :: !ALL_ACKED(b, 0, 0) || (slot[BA(b, 0)] != SEALED && slot[BA(b, 1)] != SEALED) ->
+       :: !ALL_ACKED(b, 0, 0) || (sealState[BA(b, 0)] != SEALED && sealState[BA(b, 1)] != SEALED) ->
             plan[BS(b, 0)] = 0; acked[BAS(b, 0, 0)] = false; acked[BAS(b, 1, 0)] = false
        :: else
        fi;
        if
-       :: !ALL_ACKED(b, 0, 1) || (slot[BA(b, 0)] != SEALED && slot[BA(b, 1)] != SEALED) ->
+       :: !ALL_ACKED(b, 0, 1) || (sealState[BA(b, 0)] != SEALED && sealState[BA(b, 1)] != SEALED) ->
             plan[BS(b, 1)] = 0; acked[BAS(b, 0, 1)] = false; acked[BAS(b, 1, 1)] = false
        :: else
        fi;
        if
        :: plan[BS(b, 0)] == 0 && plan[BS(b, 1)] == 0 ->
-            slot[BA(b, 0)] = OUTLIVED; slot[BA(b, 1)] = OUTLIVED; planned[b - 1] = false
+            sealState[BA(b, 0)] = SUPERSEDED; sealState[BA(b, 1)] = SUPERSEDED; planned[b - 1] = false
        :: else
        fi
   :: else
@@ -147,25 +147,25 @@
 #endif
 }
 
-inline outlive(b, a) {
+inline supersede(b, a) {
   if
-  :: slot[BA(b, a)] == SEALED -> slot[BA(b, a)] = OUTLIVED
+  :: sealState[BA(b, a)] == SEALED -> sealState[BA(b, a)] = SUPERSEDED
   :: else
   fi;
-  drop(b)
+  dropBallot(b)
 }
 
-/* carry enters what an agent's engine was given into the plan of a ballot. Two
-   reports that differ are possible only when the first agent has restarted since,
-   before its order was sent: the ballot is given up. */
-inline carry(b, a, s) {
+/* carryOver copies the maps that an agent's engine was given into the plan of a ballot.
+   Two reports can differ only if the first agent has since restarted before its order
+   was sent; the ballot is then given up. */
+inline carryOver(b, a, s) {
 #ifndef MUTANT_NO_CARRY
   if
   :: known[AS(a, s)] == 0 || plan[BS(b, s)] == known[AS(a, s)] -> skip
   :: known[AS(a, s)] != 0 && plan[BS(b, s)] == 0 -> plan[BS(b, s)] = known[AS(a, s)]
   :: known[AS(a, s)] != 0 && plan[BS(b, s)] != 0 && plan[BS(b, s)] != known[AS(a, s)] ->
-       assert(slot[BA(b, 1 - (a))] >= OUTLIVED);
-       slot[BA(b, 0)] = GIVEN_UP; slot[BA(b, 1)] = GIVEN_UP
+       assert(sealState[BA(b, 1 - (a))] >= SUPERSEDED);
+       sealState[BA(b, 0)] = GIVEN_UP; sealState[BA(b, 1)] = GIVEN_UP
   fi
 #else
   skip
@@ -179,23 +179,23 @@
   fi
 }
 
-/* put is an order that reaches an engine. */
-inline put(a, s, m) {
+/* deliverOrder models an order that reaches an engine. */
+inline deliverOrder(a, s, m) {
   assert(given[AS(a, s)] == 0 || given[AS(a, s)] == m);
   given[AS(a, s)] = m;
   assert(given[AS(1 - (a), s)] == 0 || given[AS(1 - (a), s)] == m);
   assert(m == 1 || loaded[a])
 }
 
-/* SENDABLE: an order for the step may be on its way over the present connection. */
-#define SENDABLE(a, s) (linked[a] && known[AS(a, s)] != 0 && \
-  given[AS(a, s)] != known[AS(a, s)] && HAS(a, known[AS(a, s)]))
+/* SENDABLE: an order for the step may be in transit on the current connection. */
+#define SENDABLE(a, s) (connected[a] && known[AS(a, s)] != 0 && \
+  given[AS(a, s)] != known[AS(a, s)] && HAS_WEIGHTS(a, known[AS(a, s)]))
 
-/* stray makes what may be on its way an order of an older connection. That it was
-   not sent is the same as that it is lost. */
-inline stray(a, s) {
+/* retireOrder turns an order that may be in transit into one of an older connection. An
+   order that was never sent is equivalent to a lost one. */
+inline retireOrder(a, s) {
   if
-  :: SENDABLE(a, s) -> straying[AS(a, s)] = straying[AS(a, s)] | (1 << known[AS(a, s)])
+  :: SENDABLE(a, s) -> oldOrders[AS(a, s)] = oldOrders[AS(a, s)] | (1 << known[AS(a, s)])
   :: else
   fi
 }
@@ -211,37 +211,37 @@
 #endif
 }
 
-/* higher takes the promise of a seal, if it is above the one given. */
-inline higher(a, b) {
+/* raisePromise raises an agent's promise to the ballot of a seal, if it is higher. */
+inline raisePromise(a, b) {
   if
   :: promise[a] < b ->
        promise[a] = b;
-#ifndef KEEP_OUTLIVED
-       if :: b > 1 -> outlive(1, a) :: else fi;
-       if :: b > 2 -> outlive(2, a) :: else fi
+#ifndef KEEP_SUPERSEDED
+       if :: b > 1 -> supersede(1, a) :: else fi;
+       if :: b > 2 -> supersede(2, a) :: else fi
 #endif
   :: else
   fi
 }
 
-/* A seal arrives. Its answer is entered in the ballot, or lost. */
+/* A seal arrives. Its answer is recorded in the ballot, or lost. */
 #define SEAL(a, b) \
-  :: d_step { MAY_SEAL(a) && promise[a] <= b && slot[BA(b, a)] == NONE -> \
-       higher(a, b); \
-       slot[BA(b, a)] = SEALED; carry(b, a, 0); carry(b, a, 1); drop(b) } \
-  :: d_step { MAY_SEAL(a) && promise[a] < b -> higher(a, b) }
+  :: d_step { CAN_SEAL(a) && promise[a] <= b && sealState[BA(b, a)] == NONE -> \
+       raisePromise(a, b); \
+       sealState[BA(b, a)] = SEALED; carryOver(b, a, 0); carryOver(b, a, 1); dropBallot(b) } \
+  :: d_step { CAN_SEAL(a) && promise[a] < b -> raisePromise(a, b) }
 
 #define ACTIVATE(b) \
-  :: d_step { !planned[b - 1] && slot[BA(b, 0)] != NONE && slot[BA(b, 1)] != NONE && !DROPPED(b) -> \
+  :: d_step { !planned[b - 1] && sealState[BA(b, 0)] != NONE && sealState[BA(b, 1)] != NONE && !DROPPED(b) -> \
        planned[b - 1] = true; decide(b, 0); decide(b, 1) }
 
-/* An assignment arrives, and its acknowledgement at the coordinator. */
+/* An assignment arrives, and then its acknowledgement at the coordinator. */
 #define ASSIGN(a, b, s) \
   :: d_step { planned[b - 1] && plan[BS(b, s)] != 0 && !acked[BAS(b, a, s)] && \
-       SAME_INCARNATION(a, b) && ADMITS_ASSIGN(a, b) && HAS(a, plan[BS(b, s)]) -> \
+       SAME_INCARNATION(a, b) && ADMITS_ASSIGN(a, b) && HAS_WEIGHTS(a, plan[BS(b, s)]) -> \
        acked[BAS(b, a, s)] = true }
 
-/* A release arrives. It counts as given from then on, sent or not. */
+/* A release arrives. Its map counts as given from then on, whether the order was sent or not. */
 #define RELEASE(a, b, s) \
   :: d_step { planned[b - 1] && ALL_ACKED(b, a, s) && SAME_INCARNATION(a, b) && \
        ADMITS_RELEASE(a, b) && known[AS(a, s)] != plan[BS(b, s)] -> \
@@ -249,32 +249,32 @@
        known[AS(a, s)] = plan[BS(b, s)] }
 
 #define ARRIVE(a, s) \
-  :: d_step { SENDABLE(a, s) -> put(a, s, known[AS(a, s)]) } \
-  :: d_step { straying[AS(a, s)] & 2 -> put(a, s, 1); straying[AS(a, s)] = straying[AS(a, s)] & 12 } \
-  :: d_step { straying[AS(a, s)] & 4 -> put(a, s, 2); straying[AS(a, s)] = straying[AS(a, s)] & 10 } \
-  :: d_step { straying[AS(a, s)] & 8 -> put(a, s, 3); straying[AS(a, s)] = straying[AS(a, s)] & 6 }
+  :: d_step { SENDABLE(a, s) -> deliverOrder(a, s, known[AS(a, s)]) } \
+  :: d_step { oldOrders[AS(a, s)] & 2 -> deliverOrder(a, s, 1); oldOrders[AS(a, s)] = oldOrders[AS(a, s)] & 12 } \
+  :: d_step { oldOrders[AS(a, s)] & 4 -> deliverOrder(a, s, 2); oldOrders[AS(a, s)] = oldOrders[AS(a, s)] & 10 } \
+  :: d_step { oldOrders[AS(a, s)] & 8 -> deliverOrder(a, s, 3); oldOrders[AS(a, s)] = oldOrders[AS(a, s)] & 6 }
 
 #define LINK(a) \
-  /* The engine sees the older connections close; what was on its way is lost. */ \
-  :: d_step { straying[AS(a, 0)] != 0 || straying[AS(a, 1)] != 0 -> \
-       straying[AS(a, 0)] = 0; straying[AS(a, 1)] = 0 } \
-  /* It is read back over the new connection. */ \
-  :: d_step { !linked[a] && OLD_CLOSED(a) -> \
-       linked[a] = true; sealable[a] = true; readBack(a, 0); readBack(a, 1) } \
+  /* The engine sees the older connections close; orders in transit on them are lost. */ \
+  :: d_step { oldOrders[AS(a, 0)] != 0 || oldOrders[AS(a, 1)] != 0 -> \
+       oldOrders[AS(a, 0)] = 0; oldOrders[AS(a, 1)] = 0 } \
+  /* The agent reads the engine's state back over the new connection. */ \
+  :: d_step { !connected[a] && OLD_CONNECTIONS_CLOSED(a) -> \
+       connected[a] = true; sealable[a] = true; readBack(a, 0); readBack(a, 1) } \
   /* The connection breaks. */ \
-  :: d_step { linked[a] -> stray(a, 0); stray(a, 1); linked[a] = false } \
-  :: d_step { linked[a] && !loaded[a] -> loaded[a] = true } \
+  :: d_step { connected[a] -> retireOrder(a, 0); retireOrder(a, 1); connected[a] = false } \
+  :: d_step { connected[a] && !loaded[a] -> loaded[a] = true } \
   :: d_step { restarts < RESTARTS -> \
        restarts++; \
-       stray(a, 0); stray(a, 1); \
+       retireOrder(a, 0); retireOrder(a, 1); \
        promise[a] = 0; known[AS(a, 0)] = 0; known[AS(a, 1)] = 0; \
-       sealable[a] = false; linked[a] = false; \
-       outlive(1, a); outlive(2, a); outlive(3, a) } \
+       sealable[a] = false; connected[a] = false; \
+       supersede(1, a); supersede(2, a); supersede(3, a) } \
   :: d_step { engineRestarts < ENGINE_RESTARTS -> \
        engineRestarts++; \
        given[AS(a, 0)] = 0; given[AS(a, 1)] = 0; \
-       straying[AS(a, 0)] = 0; straying[AS(a, 1)] = 0; \
-       linked[a] = false; loaded[a] = false }
+       oldOrders[AS(a, 0)] = 0; oldOrders[AS(a, 1)] = 0; \
+       connected[a] = false; loaded[a] = false }
 
 #define STEP(s) \
   ASSIGN(0, 1, s) ASSIGN(0, 2, s) ASSIGN(0, 3, s) \
--- a/spec/freshness.pml
+++ b/spec/freshness.pml
@@ -1,32 +1,30 @@
 /*
- * When may a process take new work, and when is a change accepted?
+ * Freshness: when a process may take new work, and when a change is accepted.
  *
  * N members follow one change, which is appended to the log at some time. After
  * "accepted", and once the freshness limit has passed, no member may serve without
  * the change. The rules are those of coord/fresh and of config.Acceptance.
  *
- * Time is discrete. Every time is kept as an age that stops counting at the first
- * value past the limit, so the model runs for ever in a finite space. LIMIT is one
- * tick. Two events of one tick may have come in either order, so where the code
- * compares exact times, the model asks for one tick more.
+ * Time is discrete. Every time is kept as an age that stops increasing at the first
+ * value past the limit, so that runs of any length have a finite state space. LIMIT is
+ * one tick. Two events in one tick may have happened in either order, so where the code
+ * compares exact times, the model requires one tick more.
  *
- * Faults: the log is out (nobody need ever read it), an answer of the log comes at
- * any time after its request, messages are lost, delayed, repeated and reordered,
- * a member is replaced at any time by one that knows nothing, and a member is paused
- * (it need not take a step while time goes on).
+ * Faults: the log is unavailable (no member ever has to read it), a response of the log
+ * arrives at any time after its request, messages are lost, delayed, repeated and
+ * reordered, a member is replaced at any time by one without state, and a member is
+ * paused (it does not have to take a step while time passes).
  *
- * What was left out without loss:
- * - A message, or an answer of the log, is made and used in one step. Later use of
- *   the same message gives evidence as of the same time, so it allows nothing that
- *   this does not. The mutants in which the time of arrival counts keep it longer.
- * - Evidence that has no use any more is set to one value: quorum evidence that is no
- *   newer than tail evidence, the age of a process that has the configuration, words
+ * Omitted without loss:
+ * - A message, or a response of the log, is created and used in one step. Using the same
+ *   message later gives evidence as of the same time, so it allows nothing more. The
+ *   mutants in which the time of arrival counts keep the message longer.
+ * - Evidence without further effect is set to one value: quorum evidence no newer than
+ *   tail evidence, the age of a process that has the configuration, and acknowledgements
  *   of members once the change is accepted.
- * - Of a member that holds the change nothing else is kept: only members without
- *   it can break the rule, and evidence of members that hold more never counts for
- *   them.
- * - Once the change is in the log, any member may learn of it at any time, from
- *   wherever.
+ * - Of a member that holds the change nothing else is kept: only members without it can
+ *   violate the rule, and evidence of members that hold more never counts for them.
+ * - Once the change is in the log, any member may receive it at any time from any source.
  */
 #define N        3
 #define MAJORITY 2
@@ -34,47 +32,47 @@
 #define LIMIT    1
 #endif
 #define STALE    (LIMIT + 1)      /* first age past the limit; also "never" */
-#define OLD      (2 * LIMIT + 1)  /* start age from which waiting longer changes nothing */
+#define OLD      (2 * LIMIT + 1)  /* start age above which age makes no difference */
 
-bool  log;              /* the change stands in the log */
-byte  published;        /* age since then, up to STALE */
-byte  ack[N];           /* age of the member's word that it holds the change */
-byte  accepted;         /* 0: not yet; else 1 + age, up to 1 + STALE */
+bool  inLog;     /* the change is in the log */
+byte  published; /* age since then, up to STALE */
+byte  ack[N];    /* age of the member's acknowledgement of the change */
+byte  accepted;  /* 0: not accepted; else 1 + age, up to 1 + STALE */
 
-bool  holds[N];         /* has applied the change */
+bool  holds[N]; /* has applied the change */
 bool  initialized[N];
-byte  start[N];         /* age of the process, up to OLD */
-byte  tail[N];          /* age of the tail evidence */
-byte  quorum[N];        /* age of the quorum evidence */
+byte  start[N];  /* age of the process, up to OLD */
+byte  tail[N];   /* age of the tail evidence */
+byte  quorum[N]; /* age of the quorum evidence */
 #ifdef MUTANT_TAIL_AT_ARRIVAL
-bool  read[N];          /* an answer of the log, from before the change, is on its way */
+bool  responsePending[N]; /* a response of the log from before the change is in transit */
 #endif
 #ifdef MUTANT_HEARD_AT_ARRIVAL
-bool  kept[N * N];      /* a message from j to i, made before the change was accepted */
+bool  delayed[N * N]; /* a message from j to i from before the change was accepted */
 #endif
-byte  heard[N * N];     /* age of what i last heard from j, initialized, without the change */
+byte  heard[N * N]; /* age of i's last message from an initialized j without the change */
 
 #define HEARD(i, j) heard[(i) * N + (j)]
 #define MIN(a, b)   ((a) < (b) -> (a) : (b))
 #define MAX(a, b)   ((a) > (b) -> (a) : (b))
 
-/* Forgets all of a member but whether it holds the change. */
-inline clear(i) {
+/* Resets a member's state except whether it holds the change. */
+inline reset(i) {
 	d_step {
 		initialized[i] = false; start[i] = 0;
 		tail[i] = STALE; quorum[i] = STALE;
 #ifdef MUTANT_TAIL_AT_ARRIVAL
-		read[i] = false;
+		responsePending[i] = false;
 #endif
 #ifdef MUTANT_HEARD_AT_ARRIVAL
-		kept[i * N] = false; kept[i * N + 1] = false; kept[i * N + 2] = false;
+		delayed[i * N] = false; delayed[i * N + 1] = false; delayed[i * N + 2] = false;
 #endif
 		HEARD(i, 0) = STALE; HEARD(i, 1) = STALE; HEARD(i, 2) = STALE
 	}
 }
 
-/* Ends Starting, once the evidence is newer than any word of a predecessor. */
-inline settle(i) {
+/* Ends Starting once the evidence is newer than any message of a predecessor. */
+inline tryInitialize(i) {
 	if
 	:: initialized[i] -> skip
 	:: !initialized[i] && tail[i] < STALE && tail[i] < start[i] -> initialized[i] = true
@@ -91,17 +89,17 @@
 	if :: quorum[i] >= tail[i] -> quorum[i] = STALE :: else -> skip fi
 }
 
-/* Weighs what a member has heard: with itself, if initialized, it needs one more;
- * without, two. */
-inline weigh(i, j, k) {
+/* Derives quorum evidence from what a member has heard: an initialized member counts
+ * itself and needs one more; any other needs two. */
+inline updateQuorum(i, j, k) {
 	if
 	:: initialized[i] -> quorum[i] = MIN(quorum[i], MIN(HEARD(i, j), HEARD(i, k)))
 	:: else           -> quorum[i] = MIN(quorum[i], MAX(HEARD(i, j), HEARD(i, k)))
 	fi
 }
 
-/* i hears j: takes over its evidence and counts it for a majority. */
-inline hear(i, j, k) {
+/* i hears from j: it copies j's evidence and counts j for a majority. */
+inline receive(i, j, k) {
 	d_step {
 		tail[i] = MIN(tail[i], tail[j]);
 		quorum[i] = MIN(quorum[i], quorum[j]);
@@ -111,7 +109,7 @@
 		if
 		:: initialized[j] -> HEARD(i, j) = 0
 #ifdef MUTANT_HEARD_AT_ARRIVAL
-			; kept[i * N + j] = true
+			; delayed[i * N + j] = true
 #endif
 #ifdef MUTANT_COUNT_REPLACED
 		:: else -> HEARD(i, j) = 0
@@ -119,28 +117,28 @@
 		:: else -> skip
 #endif
 		fi;
-		weigh(i, j, k);
-		settle(i)
+		updateQuorum(i, j, k);
+		tryInitialize(i)
 	}
 }
 
-inline older(age, most) {
-	if :: age < most -> age++ :: else -> skip fi
+inline increase(value, limit) {
+	if :: value < limit -> value++ :: else -> skip fi
 }
 
-inline tick(i) {
+inline ageMember(i) {
 	if
 	:: holds[i] -> skip
 	:: else ->
-		older(start[i], OLD); older(tail[i], STALE); older(quorum[i], STALE);
-		older(HEARD(i, 0), STALE); older(HEARD(i, 1), STALE); older(HEARD(i, 2), STALE)
+		increase(start[i], OLD); increase(tail[i], STALE); increase(quorum[i], STALE);
+		increase(HEARD(i, 0), STALE); increase(HEARD(i, 1), STALE); increase(HEARD(i, 2), STALE)
 	fi;
 #ifndef MUTANT_OLD_ACKS
-	older(ack[i], STALE)
+	increase(ack[i], STALE)
 #endif
 }
 
-inline learn(i) { d_step { holds[i] = true; clear(i) } }
+inline applyChange(i) { d_step { holds[i] = true; reset(i) } }
 
 #define ACKS ((ack[0] < STALE) + (ack[1] < STALE) + (ack[2] < STALE))
 
@@ -149,32 +147,32 @@
 #else
 #define SERVES(i) (initialized[i] && (tail[i] < STALE || quorum[i] < STALE))
 #endif
-#define WRONG(i)  (!holds[i] && SERVES(i))
+#define SERVES_WITHOUT(i)  (!holds[i] && SERVES(i))
 
-/* The log's answer tells of the time of the request, when the change was not in it. */
-inline answer(i) {
-	d_step { tail[i] = 0; initialized[i] = true; settle(i) }
+/* The log's response is evidence as of its request, when the change was not in the log. */
+inline readTail(i) {
+	d_step { tail[i] = 0; initialized[i] = true; tryInitialize(i) }
 }
 
 inline member(i, j, k) {
 	if
 	:: !holds[i] ->
 		if
-		:: !log -> answer(i)
+		:: !inLog -> readTail(i)
 #ifdef MUTANT_TAIL_AT_ARRIVAL
-		:: !log -> read[i] = true
-		:: read[i] -> answer(i)
+		:: !inLog -> responsePending[i] = true
+		:: responsePending[i] -> readTail(i)
 #endif
 #ifdef MUTANT_HEARD_AT_ARRIVAL
-		:: kept[i * N + j] -> d_step { HEARD(i, j) = 0; weigh(i, j, k); settle(i) }
-		:: kept[i * N + k] -> d_step { HEARD(i, k) = 0; weigh(i, j, k); settle(i) }
+		:: delayed[i * N + j] -> d_step { HEARD(i, j) = 0; updateQuorum(i, j, k); tryInitialize(i) }
+		:: delayed[i * N + k] -> d_step { HEARD(i, k) = 0; updateQuorum(i, j, k); tryInitialize(i) }
 #endif
-		:: !holds[j] -> hear(i, j, k)
-		:: !holds[k] -> hear(i, k, j)
-		:: log -> learn(i)
+		:: !holds[j] -> receive(i, j, k)
+		:: !holds[k] -> receive(i, k, j)
+		:: inLog -> applyChange(i)
 		fi
-	:: holds[i] && !accepted -> ack[i] = 0               /* says that it holds the change */
-	:: d_step { holds[i] = false; clear(i);              /* replaced */
+	:: holds[i] && !accepted -> ack[i] = 0               /* acknowledges the change */
+	:: d_step { holds[i] = false; reset(i);              /* replaced by a member without state */
 #ifdef MUTANT_SERVES_BEFORE_TAIL
 		initialized[i] = true; start[i] = OLD; tail[i] = 0
 #endif
@@ -189,30 +187,30 @@
 	}
 }
 
-active proctype world() {
+active proctype system() {
 	d_step {
-		clear(0); clear(1); clear(2);
+		reset(0); reset(1); reset(2);
 		ack[0] = STALE; ack[1] = STALE; ack[2] = STALE
 	}
 	do
 	:: atomic { member(0, 1, 2) }
 	:: atomic { member(1, 2, 0) }
 	:: atomic { member(2, 0, 1) }
-	:: !log -> log = true                                /* published */
-	:: log && !accepted && ACKS == N -> accept()
+	:: !inLog -> inLog = true                                /* published */
+	:: inLog && !accepted && ACKS == N -> accept()
 #ifdef MUTANT_ACCEPTED_BY_ONE
-	:: log && !accepted && published == STALE && ACKS >= 1 -> accept()
+	:: inLog && !accepted && published == STALE && ACKS >= 1 -> accept()
 #else
-	:: log && !accepted && published == STALE && ACKS >= MAJORITY -> accept()
+	:: inLog && !accepted && published == STALE && ACKS >= MAJORITY -> accept()
 #endif
 #ifdef MUTANT_ACCEPTED_IN_LOG
-	:: log && !accepted -> accept()
+	:: inLog && !accepted -> accept()
 #endif
-	:: d_step {                                          /* time goes on */
-		tick(0); tick(1); tick(2);
-		if :: log -> older(published, STALE) :: else -> skip fi;
-		if :: accepted -> older(accepted, 1 + STALE) :: else -> skip fi
+	:: d_step {                                          /* time passes */
+		ageMember(0); ageMember(1); ageMember(2);
+		if :: inLog -> increase(published, STALE) :: else -> skip fi;
+		if :: accepted -> increase(accepted, 1 + STALE) :: else -> skip fi
 	   }
-	:: accepted == 1 + STALE && (WRONG(0) || WRONG(1) || WRONG(2)) -> assert(false)
+	:: accepted == 1 + STALE && (SERVES_WITHOUT(0) || SERVES_WITHOUT(1) || SERVES_WITHOUT(2)) -> assert(false)
 	od
 }
--- a/spec/keys-asked.pml
+++ b/spec/keys-asked.pml
@@ -1,7 +1,8 @@
 /*
- * keys.pml with entries that only ask: one that binds answers what the key is bound to,
- * and the answer is used at any later time, also when its binding was let go of, or the
- * one that answered has been replaced. The two entries of keys.pml are those that bind.
+ * keys.pml with additional entries that only ask. A binding entry answers with the ticket
+ * that the key is bound to. The answer may be used at any later time, also after the
+ * binding was released or the entry that answered was replaced. The two entries of
+ * keys.pml are the binding ones.
  */
 #define ASKED
 #define LEN 3
--- a/spec/keys.pml
+++ b/spec/keys.pml
@@ -1,28 +1,30 @@
 /*
- * Callers' own keys: whatever entries press one key, it is bound to one ticket for as
- * long as its binding is held.
+ * Callers' idempotency keys: a key is bound to one ticket for as long as its binding is
+ * held, whichever entries receive requests with it.
  *
- * One key and a stream of bindings. Entries read the stream record by record, each in its
- * own time, and forget all when replaced. One that finds the key unbound appends a
- * binding of a ticket of its own, with its base: what it has read. The append lands
- * later, in any order with others, also when its entry is replaced meanwhile; or never;
- * and the entry cannot tell. An entry uses the ticket of the binding that its fold holds,
- * and no other. The stream forgets its oldest records, and bindings are let go by
- * records. A record is "old" when it is as old as bindings are held; only old ones are
- * forgotten or released, in order. The ticket of an old record has expired: its agent
- * does not run it. A request that came before a record was old, and finds it gone, was
- * dropped by patience; so that each append is for a request that came after all that was
- * old at its base.
+ * The model has one key and a stream of bindings. Entries read the stream record by
+ * record, each at its own pace, and lose their state when replaced. An entry that finds
+ * the key unbound appends a binding of a ticket of its own, with a base: the offset up to
+ * which it has read. The append takes effect later, in any order with others, also after
+ * its entry was replaced, or never, and the entry cannot tell which. An entry uses the
+ * ticket of the binding in its fold and no other. The stream drops its oldest records, and
+ * records release bindings. A record is "old" when its age has reached the time that
+ * bindings are held; only old records are dropped or released, in order. The ticket of an
+ * old record has expired, and its agent does not run it. A request that came before a
+ * record was old and finds the record gone has already been dropped, since requests wait
+ * for a limited time only; so each append is for a request that came after everything that
+ * was old at its base.
  *
- * The bound on room is in it as a request that is refused: an entry need not append. Two
- * entries may judge differently at any time. What stands in the stream every fold takes.
+ * The limit on the number of keys is modeled as a refused request: an entry does not have
+ * to append. Two entries may decide differently about the limit at any time. Every fold
+ * applies every binding in the stream, whatever the limit.
  *
  * Checked: of two tickets that ran, the earlier one's record was old when the later one's
- * entry took its base; and two entries that have read the same agree on the key.
+ * entry took its base; and two entries that have read the same records agree on the key.
  *
- * Bounds: 2 entries with one append under way each, LEN records of which EXPIRED may be
- * forgotten, any number of replacements of one entry.
- * Each MUTANT_x leaves one safeguard out; the checker must find an error with it.
+ * Bounds: 2 entries with one append in flight each, LEN records of which EXPIRED may be
+ * dropped, any number of replacements of one entry.
+ * Each MUTANT_x removes one safeguard; the checker must then find an error.
  */
 
 #ifndef LEN
@@ -34,53 +36,53 @@
 #define ENTRIES 2
 #define NONE 15
 
-/* The stream: base and release of each record; a record has the ticket of its offset. */
-byte n = 0;                 /* records landed */
-byte first = 0;             /* oldest kept */
-byte old = 0;               /* records below are old */
+/* The stream: base and release of each record. The ticket of a record is its offset. */
+byte appended = 0; /* records appended */
+byte oldest = 0;   /* oldest record kept */
+byte old = 0;      /* records below this offset are old */
 byte base[LEN];
-byte rel[LEN];              /* bindings below are let go */
-bool binds[LEN];            /* a binding of the key, or a release */
-byte oldAtBase[LEN];        /* what was old when the base was taken */
+byte releaseBelow[LEN]; /* the record releases bindings below this offset */
+bool binds[LEN];        /* the record binds the key; else it only releases */
+byte oldAtBase[LEN];    /* value of old when the base was taken */
 bool ran[LEN];
 
-/* An entry's fold. */
+/* An entry's fold: it has applied the records from floor up to next. */
 byte next[ENTRIES];
 byte floor[ENTRIES];
-byte held[ENTRIES];         /* offset of the binding held, or NONE */
-bool unsure[ENTRIES];
-byte released[ENTRIES];     /* bindings below were let go */
+byte held[ENTRIES]; /* offset of the binding held, or NONE */
+bool unconfirmed[ENTRIES];
+byte released[ENTRIES]; /* bindings below this offset were released */
 
-/* Appends under way, one an entry; they outlive the entry. */
-bool flying[ENTRIES];
-bool fBinds[ENTRIES];
-byte fBase[ENTRIES];
-byte fRel[ENTRIES];
-byte fOld[ENTRIES];
+/* Appends in flight, one per entry. They continue when the entry is replaced. */
+bool inFlight[ENTRIES];
+bool pendingBinds[ENTRIES];
+byte pendingBase[ENTRIES];
+byte pendingRelease[ENTRIES];
+byte pendingOld[ENTRIES];
 
 #ifdef MUTANT_OWN_TICKET
-byte mine[ENTRIES];
+byte ownTicket[ENTRIES];
 #endif
 
 #ifdef ASKED
-byte told = NONE;           /* a binding on its way to another entry that asked */
+byte answerInTransit = NONE; /* an answer in transit to an entry that asked */
 #endif
 
-/* Proven: nothing that is not old can be missing below the floor. */
+/* A fold is complete if all records missing below its floor are old. */
 #ifdef MUTANT_NO_PROOF
-#define proven(e) (true)
+#define complete(e) (true)
 #else
-#define proven(e) (floor[e] == 0 || floor[e] < old)
+#define complete(e) (floor[e] == 0 || floor[e] < old)
 #endif
 
 #ifdef MUTANT_RELEASE_YOUNG
-#define youngest(e) (next[e])
+#define releaseLimit(e) (next[e])
 #else
-#define youngest(e) (old)
+#define releaseLimit(e) (old)
 #endif
 
 inline runTicket(t) {
-  /* An agent that has died, or refuses, does nothing. */
+  /* An agent that has died or refuses does nothing. */
   if
 #ifdef MUTANT_TICKET_OUTLIVES
   :: !ran[t] ->
@@ -90,7 +92,7 @@
      ran[t] = true;
      k = 0;
      do
-     :: k < n ->
+     :: k < appended ->
         if
         :: k < t && ran[k] -> assert(k < oldAtBase[t])
         :: k > t && ran[k] -> assert(false)
@@ -108,31 +110,31 @@
   next[e] = at;
   floor[e] = at;
   held[e] = NONE;
-  unsure[e] = false;
+  unconfirmed[e] = false;
   released[e] = 0
 }
 
-/* apply takes the next record into a fold. */
+/* apply applies the next record to a fold. */
 inline apply(e) {
   r = next[e];
   next[e]++;
   if
-  :: held[e] != NONE && held[e] < rel[r] -> held[e] = NONE; unsure[e] = false
+  :: held[e] != NONE && held[e] < releaseBelow[r] -> held[e] = NONE; unconfirmed[e] = false
   :: else -> skip
   fi;
   if
-  :: rel[r] > released[e] -> released[e] = rel[r]
+  :: releaseBelow[r] > released[e] -> released[e] = releaseBelow[r]
   :: else -> skip
   fi;
 #ifdef MUTANT_FOLD_BOUNDS
-  /* A fold drops what it counts as past the bound: record 2, while it holds one of
-     another key from record 0. One that began after that does not count it. */
-  over = floor[e] == 0 && released[e] == 0 && r == 2;
+  /* A fold drops a binding that exceeds the limit by its own count: record 2, while it
+     holds one of another key from record 0. A fold that began later does not count that. */
+  overLimit = floor[e] == 0 && released[e] == 0 && r == 2;
 #endif
   if
   :: !binds[r] -> skip
 #ifdef MUTANT_FOLD_BOUNDS
-  :: binds[r] && over -> skip
+  :: binds[r] && overLimit -> skip
 #endif
 #ifndef MUTANT_BASE_RELEASED
   :: binds[r] && base[r] < released[e] -> skip
@@ -143,16 +145,16 @@
 #else
   :: binds[r] && base[r] >= released[e] && held[e] != NONE && held[e] >= base[r] ->
      if
-     :: unsure[e] -> held[e] = r
+     :: unconfirmed[e] -> held[e] = r
      :: else -> skip
      fi
 #endif
   :: else ->
      held[e] = r;
 #ifdef MUTANT_NEVER_UNSURE
-     unsure[e] = false
+     unconfirmed[e] = false
 #else
-     unsure[e] = base[r] < floor[e]
+     unconfirmed[e] = base[r] < floor[e]
 #endif
   fi;
   r = 0
@@ -161,73 +163,73 @@
 proctype Entry(byte e) {
   byte r = 0, k = 0;
 #ifdef MUTANT_FOLD_BOUNDS
-  bool over = false;
+  bool overLimit = false;
 #endif
 end:
   do
-  /* Reads one record, or learns that it has expired. */
-  :: atomic { next[e] < n && next[e] >= first -> apply(e) }
-  :: atomic { next[e] < first ->
+  /* Reads one record, or learns that the record has expired. */
+  :: atomic { next[e] < appended && next[e] >= oldest -> apply(e) }
+  :: atomic { next[e] < oldest ->
 #ifdef MUTANT_FOLDS_ACROSS_GAP
-     next[e] = first
+     next[e] = oldest
 #else
-     restart(e, first)
+     restart(e, oldest)
 #endif
      }
   /* A request whose key is unbound: an append begins. */
-  :: atomic { !flying[e] && proven(e) && n < LEN && held[e] == NONE ->
-       flying[e] = true;
-       fBinds[e] = true;
+  :: atomic { !inFlight[e] && complete(e) && appended < LEN && held[e] == NONE ->
+       inFlight[e] = true;
+       pendingBinds[e] = true;
 #ifdef MUTANT_BASE_NOT_READ
-       fBase[e] = n;
+       pendingBase[e] = appended;
 #else
-       fBase[e] = next[e];
+       pendingBase[e] = next[e];
 #endif
-       fOld[e] = old
+       pendingOld[e] = old
      }
-  /* An append of other keys, that releases some of the records that the entry has read
-     and knows for old, in order. (The code's records can do both, the same as one after
-     the other.) */
-  :: atomic { !flying[e] && proven(e) && n < LEN && next[e] > 0 ->
-       flying[e] = true;
+  /* An append of other keys, which releases, in order, some records that the entry has
+     read and knows to be old. (A record of the code can both bind and release, which is
+     equivalent to two records in sequence.) */
+  :: atomic { !inFlight[e] && complete(e) && appended < LEN && next[e] > 0 ->
+       inFlight[e] = true;
        do
-       :: fRel[e] < next[e] && fRel[e] < youngest(e) -> fRel[e]++
+       :: pendingRelease[e] < next[e] && pendingRelease[e] < releaseLimit(e) -> pendingRelease[e]++
        :: break
        od
      }
   /* A request whose key is bound: its ticket is used. */
-  :: atomic { held[e] != NONE && !unsure[e] && proven(e) -> runTicket(held[e]) }
+  :: atomic { held[e] != NONE && !unconfirmed[e] && complete(e) -> runTicket(held[e]) }
 #ifdef ASKED
-  /* Another entry asked what the key is bound to. The answer goes out, */
-  :: atomic { told == NONE && held[e] != NONE && !unsure[e] && proven(e) -> told = held[e] }
-  /* and arrives at any later time, or its asker has given up. */
-  :: atomic { told != NONE -> runTicket(told); told = NONE }
+  /* Another entry asked what the key is bound to. The answer is sent, */
+  :: atomic { answerInTransit == NONE && held[e] != NONE && !unconfirmed[e] && complete(e) -> answerInTransit = held[e] }
+  /* and arrives at any later time, or the entry that asked has given up. */
+  :: atomic { answerInTransit != NONE -> runTicket(answerInTransit); answerInTransit = NONE }
 #ifdef MUTANT_ASKED_EARLY
-  /* The binder answers with what it is about to append. */
-  :: atomic { told == NONE && flying[e] && fBinds[e] && n < LEN -> told = n }
+  /* The binding entry answers with the binding it is about to append. */
+  :: atomic { answerInTransit == NONE && inFlight[e] && pendingBinds[e] && appended < LEN -> answerInTransit = appended }
 #endif
 #endif
-  /* Replaced by one without memory; its append stays under way. The other entry only
-     falls behind: the two are alike. */
+  /* Replaced by an entry without state; its append stays in flight. The entries are
+     symmetric, so it is enough that one is replaced and the other only falls behind. */
   :: atomic { e == 1 && next[e] > 0 ->
        restart(e, 0)
 #ifdef MUTANT_OWN_TICKET
-       ; mine[e] = NONE
+       ; ownTicket[e] = NONE
 #endif
      }
 #ifdef MUTANT_OWN_TICKET
-  /* The entry uses the ticket of its own append, before it has read so far. */
-  :: atomic { mine[e] != NONE -> runTicket(mine[e]); mine[e] = NONE }
+  /* The entry uses the ticket of its own append before it has read that record. */
+  :: atomic { ownTicket[e] != NONE -> runTicket(ownTicket[e]); ownTicket[e] = NONE }
 #endif
   od
 }
 
-inline drop(x) {
-  flying[x] = false;
-  fBinds[x] = false;
-  fBase[x] = 0;
-  fRel[x] = 0;
-  fOld[x] = 0
+inline clearAppend(x) {
+  inFlight[x] = false;
+  pendingBinds[x] = false;
+  pendingBase[x] = 0;
+  pendingRelease[x] = 0;
+  pendingOld[x] = 0
 }
 
 /* The stream. */
@@ -235,40 +237,40 @@
   byte e = 0;
 end:
   do
-  :: atomic { n < LEN && (flying[0] || flying[1]) ->
+  :: atomic { appended < LEN && (inFlight[0] || inFlight[1]) ->
        if
-       :: flying[0] -> e = 0
-       :: flying[1] -> e = 1
+       :: inFlight[0] -> e = 0
+       :: inFlight[1] -> e = 1
        fi;
-       base[n] = fBase[e];
-       rel[n] = fRel[e];
-       binds[n] = fBinds[e];
-       oldAtBase[n] = fOld[e];
+       base[appended] = pendingBase[e];
+       releaseBelow[appended] = pendingRelease[e];
+       binds[appended] = pendingBinds[e];
+       oldAtBase[appended] = pendingOld[e];
 #ifdef MUTANT_OWN_TICKET
        if
-       :: fBinds[e] -> mine[e] = n
+       :: pendingBinds[e] -> ownTicket[e] = appended
        :: else -> skip
        fi;
 #endif
-       n++;
-       drop(e);
+       appended++;
+       clearAppend(e);
        e = 0
      }
   /* An append is lost. */
-  :: atomic { flying[0] -> drop(0) }
-  :: atomic { flying[1] -> drop(1) }
-  /* Time passes. No append can follow the last record, so it need not grow old. */
-  :: atomic { old < n && old < LEN - 1 -> old++ }
-  /* The stream may keep less than it should: proof is by the oldest record left. */
-  :: atomic { first < n && first < EXPIRED -> first++ }
+  :: atomic { inFlight[0] -> clearAppend(0) }
+  :: atomic { inFlight[1] -> clearAppend(1) }
+  /* Time passes. No append can follow the last record, so it does not have to become old. */
+  :: atomic { old < appended && old < LEN - 1 -> old++ }
+  /* The stream may keep less than it should: completeness is judged by the oldest record left. */
+  :: atomic { oldest < appended && oldest < EXPIRED -> oldest++ }
   od
 }
 
-/* Two folds at one place that are sure of the key agree on its ticket. */
-proctype Same() {
+/* Two complete folds at the same offset with confirmed bindings agree on the key's ticket. */
+proctype Agreement() {
 end:
-  atomic { next[0] == next[1] && proven(0) && proven(1) &&
-           held[0] != NONE && held[1] != NONE && !unsure[0] && !unsure[1] &&
+  atomic { next[0] == next[1] && complete(0) && complete(1) &&
+           held[0] != NONE && held[1] != NONE && !unconfirmed[0] && !unconfirmed[1] &&
            held[0] != held[1] ->
     assert(false)
   }
@@ -279,12 +281,12 @@
     held[0] = NONE;
     held[1] = NONE;
 #ifdef MUTANT_OWN_TICKET
-    mine[0] = NONE;
-    mine[1] = NONE;
+    ownTicket[0] = NONE;
+    ownTicket[1] = NONE;
 #endif
     run Entry(0);
     run Entry(1);
     run Stream();
-    run Same()
+    run Agreement()
   }
 }
--- a/spec/mapswitch-far.pml
+++ b/spec/mapswitch-far.pml
@@ -1,6 +1,6 @@
 /*
- * mapswitch.pml with a rank that is asked from afar: two ranks, one late order, one pass, and
- * one round of orders a look.
+ * mapswitch.pml with a rank whose state may be reported by others: two ranks, one late order, one
+ * pass, and one round of orders per survey.
  */
 #define FAR
 #define RANKS 2
--- a/spec/mapswitch-late.pml
+++ b/spec/mapswitch-late.pml
@@ -1,5 +1,5 @@
 /*
- * mapswitch.pml with an order that is carried out at any later time: two ranks, and two passes.
+ * mapswitch.pml with orders that are executed at any later time: two ranks and two passes.
  */
 #define RANKS 2
 #define LATE 1
--- a/spec/mapswitch.pml
+++ b/spec/mapswitch.pml
@@ -1,31 +1,32 @@
 /*
- * One expert map in every pass, on ranks that compare no maps: the rules of coord/mapswitch.
+ * Change of maps: every pass uses one expert map, on ranks that do not compare their maps. The
+ * rules are those of coord/mapswitch.
  *
- * RANKS ranks run passes in lock-step. Two coordinators change their map, the second one from
- * any moment on, while the first has not heard of it. A coordinator reads the ranks one by one,
- * in any order, decides by what it read, and orders the ranks one by one; anything may happen in
- * between. An order is carried out and answered, is lost, or is carried out at any later time;
- * at most LATE (0 or 1) of the late ones are on their way at a time. With FAR rank 1 may be asked
- * from afar: what it then tells is of some earlier moment, and the coordinator knows that.
+ * RANKS ranks run passes in lockstep. Two coordinators change the map; the second one starts at
+ * any time, and the first does not learn of it. A coordinator reads the ranks one by one in any
+ * order, decides by their state, and sends orders to the ranks one by one; anything may happen in
+ * between. An order is executed and answered, is lost, or is executed at any later time. At most
+ * LATE (0 or 1) late orders are in transit at a time. With FAR the state of rank 1 may come from
+ * an indirect report, which is stale, and the coordinator knows that.
  *
- * The claim: no pass begins with different maps at the two ranks.
+ * Checked: no pass begins with different maps at two ranks.
  *
- * Ranks refuse orders with a fence lower than one they have seen (FENCED). Coordinator c makes
- * the versions 2c+1 and 2c+2. A look is one reading of both ranks and up to ROUNDS rounds of
- * orders, in which only the ranks that were ordered are known anew.
+ * Ranks refuse orders with a fence lower than the highest they have seen (REFUSED). Coordinator c
+ * creates the versions 2c+1 and 2c+2. A survey reads all ranks once and is followed by up to
+ * ROUNDS rounds of orders, in which only the state of ranks that received an order is updated.
  *
- * What was left out: the group's breaking (a new epoch has map 0 and nothing prepared, armed or
- * held, and orders of another epoch do nothing there), and that a copy takes time: a version is
- * prepared as soon as the order is carried out. Both are in the simulation of coord/mapswitch.
+ * Omitted: a failure of the group (a new epoch has map 0 and nothing prepared, armed or held, and
+ * orders of another epoch have no effect there), and the time that a copy takes: a version is
+ * prepared as soon as the order is executed. Both are in the simulation of coord/mapswitch.
  *
- * Checked here: three ranks without late orders and one pass. mapswitch-late.pml has two ranks
- * with a late order and two passes, mapswitch-far.pml a rank that is asked from afar.
+ * This file checks three ranks without late orders and one pass. mapswitch-late.pml has two ranks
+ * with a late order and two passes, mapswitch-far.pml a rank with stale reports.
  */
 #ifndef RANKS
 #define RANKS 3     /* 2 or 3 */
 #endif
 #ifndef PASSES
-#define PASSES 1    /* passes that can begin */
+#define PASSES 1    /* number of passes that can begin */
 #endif
 #ifndef ROUNDS
 #define ROUNDS 2
@@ -34,7 +35,7 @@
 #define LATE 0
 #endif
 #ifndef VERSIONS
-#define VERSIONS 1  /* that one coordinator can make, up to 2 */
+#define VERSIONS 1  /* versions that one coordinator can create, up to 2 */
 #endif
 #define NONE 0
 
@@ -47,28 +48,28 @@
 #define CLAIM   6
 
 typedef Rank {
-	byte map;       /* version in use, 0 at the start */
-	byte prep;      /* version whose copy is complete, NONE for none */
-	byte armed;     /* version to change to, NONE for none */
-	byte armedStep; /* with this pass */
-	byte held;      /* pass that the rank holds the group at, NONE for none */
-	byte high;      /* highest version it had */
-	byte fence;     /* highest that it has seen */
-	byte content;   /* who made the map in use, and the prepared or armed one */
-	byte next;
+	byte map;            /* version in use, 0 at the start */
+	byte prep;           /* version whose copy is complete, NONE for none */
+	byte armed;          /* version to change to, NONE for none */
+	byte armedStep;      /* the pass at which it changes */
+	byte held;           /* pass before which the rank holds the group, NONE for none */
+	byte highestVersion;      /* highest version it has prepared */
+	byte fence;          /* highest fence it has seen */
+	byte mapCreator;     /* coordinator that created the map in use */
+	byte nextCreator;    /* coordinator that created the prepared or armed map */
 };
 Rank rank[RANKS];
-byte pass;          /* the last one begun */
+byte pass; /* the last pass that has begun */
 
-/* What was told of rank 1 at some earlier moment. */
+/* The state of rank 1 at some earlier time, as others report it. */
 byte oldMap, oldPrep, oldArmed, oldArmedStep, oldHeld;
 
-/* Orders on their way. */
+/* The late order in transit. */
 byte lateKind, lateRank, lateVersion, lateStep, lateBy;
 
-bool second;        /* the second coordinator has begun */
+bool secondStarted; /* the second coordinator has started */
 
-/* Version n of coordinator c. With the mutant both make the same ones. */
+/* Version n of coordinator c. With the mutant both coordinators create the same versions. */
 #ifdef MUTANT_SHARED_VERSIONS
 #define VERSION(c, n) (n)
 #else
@@ -81,8 +82,8 @@
 #define REFUSED(r, c) ((c) + 1 < rank[r].fence)
 #endif
 
-/* carry has a rank carry out an order of coordinator c; ok says whether it took it. */
-inline carry(r, k, n, s, by) {
+/* execute has a rank execute an order of a coordinator; ok is whether the rank accepted it. */
+inline execute(r, k, n, s, by) {
 	ok = true;
 	if
 	:: REFUSED(r, by) -> ok = false
@@ -91,8 +92,8 @@
 		if
 		:: k == PREPARE ->
 			if
-			:: n > rank[r].high && rank[r].armed == NONE ->
-				rank[r].high = n; rank[r].prep = n; rank[r].next = by
+			:: n > rank[r].highestVersion && rank[r].armed == NONE ->
+				rank[r].highestVersion = n; rank[r].prep = n; rank[r].nextCreator = by
 			:: else -> ok = (rank[r].prep == n)
 			fi
 		:: k == HOLD ->
@@ -123,27 +124,27 @@
 	fi
 }
 
-inline enter(r) {
+inline beginPass(r) {
 	if
 	:: rank[r].armed != NONE && rank[r].armedStep == pass ->
-		rank[r].map = rank[r].armed; rank[r].content = rank[r].next;
+		rank[r].map = rank[r].armed; rank[r].mapCreator = rank[r].nextCreator;
 		rank[r].armed = NONE; rank[r].armedStep = 0; rank[r].prep = NONE
 	:: else -> skip
 	fi
 }
 
-/* The group begins its passes, late orders arrive, and what is told from afar ages. */
-active proctype World() {
+/* The group begins passes, late orders arrive, and the reported state of rank 1 is updated. */
+active proctype Group() {
 	bool ok;
 end:	do
 	:: atomic { pass < PASSES && rank[0].held != pass + 1 && rank[1].held != pass + 1 &&
 			rank[RANKS-1].held != pass + 1 ->
-			pass++; enter(0); enter(1);
+			pass++; beginPass(0); beginPass(1);
 #if RANKS > 2
-			enter(2);
+			beginPass(2);
 #endif
-			assert(rank[0].map == rank[1].map && rank[0].content == rank[1].content);
-			assert(rank[0].map == rank[RANKS-1].map && rank[0].content == rank[RANKS-1].content) }
+			assert(rank[0].map == rank[1].map && rank[0].mapCreator == rank[1].mapCreator);
+			assert(rank[0].map == rank[RANKS-1].map && rank[0].mapCreator == rank[RANKS-1].mapCreator) }
 #ifdef FAR
 	:: d_step { rank[1].map != oldMap || rank[1].prep != oldPrep || rank[1].armed != oldArmed ||
 			rank[1].armedStep != oldArmedStep || rank[1].held != oldHeld ->
@@ -151,98 +152,98 @@
 			oldArmedStep = rank[1].armedStep; oldHeld = rank[1].held }
 #endif
 	:: atomic { lateKind != 0 ->
-			carry(lateRank, lateKind, lateVersion, lateStep, lateBy);
+			execute(lateRank, lateKind, lateVersion, lateStep, lateBy);
 			lateKind = 0; lateRank = 0; lateVersion = 0; lateStep = 0; lateBy = 0 }
 	od
 }
 
-/* What a coordinator knows of a rank. */
+/* A coordinator's view of a rank. */
 typedef View { byte map; byte prep; byte armed; byte armedStep; byte held };
 
-inline look(r) {
+inline readRank(r) {
 	v[r].map = rank[r].map; v[r].prep = rank[r].prep; v[r].armed = rank[r].armed;
 	v[r].armedStep = rank[r].armedStep; v[r].held = rank[r].held
 }
 
-inline lookFar() {
+inline readReport() {
 	v[1].map = oldMap; v[1].prep = oldPrep; v[1].armed = oldArmed; v[1].armedStep = oldArmedStep; v[1].held = oldHeld
 }
 
-inline put(q, k, n, s) {
+inline setOrder(q, k, n, s) {
 	kind[q] = k; version[q] = n; step[q] = s
 }
 
 #define UPCOMING(r) (v[r].armed != NONE -> v[r].armed : (v[r].prep > v[r].map -> v[r].prep : NONE))
 
-/* survey sums up what was read: who holds the lowest pass, who is armed for the lowest, and
- * whether a rank has had a version that the target is not higher than. */
+/* survey summarizes the views: the rank that holds the lowest pass, the rank armed for the
+ * lowest pass, and whether a rank has had a version that the target does not exceed. */
 inline survey() {
-	holder = RANKS; first = RANKS; overtaken = false; using = true; unclaimed = false; prepared = true;
+	earliestHold = RANKS; earliestArmed = RANKS; targetOutdated = false; targetInUse = true; claimMissing = false; prepared = true;
 	for (i : 0 .. RANKS-1) {
-		if :: v[i].held != NONE && (holder == RANKS || v[i].held < v[holder].held) -> holder = i :: else -> skip fi;
-		if :: v[i].armed != NONE && (first == RANKS || v[i].armedStep < v[first].armedStep) -> first = i :: else -> skip fi;
-		if :: target <= v[i].map || v[i].prep > target || (v[i].armed != NONE && v[i].armed >= target) -> overtaken = true :: else -> skip fi;
-		if :: v[i].map != target -> using = false :: else -> skip fi;
+		if :: v[i].held != NONE && (earliestHold == RANKS || v[i].held < v[earliestHold].held) -> earliestHold = i :: else -> skip fi;
+		if :: v[i].armed != NONE && (earliestArmed == RANKS || v[i].armedStep < v[earliestArmed].armedStep) -> earliestArmed = i :: else -> skip fi;
+		if :: target <= v[i].map || v[i].prep > target || (v[i].armed != NONE && v[i].armed >= target) -> targetOutdated = true :: else -> skip fi;
+		if :: v[i].map != target -> targetInUse = false :: else -> skip fi;
 		if :: v[i].prep != target -> prepared = false :: else -> skip fi;
-		if :: !claimed[i] -> unclaimed = true :: else -> skip fi
+		if :: !claimed[i] -> claimMissing = true :: else -> skip fi
 	}
 }
 
-/* claim has every rank refuse the coordinator before. */
-inline claim() {
+/* claimRanks has every rank refuse the previous coordinator from now on. */
+inline claimRanks() {
 	for (i : 0 .. RANKS-1) {
-		if :: !claimed[i] -> put(i, CLAIM, 0, 0) :: else -> skip fi
+		if :: !claimed[i] -> setOrder(i, CLAIM, 0, 0) :: else -> skip fi
 	}
 }
 
-/* armedWithoutHold watches over ranks that are armed for a pass at which nothing holds. */
+/* armedWithoutHold handles ranks armed for a pass that no rank holds. */
 inline armedWithoutHold() {
 	same = true;
 	for (i : 0 .. RANKS-1) {
 		if
-		:: v[i].armed == NONE && v[i].map == v[first].armed -> skip
-		:: v[i].armed == v[first].armed && v[i].armedStep == v[first].armedStep -> skip
+		:: v[i].armed == NONE && v[i].map == v[earliestArmed].armed -> skip
+		:: v[i].armed == v[earliestArmed].armed && v[i].armedStep == v[earliestArmed].armedStep -> skip
 		:: else -> same = false
 		fi
 	}
 	if
 	:: same -> skip
 	:: else ->
-		same = false; /* somebody holds now */
+		same = false; /* from here on: whether a hold was ordered */
 		for (i : 0 .. RANKS-1) {
 #ifdef MUTANT_DISARM_FREE
-			if :: v[i].armed != NONE -> put(i, DISARM, v[i].armed, 0) :: else -> skip fi
+			if :: v[i].armed != NONE -> setOrder(i, DISARM, v[i].armed, 0) :: else -> skip fi
 #else
-			if :: !same && v[i].held == NONE -> put(i, HOLD, 0, v[first].armedStep); same = true :: else -> skip fi
+			if :: !same && v[i].held == NONE -> setOrder(i, HOLD, 0, v[earliestArmed].armedStep); same = true :: else -> skip fi
 #endif
 		}
 	fi
 }
 
-/* reconcile brings the ranks of a held group to one prepared version. */
+/* reconcile brings the ranks of a held group to the same prepared version. */
 inline reconcile() {
 	if
 #ifndef MUTANT_LATE_DISARMS
-	:: far -> skip
+	:: fromReport -> skip
 #endif
 	:: else ->
 		for (i : 0 .. RANKS-1) {
 			if
-			:: v[i].armed != NONE -> put(i, DISARM, v[i].armed, 0)
-			:: v[i].armed == NONE && !overtaken && v[i].prep != target -> put(i, PREPARE, target, 0)
+			:: v[i].armed != NONE -> setOrder(i, DISARM, v[i].armed, 0)
+			:: v[i].armed == NONE && !targetOutdated && v[i].prep != target -> setOrder(i, PREPARE, target, 0)
 			:: else -> skip
 			fi
 		}
-		renew = overtaken
+		needsVersion = targetOutdated
 	fi
 }
 
-/* finish arms all ranks of a held group, and lets go. */
-inline finish() {
+/* armAndReleaseHold arms all ranks of a held group and then releases the hold. */
+inline armAndReleaseHold() {
 	upcoming = UPCOMING(0); same = (upcoming != NONE); armed = 0;
 	for (i : 0 .. RANKS-1) {
 		if
-		:: UPCOMING(i) != upcoming || (v[i].armed != NONE && v[i].armedStep != v[holder].held) -> same = false
+		:: UPCOMING(i) != upcoming || (v[i].armed != NONE && v[i].armedStep != v[earliestHold].held) -> same = false
 		:: else -> skip
 		fi
 	}
@@ -254,62 +255,62 @@
 #ifdef MUTANT_LATE_COUNTS
 			:: v[i].armed != NONE -> armed++
 #else
-			:: v[i].armed != NONE && !(i == 1 && far) -> armed++
+			:: v[i].armed != NONE && !(i == 1 && fromReport) -> armed++
 #endif
-			:: else -> put(i, ARM, upcoming, v[holder].held)
+			:: else -> setOrder(i, ARM, upcoming, v[earliestHold].held)
 			fi
 		}
 #ifdef MUTANT_GO_EARLY
-		if :: armed > 0 -> put(holder, GO, 0, v[holder].held) :: else -> skip fi
+		if :: armed > 0 -> setOrder(earliestHold, GO, 0, v[earliestHold].held) :: else -> skip fi
 #else
-		if :: armed == RANKS -> put(holder, GO, 0, v[holder].held) :: else -> skip fi
+		if :: armed == RANKS -> setOrder(earliestHold, GO, 0, v[earliestHold].held) :: else -> skip fi
 #endif
 	fi
 }
 
-/* begin prepares the target, and then holds the group ahead. */
-inline begin() {
+/* prepareAndHold prepares the target and then holds the group before a later pass. */
+inline prepareAndHold() {
 	for (i : 0 .. RANKS-1) {
-		if :: v[i].prep != target -> put(i, PREPARE, target, 0) :: else -> skip fi
+		if :: v[i].prep != target -> setOrder(i, PREPARE, target, 0) :: else -> skip fi
 	}
-	if :: prepared -> put(0, HOLD, 0, seen + 1) :: else -> skip fi
+	if :: prepared -> setOrder(0, HOLD, 0, lastPass + 1) :: else -> skip fi
 }
 
-/* decide is Machine.Next: at most one order for each rank. */
+/* decide models Machine.Decide: at most one order for each rank. */
 inline decide() {
 	d_step {
 		survey();
 		if
 #ifndef MUTANT_NO_CLAIM
-		:: unclaimed -> claim()
+		:: claimMissing -> claimRanks()
 #endif
 		:: else ->
 			if
-			:: first != RANKS && (holder == RANKS || v[first].armedStep < v[holder].held) -> armedWithoutHold()
-			:: !(first != RANKS && (holder == RANKS || v[first].armedStep < v[holder].held)) && holder != RANKS -> finish()
+			:: earliestArmed != RANKS && (earliestHold == RANKS || v[earliestArmed].armedStep < v[earliestHold].held) -> armedWithoutHold()
+			:: !(earliestArmed != RANKS && (earliestHold == RANKS || v[earliestArmed].armedStep < v[earliestHold].held)) && earliestHold != RANKS -> armAndReleaseHold()
 			:: else ->
 				if
-				:: using || overtaken -> renew = true
-				:: else -> begin()
+				:: targetInUse || targetOutdated -> needsVersion = true
+				:: else -> prepareAndHold()
 				fi
 			fi
 		fi;
-		i = 0; holder = 0; first = 0; overtaken = false; using = false; unclaimed = false; prepared = false;
+		i = 0; earliestHold = 0; earliestArmed = 0; targetOutdated = false; targetInUse = false; claimMissing = false; prepared = false;
 		same = false; armed = 0; upcoming = 0
 	}
 }
 
-/* give gives the order for a rank: carried out and answered, lost, or late. */
-inline give(r) {
+/* send sends a rank its order, which is executed and answered, lost, or late. */
+inline send(r) {
 	if
 	:: kind[r] == 0 -> skip
 	:: else ->
 		if
-		:: atomic { carry(r, kind[r], version[r], step[r], c);
+		:: atomic { execute(r, kind[r], version[r], step[r], c);
 			if :: ok && kind[r] == CLAIM -> claimed[r] = true :: else -> skip fi;
 			if
-			:: ok && !(r == 1 && far) -> look(r)
-			:: ok && r == 1 && far && kind[r] == ARM -> v[1].armed = version[1]; v[1].armedStep = step[1]; far = false
+			:: ok && !(r == 1 && fromReport) -> readRank(r)
+			:: ok && r == 1 && fromReport && kind[r] == ARM -> v[1].armed = version[1]; v[1].armedStep = step[1]; fromReport = false
 			:: else -> skip
 			fi;
 			ok = false; kind[r] = 0; version[r] = 0; step[r] = 0 }
@@ -322,25 +323,25 @@
 	fi
 }
 
-/* A coordinator. It may end at any moment, by giving no further order. */
+/* A coordinator. It may stop at any time by sending no further orders. */
 proctype Coordinator(byte c) {
 	View v[RANKS];
 	byte kind[RANKS], version[RANKS], step[RANKS];
-	byte target, holder, first, armed, upcoming, rounds, made, seen, i;
-	bool ok, far, renew, overtaken, using, unclaimed, prepared, same;
+	byte target, earliestHold, earliestArmed, armed, upcoming, rounds, versionsMade, lastPass, i;
+	bool ok, fromReport, needsVersion, targetOutdated, targetInUse, claimMissing, prepared, same;
 	bool claimed[RANKS], read[RANKS];
-	made = 1;
+	versionsMade = 1;
 	target = VERSION(c, 1);
 end:	do
 	:: true ->
 		do
-		:: atomic { !read[0] -> read[0] = true; look(0); if :: pass > seen -> seen = pass :: else -> skip fi }
-		:: atomic { !read[1] -> read[1] = true; look(1); if :: pass > seen -> seen = pass :: else -> skip fi }
+		:: atomic { !read[0] -> read[0] = true; readRank(0); if :: pass > lastPass -> lastPass = pass :: else -> skip fi }
+		:: atomic { !read[1] -> read[1] = true; readRank(1); if :: pass > lastPass -> lastPass = pass :: else -> skip fi }
 #ifdef FAR
-		:: atomic { !read[1] -> read[1] = true; lookFar(); far = true }
+		:: atomic { !read[1] -> read[1] = true; readReport(); fromReport = true }
 #endif
 #if RANKS > 2
-		:: atomic { !read[2] -> read[2] = true; look(2); if :: pass > seen -> seen = pass :: else -> skip fi }
+		:: atomic { !read[2] -> read[2] = true; readRank(2); if :: pass > lastPass -> lastPass = pass :: else -> skip fi }
 #endif
 		:: atomic { read[0] && read[1] && read[RANKS-1] -> read[0] = false; read[1] = false; read[RANKS-1] = false } break
 		od;
@@ -349,26 +350,26 @@
 			rounds++;
 			decide();
 			if
-			:: atomic { renew && made < VERSIONS -> made++; target = VERSION(c, made) }
+			:: atomic { needsVersion && versionsMade < VERSIONS -> versionsMade++; target = VERSION(c, versionsMade) }
 			:: else -> skip
 			fi;
-			renew = false;
-			give(0);
-			give(1);
+			needsVersion = false;
+			send(0);
+			send(1);
 #if RANKS > 2
-			give(2)
+			send(2)
 #endif
 		:: break
 		od;
 		skip;
 		d_step {
-			rounds = 0; seen = 0; far = false;
+			rounds = 0; lastPass = 0; fromReport = false;
 			for (i : 0 .. RANKS-1) {
 				v[i].map = 0; v[i].prep = 0; v[i].armed = 0; v[i].armedStep = 0; v[i].held = 0
 			}
 			i = 0
 		}
-	:: atomic { c == 0 && !second -> second = true; run Coordinator(1) }
+	:: atomic { c == 0 && !secondStarted -> secondStarted = true; run Coordinator(1) }
 	od
 }
 
--- a/spec/tickets.pml
+++ b/spec/tickets.pml
@@ -1,22 +1,22 @@
 /*
- * Tickets: a request that may not be repeated runs at most once, and what its
- * callers are told is true.
+ * Tickets: a request that must not be repeated runs at most once, and its callers get
+ * true statements about it.
  *
- * One ticket, granted by incarnation 0 of an agent. Its caller sends copies of one
- * request, once another request under the same ticket, and questions that settle
- * the ticket, through two entries. Copies wait on links as long as they like and
- * arrive in any order; a copy in a silent link arrives after the question. Entries
- * send again and are replaced without memory. Successors of the agent exist beside
- * it from the start, as when it is paused and its VM replaced: any copy may reach it
- * or one of them. Its two handlers pause between any two steps, and it dies anywhere. What an agent has sent to the backend server runs later, or never, also
- * after the agent's death. Answers may be lost at any time; a statement is checked
- * when it is made, against all that runs before and after.
+ * There is one ticket, granted by incarnation 0 of an agent. Its caller sends, through two
+ * entries, copies of one request, one copy of another request under the same ticket, and
+ * queries that settle the ticket. Copies stay in links for any time and arrive in any
+ * order; a copy in a silent link may arrive after a query. Entries send again and are
+ * replaced without state. Successors of the agent exist beside it from the start, as when
+ * it is paused and its VM is replaced: any copy may reach the agent or a successor. The
+ * agent's two handlers may pause between any two steps, and the agent may die at any
+ * point. A request that an agent has sent to the backend server runs later or never, also
+ * after the agent's death. Answers may be lost at any time. A statement to a caller is
+ * checked when it is made, against all runs before and after.
  *
- * Bounds: 2 handlers of the agent, any number of successors and of replacements of
- * the 2 entries; COPIES copies of the request put on links, 1 of another request, 2
- * questions.
+ * Bounds: 2 handlers of the agent, any number of successors and of replacements of the 2
+ * entries; COPIES copies of the request on links, 1 of another request, 2 queries.
  *
- * Each MUTANT_x leaves one safeguard out; the checker must find an error with it.
+ * Each MUTANT_x removes one safeguard; the checker must then find an error.
  */
 
 #ifndef COPIES
@@ -27,33 +27,33 @@
 mtype = { unused, used, voided, forgotten };
 mtype = { first, other };
 
-/* What the agent of incarnation 0 knows of the ticket. */
+/* The state of the ticket at the agent of incarnation 0. */
 mtype state = unused;
-mtype bound = first;
-bool held = false;      /* the answer is held */
-bool ended = false;     /* the backend server said that it ran */
+mtype boundRequest = first;
+bool answerHeld = false; /* the answer is still held */
+bool confirmed = false;  /* the backend server confirmed that it ran */
 bool expired = false;
 
-bool alive = true;
+bool agentAlive = true;
 
-/* Copies on links, and how many were put there. */
-byte wire = 0, sent = 0;
-byte wireOther = 0;
+/* Messages in transit on links, and how many were sent. */
+byte inTransit = 0, sent = 0;
+byte otherInTransit = 0;
 bool sentOther = false;
-byte wireSettle = 0, sentSettle = 0;
+byte queriesInTransit = 0, queriesSent = 0;
 
-bool forwarded[ENTRIES];   /* what an entry remembers */
+bool forwarded[ENTRIES]; /* the entry knows that it forwarded a copy */
 
-/* The service behind the agent. */
-byte toBackend = 0;        /* sent and not yet run */
+/* The agent's backend server. */
+byte toBackend = 0; /* requests sent and not yet run */
 byte runs = 0;
-bool saidNotRun = false;
+bool statedNotRun = false;
 
-inline sayNotRun() { saidNotRun = true; assert(runs == 0) }
-inline sayRan() { assert(runs > 0) }
+inline stateNotRun() { statedNotRun = true; assert(runs == 0) }
+inline stateRan() { assert(runs > 0) }
 
-/* An agent hands the request to its backend server, for this ticket. */
-inline hand() {
+/* An agent sends the request of this ticket to its backend server. */
+inline sendToBackend() {
   toBackend++
 }
 
@@ -64,187 +64,187 @@
        toBackend--;
        runs++;
        assert(runs == 1);
-       assert(!saidNotRun);
+       assert(!statedNotRun);
        /* The answer reaches the agent, or its connection breaks. */
        if
-       :: ended = true
+       :: confirmed = true
        :: skip
        fi
      }
-  :: atomic { toBackend > 0 -> toBackend-- }  /* lost on the way */
+  :: atomic { toBackend > 0 -> toBackend-- }  /* lost in transit */
 #ifdef MUTANT_REPLAY
-  /* The transport sends again by itself when a reused connection closes. */
+  /* The HTTP transport retries on its own when a reused connection closes. */
   :: atomic { toBackend > 0 && runs == 0 -> runs++ }
 #endif
   od
 }
 
-/* seen answers for a ticket that is not unused. */
-inline seen(body) {
+/* answerUsed answers a message about a ticket that is not unused. */
+inline answerUsed(body) {
   if
-  :: state == voided -> sayNotRun()
+  :: state == voided -> stateNotRun()
 #if defined(MUTANT_FORGOTTEN_NOT_RUN)
-  :: state == forgotten -> sayNotRun()
+  :: state == forgotten -> stateNotRun()
 #else
   :: state == forgotten -> skip                        /* unknown */
 #endif
 #ifdef MUTANT_REUSED_NOT_RUN
-  :: state == used && body != bound -> sayNotRun()
+  :: state == used && body != boundRequest -> stateNotRun()
 #else
-  :: state == used && body != bound -> skip            /* unknown */
+  :: state == used && body != boundRequest -> skip            /* unknown */
 #endif
-  :: state == used && body == bound && held -> skip    /* joins the answer */
+  :: state == used && body == boundRequest && answerHeld -> skip    /* joins the answer */
 #ifdef MUTANT_RAN_BY_MARK
-  /* The mark is taken for the run. */
-  :: state == used && body == bound && !held -> sayRan()
+  /* The mark is mistaken for proof of a run. */
+  :: state == used && body == boundRequest && !answerHeld -> stateRan()
 #else
-  :: state == used && body == bound && !held && ended -> sayRan()
-  :: state == used && body == bound && !held && !ended -> skip
+  :: state == used && body == boundRequest && !answerHeld && confirmed -> stateRan()
+  :: state == used && body == boundRequest && !answerHeld && !confirmed -> skip
 #endif
   fi
 }
 
-/* refuse is what the agent does with work that it does not take now. */
+/* refuse refuses work that the agent does not accept now, and voids its ticket. */
 inline refuse() {
 #ifndef MUTANT_REFUSE_WITHOUT_VOID
   state = voided;
 #endif
-  sayNotRun()
+  stateNotRun()
 }
 
-/* mark takes the right to run, in the same step in which it was found unused. */
-inline mark(body) {
+/* markUsed marks the ticket as used, in the same step in which it was found unused. */
+inline markUsed(body) {
   state = used;
-  bound = body;
-  held = true
+  boundRequest = body;
+  answerHeld = true
 }
 
 proctype Handler() {
   mtype body = first;
-  bool go = false;
+  bool accepted = false;
 end:
   do
-  :: atomic { alive && (wire > 0 || wireOther > 0) ->
+  :: atomic { agentAlive && (inTransit > 0 || otherInTransit > 0) ->
        if
-       :: wire > 0 -> wire--; body = first
-       :: wireOther > 0 -> wireOther--; body = other
+       :: inTransit > 0 -> inTransit--; body = first
+       :: otherInTransit > 0 -> otherInTransit--; body = other
        fi;
        if
        :: state == unused && expired -> refuse()
        :: state == unused -> refuse()                  /* draining, out, full */
        :: state == unused && !expired ->
-            go = true;
+            accepted = true;
 #if !defined(MUTANT_NO_MARK) && !defined(MUTANT_MARK_LATER)
-            mark(body)
+            markUsed(body)
 #endif
-       :: state != unused -> seen(body)
+       :: state != unused -> answerUsed(body)
        fi;
        if
-       :: go -> skip
-       :: !go -> body = first
+       :: accepted -> skip
+       :: !accepted -> body = first
        fi
      };
-     /* A pause, or death. What was decided is done, whatever happened meanwhile. */
+     /* The agent may pause or die here. The decision is carried out whatever has happened since. */
      if
-     :: atomic { alive && go ->
-          go = false;
+     :: atomic { agentAlive && accepted ->
+          accepted = false;
 #ifdef MUTANT_MARK_LATER
-          mark(body);
+          markUsed(body);
 #endif
-          hand();
+          sendToBackend();
           body = first
         }
-     :: atomic { alive && go ->
-          /* Refused out of the queue, or the connection was refused. */
-          go = false;
+     :: atomic { agentAlive && accepted ->
+          /* Refused while queued, or the connection to the backend server was refused. */
+          accepted = false;
 #ifdef MUTANT_ABANDON_UNUSED
           state = unused;
 #else
           state = voided;
 #endif
-          held = false;
-          sayNotRun();
+          answerHeld = false;
+          stateNotRun();
           body = first
         }
-     :: !go -> skip
-     :: !alive -> break
+     :: !accepted -> skip
+     :: !agentAlive -> break
      fi
-  :: atomic { alive && wireSettle > 0 ->
-       wireSettle--;
+  :: atomic { agentAlive && queriesInTransit > 0 ->
+       queriesInTransit--;
        if
        :: state == unused ->
 #ifdef MUTANT_SETTLE_WITHOUT_VOID
-            sayNotRun()
+            stateNotRun()
 #else
             refuse()
 #endif
-       :: state != unused -> seen(bound)
+       :: state != unused -> answerUsed(boundRequest)
        fi
      }
-  :: !alive -> break
+  :: !agentAlive -> break
   od
 }
 
-/* Successor is any other incarnation that a copy may reach. */
+/* Successor models all other incarnations that a copy may reach. */
 proctype Successor() {
 end:
   do
-  :: atomic { wire > 0 ->
-       wire--;
+  :: atomic { inTransit > 0 ->
+       inTransit--;
 #if defined(MUTANT_ANY_INCARNATION)
-       /* The key is shared: a successor takes the ticket for its own. */
-       hand()
+       /* With a shared key a successor accepts the ticket as its own. */
+       sendToBackend()
 #elif defined(MUTANT_GONE_NOT_RUN)
-       sayNotRun()
+       stateNotRun()
 #endif
      }
-  :: atomic { wireOther > 0 -> wireOther-- }
-  :: atomic { wireSettle > 0 -> wireSettle-- }
+  :: atomic { otherInTransit > 0 -> otherInTransit-- }
+  :: atomic { queriesInTransit > 0 -> queriesInTransit-- }
   od
 }
 
-/* Agent: its memory is bounded, time passes, it dies. */
+/* Agent models the agent's bounded memory, the passage of time, and its death. */
 proctype Agent() {
 end:
   do
-  :: atomic { alive && held && (ended || toBackend == 0) -> held = false }
-  :: atomic { alive && expired && state != forgotten ->
+  :: atomic { agentAlive && answerHeld && (confirmed || toBackend == 0) -> answerHeld = false }
+  :: atomic { agentAlive && expired && state != forgotten ->
 #ifdef MUTANT_FORGOTTEN_UNUSED
        state = unused; expired = false;
 #else
        state = forgotten;
 #endif
-       held = false
+       answerHeld = false
      }
-  :: atomic { alive && !expired -> expired = true }
-  :: atomic { alive -> alive = false; break }
+  :: atomic { agentAlive && !expired -> expired = true }
+  :: atomic { agentAlive -> agentAlive = false; break }
   od
 }
 
-proctype Entry(byte me) {
+proctype Entry(byte entry) {
 end:
   do
-  /* The caller's request goes to the agent, the first time or again. */
-  :: atomic { sent < COPIES -> sent++; wire++; forwarded[me] = true }
-  :: atomic { !sentOther -> sentOther = true; wireOther++ }
-  :: atomic { sentSettle < 2 -> sentSettle++; wireSettle++ }
-  /* The link is silent: the entry can say that it does not know. */
-  :: atomic { forwarded[me] ->
-       forwarded[me] = false;
+  /* The entry sends the caller's request to the agent, for the first time or as a retry. */
+  :: atomic { sent < COPIES -> sent++; inTransit++; forwarded[entry] = true }
+  :: atomic { !sentOther -> sentOther = true; otherInTransit++ }
+  :: atomic { queriesSent < 2 -> queriesSent++; queriesInTransit++ }
+  /* The link is silent: the entry may answer that the outcome is unknown. */
+  :: atomic { forwarded[entry] ->
+       forwarded[entry] = false;
 #ifdef MUTANT_TIMEOUT_NOT_RUN
-       sayNotRun()
+       stateNotRun()
 #endif
 #ifdef MUTANT_RUN_ELSEWHERE
-       hand()
+       sendToBackend()
 #endif
      }
 #ifdef MUTANT_ENTRY_NOT_RUN
-  /* The entry refuses a caller's ticket by itself; it has not passed it on. */
-  :: atomic { !forwarded[me] && !saidNotRun -> sayNotRun() }
+  /* The entry refuses a ticket itself because it has not forwarded it. */
+  :: atomic { !forwarded[entry] && !statedNotRun -> stateNotRun() }
 #endif
-  /* Replaced by one without memory. */
-  :: atomic { forwarded[me] -> forwarded[me] = false }
-  :: sent == COPIES && !forwarded[me] -> break
+  /* Replaced by an entry without state. */
+  :: atomic { forwarded[entry] -> forwarded[entry] = false }
+  :: sent == COPIES && !forwarded[entry] -> break
   od
 }
 
